--- a/cmd/fernrail/desk.go
+++ b/cmd/fernrail/desk.go
@@ -18,9 +18,9 @@
 
 	"fernrail/internal/config"
 	"fernrail/internal/fleet"
-	"fernrail/internal/handover"
+	"fernrail/internal/hotrestart"
+	"fernrail/internal/metrics"
 	"fernrail/internal/routing"
-	"fernrail/internal/telemetry"
 	"fernrail/internal/transport"
 )
 
@@ -33,8 +33,8 @@
 	node        *routing.Node
 	server      *transport.Server
 	descriptors *transport.Descriptors
-	counters    *telemetry.Counters
-	seat        *handover.Seat
+	counters    *metrics.Counters
+	seat        *hotrestart.Seat
 	share       *fleet.Fleet // nil: no budget is held with other nodes
 	subset      atomic.Pointer[fleet.SubsetFigures]
 	log         zerolog.Logger
@@ -52,7 +52,7 @@
 // join takes a place among the node's processes, with the bans that hold there.
 func (d *desk) join(dir string) {
 	var err error
-	if d.seat, err = handover.Join(dir, d.config.Name); err != nil {
+	if d.seat, err = hotrestart.Join(dir, d.config.Name); err != nil {
 		d.log.Warn().Err(err).Str("key", "TMPDIR").Msg("nothing is shared with other processes of this node")
 	}
 	if d.owner = d.seat.Own(); !d.owner {
--- a/cmd/fernrail/desk_test.go
+++ b/cmd/fernrail/desk_test.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 
 	"fernrail/internal/config"
-	"fernrail/internal/handover"
+	"fernrail/internal/hotrestart"
 	"fernrail/internal/protocol"
 )
 
@@ -36,7 +36,7 @@
 		}
 	}
 	check("alone", 1)
-	other, err := handover.Join(dir, "n")
+	other, err := hotrestart.Join(dir, "n")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fernrail/figures_test.go
+++ b/cmd/fernrail/figures_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"fernrail/internal/telemetry"
+	"fernrail/internal/metrics"
 )
 
 // TestFigures: what a node reports is what its clients and executors saw, with declines, an executor that hangs, clients
@@ -30,7 +30,7 @@
 	})
 	address := f.start(0, oldShape, "", strings.TrimPrefix(discovery.URL, "http://"))
 	d := f.desks[0]
-	figures := func() (f telemetry.Figures) {
+	figures := func() (f metrics.Figures) {
 		t.Helper()
 		line, err := d.Telemetry()
 		if err == nil {
@@ -42,7 +42,7 @@
 		return f
 	}
 	var mu sync.Mutex
-	whole, left, want := 0, 0, map[string]telemetry.Ends{"look": {}, "save": {}, "book": {}}
+	whole, left, want := 0, 0, map[string]metrics.Ends{"look": {}, "save": {}, "book": {}}
 	var clients sync.WaitGroup
 	for c := range uint64(24) {
 		clients.Go(func() {
@@ -90,7 +90,7 @@
 	}
 	done := make(chan struct{})
 	go func() { clients.Wait(); close(done) }()
-	taken := func(f telemetry.Figures) (sum int64) {
+	taken := func(f metrics.Figures) (sum int64) {
 		for _, e := range f.Requests {
 			sum += e.Served + e.Refused + e.Failed
 		}
@@ -108,7 +108,7 @@
 		}
 		before = now
 	}
-	var got telemetry.Figures
+	var got metrics.Figures
 	for start := time.Now(); time.Since(start) < 5*time.Second; time.Sleep(5 * time.Millisecond) {
 		if got = figures(); got.InFlight == 0 {
 			break
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -18,8 +18,8 @@
 	"fernrail/internal/admin"
 	"fernrail/internal/config"
 	"fernrail/internal/fleet"
+	"fernrail/internal/metrics"
 	"fernrail/internal/routing"
-	"fernrail/internal/telemetry"
 	"fernrail/internal/transport"
 )
 
@@ -162,7 +162,7 @@
 
 // wire puts a node together. share is nil where it holds no budgets with others.
 func wire(c *config.Node, share *fleet.Fleet, log zerolog.Logger) *desk {
-	descriptors, counters := transport.NewDescriptors(c.Sockets), telemetry.New(c.Names.Schemes)
+	descriptors, counters := transport.NewDescriptors(c.Sockets), metrics.New(c.Names.Schemes)
 	descriptors.Log(log)
 	carrier := transport.NewExecutors(descriptors, c.Dial, c.Idle, c.Values, counters.Attempted)
 	var held routing.Purse
--- a/cmd/fernrail/upgrade_test.go
+++ b/cmd/fernrail/upgrade_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"fernrail/internal/telemetry"
+	"fernrail/internal/metrics"
 )
 
 // TestMain lets the test's binary be a node, so that two real processes can meet.
@@ -96,7 +96,7 @@
 	}
 }
 
-func (p *process) figures() (f telemetry.Figures) {
+func (p *process) figures() (f metrics.Figures) {
 	p.Helper()
 	text, whole := strings.CutSuffix(p.say("telemetry"), "\nEND\n")
 	if err := json.Unmarshal([]byte(text), &f); err != nil || !whole {
--- a/cmd/fernlab/emulate.go
+++ b/cmd/fleetsim/emulate.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"fernrail/internal/emulator"
-	"fernrail/internal/judge"
+	"fernrail/internal/invariants"
 )
 
 // emulate plays a scenario in virtual time.
@@ -23,7 +23,7 @@
 	Policy   string `default:"module" help:"What decides on the nodes: module, random, round-robin, least, two-choices, or truth, which sees all."`
 	Subset   int    `default:"-1" help:"In place of the scenario's subset.size: executors that a node uses; 0: all."`
 	Budgets  string `help:"In place of the scenario's leases.mode: turns, leased, alone, or all, where one sees what all send."`
-	Log      string `help:"Where the event log goes, for fernlab judge."`
+	Log      string `help:"Where the event log goes, for fleetsim judge."`
 	Max      int    `default:"5" help:"How many breaches are told of."`
 }
 
@@ -76,9 +76,9 @@
 		write, flush = encoder.Encode, func(any) error { return buffer.Flush() }
 	}
 	fault := write(rules)
-	j, count, last := judge.New(rules), judge.NewCount(), int64(0)
+	j, count, last := invariants.New(rules), invariants.NewCount(), int64(0)
 	began := time.Now()
-	report := emulator.Run(s, c.Seed, policy, func(e judge.Event) {
+	report := emulator.Run(s, c.Seed, policy, func(e invariants.Event) {
 		fault = errors.Join(fault, write(e), j.Add(e))
 		count.Add(e)
 		last = e.At
@@ -88,10 +88,10 @@
 	}
 	f := count.End()
 	fmt.Fprintf(out, "%s, seed %d, %s: %.4f in time, worst 10 s %.4f (emulated)\n", filepath.Base(c.Scenario), c.Seed, c.Policy, f.All.Share(), f.Worst)
-	for _, name := range judge.Names(f.Schemes) {
+	for _, name := range invariants.Names(f.Schemes) {
 		fmt.Fprintf(out, "  scheme %-12s %.4f in time\n", name, f.Schemes[name].Share())
 	}
-	for _, name := range judge.Names(f.Tenants) {
+	for _, name := range invariants.Names(f.Tenants) {
 		fmt.Fprintf(out, "  tenant %-12s %.4f in time\n", name, f.Tenants[name].Share())
 	}
 	fmt.Fprintf(out, "  waits: half %v, 99 of 100 %v; %d tries, %d postings, %d declined, %d reversed, %d handshakes, %.0f connections held\n",
@@ -104,7 +104,7 @@
 		fmt.Fprintf(out, "  rule %d, event %d: %s\n", b.Rule, b.Event, b.Text)
 	}
 	if len(breaches) > 0 {
-		return verdict{fmt.Errorf("%d breaches; again with: fernlab emulate %s --seed %d --policy %s", len(breaches), c.Scenario, c.Seed, c.Policy), 1}
+		return verdict{fmt.Errorf("%d breaches; again with: fleetsim emulate %s --seed %d --policy %s", len(breaches), c.Scenario, c.Seed, c.Policy), 1}
 	}
 	return nil
 }
--- a/cmd/fernlab/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -22,7 +22,7 @@
 
 	"fernrail/internal/emulator"
 	"fernrail/internal/experiment"
-	"fernrail/internal/judge"
+	"fernrail/internal/invariants"
 )
 
 // trial plays a grid of scenarios, variants and seeds, and keeps what came of it.
@@ -233,8 +233,8 @@
 		return nil, err
 	}
 	rules := s.Held()
-	j, count, last, began := judge.New(rules), judge.NewCount(), int64(0), time.Now()
-	report := emulator.Run(s, r.Seed, policy, func(e judge.Event) {
+	j, count, last, began := invariants.New(rules), invariants.NewCount(), int64(0), time.Now()
+	report := emulator.Run(s, r.Seed, policy, func(e invariants.Event) {
 		err = errors.Join(err, j.Add(e))
 		count.Add(e)
 		last = e.At
--- a/cmd/fernlab/judge.go
+++ b/cmd/fleetsim/judge.go
@@ -10,7 +10,7 @@
 	"io"
 	"os"
 
-	"fernrail/internal/judge"
+	"fernrail/internal/invariants"
 )
 
 // judged holds a log against the rules.
@@ -40,13 +40,13 @@
 func (c *judged) hold(log io.Reader, out io.Writer) error {
 	in := json.NewDecoder(log)
 	in.DisallowUnknownFields()
-	var rules judge.Rules
+	var rules invariants.Rules
 	if err := in.Decode(&rules); err != nil {
 		return verdict{fmt.Errorf("%s: rules: %w", c.Log, err), 2}
 	}
-	j, events, last := judge.New(rules), 0, int64(0)
+	j, events, last := invariants.New(rules), 0, int64(0)
 	for {
-		var e judge.Event
+		var e invariants.Event
 		err := in.Decode(&e)
 		if errors.Is(err, io.EOF) {
 			break
--- a/cmd/fernlab/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command fernlab looks at fleets of nodes from outside.
+// Command fleetsim looks at fleets of nodes from outside.
 package main
 
 import "github.com/alecthomas/kong"
@@ -15,6 +15,6 @@
 		} `cmd:"" help:"Look at scenarios."`
 		Judge judged `cmd:"" help:"Hold an event log against the four rules. Ends with 0 if they are kept, 1 if not, 2 if the log can't be read."`
 	}
-	run := kong.Parse(&commands, kong.Name("fernlab"), kong.UsageOnError())
+	run := kong.Parse(&commands, kong.Name("fleetsim"), kong.UsageOnError())
 	run.FatalIfErrorf(run.Run())
 }
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"testing"
 
-	"fernrail/internal/judge"
+	"fernrail/internal/invariants"
 )
 
 // herd is many nodes that share nothing but the clock and the executors.
@@ -23,16 +23,16 @@
 	slots   float64
 	hasty   bool // every posting is turned away at once, so that all that the nodes hold goes out again
 	settle  int64
-	speed   []float64      // of each executor; nil: jobs run for settle everywhere
-	work    func() int64   // of a txn that tells nothing of it
-	works   map[*Txn]int64 // of these
-	patient int64          // how long clients wait; 0: a second
-	judge   *judge.Judge   // hears of all that happens, and shares nothing with the module
-	fault   error          // what the judge could not make sense of
+	speed   []float64         // of each executor; nil: jobs run for settle everywhere
+	work    func() int64      // of a txn that tells nothing of it
+	works   map[*Txn]int64    // of these
+	patient int64             // how long clients wait; 0: a second
+	judge   *invariants.Judge // hears of all that happens, and shares nothing with the module
+	fault   error             // what the judge could not make sense of
 	taken   int
 }
 
-func (h *herd) tell(e judge.Event) {
+func (h *herd) tell(e invariants.Event) {
 	if e.At = h.now; h.fault == nil {
 		h.fault = h.judge.Add(e)
 	}
@@ -64,7 +64,7 @@
 	}
 	n.sent[i] = append(n.sent[i], charge{n.now, work})
 	n.open, n.at[p] = append(n.open, p), n.now
-	n.tell(judge.Event{Kind: judge.Posted, Txn: p.Txn.Tag, Posting: p.Number, Executor: strconv.Itoa(i), Work: work / 1e9})
+	n.tell(invariants.Event{Kind: invariants.Posted, Txn: p.Txn.Tag, Posting: p.Number, Executor: strconv.Itoa(i), Work: work / 1e9})
 }
 
 // runs is how long a posting runs, without a queue.
@@ -85,10 +85,10 @@
 }
 func (n *herdNode) Withdraw(*Posting) {}
 func (n *herdNode) Decline(t *Txn, _ int64) {
-	n.tell(judge.Event{Kind: judge.Answered, Txn: t.Tag, Result: "declined"})
+	n.tell(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: "declined"})
 }
 func (n *herdNode) Reverse(t *Txn) {
-	n.tell(judge.Event{Kind: judge.Answered, Txn: t.Tag, Result: "reversed"})
+	n.tell(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: "reversed"})
 }
 func (n *herdNode) Watch(bool)              {}
 func (n *herdNode) Tell(*Executor, float64) {}
@@ -104,13 +104,13 @@
 	h.terms = basicTerms()
 	h.terms.Nodes, h.terms.Schemes, h.terms.Tick = nodes, h.terms.Schemes[:1], 2e7
 	h.since, h.off, h.sent = make([]int64, executors), make([]int64, executors), make([][]charge, executors)
-	places := map[string]judge.Place{}
+	places := map[string]invariants.Place{}
 	for i := range executors {
-		places[strconv.Itoa(i)] = judge.Place{Slots: h.slots}
+		places[strconv.Itoa(i)] = invariants.Place{Slots: h.slots}
 	}
-	h.judge = judge.New(judge.Rules{Fall: h.terms.Fall, FallMultiple: h.terms.FallMultiple, Cold: h.terms.Cold,
+	h.judge = invariants.New(invariants.Rules{Fall: h.terms.Fall, FallMultiple: h.terms.FallMultiple, Cold: h.terms.Cold,
 		ColdShare: h.terms.ColdShare, Doubles: h.terms.MayDuplicate, Executors: places,
-		Schemes: map[string]judge.Scheme{"s": {Effect: "repeatable"}}})
+		Schemes: map[string]invariants.Scheme{"s": {Effect: "repeatable"}}})
 	for i := range nodes {
 		terms := *h.terms
 		terms.Me = i
@@ -128,7 +128,7 @@
 	if len(h.nodes) <= terms.Me {
 		h.nodes = append(h.nodes, n)
 	} else {
-		h.tell(judge.Event{Kind: judge.Killed, Node: strconv.Itoa(terms.Me)})
+		h.tell(invariants.Event{Kind: invariants.Killed, Node: strconv.Itoa(terms.Me)})
 		h.nodes[terms.Me] = n // started again: it knows nothing of what it sent before
 	}
 	n.list()
@@ -149,7 +149,7 @@
 		h.off[i] = h.Int64N(2*h.terms.StampError+1) - h.terms.StampError
 	}
 	for _, i := range h.Perm(len(h.since)) {
-		h.tell(judge.Event{Kind: judge.Begun, Executor: strconv.Itoa(i), Since: h.since[i]})
+		h.tell(invariants.Event{Kind: invariants.Begun, Executor: strconv.Itoa(i), Since: h.since[i]})
 	}
 	for _, n := range h.nodes {
 		n.list()
@@ -176,7 +176,7 @@
 				if h.work != nil {
 					t.Hint, t.Expiry, h.works[t] = 0, h.now+h.patient, h.work()
 				}
-				h.tell(judge.Event{Kind: judge.Taken, Node: strconv.Itoa(n.d.terms.Me), Txn: t.Tag, Scheme: "s", Expiry: t.Expiry})
+				h.tell(invariants.Event{Kind: invariants.Taken, Node: strconv.Itoa(n.d.terms.Me), Txn: t.Tag, Scheme: "s", Expiry: t.Expiry})
 				n.d.Arrive(t)
 			}
 			n.d.Settle()
@@ -186,9 +186,9 @@
 						o = Full
 					}
 					n.open = slices.DeleteFunc(n.open, func(q *Posting) bool { return p == q })
-					n.tell(judge.Event{Kind: judge.Ended, Txn: p.Txn.Tag, Posting: p.Number, Result: o.String()})
+					n.tell(invariants.Event{Kind: invariants.Ended, Txn: p.Txn.Tag, Posting: p.Number, Result: o.String()})
 					if o == Settled && !p.Txn.Over {
-						n.tell(judge.Event{Kind: judge.Answered, Txn: p.Txn.Tag, Result: "settled"})
+						n.tell(invariants.Event{Kind: invariants.Answered, Txn: p.Txn.Tag, Result: "settled"})
 					}
 					n.d.Ended(p, o, h.now-n.at[p], p.Txn.Over || o == Settled)
 				}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -14,7 +14,7 @@
 	"strings"
 	"testing"
 
-	"fernrail/internal/judge"
+	"fernrail/internal/invariants"
 )
 
 func example(t testing.TB, name string) *Scenario {
@@ -31,7 +31,7 @@
 }
 
 // play runs a scenario and gives its figures, its breaches and its log.
-func play(t testing.TB, s *Scenario, seed uint64, policy string) (*judge.Figures, []judge.Breach, Report, string) {
+func play(t testing.TB, s *Scenario, seed uint64, policy string) (*invariants.Figures, []invariants.Breach, Report, string) {
 	t.Helper()
 	p, err := PolicyOf(policy)
 	if err != nil {
@@ -39,8 +39,8 @@
 	}
 	var log bytes.Buffer
 	encoder := json.NewEncoder(&log)
-	j, c, last := judge.New(s.Held()), judge.NewCount(), int64(0)
-	r := Run(s, seed, p, func(e judge.Event) {
+	j, c, last := invariants.New(s.Held()), invariants.NewCount(), int64(0)
+	r := Run(s, seed, p, func(e invariants.Event) {
 		if err := j.Add(e); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
@@ -54,8 +54,8 @@
 // record gives the rules that a policy broke.
 func record(t testing.TB, s *Scenario, policy Policy) (rules []int) {
 	t.Helper()
-	j, last := judge.New(s.Held()), int64(0)
-	Run(s, 5, policy, func(e judge.Event) {
+	j, last := invariants.New(s.Held()), int64(0)
+	Run(s, 5, policy, func(e invariants.Event) {
 		if err := j.Add(e); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"fernrail/internal/judge"
+	"fernrail/internal/invariants"
 )
 
 // executor is the truth about one worker. Its jobs share its cores; the rest waits in order.
@@ -244,5 +244,5 @@
 		return
 	}
 	e.up, e.begun, e.at, e.slow, e.errors, e.failing = true, e.world.now, e.world.now, 0, 0, ""
-	e.world.log(judge.Event{Kind: judge.Begun, Executor: e.id})
+	e.world.log(invariants.Event{Kind: invariants.Begun, Executor: e.id})
 }
--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -9,7 +9,7 @@
 
 	"fernrail/dispatch"
 	"fernrail/internal/fleet/budget"
-	"fernrail/internal/judge"
+	"fernrail/internal/invariants"
 )
 
 // Leases say how nodes hold budgets together, with the code that real ones use.
@@ -186,7 +186,7 @@
 				continue
 			}
 			s.told[name] = now
-			w.log(judge.Event{Kind: judge.Held, Node: s.node.name, Budget: name, Units: now.units, Until: now.until})
+			w.log(invariants.Event{Kind: invariants.Held, Node: s.node.name, Budget: name, Units: now.units, Until: now.until})
 		}
 	}
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -7,7 +7,7 @@
 	"strconv"
 
 	"fernrail/dispatch"
-	"fernrail/internal/judge"
+	"fernrail/internal/invariants"
 )
 
 // Policy makes what decides on one node. The decision module is one; baselines are others.
@@ -98,7 +98,7 @@
 	n.up = false
 	n.lives++
 	n.world.regroup()
-	n.world.log(judge.Event{Kind: judge.Killed, Node: n.name})
+	n.world.log(invariants.Event{Kind: invariants.Killed, Node: n.name})
 	inOrder := make([]*held, 0, len(n.txns))
 	for _, h := range n.txns {
 		inOrder = append(inOrder, h)
@@ -158,7 +158,7 @@
 		// Danger: each node's word of each executor with each list; at 300 nodes and 200 executors nothing else was logged.
 		if state := members[i].State; state != n.told[i] {
 			n.told[i] = state
-			w.log(judge.Event{Kind: judge.Told, Node: n.name, Executor: w.executors[i].id, Result: []string{"up", "draining", "gone"}[state]})
+			w.log(invariants.Event{Kind: invariants.Told, Node: n.name, Executor: w.executors[i].id, Result: []string{"up", "draining", "gone"}[state]})
 		}
 	}
 	members = slices.DeleteFunc(members, func(m dispatch.Member) bool { return m.State == dispatch.Gone })
@@ -184,7 +184,7 @@
 	if len(w.s.Tenant) > 0 {
 		tenant = w.s.Tenant[q.tenant].Name
 	}
-	w.log(judge.Event{Kind: judge.Taken, Node: n.name, Txn: q.id, Scheme: s.Name, Expiry: q.expiry, Client: q.origin.id, Aim: q.origin.aim, First: q.origin.first, Value: q.origin.value, Tenant: tenant})
+	w.log(invariants.Event{Kind: invariants.Taken, Node: n.name, Txn: q.id, Scheme: s.Name, Expiry: q.expiry, Client: q.origin.id, Aim: q.origin.aim, First: q.origin.first, Value: q.origin.value, Tenant: tenant})
 	n.event(func() { n.decider.Arrive(t) })
 	w.after(q.expiry-w.now, func() { n.timeOut(t) })
 	w.after(q.expiry-w.now+int64(w.s.Rules.Slack), func() { n.drop(t) })
@@ -210,7 +210,7 @@
 // answer gives the final answer.
 func (n *node) answer(t *dispatch.Txn, result string) {
 	h := n.txns[t]
-	n.world.log(judge.Event{Kind: judge.Answered, Txn: t.Tag, Result: result})
+	n.world.log(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: result})
 	if h == nil {
 		return
 	}
@@ -266,7 +266,7 @@
 		return
 	}
 	w.postings++
-	w.log(judge.Event{Kind: judge.Posted, Txn: p.Txn.Tag, Posting: p.Number, Executor: e.id, Work: h.request.work / 1e9})
+	w.log(invariants.Event{Kind: invariants.Posted, Txn: p.Txn.Tag, Posting: p.Number, Executor: e.id, Work: h.request.work / 1e9})
 	f.job = &job{txn: h.request, slots: h.request.scheme.Slots, left: h.request.work / float64(h.request.scheme.Slots), posting: p.Number}
 	f.job.tell = func(what line) { w.send(e.zone, n.zone, func() { n.heard(p, i, f, what) }) }
 	request := func() { w.send(n.zone, e.zone, func() { e.take(f.job) }) }
@@ -356,7 +356,7 @@
 func (n *node) ended(p *dispatch.Posting, _ int, o dispatch.Outcome) {
 	f := n.out[p]
 	delete(n.out, p)
-	n.world.log(judge.Event{Kind: judge.Ended, Txn: p.Txn.Tag, Posting: p.Number, Result: o.String()})
+	n.world.log(invariants.Event{Kind: invariants.Ended, Txn: p.Txn.Tag, Posting: p.Number, Result: o.String()})
 	if o == dispatch.Settled && n.txns[p.Txn] != nil {
 		n.answer(p.Txn, settled)
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -10,7 +10,7 @@
 
 	"fernrail/dispatch"
 	"fernrail/internal/fleet/budget"
-	"fernrail/internal/judge"
+	"fernrail/internal/invariants"
 )
 
 // world owns everything of one run.
@@ -28,7 +28,7 @@
 	loss      float64
 	bursts    []*Fault // that are on
 	spoilt    float64  // share of txns that err wherever they go
-	out       func(judge.Event)
+	out       func(invariants.Event)
 	granter   *granter
 	pact      budget.Pact
 	seen      map[string]*budget.Meter // of one that sees all
@@ -65,7 +65,7 @@
 }
 
 // Run plays a scenario. Policy makes what decides on one node; log hears every event in order.
-func Run(s *Scenario, seed uint64, policy Policy, log func(judge.Event)) Report {
+func Run(s *Scenario, seed uint64, policy Policy, log func(invariants.Event)) Report {
 	w := &world{s: s, chance: rand.New(rand.NewPCG(seed, 1)), arrivals: rand.New(rand.NewPCG(seed, 2)), cuts: map[[2]int]int{},
 		out: log, marks: map[*origin]int64{}, effects: map[*origin]int{}}
 	w.now = epoch
@@ -127,14 +127,14 @@
 }
 
 // Held gives the figures that the judge holds a log of this scenario against.
-func (s *Scenario) Held() judge.Rules {
-	r := judge.Rules{Slack: int64(s.Rules.Slack), Grace: int64(s.Rules.Grace), Fall: int64(s.Rules.Fall), FallMultiple: s.Rules.FallMultiple,
-		Cold: int64(s.Rules.Cold), ColdShare: s.Rules.ColdShare, Doubles: s.Rules.Doubles, Schemes: map[string]judge.Scheme{}, Executors: map[string]judge.Place{}}
+func (s *Scenario) Held() invariants.Rules {
+	r := invariants.Rules{Slack: int64(s.Rules.Slack), Grace: int64(s.Rules.Grace), Fall: int64(s.Rules.Fall), FallMultiple: s.Rules.FallMultiple,
+		Cold: int64(s.Rules.Cold), ColdShare: s.Rules.ColdShare, Doubles: s.Rules.Doubles, Schemes: map[string]invariants.Scheme{}, Executors: map[string]invariants.Place{}}
 	for i, k := range s.kinds() {
-		r.Executors["e"+strconv.Itoa(i)] = judge.Place{Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)], Slots: float64(s.Kinds[k].Slots)}
+		r.Executors["e"+strconv.Itoa(i)] = invariants.Place{Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)], Slots: float64(s.Kinds[k].Slots)}
 	}
 	for _, c := range s.Scheme {
-		r.Schemes[c.Name] = judge.Scheme{Effect: c.Effect, Group: "all", Memory: int64(c.Memory)}
+		r.Schemes[c.Name] = invariants.Scheme{Effect: c.Effect, Group: "all", Memory: int64(c.Memory)}
 	}
 	if s.Leases.Mode == "leased" {
 		p := s.Leases.pact(s.Fleet.Nodes)
@@ -148,7 +148,7 @@
 	return r
 }
 
-func (w *world) log(e judge.Event) {
+func (w *world) log(e invariants.Event) {
 	e.At = w.now
 	w.out(e)
 }
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/process.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package handover is what the processes of one node share in a directory: which of them live, which serves, which
+// Package hotrestart is what the processes of one node share in a directory: which of them live, which serves, which
 // holds the node's part of cold executors' budgets, and the operators' bans.
 //
 // All but the bans are locks on bytes of one file. The kernel drops them with their process, so that nobody is taken
 // for living who has died, and nothing has to be read that may be torn.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/judge/judge.go
+++ b/internal/invariants/checker.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package judge holds a log of events against the four rules. It knows nothing of how decisions are made and shares no
+// Package invariants holds a log of events against the four rules. It knows nothing of how decisions are made and shares no
 // code with what makes them; what it is not told in an event it does not assume.
-package judge
+package invariants
 
 import (
 	"cmp"
--- a/internal/telemetry/telemetry.go
+++ b/internal/metrics/metrics.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package telemetry counts what became of jobs, and says so in the words of the operators' page.
-package telemetry
+// Package metrics counts what became of jobs, and says so in the words of the operators' page.
+package metrics
 
 import (
 	"encoding/json"
--- a/internal/rig/rig.go
+++ b/internal/testcluster/cluster.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rig is for tests: it starts several real processes of the program with stand-ins for executors, discovery and
+// Package testcluster is for tests: it starts several real processes of the program with stand-ins for executors, discovery and
 // clients on loopback, puts a relay between each pair of them, plays faults between and on them, and counts on one clock
 // what arrives at the stand-ins. It knows nothing of what goes on inside a process.
-package rig
+package testcluster
 
 import (
 	"cmp"
--- a/internal/rig/counts.go
+++ b/internal/testcluster/counts.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package rig
+package testcluster
 
 import (
 	"sync"
--- a/internal/rig/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package rig_test
+package testcluster_test
 
 import (
 	"cmp"
@@ -21,7 +21,7 @@
 	"golang.org/x/sys/unix"
 
 	"fernrail/internal/fleet"
-	"fernrail/internal/rig"
+	"fernrail/internal/testcluster"
 )
 
 // together is how many fleets run at a time: each is some processes that mostly wait, on machines of four cores and more.
@@ -72,11 +72,11 @@
 // asked its share waits for the processor before its packet leaves, and the stand-in waits before it looks.
 const jitter = 60 * time.Millisecond
 
-func fleetPlan(nodes, seats, executors int) rig.Plan {
+func fleetPlan(nodes, seats, executors int) testcluster.Plan {
 	scheme := func(name, kind string) map[string]any {
 		return map[string]any{"Name": name, "SlaTime": 300_000_000, "Expiry": 3_000_000_000, "BillingValue": 1, "LateBillingValue": 0.5, "Idempotency": kind}
 	}
-	return rig.Plan{Program: []string{program}, Nodes: nodes, Seats: seats, Executors: executors, Disk: true, Reply: time.Millisecond,
+	return testcluster.Plan{Program: []string{program}, Nodes: nodes, Seats: seats, Executors: executors, Disk: true, Reply: time.Millisecond,
 		Settings: map[string]any{"Tick": 5_000_000, "ReplicasOfMe": nodes, "Dcs": []string{"a"}, "Skus": []string{"m"}, "Discovery": "automatic",
 			"BillingValueBasis": "request", "Report": map[string]any{"Source": "piggyback"},
 			"Limits": map[string]any{"MayTell": true, "MayCancel": true, "MayDuplicate": true, "MostPostings": 4, "RetryAfter": true, "MaxRetryAfter": 2_000_000_000,
@@ -91,7 +91,7 @@
 }
 
 // within checks that no more arrived at any executor in any window than the whole.
-func within(t *testing.T, r *rig.Rig) (all int) {
+func within(t *testing.T, r *testcluster.Rig) (all int) {
 	t.Helper()
 	most, all := crowd(r)
 	t.Logf("%d connections, at most %d in a window at one executor, the whole is %d", all, most, wholeConnect)
@@ -102,16 +102,16 @@
 }
 
 // crowd is the most connections in any window at any executor, and all that came.
-func crowd(r *rig.Rig) (most, all int) {
+func crowd(r *testcluster.Rig) (most, all int) {
 	for _, e := range r.Executors {
 		accepted, _ := e.Noted()
 		all += len(accepted)
-		most = max(most, rig.Most(accepted, windowTime-jitter))
+		most = max(most, testcluster.Most(accepted, windowTime-jitter))
 	}
 	return most, all
 }
 
-func figures(n *rig.Node) *fleet.Figures {
+func figures(n *testcluster.Node) *fleet.Figures {
 	var f fleet.Figures
 	if n.Ask("fleet", &f) != nil {
 		return nil
@@ -120,14 +120,14 @@
 }
 
 // mine is what the node may use of the connections now.
-func mine(n *rig.Node) int64 {
+func mine(n *testcluster.Node) int64 {
 	if f := figures(n); f != nil {
 		return f.Budgets["connect"].Mine
 	}
 	return 0
 }
 
-func sum(nodes []*rig.Node) (all int64) {
+func sum(nodes []*testcluster.Node) (all int64) {
 	for _, n := range nodes {
 		all += mine(n)
 	}
@@ -135,7 +135,7 @@
 }
 
 // granter is the node whose seat grants; nil: none does.
-func granter(r *rig.Rig) *rig.Node {
+func granter(r *testcluster.Rig) *testcluster.Node {
 	for _, n := range r.Nodes {
 		if !n.Running() {
 			continue
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func but(nodes []*rig.Node, not *rig.Node) (rest []*rig.Node) {
+func but(nodes []*testcluster.Node, not *testcluster.Node) (rest []*testcluster.Node) {
 	for _, n := range nodes {
 		if n != not {
 			rest = append(rest, n)
@@ -163,13 +163,13 @@
 
 // busy is a fleet under traffic that wants more connections than there are.
 type busy struct {
-	*rig.Rig
+	*testcluster.Rig
 	ends []func() map[int]int
 }
 
-func begin(t *testing.T, plan rig.Plan, start int) *busy {
+func begin(t *testing.T, plan testcluster.Plan, start int) *busy {
 	most := int64(plan.Fleet["most"].(int))
-	b := &busy{Rig: rig.New(t, plan)}
+	b := &busy{Rig: testcluster.New(t, plan)}
 	for _, n := range b.Nodes[:start] {
 		n.Start()
 	}
@@ -184,13 +184,13 @@
 	return b
 }
 
-func (b *busy) load(n *rig.Node) {
+func (b *busy) load(n *testcluster.Node) {
 	b.ends = append(b.ends, n.Load("job", "/look?close=1", 4, 8*time.Millisecond, 400*time.Millisecond))
 }
 
 // each ends the traffic, and gives the statuses of the answers to each part of it.
 func (b *busy) each() []map[int]int {
-	return rig.End(b.ends)
+	return testcluster.End(b.ends)
 }
 
 // end ends the traffic, and gives the statuses of all its answers.
@@ -205,8 +205,8 @@
 }
 
 // started is a fleet of which all nodes serve.
-func started(t *testing.T, plan rig.Plan) *busy {
-	b := &busy{Rig: rig.New(t, plan)}
+func started(t *testing.T, plan testcluster.Plan) *busy {
+	b := &busy{Rig: testcluster.New(t, plan)}
 	for _, n := range b.Nodes {
 		n.Start()
 	}
@@ -271,7 +271,7 @@
 }
 
 // cut holds both ways, or one, between two parts of the fleet.
-func cut(from, to []*rig.Node, ways ...rig.Direction) {
+func cut(from, to []*testcluster.Node, ways ...testcluster.Direction) {
 	for _, a := range from {
 		for _, z := range to {
 			if a != z {
@@ -283,7 +283,7 @@
 	}
 }
 
-func heal(nodes []*rig.Node) {
+func heal(nodes []*testcluster.Node) {
 	for _, a := range nodes {
 		for _, z := range nodes {
 			a.Relay(z.Index).Heal()
@@ -296,7 +296,7 @@
 func TestSplits(t *testing.T) {
 	beside(t)
 	b := begin(t, fleetPlan(5, 5, 2), 5)
-	floors := func(part []*rig.Node) func() bool {
+	floors := func(part []*testcluster.Node) func() bool {
 		return func() bool { return sum(part) == int64(len(part))*floorConnect }
 	}
 	whole := func() {
@@ -312,22 +312,22 @@
 		}))
 	}
 	two, three := b.Nodes[:2], b.Nodes[2:]
-	cut(two, three, rig.There, rig.Back)
-	cut(three, two, rig.There, rig.Back)
+	cut(two, three, testcluster.There, testcluster.Back)
+	cut(three, two, testcluster.There, testcluster.Back)
 	t.Logf("2|3: on floors after %v", b.Until("the two are on their floors", soon, floors(two)))
 	t.Logf("2|3: in use again after %v", b.Until("the three have the whole", soon, func() bool { return sum(three) >= shared(3)-3 }))
 	whole()
 	alone := granter(b.Rig)
 	rest := but(b.Nodes, alone)
-	cut([]*rig.Node{alone}, rest, rig.There, rig.Back)
-	cut(rest, []*rig.Node{alone}, rig.There, rig.Back)
-	t.Logf("granter alone: on its floors after %v", b.Until("it is on its floors", soon, floors([]*rig.Node{alone})))
+	cut([]*testcluster.Node{alone}, rest, testcluster.There, testcluster.Back)
+	cut(rest, []*testcluster.Node{alone}, testcluster.There, testcluster.Back)
+	t.Logf("granter alone: on its floors after %v", b.Until("it is on its floors", soon, floors([]*testcluster.Node{alone})))
 	t.Logf("granter alone: in use again after %v", b.Until("the rest have the whole", soon, func() bool { return sum(rest) >= shared(4)-4 }))
 	whole()
-	for _, d := range []rig.Direction{rig.There, rig.Back} {
+	for _, d := range []testcluster.Direction{testcluster.There, testcluster.Back} {
 		deaf := granter(b.Rig)
 		rest := but(b.Nodes, deaf)
-		cut(rest, []*rig.Node{deaf}, d) // calls and streams of the others to it, one way alone
+		cut(rest, []*testcluster.Node{deaf}, d) // calls and streams of the others to it, one way alone
 		t.Logf("one way %d: another grants after %v", d, b.Until("another one grants", soon, func() bool {
 			g := granter(b.Rig)
 			return g != nil && g != deaf && sum(rest) >= shared(5)-mine(deaf)-5
@@ -342,11 +342,11 @@
 func TestEachSeatAlone(t *testing.T) {
 	beside(t)
 	b := begin(t, fleetPlan(9, 5, 2), 9)
-	apart := func(alone ...*rig.Node) {
+	apart := func(alone ...*testcluster.Node) {
 		t.Helper()
 		for _, a := range alone {
-			cut([]*rig.Node{a}, b.Nodes[:5], rig.There, rig.Back)
-			cut(but(b.Nodes, a), []*rig.Node{a}, rig.There, rig.Back)
+			cut([]*testcluster.Node{a}, b.Nodes[:5], testcluster.There, testcluster.Back)
+			cut(but(b.Nodes, a), []*testcluster.Node{a}, testcluster.There, testcluster.Back)
 		}
 		rest := b.Nodes
 		for _, a := range alone {
@@ -376,12 +376,12 @@
 	b := begin(t, fleetPlan(4, 3, 2), 4)
 	late := b.Nodes[3]
 	for seat := range 3 {
-		late.Relay(seat).Delay(rig.Back, leaseTime+200*time.Millisecond)
+		late.Relay(seat).Delay(testcluster.Back, leaseTime+200*time.Millisecond)
 	}
 	b.Until("it is on its floors", soon, func() bool { return mine(late) == floorConnect })
 	b.Until("the rest have the whole", soon, func() bool { return sum(b.Nodes[:3]) >= shared(3)-3 })
 	for seat := range 3 {
-		late.Relay(seat).Delay(rig.Back, 0)
+		late.Relay(seat).Delay(testcluster.Back, 0)
 	}
 	b.Until("it has a share again", soon, func() bool { return mine(late) > floorConnect })
 	b.over(t, wholeConnect)
@@ -469,7 +469,7 @@
 	plan := fleetPlan(4, 3, 1)
 	plan.Disk, plan.Fleet["lease_ms"], plan.Fleet["most"] = false, 6000, 4
 	b, apart, seats := hog(t, plan)
-	cut([]*rig.Node{apart}, seats, rig.There, rig.Back)
+	cut([]*testcluster.Node{apart}, seats, testcluster.There, testcluster.Back)
 	for _, n := range seats {
 		n.Kill()
 	}
@@ -493,7 +493,7 @@
 func TestClocks(t *testing.T) {
 	beside(t)
 	plan := fleetPlan(4, 3, 2)
-	r := rig.New(t, plan)
+	r := testcluster.New(t, plan)
 	for i, clock := range []string{"1,0", "1.04,3600", "0.96,-3600", "0.96,0"} {
 		r.Nodes[i].Env = []string{"FERNRAIL_TEST_CLOCK=" + clock + ",0"}
 	}
@@ -544,7 +544,7 @@
 // Healed, the node is named.
 func TestBreachIsSeen(t *testing.T) {
 	beside(t)
-	r := rig.New(t, fleetPlan(4, 3, 1))
+	r := testcluster.New(t, fleetPlan(4, 3, 1))
 	b, slow := &busy{Rig: r}, r.Nodes[3]
 	slow.Env = []string{"FERNRAIL_TEST_CLOCK=0.2,0,-1"}
 	for _, n := range r.Nodes {
@@ -564,7 +564,7 @@
 	b.ends = append(b.ends, slow.Load("job", "/look?close=1", 12, 8*time.Millisecond, 400*time.Millisecond))
 	// Danger: on a busy machine a lease is renewed late; what is left of it at the cut is over before others have its share.
 	b.Until("a lease just renewed", soon, func() bool { f := figures(slow); return f != nil && f.LeaseMs > 9*leaseTime.Milliseconds()/10 })
-	cut([]*rig.Node{slow}, r.Nodes[:3], rig.There, rig.Back)
+	cut([]*testcluster.Node{slow}, r.Nodes[:3], testcluster.There, testcluster.Back)
 	slow.Signal(syscall.SIGUSR1)
 	b.Until("the whole is broken", soon, func() bool { most, _ := crowd(r); return most > wholeConnect })
 	for seat := range 3 {
@@ -589,7 +589,7 @@
 	const whole = 100
 	plan.Fleet["most"], plan.Fleet["margin"] = 3, 0.01 // a window counts for the margin longer
 	plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{"whole": whole, "floor": 1, "reserve": 2, "window_ms": windowTime.Milliseconds()}
-	r := rig.New(t, plan)
+	r := testcluster.New(t, plan)
 	for _, n := range r.Nodes {
 		n.Start()
 	}
@@ -613,7 +613,7 @@
 		end()
 	}
 	accepted, _ := r.Executors[0].Noted()
-	most := rig.Most(accepted, windowTime-jitter)
+	most := testcluster.Most(accepted, windowTime-jitter)
 	t.Logf("%.2f of the whole is used, %d in a window at most", best, most)
 	if most > whole {
 		t.Errorf("%d in a window, the whole is %d", most, whole)
@@ -656,7 +656,7 @@
 	plan := fleetPlan(3, 3, 1)
 	plan.Fleet["most"] = 3
 	plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{"whole": wholeConnect, "floor": 1, "window_ms": window.Milliseconds()}
-	r := rig.New(t, plan)
+	r := testcluster.New(t, plan)
 	for _, n := range r.Nodes {
 		n.Start()
 	}
@@ -675,7 +675,7 @@
 		end()
 	}
 	accepted, _ := r.Executors[0].Noted()
-	most := rig.Most(accepted, window-jitter)
+	most := testcluster.Most(accepted, window-jitter)
 	t.Logf("%d connections, at most %d in a window", len(accepted), most)
 	if most > wholeConnect || len(accepted) < wholeConnect {
 		t.Errorf("%d connections, at most %d in a window, the whole is %d", len(accepted), most, wholeConnect)
@@ -695,7 +695,7 @@
 		case "share":
 			plan.Fleet["budgets"].(map[string]any)["again"] = map[string]any{"whole": 10000, "share": share, "floor": 1, "window_ms": windowTime.Milliseconds()}
 		}
-		r := rig.New(t, plan)
+		r := testcluster.New(t, plan)
 		for _, n := range r.Nodes {
 			n.Start()
 		}
@@ -722,12 +722,12 @@
 			end()
 		}
 		seen, first, again := map[string]bool{}, []int64{}, []int64{}
-		var all []rig.Job
+		var all []testcluster.Job
 		for _, e := range r.Executors {
 			_, jobs := e.Noted()
 			all = append(all, jobs...)
 		}
-		slices.SortFunc(all, func(a, b rig.Job) int { return cmp.Compare(a.At, b.At) })
+		slices.SortFunc(all, func(a, b testcluster.Job) int { return cmp.Compare(a.At, b.At) })
 		for _, j := range all {
 			if seen[j.ID] {
 				again = append(again, j.At)
@@ -739,9 +739,9 @@
 		bound := wholeAgain
 		if kind == "share" {
 			// Of the most first ones that any window had, and floors; the whole follows within a lease.
-			bound = max(int(share*float64(rig.Most(first, windowTime+jitter))), mostNodes*floorConnect)
+			bound = max(int(share*float64(testcluster.Most(first, windowTime+jitter))), mostNodes*floorConnect)
 		}
-		most := rig.Most(again, windowTime-jitter)
+		most := testcluster.Most(again, windowTime-jitter)
 		t.Logf("%s: %d second postings of %d, %d in a window at most, of %d", kind, len(again), len(all), most, bound)
 		if (kind != "alone") != (most <= bound) {
 			t.Errorf("%s: %d second postings in a window, the whole is %d", kind, most, bound)
@@ -765,7 +765,7 @@
 			plan.Settings["Limits"].(map[string]any)["MayTell"] = false
 			plan.Settings["ReplicasOfMe"] = 1
 		}
-		r := rig.New(t, plan)
+		r := testcluster.New(t, plan)
 		b := &busy{Rig: r}
 		for _, n := range r.Nodes[:3] {
 			n.Start()
@@ -815,7 +815,7 @@
 func TestDiskFull(t *testing.T) {
 	beside(t)
 	plan := fleetPlan(3, 3, 2)
-	r := rig.New(t, plan)
+	r := testcluster.New(t, plan)
 	disk := t.TempDir()
 	if err := unix.Mount("tmpfs", disk, "tmpfs", 0, "size=512k"); err != nil {
 		t.Skipf("no small disk can be made here: %v", err)
@@ -890,9 +890,9 @@
 }
 
 // hog has one node without a seat hold most of the whole, with nobody else wanting any.
-func hog(t *testing.T, plan rig.Plan) (b *busy, one *rig.Node, rest []*rig.Node) {
+func hog(t *testing.T, plan testcluster.Plan) (b *busy, one *testcluster.Node, rest []*testcluster.Node) {
 	t.Helper()
-	b = &busy{Rig: rig.New(t, plan)}
+	b = &busy{Rig: testcluster.New(t, plan)}
 	one, rest = b.Nodes[3], b.Nodes[:3]
 	for _, n := range b.Nodes {
 		n.Start()
@@ -916,8 +916,8 @@
 		b.load(n)
 	}
 	for seat := range 3 {
-		one.Relay(seat).Cut(rig.There)
-		one.Relay(seat).Cut(rig.Back)
+		one.Relay(seat).Cut(testcluster.There)
+		one.Relay(seat).Cut(testcluster.Back)
 	}
 	answered := 0
 	for seat := range 3 {
@@ -943,12 +943,12 @@
 	plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{"whole": wholeConnect, "floor": floorConnect, "reserve": reserveConnect, "window_ms": window.Milliseconds()}
 	b, one, rest := hog(t, plan)
 	for seat := range 3 {
-		one.Relay(seat).Delay(rig.Back, 900*time.Millisecond)
+		one.Relay(seat).Delay(testcluster.Back, 900*time.Millisecond)
 	}
 	from := b.Now()
 	b.Until("a lease has passed under the delay", soon, func() bool { return b.Now()-from > int64(3*time.Second) && mine(one) >= wholeConnect/2 })
 	for seat := range 3 {
-		one.Relay(seat).Cut(rig.There) // its last answer still comes
+		one.Relay(seat).Cut(testcluster.There) // its last answer still comes
 	}
 	from = b.Now()
 	b.Until("its last answer has come", soon, func() bool { return b.Now()-from > int64(time.Second) })
@@ -960,7 +960,7 @@
 		end()
 	}
 	accepted, _ := b.Executors[0].Noted()
-	most := rig.Most(accepted, window-jitter)
+	most := testcluster.Most(accepted, window-jitter)
 	t.Logf("%d connections, at most %d in a window", len(accepted), most)
 	if most > wholeConnect {
 		t.Errorf("at most %d in a window, the whole is %d", most, wholeConnect)
@@ -1051,7 +1051,7 @@
 }
 
 // alive is whom a node believes to be there.
-func alive(n *rig.Node) (names string) {
+func alive(n *testcluster.Node) (names string) {
 	f := figures(n)
 	if f == nil {
 		return ""
@@ -1071,7 +1071,7 @@
 	plan := fleetPlan(5, 3, 1)
 	plan.Gossip = true
 	b := begin(t, plan, 5)
-	believes := func(who []*rig.Node, names string) func() bool {
+	believes := func(who []*testcluster.Node, names string) func() bool {
 		return func() bool {
 			for _, n := range who {
 				if alive(n) != names {
@@ -1086,7 +1086,7 @@
 	for _, n := range b.Nodes {
 		for other := range b.Nodes {
 			n.Gossip(other).Datagrams(0.1, 0.2)
-			n.Gossip(other).Delay(rig.There, 5*time.Millisecond)
+			n.Gossip(other).Delay(testcluster.There, 5*time.Millisecond)
 		}
 	}
 	dead := b.Nodes[4]
@@ -1094,7 +1094,7 @@
 	t.Logf("missed after %v", b.Until("the dead one is missed", 3*soon, believes(b.Nodes[:4], "n0 n1 n2 n3")))
 	dead.Start()
 	b.Until("it is there again", 2*soon, believes(b.Nodes, all))
-	gossips := func(do func(*rig.Relay)) {
+	gossips := func(do func(*testcluster.Relay)) {
 		for i, n := range b.Nodes {
 			for j := range b.Nodes {
 				if (i < 2) != (j < 2) {
@@ -1104,7 +1104,7 @@
 		}
 	}
 	// Gossip alone is cut: the two are taken for dead, and keep their shares.
-	gossips(func(r *rig.Relay) { r.Cut(rig.There); r.Cut(rig.Back) })
+	gossips(func(r *testcluster.Relay) { r.Cut(testcluster.There); r.Cut(testcluster.Back) })
 	b.Until("each half misses the other", 3*soon, func() bool {
 		return believes(b.Nodes[:2], "n0 n1")() && believes(b.Nodes[2:], "n2 n3 n4")()
 	})
@@ -1113,7 +1113,7 @@
 			t.Errorf("%s lost its share to what others believe", n.Name)
 		}
 	}
-	gossips(func(r *rig.Relay) { r.Heal(); r.Reset() })
+	gossips(func(r *testcluster.Relay) { r.Heal(); r.Reset() })
 	t.Logf("one fleet again after %v", b.Until("all know all again", 3*soon, believes(b.Nodes, all)))
 	b.over(t, wholeConnect)
 }
--- a/internal/rig/race_test.go
+++ b/internal/testcluster/race_test.go
@@ -2,6 +2,6 @@
 
 //go:build race
 
-package rig_test
+package testcluster_test
 
 func init() { raced = []string{"-race"} }
--- a/internal/rig/schedule_test.go
+++ b/internal/testcluster/schedule_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package rig_test
+package testcluster_test
 
 import (
 	"os"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fernrail/internal/rig"
+	"fernrail/internal/testcluster"
 )
 
 // TestSchedules: faults by chance, several at a time, on five nodes of which three have seats, or nine of which five have. The whole holds throughout, and
@@ -26,29 +26,29 @@
 			if seed%2 == 0 {
 				nodes, seats, faults = 9, 5, 14
 			}
-			s := rig.Draw(seed, nodes, seats, faults, 9*time.Second)
+			s := testcluster.Draw(seed, nodes, seats, faults, 9*time.Second)
 			if path := os.Getenv("FERNRAIL_RIG_SCHEDULE"); path != "" {
 				text, err := os.ReadFile(path)
 				if err == nil {
-					s, err = rig.Parse(string(text))
+					s, err = testcluster.Parse(string(text))
 				}
 				if err != nil {
 					t.Fatal(err)
 				}
 			}
-			play := func(t *testing.T, s rig.Schedule) {
+			play := func(t *testing.T, s testcluster.Schedule) {
 				b := begin(t, fleetPlan(nodes, seats, 2), nodes)
 				b.Play(s)
 				b.Until("the whole is in use again", 3*soon, func() bool { return sum(b.Nodes) >= shared(nodes)-int64(nodes) })
 				b.over(t, wholeConnect)
 			}
 			if os.Getenv("FERNRAIL_RIG_SHORTER") != "" {
-				s = s.Shorter(func(less rig.Schedule) bool { return !t.Run("less", func(t *testing.T) { play(t, less) }) })
+				s = s.Shorter(func(less testcluster.Schedule) bool { return !t.Run("less", func(t *testing.T) { play(t, less) }) })
 				t.Fatalf("fails still:\n%s", s)
 			}
 			defer func() {
 				if t.Failed() {
-					t.Logf("again with: FERNRAIL_RIG_SEED=%d go test ./internal/rig -run TestSchedules, or this in a file:\n%s", seed, s)
+					t.Logf("again with: FERNRAIL_RIG_SEED=%d go test ./internal/testcluster -run TestSchedules, or this in a file:\n%s", seed, s)
 				}
 			}()
 			play(t, s)
@@ -61,16 +61,18 @@
 
 // TestScheduleText: what is drawn is the same for a seed, can be written and read, and cut down to what matters.
 func TestScheduleText(t *testing.T) {
-	s := rig.Draw(7, 5, 3, 12, 10*time.Second)
-	again, err := rig.Parse(s.String())
-	if err != nil || !slices.Equal(s, again) || !slices.Equal(s, rig.Draw(7, 5, 3, 12, 10*time.Second)) || slices.Equal(s, rig.Draw(8, 5, 3, 12, 10*time.Second)) {
+	s := testcluster.Draw(7, 5, 3, 12, 10*time.Second)
+	again, err := testcluster.Parse(s.String())
+	if err != nil || !slices.Equal(s, again) || !slices.Equal(s, testcluster.Draw(7, 5, 3, 12, 10*time.Second)) || slices.Equal(s, testcluster.Draw(8, 5, 3, 12, 10*time.Second)) {
 		t.Errorf("%v\n%v\n%v", err, s, again)
 	}
-	if _, err := rig.Parse("10 kill"); err == nil {
+	if _, err := testcluster.Parse("10 kill"); err == nil {
 		t.Error("half a step is read")
 	}
-	both := []rig.Step{s[2], s[len(s)-3]}
-	least := s.Shorter(func(less rig.Schedule) bool { return slices.Contains(less, both[0]) && slices.Contains(less, both[1]) })
+	both := []testcluster.Step{s[2], s[len(s)-3]}
+	least := s.Shorter(func(less testcluster.Schedule) bool {
+		return slices.Contains(less, both[0]) && slices.Contains(less, both[1])
+	})
 	if !slices.Equal(least, both) {
 		t.Errorf("cut down to %v, want %v", least, both)
 	}
--- a/internal/rig/shares_test.go
+++ b/internal/testcluster/shares_test.go
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package rig_test
+package testcluster_test
 
 import (
 	"syscall"
 	"testing"
 	"time"
 
-	"fernrail/internal/rig"
+	"fernrail/internal/testcluster"
 )
 
 // leased waits until each of these nodes has a lease.
-func leased(r *rig.Rig, nodes []*rig.Node) {
+func leased(r *testcluster.Rig, nodes []*testcluster.Node) {
 	r.Until("a lease for each", 20*time.Second, func() bool {
 		for _, n := range nodes {
 			if f := figures(n); f == nil || f.LeaseMs == 0 {
@@ -90,7 +90,7 @@
 		budgets := plan.Fleet["budgets"].(map[string]any)
 		delete(budgets, "connect") // or the odd node could send nothing anyhow
 		budgets["calls"] = map[string]any{"whole": whole, "floor": 1, "reserve": 1, "window_ms": windowTime.Milliseconds()}
-		b := &busy{Rig: rig.New(t, plan)}
+		b := &busy{Rig: testcluster.New(t, plan)}
 		odd := b.Nodes[5]
 		odd.Change = func(f map[string]any) { f["margin"] = 0.2 }
 		for _, n := range b.Nodes {
@@ -130,7 +130,7 @@
 		}
 		_, jobs := b.Executors[1].Noted()
 		last := jobs[len(jobs)-1].At - at
-		most := rig.Most(calls, windowTime-jitter)
+		most := testcluster.Most(calls, windowTime-jitter)
 		t.Logf("held together: %v: %d calls, %d in a window at most, of %d; the last job for what drains after %v", held, len(calls), most, whole, time.Duration(last))
 		if held != (most <= whole) {
 			t.Errorf("%d calls in a window, the whole is %d", most, whole)
--- a/internal/rig/signals_test.go
+++ b/internal/testcluster/signals_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package rig_test
+package testcluster_test
 
 import (
 	"testing"
--- a/internal/rig/size_test.go
+++ b/internal/testcluster/size_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package rig_test
+package testcluster_test
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"fernrail/internal/rig"
+	"fernrail/internal/testcluster"
 )
 
 // What the nodes of these tests are held to.
@@ -51,14 +51,14 @@
 
 // clients send requests to a node at moments drawn at random, whatever becomes of those before. One in ten leaves early.
 type clients struct {
-	*rig.Rig
+	*testcluster.Rig
 	mu   sync.Mutex
 	all  map[string]*request
 	wait sync.WaitGroup
 	http *http.Client
 }
 
-func (c *clients) run(n *rig.Node, seed uint64, rate float64, until int64) {
+func (c *clients) run(n *testcluster.Node, seed uint64, rate float64, until int64) {
 	chance := rand.New(rand.NewPCG(seed, 2))
 	for i := 0; ; i++ {
 		time.Sleep(time.Duration(chance.ExpFloat64() / rate * 1e9))
@@ -73,7 +73,7 @@
 	}
 }
 
-func (c *clients) send(n *rig.Node, id string, patience time.Duration) {
+func (c *clients) send(n *testcluster.Node, id string, patience time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	q, _ := http.NewRequestWithContext(ctx, "POST", "http://"+n.Listen+"/look", io.NopCloser(strings.NewReader("b")))
@@ -119,7 +119,7 @@
 		shortOfProcessor(t, day{servers: 200, rate: 4 * sizeRate, grace: 2 * time.Second, served: 0.05})
 	})
 	t.Run("outage and new configurations", func(t *testing.T) {
-		shortOfProcessor(t, day{servers: 3200, rate: sizeRate / 2, grace: 2 * time.Second, served: 0.3, outage: 4 * time.Second, trouble: func(r *rig.Rig) {
+		shortOfProcessor(t, day{servers: 3200, rate: sizeRate / 2, grace: 2 * time.Second, served: 0.3, outage: 4 * time.Second, trouble: func(r *testcluster.Rig) {
 			for range 20 {
 				time.Sleep(300 * time.Millisecond)
 				for _, n := range r.Nodes {
@@ -130,7 +130,7 @@
 	})
 	t.Run("stops", func(t *testing.T) {
 		const still = 1300 * time.Millisecond
-		shortOfProcessor(t, day{servers: 200, rate: sizeRate / 4, grace: time.Second, served: 0.4, trouble: func(r *rig.Rig) {
+		shortOfProcessor(t, day{servers: 200, rate: sizeRate / 4, grace: time.Second, served: 0.4, trouble: func(r *testcluster.Rig) {
 			for i := range 2 * sizeNodes {
 				time.Sleep(500 * time.Millisecond)
 				r.Nodes[i%sizeNodes].Stop(still)
@@ -147,7 +147,7 @@
 	grace   time.Duration // of drains
 	served  float64       // of all requests, at least
 	outage  time.Duration // of discovery, from the start on; what it has at its end counts as told then
-	trouble func(*rig.Rig)
+	trouble func(*testcluster.Rig)
 }
 
 // shortOfProcessor plays a day and judges it; it gives the processor time that a node used.
@@ -162,7 +162,7 @@
 	plan.Settings["ReplicasOfMe"] = 300
 	plan.Settings["Rules"].(map[string]any)["DrainGrace"] = day.grace.Nanoseconds()
 	plan.Settings["Extra"] = map[string]any{"TellsStart": true, "ClassStretch": []float64{2.5, 2.5}}
-	r := rig.New(t, plan)
+	r := testcluster.New(t, plan)
 	for _, n := range r.Nodes {
 		n.Start()
 	}
--- a/internal/rig/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package rig_test
+package testcluster_test
 
 import (
 	"testing"
 	"time"
 
-	"fernrail/internal/rig"
+	"fernrail/internal/testcluster"
 )
 
 // parted is a fleet whose nodes use parts of the executors.
-func parted(nodes, size int) rig.Plan {
+func parted(nodes, size int) testcluster.Plan {
 	plan := fleetPlan(nodes, 3, 30)
 	plan.Gossip = true
 	plan.Fleet["most"] = 18
@@ -28,7 +28,7 @@
 // answer. Nodes that use all executors are heard by each: the count can fail.
 func TestSubsets(t *testing.T) {
 	beside(t)
-	b := &busy{Rig: rig.New(t, parted(18, 10))}
+	b := &busy{Rig: testcluster.New(t, parted(18, 10))}
 	steady := func(what string, fewest, most int) {
 		t.Helper()
 		var since int64
@@ -51,7 +51,7 @@
 			t.Errorf("%s: %d to %d nodes at an executor, %d to %d are promised; work %.2f to %.2f of the mean", what, a, z, fewest, most, idlest, busiest)
 		}
 	}
-	start := func(nodes []*rig.Node) {
+	start := func(nodes []*testcluster.Node) {
 		for _, n := range nodes {
 			n.Start()
 		}
@@ -76,7 +76,7 @@
 }
 
 // settle waits until all nodes take so many others for there, and lets a window pass.
-func settle(b *busy, nodes []*rig.Node, others int) {
+func settle(b *busy, nodes []*testcluster.Node, others int) {
 	b.Until("the nodes that are there are known", 4*soon, func() bool {
 		for _, n := range nodes {
 			if f := figures(n); f == nil || f.Subset == nil || f.Subset.Nodes != others {
@@ -100,7 +100,7 @@
 	}
 	settle(b, b.Nodes, 6)
 	hurt, other := b.Nodes[4], b.Nodes[5]
-	look := func() (mine, theirs map[*rig.Executor]bool) {
+	look := func() (mine, theirs map[*testcluster.Executor]bool) {
 		since := b.Now()
 		b.Pass(1500 * time.Millisecond)
 		return b.From(hurt, since), b.From(other, since)
@@ -109,7 +109,7 @@
 	if len(near) != figures(hurt).Subset.Near || len(near) > 8 || len(theirs) > 8 {
 		t.Fatalf("%d and %d executors are used, %d are to be", len(near), len(theirs), figures(hurt).Subset.Near)
 	}
-	same := func(a, b map[*rig.Executor]bool) bool {
+	same := func(a, b map[*testcluster.Executor]bool) bool {
 		for e := range a {
 			if !b[e] {
 				return false
@@ -178,7 +178,7 @@
 		b.ends = append(b.ends, n.Load("job", "/look", 2, 15*time.Millisecond, time.Second))
 	}
 	settle(b, b.Nodes, 8)
-	gossips := func(do func(*rig.Relay)) {
+	gossips := func(do func(*testcluster.Relay)) {
 		for i, n := range b.Nodes {
 			for j := range b.Nodes {
 				if (i < 4) != (j < 4) {
@@ -192,7 +192,7 @@
 		b.Pass(2 * time.Second)
 		fewest, most, _, _ = b.Heard(since)
 		for side := range half {
-			used := map[*rig.Executor]bool{}
+			used := map[*testcluster.Executor]bool{}
 			for _, n := range b.Nodes[4*side : 4*side+4] {
 				for e := range b.From(n, since) {
 					used[e] = true
@@ -211,12 +211,12 @@
 		}
 	}
 	whole()
-	gossips(func(r *rig.Relay) { r.Cut(rig.There); r.Cut(rig.Back) })
+	gossips(func(r *testcluster.Relay) { r.Cut(testcluster.There); r.Cut(testcluster.Back) })
 	settle(b, b.Nodes, 4)
 	if _, _, half := look(); half != [2]int{30, 30} {
 		t.Errorf("the halves use %v executors, of 30", half)
 	}
-	gossips(func(r *rig.Relay) { r.Heal(); r.Reset() })
+	gossips(func(r *testcluster.Relay) { r.Heal(); r.Reset() })
 	from := b.Now()
 	settle(b, b.Nodes, 8)
 	t.Logf("divided together again after %v", time.Duration(b.Now()-from))
--- a/internal/transport/machine_errors_test.go
+++ b/internal/transport/machine_errors_test.go
@@ -16,8 +16,8 @@
 	"github.com/rs/zerolog"
 
 	"fernrail/dispatch"
+	"fernrail/internal/metrics"
 	"fernrail/internal/protocol"
-	"fernrail/internal/telemetry"
 )
 
 // failingListener fails some accepts.
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	names := &protocol.Names{Schemes: []string{"pay"}}
-	s := NewServer(NewDescriptors(1024), names, settled, func() bool { return true }, telemetry.New(names.Schemes), zerolog.Nop())
+	s := NewServer(NewDescriptors(1024), names, settled, func() bool { return true }, metrics.New(names.Schemes), zerolog.Nop())
 	defer s.http.Close()
 	ended := s.Open(&failingListener{Listener: inner, errors: []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.EPERM}})
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -17,8 +17,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
+	"fernrail/internal/metrics"
 	"fernrail/internal/protocol"
-	"fernrail/internal/telemetry"
 )
 
 const (
@@ -67,7 +67,7 @@
 	names       *protocol.Names
 	serve       Serve
 	ready       func() bool
-	counters    *telemetry.Counters
+	counters    *metrics.Counters
 	log         zerolog.Logger
 	http        *http.Server
 	listener    net.Listener
@@ -80,7 +80,7 @@
 }
 
 func NewServer(d *Descriptors, names *protocol.Names, serve Serve, ready func() bool,
-	counters *telemetry.Counters, l zerolog.Logger) *Server {
+	counters *metrics.Counters, l zerolog.Logger) *Server {
 	s := &Server{descriptors: d, names: names, serve: serve, ready: ready, counters: counters, log: l}
 	s.http = &http.Server{Handler: s, ReadTimeout: slowest, IdleTimeout: unused, MaxHeaderBytes: 16 << 10,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -20,8 +20,8 @@
 	"github.com/rs/zerolog"
 
 	"fernrail/dispatch"
+	"fernrail/internal/metrics"
 	"fernrail/internal/protocol"
-	"fernrail/internal/telemetry"
 )
 
 // executor is a stand-in on loopback: it reads each request that comes and lets a script answer it.
@@ -371,7 +371,7 @@
 // node is the clients' side on a loopback address.
 func node(t *testing.T, d *Descriptors, serve Serve, adjust ...func(*http.Server)) (*Server, string) {
 	names := &protocol.Names{Schemes: []string{"pay"}}
-	s := NewServer(d, names, serve, func() bool { return true }, telemetry.New(names.Schemes), zerolog.Nop())
+	s := NewServer(d, names, serve, func() bool { return true }, metrics.New(names.Schemes), zerolog.Nop())
 	for _, a := range adjust {
 		a(s.http)
 	}
