--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -38,7 +38,7 @@
 			b.ReportAllocs()
 			for now := int64(1e12); b.Loop(); now += 1e6 {
 				d.At(now)
-				t := &Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e7, Expiry: now + 3e9}
+				t := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: now + 3e9}
 				d.Arrive(t)
 				d.Settle()
 				d.Started(door.posted)
@@ -60,7 +60,7 @@
 					e.limit = 0
 				}
 				for range waiting {
-					d.Arrive(&Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9})
+					d.Arrive(&Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9})
 				}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -11,7 +11,7 @@
 func longList(t *testing.T) (*Dispatcher, *Terms, *Txn) {
 	d, _, terms := stillWorld(3200)
 	d.At(1e12)
-	request := &Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9}
+	request := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9}
 	d.Arrive(request)
 	return d, terms, request
 }
@@ -81,7 +81,7 @@
 	for i, e := range d.fleet.servers {
 		e.cell = i / 2
 	}
-	request := &Txn{Scheme: terms.Schemes[1], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9}
+	request := &Txn{Scheme: terms.Classes[1], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9}
 	d.Arrive(request)
 	home := d.fleet.servers[1001]
 	request.Postings = append(request.Postings, &Posting{Txn: request, Executor: home, sent: d.now})
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -7,8 +7,8 @@
 func clockTerms() *Terms {
 	terms := basicTerms()
 	terms.LeftMargin = 3e9
-	for _, s := range terms.Schemes {
-		s.Expiry = 3e9
+	for _, s := range terms.Classes {
+		s.MaxDeadline = 3e9
 	}
 	return terms
 }
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -23,7 +23,7 @@
 				if seed%2 == 1 {
 					h.work = func() int64 { return int64(mean * math.Exp(h.NormFloat64()*0.66-0.22)) } // lognormal, cv 0.74
 				}
-				h.terms.Schemes[0].SlaTime, h.terms.Schemes[0].Expiry = int64(2*mean), 0
+				h.terms.Classes[0].LatencyObjective, h.terms.Classes[0].MaxDeadline = int64(2*mean), 0
 				can := 0.0
 				for _, v := range h.speed {
 					can += v * h.slots / mean * float64(h.terms.Tick) // jobs a tick
@@ -73,7 +73,7 @@
 func TestLateNewsOfAStart(t *testing.T) {
 	for _, heard := range []bool{false, true} {
 		terms := basicTerms()
-		terms.Nodes, terms.Schemes = 1, terms.Schemes[:1]
+		terms.Nodes, terms.Classes = 1, terms.Classes[:1]
 		w := newWorld(t, 1, terms)
 		w.join(1, false)
 		w.pass(terms.Fall)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -82,9 +82,9 @@
 	d := &Dispatcher{terms: terms, door: door, born: now, now: now, by: now + terms.AskWithin,
 		chance: rand.New(rand.NewPCG(seed, 1)),
 		recent: map[family][]last{}, things: map[uint64]*thing{}, models: map[int]*model{},
-		starts: map[bool]*ledger{true: {}, false: {}}, cures: make([]ledger, len(terms.Schemes)),
-		runs:    make([]spread, len(terms.Schemes)),
-		tenants: make([]ledger, len(terms.Tenants)), schemes: make([]ledger, len(terms.Schemes)),
+		starts: map[bool]*ledger{true: {}, false: {}}, cures: make([]ledger, len(terms.Classes)),
+		runs:    make([]spread, len(terms.Classes)),
+		tenants: make([]ledger, len(terms.Tenants)), schemes: make([]ledger, len(terms.Classes)),
 		fleet:   serverSet{at: func(e *Executor) *int { return &e.inFleet }},
 		kept:    serverSet{at: func(e *Executor) *int { return &e.inKept }},
 		ramping: serverSet{at: func(e *Executor) *int { return &e.inRamping }},
@@ -203,13 +203,13 @@
 		r.add(1)
 	}
 	work := cmp.Or(t.Hint, d.running(t, 0.5))
-	t.aim = min(d.now+t.Scheme.SlaTime+int64(t.Scheme.Stretch*float64(work)), t.Expiry)
+	t.aim = min(d.now+t.Scheme.LatencyObjective+int64(t.Scheme.ObjectivePerWork*float64(work)), t.Expiry)
 	t.size = max(t.Slots, 1) * float64(work)
 	d.works.add(t.size / 1e9)
 	// Danger: of jobs of milliseconds many begin and end while a word of room is still taken for news.
 	d.large = d.works.at(highEnd, 0) * 1e9
 	d.fresh = min(askAgain, int64(d.large))
-	if t.value = t.Scheme.Value; d.terms.ByWork {
+	if t.value = t.Scheme.Weight; d.terms.ByWork {
 		t.value *= t.size
 	}
 	if t.over {
@@ -228,12 +228,12 @@
 // till is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
 // or earlier by what the latest first tries lacked. Danger: all is declined at once, or answered too late.
 func (d *Dispatcher) till(t *Txn) int64 {
-	if d.terms.LeftMargin == 0 || t.Scheme.Expiry == 0 {
+	if d.terms.LeftMargin == 0 || t.Scheme.MaxDeadline == 0 {
 		return t.Expiry
 	}
-	d.offs = append(d.offs[max(len(d.offs)-lefts+1, 0):], t.Scheme.Expiry-t.Expiry+d.now)
+	d.offs = append(d.offs[max(len(d.offs)-lefts+1, 0):], t.Scheme.MaxDeadline-t.Expiry+d.now)
 	off := min(max(slices.Min(d.offs), -d.terms.LeftMargin), d.terms.LeftMargin)
-	return t.Expiry + min(off, max(off-t.Scheme.Expiry/way, 0))
+	return t.Expiry + min(off, max(off-t.Scheme.MaxDeadline/way, 0))
 }
 
 // Expire sets when the txn has to be answered at the latest; a node that is told to end brings it forward.
@@ -248,17 +248,17 @@
 	var others, shares float64
 	for i, tenant := range d.terms.Tenants {
 		if i != t.Tenant {
-			others, shares = others+d.tenants[i].fade(d.now).asked, shares+tenant.Share
+			others, shares = others+d.tenants[i].fade(d.now).asked, shares+tenant.Quota
 		}
 	}
 	own := d.tenants[t.Tenant].fade(d.now)
 	own.asked++
-	due := (others + 1) * d.terms.Tenants[t.Tenant].Share / shares
+	due := (others + 1) * d.terms.Tenants[t.Tenant].Quota / shares
 	return d.chance.Float64()*own.asked > overMark*due+2*math.Sqrt(due) // twice the spread of chance
 }
 
 // favour is what a txn counts for over its value: more in the scheme served worst, by the terms.
-func (d *Dispatcher) favour(s *Scheme) float64 {
+func (d *Dispatcher) favour(s *Class) float64 {
 	own, all := d.schemes[s.Index].fade(d.now), 0.0
 	for i := range d.schemes {
 		l := d.schemes[i].fade(d.now)
@@ -266,12 +266,12 @@
 			return 1
 		}
 	}
-	return 1 + d.terms.WorstScheme*all/max(own.asked, 1e-9)
+	return 1 + d.terms.WorstClassWeight*all/max(own.asked, 1e-9)
 }
 
 // running is how long the txn is expected to run, at quantile q.
 func (d *Dispatcher) running(t *Txn, q float64) int64 {
-	return max(int64(t.unit()*d.runs[t.Scheme.Index].at(q, float64(t.Scheme.SlaTime)/t.unit())), 1e6)
+	return max(int64(t.unit()*d.runs[t.Scheme.Index].at(q, float64(t.Scheme.LatencyObjective)/t.unit())), 1e6)
 }
 
 // place posts the txn or lets it wait at the node.
@@ -353,14 +353,14 @@
 
 // spanOver says whether a txn that may have run must not go again at all.
 func (d *Dispatcher) spanOver(t *Txn) bool {
-	return t.Scheme.Effect == OnceOnly ||
-		t.Scheme.Effect == Referenced && d.now-t.anchor().sent >= t.Scheme.Memory-d.terms.Tick
+	return t.Scheme.Idempotency == NonIdempotent ||
+		t.Scheme.Idempotency == IdempotentInGroup && d.now-t.anchor().sent >= t.Scheme.DedupWindow-d.terms.Tick
 }
 
 // allowed says whether the rules let the txn go to the executor now.
 func (d *Dispatcher) allowed(t *Txn, e *Executor) bool {
 	// Danger: a drained or gone executor that still gets work; the list's word counts at once.
-	if e.State != Up || !e.known || t.Scheme.Kind >= 0 && t.Scheme.Kind != e.kind {
+	if e.State != Up || !e.known || t.Scheme.MachineType >= 0 && t.Scheme.MachineType != e.kind {
 		return false
 	}
 	for _, p := range t.Postings {
@@ -371,8 +371,8 @@
 	if a := t.anchor(); a != nil {
 		// Danger: an effect twice. Only the group that holds the mark drops the repeat, and not for ever.
 		s, f := t.Scheme, a.Executor
-		if d.spanOver(t) || s.Effect == Referenced &&
-			(s.Reach == ReachZone && e.zone != f.zone || s.Reach == ReachCell && e.cell != f.cell) {
+		if d.spanOver(t) || s.Idempotency == IdempotentInGroup &&
+			(s.DedupScope == DedupZone && e.zone != f.zone || s.DedupScope == DedupCell && e.cell != f.cell) {
 			return false
 		}
 	}
@@ -445,7 +445,7 @@
 		score *= warmth * d.terms.oftener(e, groups)
 	}
 	// Danger: the rest crowd out a scheme that one kind alone can run.
-	if t.Scheme.Kind < 0 && e.model.bound {
+	if t.Scheme.MachineType < 0 && e.model.bound {
 		score *= leave
 	}
 	return max(score, 0.01) * d.standing(e) * e.left
@@ -557,7 +557,7 @@
 	d.near, count = d.near[:0], count+1
 	for _, e := range d.fleet.servers {
 		luck := float64(rand.NewPCG(t.Key, e.Mark).Uint64()>>11+1) / (1 << 53)
-		if e.wait = -math.Log(luck) / e.size; t.Scheme.Kind < 0 && e.model.bound {
+		if e.wait = -math.Log(luck) / e.size; t.Scheme.MachineType < 0 && e.model.bound {
 			e.wait /= leave
 		}
 		// Danger: a few nodes at a time may send to a cold one; by key none of them ever would.
@@ -649,7 +649,7 @@
 	case p.started > 0:
 		return
 	// Danger: what is declined here may run all the same and comes back as a retry, so that a jam never ends.
-	case s.Effect == Repeatable && s.LateValue == 0 && d.earns(p.Txn) <= 0:
+	case s.Idempotency == Idempotent && s.LateShare == 0 && d.earns(p.Txn) <= 0:
 		d.finish(p.Txn, LateAnswer)
 		return
 	case !d.terms.Reports || wait <= d.patience():
@@ -689,7 +689,7 @@
 	}
 	// Danger: copies in a full fleet take the room of txns that wait for it, here or at many other nodes.
 	for _, e := range d.draw(t, 1) {
-		hit, gain := d.prompts(e.zone == d.terms.Zone), 1-t.Scheme.LateValue+d.terms.Missed
+		hit, gain := d.prompts(e.zone == d.terms.Zone), 1-t.Scheme.LateShare+d.terms.Missed
 		if len(d.queue) == 0 && left > 0 && t.live <= 1 && hit*gain >= (1-hit)*behind {
 			d.post(t, e)
 		}
@@ -876,7 +876,7 @@
 	d.Left(t)
 	// Danger: a decline tells the client that trying again is harmless; where it might not be, reverse.
 	s := t.Scheme
-	if t.anchor() == nil || s.Effect == Repeatable || s.Effect == Referenced && s.Reach == ReachAll {
+	if t.anchor() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
 		d.door.Decline(t, d.terms.MaxReturn)
 	} else {
 		d.door.Reverse(t)
@@ -938,7 +938,7 @@
 
 // earns is the billing value a slot and second to be expected of a waiting txn; 0: give it up now.
 func (d *Dispatcher) earns(t *Txn) float64 {
-	late := t.Scheme.LateValue
+	late := t.Scheme.LateShare
 	part, atOnce, age := late+(1-late)*d.onTime(t, d.now), late+(1-late)*d.onTime(t, t.arrived), d.now-t.arrived
 	// Danger: hints that are off make the best of chances look slim. It is the wait that takes a txn's hope.
 	if part < hopeless*atOnce || d.now+d.running(t, lowEnd) >= t.Expiry || age > 2*(t.aim-t.arrived) {
@@ -949,9 +949,9 @@
 
 // onTime is the chance that a txn started then ends in time; without a hint only long jobs make up for waits.
 func (d *Dispatcher) onTime(t *Txn, at int64) float64 {
-	room, runs := float64(t.arrived+t.Scheme.SlaTime-at), &d.runs[t.Scheme.Index]
+	room, runs := float64(t.arrived+t.Scheme.LatencyObjective-at), &d.runs[t.Scheme.Index]
 	if t.Hint > 0 {
-		return runs.below(room/float64(t.Hint) + t.Scheme.Stretch)
+		return runs.below(room/float64(t.Hint) + t.Scheme.ObjectivePerWork)
 	}
-	return 1 - runs.below(-room/1e9/max(t.Scheme.Stretch-1, 0.1))
+	return 1 - runs.below(-room/1e9/max(t.Scheme.ObjectivePerWork-1, 0.1))
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -110,7 +110,7 @@
 	w.join(3, false)
 	fast, mid, slow := w.fleet[0].Executor, w.fleet[1].Executor, w.fleet[2].Executor
 	job := func(e *Executor, time float64, lost bool) {
-		w.d.rank(&Posting{Txn: &Txn{Scheme: w.terms.Schemes[0], Slots: 1}, Executor: e}, time, lost)
+		w.d.rank(&Posting{Txn: &Txn{Scheme: w.terms.Classes[0], Slots: 1}, Executor: e}, time, lost)
 	}
 	job(fast, 1, false)
 	job(mid, 2, false)
@@ -133,14 +133,14 @@
 
 func TestDrawFollowsWeight(t *testing.T) {
 	terms := basicTerms()
-	terms.Schemes = terms.Schemes[:1] // no other is bound to one of the two kinds
+	terms.Classes = terms.Classes[:1] // no other is bound to one of the two kinds
 	w := newWorld(t, 1, terms)
 	w.join(2, false)
 	good, bad := w.fleet[0].Executor, w.fleet[1].Executor
 	good.pooled, good.sum, bad.pooled, bad.sum = 50, 475, 50, 125
 	count := 0
 	for range 4000 {
-		if w.d.draw(&Txn{Scheme: w.terms.Schemes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0] == good {
+		if w.d.draw(&Txn{Scheme: w.terms.Classes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0] == good {
 			count++
 		}
 	}
@@ -149,7 +149,7 @@
 	}
 	bad.h, bad.hAt = 0.05, w.now
 	for range 100 {
-		if w.d.draw(&Txn{Scheme: w.terms.Schemes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0] == bad {
+		if w.d.draw(&Txn{Scheme: w.terms.Classes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0] == bad {
 			t.Fatal("drawn below the least H though another remains")
 		}
 	}
@@ -262,7 +262,7 @@
 	w := newWorld(t, 1, basicTerms())
 	w.join(2, false)
 	w.arrive(0, 1, 1e8, 5e9)
-	w.d.queue = []*Txn{{Scheme: w.terms.Schemes[0]}}
+	w.d.queue = []*Txn{{Scheme: w.terms.Classes[0]}}
 	if w.d.copy(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out while a txn waited")
 	}
@@ -285,7 +285,7 @@
 // A burst of one tenant must not count as within its share; even traffic must.
 func TestOverShare(t *testing.T) {
 	terms := basicTerms()
-	terms.OverValue, terms.Tenants = 0.1, []*Tenant{{Share: 0.5}, {Share: 0.5}}
+	terms.OverValue, terms.Tenants = 0.1, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 	w := newWorld(t, 1, terms)
 	over := func(n, burst int) (count int) {
 		for i := range n {
@@ -308,7 +308,7 @@
 func TestHopelessWaitIsDeclined(t *testing.T) {
 	w := newWorld(t, 1, basicTerms())
 	w.join(1, false)
-	w.terms.Schemes[0].LateValue = 0
+	w.terms.Classes[0].LateShare = 0
 	x := w.arrive(0, 1, 1e8, 5e9)
 	w.pass(2e9)
 	if !x.Over || w.withdraw != 1 {
@@ -356,7 +356,7 @@
 	if len(x.Postings) != 2 || x.Postings[0].Executor.cell != x.Postings[1].Executor.cell {
 		t.Fatal("not sent again within its cell")
 	}
-	w.pass(w.terms.Schemes[1].Memory)
+	w.pass(w.terms.Classes[1].DedupWindow)
 	for len(w.open) > 0 {
 		w.end(w.open[0], Broken)
 	}
@@ -378,7 +378,7 @@
 		m.Executor.limit = firstRoom
 	}
 	for range 200 {
-		far += w.d.draw(&Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0].zone
+		far += w.d.draw(&Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0].zone
 	}
 	if far < 80 {
 		t.Fatalf("%d of 200 went to the zone with room", far)
@@ -404,7 +404,7 @@
 	}
 	again := 0
 	for range 40 {
-		if met[w.d.draw(&Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0]] {
+		if met[w.d.draw(&Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0]] {
 			again++
 		}
 	}
@@ -417,7 +417,7 @@
 func TestBeyondShareStaysOutOfAJam(t *testing.T) {
 	for _, prompt := range []float64{0, 400} {
 		terms, declined := basicTerms(), 0
-		terms.Reports, terms.OverValue, terms.Tenants = true, 0.9, []*Tenant{{Share: 0.5}, {Share: 0.5}}
+		terms.Reports, terms.OverValue, terms.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 		w := newWorld(t, 1, terms)
 		w.join(40, false)
 		*w.d.starts[true] = ledger{400, prompt, w.now}
@@ -461,7 +461,7 @@
 // has not waited is tried all the same; one whose wait took half of the hope it had is given up at once.
 func TestHintsThatAreOffDeclineNothingFresh(t *testing.T) {
 	terms := basicTerms()
-	terms.Schemes[0].LateValue = 0
+	terms.Classes[0].LateShare = 0
 	w := newWorld(t, 3, terms)
 	w.join(4, false)
 	for range 40 {
@@ -498,7 +498,7 @@
 		}
 		w.list(true)
 		for i := range 100 {
-			tx := &Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e8, Expiry: w.now + 9e9, Key: key(i)}
+			tx := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, Expiry: w.now + 9e9, Key: key(i)}
 			w.txns = append(w.txns, tx)
 			w.d.Arrive(tx)
 			w.d.Settle()
@@ -551,7 +551,7 @@
 	met := func() map[*Executor]int {
 		n := map[*Executor]int{}
 		for i := range 120 { // about forty things
-			tx := &Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e8, Expiry: w.now + 9e9, Key: uint64(2 + i%40)}
+			tx := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, Expiry: w.now + 9e9, Key: uint64(2 + i%40)}
 			w.txns = append(w.txns, tx)
 			w.d.Arrive(tx)
 			w.d.Settle()
@@ -601,7 +601,7 @@
 				m.Executor.Mark = Mark("e" + strconv.Itoa(i))
 			}
 			for i := range 200 { // about seven things, the middle one of three
-				tx := &Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e8, Expiry: w.now + 9e9, Key: uint64(2 + i%7)}
+				tx := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, Expiry: w.now + 9e9, Key: uint64(2 + i%7)}
 				w.txns = append(w.txns, tx)
 				w.d.Arrive(tx)
 				w.d.Settle()
@@ -748,9 +748,9 @@
 
 // TestLeavesRoomForTheBound: where one kind of machine runs a scheme alone, schemes that run anywhere leave it room.
 func TestLeavesRoomForTheBound(t *testing.T) {
-	needed := func(schemes []*Scheme) (n int) {
+	needed := func(schemes []*Class) (n int) {
 		terms := basicTerms()
-		terms.Schemes = schemes
+		terms.Classes = schemes
 		w := newWorld(t, 8, terms)
 		w.join(12, false)
 		for range 600 {
@@ -762,7 +762,7 @@
 		}
 		return n
 	}
-	all := basicTerms().Schemes
+	all := basicTerms().Classes
 	bound, free := needed(all), needed(all[:3])
 	if bound > free*3/4 {
 		t.Errorf("%d of 600 go to the kind that another scheme needs, %d where none does", bound, free)
@@ -879,7 +879,7 @@
 		cold.Since = w.now - w.terms.Cold/2
 		w.list(true)
 		for range 20 {
-			tx := &Txn{Scheme: w.terms.Schemes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 9e9, Key: key + 1}
+			tx := &Txn{Scheme: w.terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 9e9, Key: key + 1}
 			w.txns = append(w.txns, tx)
 			w.d.Arrive(tx)
 			w.d.Settle()
@@ -930,7 +930,7 @@
 			m.Executor.Mark = Mark(strconv.Itoa(i))
 		}
 		w.d.counted = 100
-		tx := &Txn{Scheme: w.terms.Schemes[0], Key: 7, thing: &thing{n: 1}}
+		tx := &Txn{Scheme: w.terms.Classes[0], Key: 7, thing: &thing{n: 1}}
 		*w.d.starts[true] = ledger{9, prompt, w.now}
 		if homes := w.d.homes(tx, true); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -102,7 +102,7 @@
 func newHerd(seed uint64, nodes, executors int) *herd {
 	h := &herd{Rand: rand.New(rand.NewPCG(seed, 2)), now: 1e12, slots: testSlots, settle: 1e8}
 	h.terms = basicTerms()
-	h.terms.Nodes, h.terms.Schemes, h.terms.Tick = nodes, h.terms.Schemes[:1], 2e7
+	h.terms.Nodes, h.terms.Classes, h.terms.Tick = nodes, h.terms.Classes[:1], 2e7
 	h.since, h.off, h.sent = make([]int64, executors), make([]int64, executors), make([][]charge, executors)
 	places := map[string]invariants.Place{}
 	for i := range executors {
@@ -172,7 +172,7 @@
 			}
 			for due := share; due > 0 && h.Float64() < due; due-- {
 				h.taken++
-				t := &Txn{Tag: strconv.Itoa(h.taken), Scheme: h.terms.Schemes[0], Slots: 1, Hint: size/2 + h.Int64N(size), Expiry: h.now + 1e9}
+				t := &Txn{Tag: strconv.Itoa(h.taken), Scheme: h.terms.Classes[0], Slots: 1, Hint: size/2 + h.Int64N(size), Expiry: h.now + 1e9}
 				if h.work != nil {
 					t.Hint, t.Expiry, h.works[t] = 0, h.now+h.patient, h.work()
 				}
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -43,12 +43,12 @@
 func basicTerms() *Terms {
 	return &Terms{Nodes: 2, Tick: 4e6, TellsStart: true, Progress: 1e9, MostPostings: 4, MayCancel: true,
 		MayDuplicate: true, MaxReturn: 2e9, ColdShare: 0.2, Cold: 10e9, Fall: 2e9,
-		FallMultiple: 3, AskWithin: 8e9, Told: 6e9, Schemes: []*Scheme{
-			{SlaTime: 3e8, Stretch: 2, Value: 3, LateValue: 0.3, Kind: -1},
-			{Index: 1, SlaTime: 2e8, Stretch: 2, Value: 8, Kind: -1, Effect: Referenced, Reach: ReachCell, Memory: 3e9},
-			{Index: 2, SlaTime: 2e8, Stretch: 2, Value: 5, LateValue: 0.9, Kind: -1, Effect: OnceOnly},
-			{Index: 3, SlaTime: 2e8, Stretch: 2, Value: 1, Kind: 1, Effect: Referenced, Reach: ReachZone, Memory: 1e9},
-			{Index: 4, SlaTime: 2e8, Value: 1, LateValue: 0.9, Kind: -1, Effect: Referenced, Memory: 1e9}}}
+		FallMultiple: 3, AskWithin: 8e9, Told: 6e9, Classes: []*Class{
+			{LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 3, LateShare: 0.3, MachineType: -1},
+			{Index: 1, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 8, MachineType: -1, Idempotency: IdempotentInGroup, DedupScope: DedupCell, DedupWindow: 3e9},
+			{Index: 2, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1, Idempotency: NonIdempotent},
+			{Index: 3, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 1, MachineType: 1, Idempotency: IdempotentInGroup, DedupScope: DedupZone, DedupWindow: 1e9},
+			{Index: 4, LatencyObjective: 2e8, Weight: 1, LateShare: 0.9, MachineType: -1, Idempotency: IdempotentInGroup, DedupWindow: 1e9}}}
 }
 
 func newWorld(t *testing.T, seed uint64, terms *Terms) *world {
@@ -106,10 +106,10 @@
 			w.Fatal("rule 2: two postings out where none may be doubled")
 		}
 	}
-	if s := t.Scheme; first != nil && s.Effect != Repeatable {
-		if s.Effect == OnceOnly || w.now-w.sentAt[first] > s.Memory ||
-			s.Reach == ReachCell && p.Executor.cell != first.Executor.cell ||
-			s.Reach == ReachZone && p.Executor.zone != first.Executor.zone {
+	if s := t.Scheme; first != nil && s.Idempotency != Idempotent {
+		if s.Idempotency == NonIdempotent || w.now-w.sentAt[first] > s.DedupWindow ||
+			s.DedupScope == DedupCell && p.Executor.cell != first.Executor.cell ||
+			s.DedupScope == DedupZone && p.Executor.zone != first.Executor.zone {
 			w.Fatalf("rule 2: scheme %d sent again where it may run twice", s.Index)
 		}
 	}
@@ -156,7 +156,7 @@
 	w.Helper()
 	w.final(t)
 	for _, p := range t.Postings {
-		if s := t.Scheme; w.mayRun[p] && (s.Effect == OnceOnly || s.Effect == Referenced && s.Reach != ReachAll) {
+		if s := t.Scheme; w.mayRun[p] && (s.Idempotency == NonIdempotent || s.Idempotency == IdempotentInGroup && s.DedupScope != DedupAll) {
 			w.Fatalf("rule 2: scheme %d declined though it may have run", s.Index)
 		}
 	}
@@ -189,7 +189,7 @@
 }
 
 func (w *world) arrive(scheme int, slots float64, hint, left int64) *Txn {
-	t := &Txn{Scheme: w.terms.Schemes[scheme], Slots: slots, Hint: hint, Expiry: w.now + left}
+	t := &Txn{Scheme: w.terms.Classes[scheme], Slots: slots, Hint: hint, Expiry: w.now + left}
 	w.txns = append(w.txns, t)
 	w.d.Arrive(t)
 	w.d.Settle()
@@ -221,7 +221,7 @@
 func (w *world) step() {
 	switch n := w.IntN(20); {
 	case n < 6:
-		w.arrive(w.IntN(len(w.terms.Schemes)), float64(int(1)<<w.IntN(3)), 1e7+w.Int64N(6e8), w.Int64N(5e9)+2e7)
+		w.arrive(w.IntN(len(w.terms.Classes)), float64(int(1)<<w.IntN(3)), 1e7+w.Int64N(6e8), w.Int64N(5e9)+2e7)
 	case n < 10 && len(w.open) > 0:
 		w.end(w.open[w.IntN(len(w.open))], Outcome(w.IntN(int(Stale)+1)))
 	case n < 14 && len(w.open) > 0:
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -12,7 +12,7 @@
 	w := newWorld(t, 1, terms)
 	w.join(4, false)
 	for _, waited := range []int64{0, 1e8, 3e8, 3e9} {
-		request := &Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 5e9, Waited: waited}
+		request := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 5e9, Waited: waited}
 		w.txns = append(w.txns, request)
 		w.d.Arrive(request)
 		w.d.Settle()
@@ -28,7 +28,7 @@
 	for _, waited := range []int64{0, 1e3, 2e7} {
 		w := newWorld(t, 1, basicTerms())
 		w.join(4, false)
-		request := &Txn{Scheme: w.terms.Schemes[0], Slots: 1, Expiry: w.now + w.terms.Schemes[0].SlaTime + 1, Waited: waited}
+		request := &Txn{Scheme: w.terms.Classes[0], Slots: 1, Expiry: w.now + w.terms.Classes[0].LatencyObjective + 1, Waited: waited}
 		w.txns = append(w.txns, request)
 		w.d.Arrive(request)
 		if w.d.Settle(); request.Over || len(request.Postings) != 1 {
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -82,7 +82,7 @@
 		}
 		took, o := work*w.slow, Settled
 		if n.hot > 0 && (t.Key == n.hot || t.Key == 0 && t.Tenant == int(n.hot)) {
-			if wait := max(n.unlock-n.now, 0); wait > 3*t.Scheme.SlaTime/2 {
+			if wait := max(n.unlock-n.now, 0); wait > 3*t.Scheme.LatencyObjective/2 {
 				took, o = 2e6, Erred
 			} else {
 				took, n.unlock = took+wait, max(n.unlock, n.now)+n.hold
@@ -145,14 +145,14 @@
 
 // arrive takes a txn; where it is not served in time its client comes again after a while, so many times.
 func (h *town) arrive(again int, first int64, key uint64) {
-	n, s := h.nodes[h.IntN(len(h.nodes))], h.terms.Schemes[0]
-	t := &Txn{Scheme: s, Slots: 1, Key: key, Expiry: first + s.Expiry}
+	n, s := h.nodes[h.IntN(len(h.nodes))], h.terms.Classes[0]
+	t := &Txn{Scheme: s, Slots: 1, Key: key, Expiry: first + s.MaxDeadline}
 	if n := uint64(len(h.terms.Tenants)); n > 0 {
 		t.Key, t.Tenant = 0, int(key%n)
 	}
 	from := first - 1e12
 	n.done[t] = func(work int64) {
-		inTime := work > 0 && h.now-first <= s.SlaTime+int64(s.Stretch)*work
+		inTime := work > 0 && h.now-first <= s.LatencyObjective+int64(s.ObjectivePerWork)*work
 		if t.Tenant != int(h.hot) && key != h.hot && (inTime || work > 0 || again == 0) {
 			if h.others++; !inTime {
 				h.missed++
@@ -162,7 +162,7 @@
 			h.inTime[from/1e9]++
 		} else if work == 0 && again > 0 {
 			h.after(3e7+h.Int64N(3e7), func() {
-				if h.now < first+s.Expiry {
+				if h.now < first+s.MaxDeadline {
 					h.arrive(again-1, first, key)
 				}
 			})
@@ -212,8 +212,8 @@
 }
 
 func townTerms() *Terms {
-	return &Terms{Nodes: 5, Tick: 5e6, TellsStart: true, MostPostings: 6, MayCancel: true, Schemes: []*Scheme{
-		{SlaTime: 2e8, Stretch: 2, Expiry: 5e9, Value: 1, Kind: -1}}}
+	return &Terms{Nodes: 5, Tick: 5e6, TellsStart: true, MostPostings: 6, MayCancel: true, Classes: []*Class{
+		{LatencyObjective: 2e8, ObjectivePerWork: 2, MaxDeadline: 5e9, Weight: 1, MachineType: -1}}}
 }
 
 func noKey() uint64 { return 0 }
@@ -250,9 +250,9 @@
 	for seed := range uint64(4) {
 		terms := townTerms()
 		if seed > 1 {
-			terms.Tenants, terms.OverValue = []*Tenant{{Share: 0.375}, {Share: 0.25}, {Share: 0.375}}, 1
+			terms.Tenants, terms.OverValue = []*Tenant{{Quota: 0.375}, {Quota: 0.25}, {Quota: 0.375}}, 1
 		}
-		terms.Schemes[0].SlaTime, terms.Schemes[0].Expiry = 8e8, 8e9
+		terms.Classes[0].LatencyObjective, terms.Classes[0].MaxDeadline = 8e8, 8e9
 		h := newTown(seed, 5, 16, 6, terms)
 		h.work = func() int64 { return 5e7 + int64(h.ExpFloat64()*1.5e8) }
 		full := 16 * 6 / 0.2
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -181,7 +181,7 @@
 	}
 	used := func(key uint64) (used [3]int) {
 		for range 60 {
-			x := &Txn{Scheme: terms.Schemes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 5e9, Key: key}
+			x := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 5e9, Key: key}
 			w.txns = append(w.txns, x)
 			w.d.Arrive(x)
 			w.d.Settle()
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -10,79 +10,79 @@
 	"slices"
 )
 
-// Effect says what a repeat of a txn does.
-type Effect int
+// Idempotency says what a repeat of a txn does.
+type Idempotency int
 
 const (
-	Repeatable Effect = iota
-	Referenced
-	OnceOnly
+	Idempotent Idempotency = iota
+	IdempotentInGroup
+	NonIdempotent
 )
 
-// Reach is the group of executors that drops repeats of a referenced txn.
-type Reach int
+// DedupScope is the group of executors that drops repeats of a referenced txn.
+type DedupScope int
 
 const (
-	ReachAll Reach = iota
-	ReachZone
-	ReachCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
-// Scheme holds what the terms say of one scheme. Times are nanoseconds, here as everywhere.
-type Scheme struct {
-	Index     int
-	SlaTime   int64
-	Expiry    int64   // how long a client waits for all its tries; 0: not told
-	Stretch   float64 // the SLA time grows by this multiple of the txn's own work
-	Value     float64 // billing value
-	LateValue float64 // share of it that a late answer earns
-	Effect    Effect
-	Reach     Reach
-	Memory    int64 // how long a group remembers a referenced txn
-	Kind      int   // the one kind of machine that runs it, or -1
+// Class holds what the terms say of one scheme. Times are nanoseconds, here as everywhere.
+type Class struct {
+	Index            int
+	LatencyObjective int64
+	MaxDeadline      int64   // how long a client waits for all its tries; 0: not told
+	ObjectivePerWork float64 // the SLA time grows by this multiple of the txn's own work
+	Weight           float64 // billing value
+	LateShare        float64 // share of it that a late answer earns
+	Idempotency      Idempotency
+	DedupScope       DedupScope
+	DedupWindow      int64 // how long a group remembers a referenced txn
+	MachineType      int   // the one kind of machine that runs it, or -1
 }
 
 // Tenant is one customer with its share of the service.
 type Tenant struct {
 	Tag   string // the door's own name of it
-	Share float64
+	Quota float64
 }
 
 // Terms are the settings handed over at start, decoded once.
 type Terms struct {
-	Zone         int // of this node
-	Nodes, Me    int // how many there are, and this one's index among them
-	Tick         int64
-	Schemes      []*Scheme
-	Tenants      []*Tenant
-	ByWork       bool // billing value counts for each unit of work
-	OverValue    float64
-	Live         bool // the list's units are size over one and the txns held a core
-	Subscribe    bool // list changes come only when asked for
-	Reports      bool // executors tell their load with answers
-	MayTell      bool // nodes may send one another messages
-	Probes       bool // executors tell free slots when probed
-	TellsStart   bool
-	Progress     int64 // between progress notes; 0: none
-	MostPostings int
-	MayCancel    bool
-	MayDuplicate bool
-	MaxReturn    int64 // longest advice that a client follows; 0: give none
-	CrossPrice   float64
-	FetchPrice   float64 // of fetching what a txn is about from the store that all share
-	IdleClose    int64   // how long an unused connection stays
-	WorstScheme  float64 // weight of the scheme served worst, over that of the whole
-	Missed       float64 // what a missed SLA time costs besides, over the billing value
-	ColdShare    float64
-	Cold         int64
-	Fall         int64
-	FallMultiple float64
-	AskWithin    int64  // how long news may lie while no call for the list is out; then it counts as told
-	LeftMargin   int64  // by which a txn's expiry may be told too early or too late
-	StampError   int64  // by which an executor's start may be
-	Told         int64  // from the start of a failed call for the list to that of the next at the latest
-	Grace        int64  // how long after that a posting may still be sent to what drains or is gone
-	Shares       Shares // of what all nodes hold together; nil: they share nothing
+	Zone             int // of this node
+	Nodes, Me        int // how many there are, and this one's index among them
+	Tick             int64
+	Classes          []*Class
+	Tenants          []*Tenant
+	ByWork           bool // billing value counts for each unit of work
+	OverValue        float64
+	Live             bool // the list's units are size over one and the txns held a core
+	Subscribe        bool // list changes come only when asked for
+	Reports          bool // executors tell their load with answers
+	MayTell          bool // nodes may send one another messages
+	Probes           bool // executors tell free slots when probed
+	TellsStart       bool
+	Progress         int64 // between progress notes; 0: none
+	MostPostings     int
+	MayCancel        bool
+	MayDuplicate     bool
+	MaxReturn        int64 // longest advice that a client follows; 0: give none
+	CrossPrice       float64
+	FetchPrice       float64 // of fetching what a txn is about from the store that all share
+	IdleClose        int64   // how long an unused connection stays
+	WorstClassWeight float64 // weight of the scheme served worst, over that of the whole
+	Missed           float64 // what a missed SLA time costs besides, over the billing value
+	ColdShare        float64
+	Cold             int64
+	Fall             int64
+	FallMultiple     float64
+	AskWithin        int64  // how long news may lie while no call for the list is out; then it counts as told
+	LeftMargin       int64  // by which a txn's expiry may be told too early or too late
+	StampError       int64  // by which an executor's start may be
+	Told             int64  // from the start of a failed call for the list to that of the next at the latest
+	Grace            int64  // how long after that a posting may still be sent to what drains or is gone
+	Shares           Shares // of what all nodes hold together; nil: they share nothing
 }
 
 // Budget is something that all nodes use together, each its share.
@@ -136,7 +136,7 @@
 
 // need says whether some scheme runs on that kind of machine alone.
 func (t *Terms) need(kind int) bool {
-	return slices.ContainsFunc(t.Schemes, func(s *Scheme) bool { return s.Kind == kind })
+	return slices.ContainsFunc(t.Classes, func(s *Class) bool { return s.MachineType == kind })
 }
 
 // mayPost says whether one more posting of a txn to an executor that is warm fits into this node's shares.
@@ -197,7 +197,7 @@
 // Txn is one job taken from a client, owed exactly one final answer.
 type Txn struct {
 	Tag      string
-	Scheme   *Scheme
+	Scheme   *Class
 	Tenant   int
 	Slots    float64
 	Memory   float64
@@ -369,7 +369,7 @@
 
 // family is what jobs have in common that are ranked together.
 type family struct {
-	scheme *Scheme
+	scheme *Class
 	slots  float64
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -161,7 +161,7 @@
 	}
 	n.Idle = time.Duration(r.whole("Limits.IdleClose", 10e9, 0))
 	n.Names = &protocol.Names{Zones: r.list("Dcs"), Kinds: r.list("Skus")}
-	for i := range n.Terms.Schemes {
+	for i := range n.Terms.Classes {
 		at := "Schemes." + strconv.Itoa(i) + "."
 		n.Names.Schemes = append(n.Names.Schemes, r.word(at+"Name"))
 		n.Longest = max(n.Longest, time.Duration(r.whole(at+"Expiry", 60e9, 1)))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,9 +39,9 @@
 	if e := n.Known.Entries[0]; e.ID != "s-1" || e.Zone != 1 || e.Kind != 1 || e.Started != 12e6 {
 		t.Errorf("%+v", e)
 	}
-	pay, tick := n.Terms.Schemes[1], n.Terms.Tick
-	if pay.Effect != dispatch.Referenced || pay.Reach != dispatch.ReachCell || pay.Memory != 7 || pay.Kind != 1 ||
-		pay.Stretch != 2 || tick != 5e6 || !n.Terms.MayCancel || n.Terms.MayDuplicate || n.Terms.Tenants[0].Share != 0.25 {
+	pay, tick := n.Terms.Classes[1], n.Terms.Tick
+	if pay.Idempotency != dispatch.IdempotentInGroup || pay.DedupScope != dispatch.DedupCell || pay.DedupWindow != 7 || pay.MachineType != 1 ||
+		pay.ObjectivePerWork != 2 || tick != 5e6 || !n.Terms.MayCancel || n.Terms.MayDuplicate || n.Terms.Tenants[0].Quota != 0.25 {
 		t.Errorf("%+v", pay)
 	}
 }
@@ -187,7 +187,7 @@
 	for text, want := range map[string][3]int64{whole: {0, 0, 5e9},
 		strings.Replace(whole, `"Odd":true`, `"Rules":{"LeftMargin":7500000000,"BootStampError":40}`, 1): {7500e6, 40, 5e9}} {
 		n, err := parse([]byte(text), nothing)
-		if err != nil || [3]int64{n.Terms.LeftMargin, n.Terms.StampError, n.Terms.Schemes[0].Expiry} != want {
+		if err != nil || [3]int64{n.Terms.LeftMargin, n.Terms.StampError, n.Terms.Classes[0].MaxDeadline} != want {
 			t.Errorf("%v, want %v", err, want)
 		}
 	}
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -118,11 +118,11 @@
 		MostPostings: int(r.whole("Limits.MostPostings", 1, 0)),
 		MayCancel:    r.flag("Limits.MayCancel"), MayDuplicate: r.flag("Limits.MayDuplicate"),
 		MaxReturn: r.whole("Limits.MaxRetryAfter", 0, 0), CrossPrice: r.real("Prices.CrossZone", 0), FetchPrice: r.real("Prices.Origin", 0),
-		IdleClose:   r.whole("Limits.IdleClose", 0, 0),
-		ColdShare:   r.real("Rules.ColdShare", 0),
-		Cold:        r.whole("Rules.Cold", 0, 0),
-		Fall:        r.whole("Rules.Fall", 0, 0),
-		WorstScheme: r.real("ScoreParts.WorstClass", 0) / whole,
+		IdleClose:        r.whole("Limits.IdleClose", 0, 0),
+		ColdShare:        r.real("Rules.ColdShare", 0),
+		Cold:             r.whole("Rules.Cold", 0, 0),
+		Fall:             r.whole("Rules.Fall", 0, 0),
+		WorstClassWeight: r.real("ScoreParts.WorstClass", 0) / whole,
 		Missed: r.real("ScoreParts.Punctual", 0) / (4 * max(r.real("ScoreParts.MissAllowed", 1), 0.001)) /
 			whole,
 		FallMultiple: r.real("Rules.FallMultiple", 1), AskWithin: r.whole("Rules.AskWithin", 1e9, 0),
@@ -146,35 +146,35 @@
 	count := int(r.whole("Schemes.count", 0, 0))
 	for i := 0; i < count && r.err == nil; i++ {
 		at := "Schemes." + strconv.Itoa(i) + "."
-		s := &dispatch.Scheme{Index: i, SlaTime: r.whole(at+"SlaTime", -1, 0), Value: r.real(at+"BillingValue", 1),
-			Expiry:    r.whole(at+"Expiry", 0, 1),
-			LateValue: r.real(at+"LateBillingValue", 0), Memory: r.whole(at+"MemorySpan", 0, 0),
-			Kind:    int(listed("Extra.ClassKind", kinds, i, -1)),
-			Stretch: r.real(at+"AimStretch", listed("Extra.ClassStretch", stretches, i, 0))}
-		if s.SlaTime < 0 {
+		s := &dispatch.Class{Index: i, LatencyObjective: r.whole(at+"SlaTime", -1, 0), Weight: r.real(at+"BillingValue", 1),
+			MaxDeadline: r.whole(at+"Expiry", 0, 1),
+			LateShare:   r.real(at+"LateBillingValue", 0), DedupWindow: r.whole(at+"MemorySpan", 0, 0),
+			MachineType:      int(listed("Extra.ClassKind", kinds, i, -1)),
+			ObjectivePerWork: r.real(at+"AimStretch", listed("Extra.ClassStretch", stretches, i, 0))}
+		if s.LatencyObjective < 0 {
 			r.fail(at+"SlaTime", r.word(at+"SlaTime"), "a time")
 		}
 		switch v := r.word(at + "Idempotency"); v {
 		case "idempotent":
 		case "deduplicated":
-			s.Effect = dispatch.Referenced
+			s.Idempotency = dispatch.IdempotentInGroup
 		case "at_most_once":
-			s.Effect = dispatch.OnceOnly
+			s.Idempotency = dispatch.NonIdempotent
 		default:
 			r.fail(at+"Idempotency", v, "a known kind of scheme")
 		}
 		switch r.word(at + "Group") {
 		case "zone":
-			s.Reach = dispatch.ReachZone
+			s.DedupScope = dispatch.DedupZone
 		case "cell":
-			s.Reach = dispatch.ReachCell
+			s.DedupScope = dispatch.DedupCell
 		}
-		t.Schemes = append(t.Schemes, s)
+		t.Classes = append(t.Classes, s)
 	}
 	tenants := int(r.whole("Tenants.count", 0, 0))
 	for i := 0; i < tenants && r.err == nil; i++ {
 		at := "Tenants." + strconv.Itoa(i) + "."
-		t.Tenants = append(t.Tenants, &dispatch.Tenant{Tag: r.word(at + "Name"), Share: r.real(at+"Share", 0)})
+		t.Tenants = append(t.Tenants, &dispatch.Tenant{Tag: r.word(at + "Name"), Quota: r.real(at+"Share", 0)})
 	}
 	return t, r.err
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -158,6 +158,6 @@
 	})
 }
 
-func (w *world) schemeOf(n *node, s *Scheme) *dispatch.Scheme {
+func (w *world) schemeOf(n *node, s *Scheme) *dispatch.Class {
 	return n.schemes[slices.IndexFunc(w.s.Scheme, func(c Scheme) bool { return c.Name == s.Name })]
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -45,8 +45,8 @@
 	txns     map[*dispatch.Txn]*held
 	out      map[*dispatch.Posting]*flight
 	settling bool
-	schemes  []*dispatch.Scheme // as its decider has them
-	share    *share             // of what all hold together; nil: nothing is
+	schemes  []*dispatch.Class // as its decider has them
+	share    *share            // of what all hold together; nil: nothing is
 }
 
 // held is a txn that the node owes an answer.
@@ -387,12 +387,12 @@
 	}
 	for i := range s.Scheme {
 		c := &s.Scheme[i]
-		t.Schemes = append(t.Schemes, &dispatch.Scheme{Index: i, SlaTime: int64(c.Sla), Expiry: int64(c.Expiry), Stretch: c.Stretch,
-			Value: c.Value, LateValue: c.Late, Effect: effectOf(c.Effect), Memory: int64(c.Memory), Kind: -1})
+		t.Classes = append(t.Classes, &dispatch.Class{Index: i, LatencyObjective: int64(c.Sla), MaxDeadline: int64(c.Expiry), ObjectivePerWork: c.Stretch,
+			Weight: c.Value, LateShare: c.Late, Idempotency: effectOf(c.Effect), DedupWindow: int64(c.Memory), MachineType: -1})
 	}
 	for _, c := range s.Tenant {
-		t.Tenants = append(t.Tenants, &dispatch.Tenant{Share: c.Share})
+		t.Tenants = append(t.Tenants, &dispatch.Tenant{Quota: c.Share})
 	}
-	n.schemes = t.Schemes
+	n.schemes = t.Classes
 	return t
 }
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -118,7 +118,7 @@
 	s := t.Scheme
 	switch {
 	case t.Over:
-	case len(b.up) == 0 || len(t.Postings) >= b.terms.MostPostings || b.mayRun(t) && s.Effect != dispatch.Repeatable:
+	case len(b.up) == 0 || len(t.Postings) >= b.terms.MostPostings || b.mayRun(t) && s.Idempotency != dispatch.Idempotent:
 		b.finish(t)
 	default:
 		e := b.pick(b, b.up)
@@ -159,7 +159,7 @@
 	if t.Over {
 		return
 	}
-	harmless := !b.mayRun(t) || t.Scheme.Effect == dispatch.Repeatable || t.Scheme.Effect == dispatch.Referenced && t.Scheme.Reach == dispatch.ReachAll
+	harmless := !b.mayRun(t) || t.Scheme.Idempotency == dispatch.Idempotent || t.Scheme.Idempotency == dispatch.IdempotentInGroup && t.Scheme.DedupScope == dispatch.DedupAll
 	b.Left(t)
 	if harmless {
 		b.door.Decline(t, 0)
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -302,6 +302,6 @@
 	return err
 }
 
-func effectOf(word string) dispatch.Effect {
-	return dispatch.Effect(slices.Index([]string{"repeatable", "referenced", "once-only"}, word))
+func effectOf(word string) dispatch.Idempotency {
+	return dispatch.Idempotency(slices.Index([]string{"repeatable", "referenced", "once-only"}, word))
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -206,7 +206,7 @@
 
 // ran notes that a job has had its effect; that of a referenced txn which its group remembers is dropped.
 func (w *world) ran(j *job) {
-	if effectOf(j.txn.scheme.Effect) == dispatch.Repeatable || w.remembers(j) {
+	if effectOf(j.txn.scheme.Effect) == dispatch.Idempotent || w.remembers(j) {
 		return
 	}
 	w.effects[j.txn.origin]++
--- a/internal/emulator/wrong_test.go
+++ b/internal/emulator/wrong_test.go
@@ -39,8 +39,8 @@
 		return p
 	}
 	repeats := func(terms *dispatch.Terms) *dispatch.Terms {
-		for _, s := range terms.Schemes { // as the node has them
-			s.Effect = dispatch.Repeatable
+		for _, s := range terms.Classes { // as the node has them
+			s.Idempotency = dispatch.Idempotent
 		}
 		return terms
 	}
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -22,7 +22,7 @@
 
 // window is the same for one scheme.
 func (n *Node) window(scheme int) int64 {
-	return cmp.Or(n.terms.Schemes[scheme].Memory, int64(remembered))
+	return cmp.Or(n.terms.Classes[scheme].DedupWindow, int64(remembered))
 }
 
 // fresh says whether a txn's id is new to this node, and keeps it.
@@ -78,7 +78,7 @@
 	waited := n.lag.Lag()
 	l := &life{request: q, answer: make(chan *protocol.Answer, 1)}
 	t := &dispatch.Txn{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, Key: q.Key, Hint: q.Hint, Waited: waited,
-		Scheme: n.terms.Schemes[q.Scheme]}
+		Scheme: n.terms.Classes[q.Scheme]}
 	err := n.event(func() {
 		t.Expiry = n.clock() + int64(q.Budget)
 		n.taken++
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -98,7 +98,7 @@
 	n := &Node{terms: terms, carrier: c, probe: probe, lister: l, known: known, log: log, start: time.Now(), lag: newLagMeter(), till: math.MaxInt64, members: map[string]*member{}, listedOnce: map[string]bool{},
 		news: make(chan struct{}), ids: [2]map[string]int64{{}, {}}, lives: map[*dispatch.Txn]*life{}, out: map[*dispatch.Posting]context.CancelFunc{}, watch: make(chan bool, 1), turn: make(chan Lister, 1), relisted: make(chan struct{}, 1)}
 	n.heard = n.news
-	for i := range terms.Schemes {
+	for i := range terms.Classes {
 		n.span = max(n.span, n.window(i))
 	}
 	if n.purse = purse; purse != nil {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -101,9 +101,9 @@
 
 func terms() *dispatch.Terms {
 	return &dispatch.Terms{Nodes: 2, Tick: 5e6, TellsStart: true, Progress: 1e9, MostPostings: 3, MayCancel: true,
-		MayDuplicate: true, MaxReturn: 2e9, IdleClose: 1e10, Grace: 4e9, Told: 15e8, Schemes: []*dispatch.Scheme{
-			{SlaTime: 3e8, Stretch: 2, Value: 3, LateValue: 0.3, Kind: -1},
-			{Index: 1, SlaTime: 3e8, Stretch: 2, Value: 5, LateValue: 0.9, Kind: -1, Effect: dispatch.OnceOnly}}}
+		MayDuplicate: true, MaxReturn: 2e9, IdleClose: 1e10, Grace: 4e9, Told: 15e8, Classes: []*dispatch.Class{
+			{LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 3, LateShare: 0.3, MachineType: -1},
+			{Index: 1, LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1, Idempotency: dispatch.NonIdempotent}}}
 }
 
 func entry(id string, state dispatch.State) protocol.Entry {
@@ -129,7 +129,7 @@
 	for _, window := range []time.Duration{0, 1500 * time.Millisecond, 45 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			c, settings := &carrier{script: serves(15 * time.Second)}, terms()
-			settings.Schemes[1].Memory = int64(window)
+			settings.Classes[1].DedupWindow = int64(window)
 			n := New(settings, 1, known("a", "b"), c, time.Second, &lister{}, nil, zerolog.Nop())
 			serve := func(id string, scheme int) int {
 				if a := n.Serve(t.Context(), ask(id, scheme, time.Minute)); a != nil {
@@ -259,7 +259,7 @@
 		var log bytes.Buffer
 		n := New(terms(), 1, known("a"), &carrier{script: serves(time.Millisecond)}, time.Second, &lister{}, nil, zerolog.New(&log))
 		broken := *n.terms
-		broken.Schemes = []*dispatch.Scheme{nil}
+		broken.Classes = []*dispatch.Class{nil}
 		whole := n.terms
 		n.terms = &broken
 		if a := n.Serve(t.Context(), ask("j", 0, time.Second)); a == nil || a.Status != 500 {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -273,7 +273,7 @@
 	t := &dispatch.Txn{Tag: tag, Tenant: int(f.wholeOr("Tenant", 0)), Slots: f.realOr("Slots", 1),
 		Key:  uint64(f.wholeOr("Resource", 0)),
 		Hint: f.wholeOr("Predicted", 0), Expiry: f.whole("GiveUpAt")}
-	if f.err == nil && (scheme < 0 || scheme >= len(n.terms.Schemes)) {
+	if f.err == nil && (scheme < 0 || scheme >= len(n.terms.Classes)) {
 		f.fail("no scheme %d in the settings", scheme)
 	}
 	if count := len(n.terms.Tenants); f.err == nil && count > 0 && (t.Tenant < 0 || t.Tenant >= count) {
@@ -282,7 +282,7 @@
 	if f.err != nil {
 		return
 	}
-	t.Scheme = n.terms.Schemes[scheme]
+	t.Scheme = n.terms.Classes[scheme]
 	n.txns[tag] = t
 	n.module.Arrive(t)
 	n.tidy(t)
--- a/internal/transport/unsafe_test.go
+++ b/internal/transport/unsafe_test.go
@@ -111,7 +111,7 @@
 }
 
 // plays has one txn meet a fault at whichever executor it is sent to first; all later ones serve.
-func plays(t *testing.T, f fault, effect dispatch.Effect, body string) (status int, result string, arrivals []came, written int) {
+func plays(t *testing.T, f fault, effect dispatch.Idempotency, body string) (status int, result string, arrivals []came, written int) {
 	var mu sync.Mutex
 	trouble, open := !f.kept, 0
 	most := 0
@@ -191,7 +191,7 @@
 		return here, nil
 	}
 	settings := &dispatch.Terms{Nodes: 1, Tick: 5e6, TellsStart: true, MostPostings: 3, MayCancel: true, MayDuplicate: true, MaxReturn: 2e9,
-		IdleClose: 6e10, Grace: 2e9, Told: 55e8, Schemes: []*dispatch.Scheme{{SlaTime: 3e8, Expiry: 3e9, Value: 1, LateValue: 0.5, Kind: -1, Effect: effect, Memory: 1e9}}}
+		IdleClose: 6e10, Grace: 2e9, Told: 55e8, Classes: []*dispatch.Class{{LatencyObjective: 3e8, MaxDeadline: 3e9, Weight: 1, LateShare: 0.5, MachineType: -1, Idempotency: effect, DedupWindow: 1e9}}}
 	known := &protocol.List{Full: true, Entries: []protocol.Entry{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}}}
 	n := routing.New(settings, 1, known, x, time.Second, nil, nil, zerolog.Nop())
 	txn := func(id string) *protocol.Answer {
@@ -212,7 +212,7 @@
 	synctest.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	if effect != dispatch.Repeatable && most > 1 {
+	if effect != dispatch.Idempotent && most > 1 {
 		t.Errorf("%d out at once", most)
 	}
 	x.transport.CloseIdleConnections()
@@ -224,7 +224,7 @@
 // module did not send: the library repeats nothing by itself.
 func TestUnsafeToRepeat(t *testing.T) {
 	for name, f := range faults {
-		for _, effect := range []dispatch.Effect{dispatch.Repeatable, dispatch.Referenced, dispatch.OnceOnly} {
+		for _, effect := range []dispatch.Idempotency{dispatch.Idempotent, dispatch.IdempotentInGroup, dispatch.NonIdempotent} {
 			for _, body := range []string{"", "body"} {
 				at := fmt.Sprintf("%s, effect %d, body %q", name, effect, body)
 				t.Run(at, func(t *testing.T) {
@@ -235,11 +235,11 @@
 	}
 }
 
-func check(t *testing.T, f fault, effect dispatch.Effect, body string) {
+func check(t *testing.T, f fault, effect dispatch.Idempotency, body string) {
 	status, result, arrivals, written := plays(t, f, effect, body)
 	want := status
 	switch {
-	case effect == dispatch.OnceOnly && f.runs:
+	case effect == dispatch.NonIdempotent && f.runs:
 		want = http.StatusInternalServerError
 	case !f.runs || status != http.StatusServiceUnavailable:
 		want = http.StatusOK
@@ -248,10 +248,10 @@
 		t.Errorf("answered %d %q, want %d", status, result, want)
 	}
 	most := 2
-	if effect == dispatch.OnceOnly && f.runs || f.bytes >= 0 {
+	if effect == dispatch.NonIdempotent && f.runs || f.bytes >= 0 {
 		most = 1
 	}
-	if len(arrivals) > most || effect == dispatch.OnceOnly && len(arrivals) != most {
+	if len(arrivals) > most || effect == dispatch.NonIdempotent && len(arrivals) != most {
 		t.Errorf("%+v arrived, %d at most", arrivals, most)
 	}
 	if len(arrivals) != written {
