--- a/cmd/fernrail/desk_test.go
+++ b/cmd/fernrail/desk_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Terms = terms
+	c.Settings = terms
 	d := wire(c, nil, zerolog.Nop())
 	d.join(dir)
 	check := func(what string, want float64) {
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -171,7 +171,7 @@
 		held = p
 		carrier.Dials(p.dial)
 	}
-	node := routing.New(c.Terms, c.Seed, c.Known, carrier, c.Probe, transport.NewDiscovery(c.Discovery, c.Names), held, log)
+	node := routing.New(c.Settings, c.Seed, c.Known, carrier, c.Probe, transport.NewDiscovery(c.Discovery, c.Names), held, log)
 	carrier.Behind(node.Lag)
 	if share != nil && c.Fleet.Quorum > 0 {
 		node.Witness(share.Saw)
--- a/cmd/fernrail/subset.go
+++ b/cmd/fernrail/subset.go
@@ -17,7 +17,7 @@
 		for i, e := range entries {
 			executors[i] = subset.Executor{Name: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell}
 			// Where the list tells of load its units move with that, and are no size.
-			if !d.config.Terms.Live {
+			if !d.config.Settings.LiveCapacity {
 				executors[i].Size = e.Units
 			}
 		}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -19,7 +19,7 @@
 func (*still) Decline(*Txn, int64)        {}
 func (*still) Reverse(*Txn)               {}
 
-func stillWorld(executors int) (*Dispatcher, *still, *Terms) {
+func stillWorld(executors int) (*Dispatcher, *still, *Settings) {
 	terms, door := basicTerms(), &still{}
 	d := New(terms, 1, door, 1e12)
 	var members []Member
--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -152,12 +152,12 @@
 // mayRamp says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
 // the budget by warmEnough.
 func (d *Dispatcher) mayRamp(e *Executor) bool {
-	if d.terms.Shares != nil {
+	if d.terms.Quotas != nil {
 		return true
 	}
 	if d.now >= e.turnTill {
 		_, since, turn, _ := d.part(e)
-		e.turn, e.turnTill = turn, since+max(d.terms.Fall/turns, 1)
+		e.turn, e.turnTill = turn, since+max(d.terms.OverloadWindow/turns, 1)
 	}
 	return e.turn
 }
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -8,7 +8,7 @@
 )
 
 // longList is a dispatcher with a list of thousands and one request that nothing was done for yet.
-func longList(t *testing.T) (*Dispatcher, *Terms, *Txn) {
+func longList(t *testing.T) (*Dispatcher, *Settings, *Txn) {
 	d, _, terms := stillWorld(3200)
 	d.At(1e12)
 	request := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9}
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -4,9 +4,9 @@
 
 import "testing"
 
-func clockTerms() *Terms {
+func clockTerms() *Settings {
 	terms := basicTerms()
-	terms.LeftMargin = 3e9
+	terms.DeadlineMargin = 3e9
 	for _, s := range terms.Classes {
 		s.MaxDeadline = 3e9
 	}
@@ -107,15 +107,15 @@
 func TestStampedLater(t *testing.T) {
 	for _, off := range []int64{-1, 1} {
 		terms := clockTerms()
-		terms.StampError = 4e9
+		terms.StartTimeError = 4e9
 		w := newWorld(t, 5, terms)
 		w.join(2, false)
-		w.pass(2 * terms.Fall)
+		w.pass(2 * terms.OverloadWindow)
 		e := w.fleet[0].Executor
-		w.fleet[0].Since, w.d.models[0].slots = w.now+off*terms.StampError, testSlots
+		w.fleet[0].Since, w.d.models[0].slots = w.now+off*terms.StartTimeError, testSlots
 		w.list(false)
 		born, sent := w.now, []charge{}
-		for w.now < born+terms.Cold-terms.StampError {
+		for w.now < born+terms.SlowStart-terms.StartTimeError {
 			for range 8 {
 				for _, p := range w.arrive(0, 1, 1e8, 2e9).Postings {
 					if p.Executor == e {
@@ -125,14 +125,14 @@
 			}
 			w.settle()
 			w.pass(2e7)
-			share := terms.ColdShare + (1-terms.ColdShare)*float64(w.now-born)/float64(terms.Cold)
+			share := terms.SlowStartShare + (1-terms.SlowStartShare)*float64(w.now-born)/float64(terms.SlowStart)
 			sum := 0.0
 			for _, c := range sent {
-				if w.now-c.at <= terms.Fall {
+				if w.now-c.at <= terms.OverloadWindow {
 					sum += c.work
 				}
 			}
-			if budget := terms.FallMultiple * share * testSlots * float64(terms.Fall); sum > budget {
+			if budget := terms.OverloadFactor * share * testSlots * float64(terms.OverloadWindow); sum > budget {
 				t.Fatalf("stamped %d s off: %.2f of its budget after %d ms", off*4, sum/budget, (w.now-born)/1e6)
 			}
 		}
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -33,10 +33,10 @@
 				h.renew(0, 1)
 				h.sent = make([][]charge, len(h.since))
 				for range 4 {
-					h.pass(h.terms.Cold/8, 2, 2*can/float64(nodes))
+					h.pass(h.terms.SlowStart/8, 2, 2*can/float64(nodes))
 					for range max(nodes/10, 1) {
 						again := *h.terms
-						again.Me = h.IntN(nodes)
+						again.NodeIndex = h.IntN(nodes)
 						h.start(&again)
 					}
 				}
@@ -45,19 +45,19 @@
 					for from, first := range sends {
 						sum := 0.0
 						for _, c := range sends[from:] {
-							if c.at-first.at > h.terms.Fall {
+							if c.at-first.at > h.terms.OverloadWindow {
 								break
 							}
 							sum++
 						}
-						n := h.terms.FallMultiple * h.able(i, first.at) * h.slots * h.speed[i] * float64(h.terms.Fall) / mean
+						n := h.terms.OverloadFactor * h.able(i, first.at) * h.slots * h.speed[i] * float64(h.terms.OverloadWindow) / mean
 						worst, most = max(worst, sum/(n+2*math.Sqrt(n)+2)), max(most, sum/n)
 						used += first.work
 					}
 				}
-				span, all := 4*h.terms.Cold/8, 0.0
+				span, all := 4*h.terms.SlowStart/8, 0.0
 				for _, v := range h.speed {
-					all += v * h.slots * (h.terms.ColdShare + (1-h.terms.ColdShare)/4) * float64(span)
+					all += v * h.slots * (h.terms.SlowStartShare + (1-h.terms.SlowStartShare)/4) * float64(span)
 				}
 				t.Logf("%s: %.2f of the bound, %.2f of N, %.2f of what they can do", name, worst, most, used/all)
 				if worst > 1 {
@@ -76,7 +76,7 @@
 		terms.Nodes, terms.Classes = 1, terms.Classes[:1]
 		w := newWorld(t, 1, terms)
 		w.join(1, false)
-		w.pass(terms.Fall)
+		w.pass(terms.OverloadWindow)
 		since := w.now
 		w.pass(terms.Tick)
 		for range 40 {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -51,7 +51,7 @@
 
 // Dispatcher is the decision module of one node.
 type Dispatcher struct {
-	terms              *Terms
+	terms              *Settings
 	door               Door
 	born, now, by      int64 // by: when a call for the list goes out at the latest
 	toldAt, fresh      int64 // when an executor last told of its room; how long that counts
@@ -78,8 +78,8 @@
 	starts             map[bool]*ledger  // by whether at home: postings whose start was due; the prompt ones
 }
 
-func New(terms *Terms, seed uint64, door Door, now int64) *Dispatcher {
-	d := &Dispatcher{terms: terms, door: door, born: now, now: now, by: now + terms.AskWithin,
+func New(terms *Settings, seed uint64, door Door, now int64) *Dispatcher {
+	d := &Dispatcher{terms: terms, door: door, born: now, now: now, by: now + terms.UnpolledEventAge,
 		chance: rand.New(rand.NewPCG(seed, 1)),
 		recent: map[family][]last{}, things: map[uint64]*thing{}, models: map[int]*model{},
 		starts: map[bool]*ledger{true: {}, false: {}}, cures: make([]ledger, len(terms.Classes)),
@@ -89,7 +89,7 @@
 		kept:    serverSet{at: func(e *Executor) *int { return &e.inKept }},
 		ramping: serverSet{at: func(e *Executor) *int { return &e.inRamping }},
 		low:     serverSet{at: func(e *Executor) *int { return &e.inLow }}}
-	if terms.Subscribe {
+	if terms.PollForChanges {
 		d.Ask()
 	}
 	return d
@@ -114,7 +114,7 @@
 			d.models[m.Kind] = &model{bound: d.terms.need(m.Kind)}
 		}
 		// Danger: of many nodes each sees next to nothing of load; the draw alone fills the small and the slow.
-		if e.left = 1; d.terms.Live {
+		if e.left = 1; d.terms.LiveCapacity {
 			e.left, e.size = max(m.Units, 0.01), max(m.Units, e.size)
 		}
 		e.known, e.State, e.since, e.model = true, m.State, m.Since, d.models[m.Kind]
@@ -129,7 +129,7 @@
 	}
 	// Danger: a list of thousands that is walked at each change of one of them. Load is told where weights are live.
 	d.load = 0
-	for i := 0; d.terms.Live && i < len(d.fleet.servers); i++ {
+	for i := 0; d.terms.LiveCapacity && i < len(d.fleet.servers); i++ {
 		e := d.fleet.servers[i]
 		d.load += e.size/e.left - 1
 	}
@@ -154,7 +154,7 @@
 }
 
 // quiet is how long no call for the list may be out. Danger: longer, and what counts as told is unknown.
-func (d *Dispatcher) quiet() float64 { return float64(d.terms.AskWithin + d.terms.Grace/2) }
+func (d *Dispatcher) quiet() float64 { return float64(d.terms.UnpolledEventAge + d.terms.DrainGrace/2) }
 
 // Follow asks for news of the list for the first time; where there is a list to go by, at a time by chance.
 // Danger: nodes that start or fail together ask together; a service that falls behind serves none of them.
@@ -165,7 +165,7 @@
 // ListFailed takes a failed call for the list; the next waits, for the same danger, by what two of them cost.
 // Danger: an agent that could be asked again as the call was out has news that counts some time after that.
 func (d *Dispatcher) ListFailed(took, spent int64) {
-	part := min(max(d.quiet()/3, float64(min(spent, d.spent))), float64(max(d.terms.Told-took, 0))/3)
+	part := min(max(d.quiet()/3, float64(min(spent, d.spent))), float64(max(d.terms.MaxPollInterval-took, 0))/3)
 	d.failed, d.spent = min(d.failed+1, 2), spent
 	d.call(part*float64(d.failed)*(0.5+d.chance.Float64()), 3*part)
 }
@@ -180,7 +180,7 @@
 
 // Ask has the list asked for, or waits for this node's share.
 func (d *Dispatcher) Ask() {
-	if d.terms.Shares == nil || d.Overdue() || d.terms.Shares.May(Calls, nil, nil, 1) {
+	if d.terms.Quotas == nil || d.Overdue() || d.terms.Quotas.May(Calls, nil, nil, 1) {
 		d.door.Watch(true)
 	} else {
 		d.door.Alarm(d.terms.Tick, d.Ask)
@@ -209,13 +209,13 @@
 	// Danger: of jobs of milliseconds many begin and end while a word of room is still taken for news.
 	d.large = d.works.at(highEnd, 0) * 1e9
 	d.fresh = min(askAgain, int64(d.large))
-	if t.value = t.Scheme.Weight; d.terms.ByWork {
+	if t.value = t.Scheme.Weight; d.terms.WeightByWork {
 		t.value *= t.size
 	}
 	if t.over {
-		t.value *= d.terms.OverValue
+		t.value *= d.terms.OverQuotaWeight
 		// Danger: many quiet nodes hold no queue to sort; what is worth little then jams the machines for all.
-		if d.terms.Reports && d.chance.Float64() > d.prompts(true) {
+		if d.terms.LoadReports && d.chance.Float64() > d.prompts(true) {
 			t.value = 0
 		}
 	}
@@ -228,11 +228,11 @@
 // till is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
 // or earlier by what the latest first tries lacked. Danger: all is declined at once, or answered too late.
 func (d *Dispatcher) till(t *Txn) int64 {
-	if d.terms.LeftMargin == 0 || t.Scheme.MaxDeadline == 0 {
+	if d.terms.DeadlineMargin == 0 || t.Scheme.MaxDeadline == 0 {
 		return t.Expiry
 	}
 	d.offs = append(d.offs[max(len(d.offs)-lefts+1, 0):], t.Scheme.MaxDeadline-t.Expiry+d.now)
-	off := min(max(slices.Min(d.offs), -d.terms.LeftMargin), d.terms.LeftMargin)
+	off := min(max(slices.Min(d.offs), -d.terms.DeadlineMargin), d.terms.DeadlineMargin)
 	return t.Expiry + min(off, max(off-t.Scheme.MaxDeadline/way, 0))
 }
 
@@ -280,11 +280,11 @@
 		return
 	}
 	// Danger: executors that never answer probes. What has heard nothing for some rounds goes out blindly.
-	asking, count := d.terms.Probes && !d.terms.Live && (t.rounds < asks || d.toldAt >= t.arrived), 1
+	asking, count := d.terms.CapacityProbes && !d.terms.LiveCapacity && (t.rounds < asks || d.toldAt >= t.arrived), 1
 	if asking {
 		count = asks
 	}
-	if len(t.Postings) >= d.terms.MostPostings || t.anchor() != nil && d.spanOver(t) {
+	if len(t.Postings) >= d.terms.MaxAttempts || t.anchor() != nil && d.spanOver(t) {
 		d.finish(t, NoAttempt)
 	} else if d.stale() {
 		t.look = d.now + leastLag*d.terms.Tick
@@ -333,7 +333,7 @@
 			e.memory -= t.Memory
 			d.post(t, e)
 			d.Taken(e, t.Slots)
-			if d.terms.MayTell && t.rounds > 1 {
+			if d.terms.PeerMessages && t.rounds > 1 {
 				d.door.Tell(e, t.Slots)
 			}
 		}
@@ -364,7 +364,7 @@
 		return false
 	}
 	for _, p := range t.Postings {
-		if p.withdrawn && p.Executor == e || p.Open && (p.Executor == e || !d.terms.MayDuplicate) {
+		if p.withdrawn && p.Executor == e || p.Open && (p.Executor == e || !d.terms.AllowHedging) {
 			return false
 		}
 	}
@@ -386,8 +386,8 @@
 	if d.terms.warmth(e, d.now) == 1 {
 		return true
 	}
-	if d.terms.Shares != nil { // it counts as it is sent
-		return d.terms.Shares.May(Cold, e, t, t.size/d.bears(e, d.now-d.terms.Fall, 1))
+	if d.terms.Quotas != nil { // it counts as it is sent
+		return d.terms.Quotas.May(Cold, e, t, t.size/d.bears(e, d.now-d.terms.OverloadWindow, 1))
 	}
 	part, since, turn, _ := d.part(e)
 	return turn && d.born < since && e.sends.sum(t.size, since) <= part
@@ -396,22 +396,22 @@
 // bears is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
 // It bears N jobs, two root N + 2 for chance; what is sent has that chance too, so that N / doubt follows.
 func (d *Dispatcher) bears(e *Executor, at int64, parts float64) float64 {
-	work := d.terms.FallMultiple * float64(d.terms.Fall) * max(e.model.slots, 1) / e.model.pace(d.now)
+	work := d.terms.OverloadFactor * float64(d.terms.OverloadWindow) * max(e.model.slots, 1) / e.model.pace(d.now)
 	return work * (d.terms.warmth(e, at) / doubt / parts)
 }
 
 // part is what this node may send a cold executor, since when, whether now, and how many groups take turns.
 // Danger: an even part of many is less than one txn, and what was swapped stands empty. So a few take turns.
 func (d *Dispatcher) part(e *Executor) (part float64, since int64, turn bool, of float64) {
-	nodes, length := d.terms.inTurn(), max(d.terms.Fall/turns, 1)
+	nodes, length := d.terms.inTurn(), max(d.terms.OverloadWindow/turns, 1)
 	// Danger: a start that is stamped too late lies ahead, and nothing sent since then would count.
-	first := e.since - d.terms.StampError
+	first := e.since - d.terms.StartTimeError
 	n := max(d.now-first, 0) / length
 	since = first + n*length
 	all := d.bears(e, since, turns+1) // a window meets one turn more than it is long
 	members := max(int64(min(all/d.large, float64(nodes))), 1)
 	groups := (int64(nodes) + members - 1) / members
-	return all / float64(members), since, (n+int64(d.terms.Me)+e.since/1e6)%groups == 0, float64(groups)
+	return all / float64(members), since, (n+int64(d.terms.NodeIndex)+e.since/1e6)%groups == 0, float64(groups)
 }
 
 // health is H, drifted back towards 1 up to now.
@@ -426,7 +426,7 @@
 // standing is H, or less where many other nodes say so and no job of this one ended well there of late.
 // Danger: old news that beats a fresh outcome; or each of many nodes finds out for itself, at its txns' cost.
 func (d *Dispatcher) standing(e *Executor) float64 {
-	if e.Bad > 0 && d.now-e.keptTill+d.terms.IdleClose > heed {
+	if e.Bad > 0 && d.now-e.keptTill+d.terms.IdleTimeout > heed {
 		return min(d.health(e), 1-e.Bad)
 	}
 	return d.health(e)
@@ -472,7 +472,7 @@
 
 // tolerated is how long a posting may wait at its executor before that counts as full: a part of its slack.
 func (d *Dispatcher) tolerated(p *Posting) int64 {
-	if !d.terms.Reports {
+	if !d.terms.LoadReports {
 		return d.patience()
 	}
 	return max(d.patience(), d.slack(p.Txn, p.sent)/4)
@@ -499,13 +499,13 @@
 		return nil
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
-	s.roam = d.terms.CrossPrice < dear || d.chance.Float64()*d.prompts(false) > d.prompts(true)
+	s.roam = d.terms.CrossZoneCost < dear || d.chance.Float64()*d.prompts(false) > d.prompts(true)
 	if t.Key == 0 {
 		d.look(s)
 		return d.drawn[:min(count, len(d.drawn))]
 	}
 	// Danger: what has homes in each zone is fetched as many times more, and others' make room.
-	s.roam = s.roam || d.terms.CrossPrice < d.terms.FetchPrice
+	s.roam = s.roam || d.terms.CrossZoneCost < d.terms.FetchCost
 	for _, e := range d.homes(t, s.roam) {
 		d.consider(s, e)
 	}
@@ -580,7 +580,7 @@
 	}
 	d.near = d.near[:min(count, len(d.near))]
 	for _, e := range d.near {
-		if d.terms.Live && e.wait > 0 && e.size/e.left-1 > max(crowded*d.load/float64(len(d.fleet.servers)), 1) {
+		if d.terms.LiveCapacity && e.wait > 0 && e.size/e.left-1 > max(crowded*d.load/float64(len(d.fleet.servers)), 1) {
 			e.wait += 2e9
 		}
 	}
@@ -596,8 +596,8 @@
 	t.Postings = append(t.Postings, p)
 	e.busy, d.busy, t.thing.busy, t.live = e.busy+t.Slots, d.busy+t.Slots, t.thing.busy+t.Slots, t.live+1
 	// Danger: a node that hears of a start late, and has sent to it as to a warm one since.
-	if e.sends = e.sends.add(d.now, t.size, d.terms.Fall); d.terms.warmth(e, d.now) < 1 {
-		p.Part = t.size / d.bears(e, d.now-d.terms.Fall, 1)
+	if e.sends = e.sends.add(d.now, t.size, d.terms.OverloadWindow); d.terms.warmth(e, d.now) < 1 {
+		p.Part = t.size / d.bears(e, d.now-d.terms.OverloadWindow, 1)
 	}
 	p.then = func() { d.place(t) }
 	d.door.Post(p)
@@ -626,7 +626,7 @@
 
 // watch sees to a posting's start, where executors tell of it, and then to its end.
 func (d *Dispatcher) watch(p *Posting) {
-	if p.started > 0 || !d.terms.TellsStart {
+	if p.started > 0 || !d.terms.StartNotices {
 		d.awaitEnd(p, d.terms.Tick)
 		return
 	}
@@ -652,7 +652,7 @@
 	case s.Idempotency == Idempotent && s.LateShare == 0 && d.earns(p.Txn) <= 0:
 		d.finish(p.Txn, LateAnswer)
 		return
-	case !d.terms.Reports || wait <= d.patience():
+	case !d.terms.LoadReports || wait <= d.patience():
 		d.copy(p)
 		wait = max((d.now-p.sent)/2, d.patience())
 	}
@@ -661,10 +661,10 @@
 
 // awaitEnd decides what becomes of a posting that runs too long or stands still.
 func (d *Dispatcher) awaitEnd(p *Posting, wait int64) {
-	run, period := d.running(p.Txn, highEnd), d.terms.Progress
+	run, period := d.running(p.Txn, highEnd), d.terms.ProgressInterval
 	still := period > 0 && d.now-max(p.told, p.started, p.sent) > int64(missing*float64(period))
 	if still || d.now-max(p.sent, p.started) > int64(overrun*float64(run)) {
-		if d.blame(p, 1); still || d.terms.MayDuplicate {
+		if d.blame(p, 1); still || d.terms.AllowHedging {
 			d.copy(p)
 		}
 	}
@@ -674,11 +674,11 @@
 
 // copy sends a late posting's txn to a second executor, or takes it back to go again where that is forbidden.
 func (d *Dispatcher) copy(p *Posting) {
-	t, left := p.Txn, d.terms.MostPostings-len(p.Txn.Postings)
-	if !d.terms.MayDuplicate {
+	t, left := p.Txn, d.terms.MaxAttempts-len(p.Txn.Postings)
+	if !d.terms.AllowHedging {
 		// Danger: what is taken back may run all the same, for nobody. Who stands still runs none of it; a list
 		// that tells of load promises room elsewhere.
-		late := d.terms.Live && d.now-p.sent >= d.slack(t, p.sent)/4
+		late := d.terms.LiveCapacity && d.now-p.sent >= d.slack(t, p.sent)/4
 		if left > 0 && !d.spanOver(t) && (p.started > 0 || late || d.standing(p.Executor) < hopeless) {
 			d.withdraw(p)
 		}
@@ -689,7 +689,7 @@
 	}
 	// Danger: copies in a full fleet take the room of txns that wait for it, here or at many other nodes.
 	for _, e := range d.draw(t, 1) {
-		hit, gain := d.prompts(e.zone == d.terms.Zone), 1-t.Scheme.LateShare+d.terms.Missed
+		hit, gain := d.prompts(e.zone == d.terms.Zone), 1-t.Scheme.LateShare+d.terms.MissedObjectiveCost
 		if len(d.queue) == 0 && left > 0 && t.live <= 1 && hit*gain >= (1-hit)*behind {
 			d.post(t, e)
 		}
@@ -821,7 +821,7 @@
 			d.schemes[t.Scheme.Index].earned += t.value
 		}
 		if !p.blamed {
-			e.h, e.hAt, e.keptTill = min(d.health(e)+reward, 1), d.now, d.now+d.terms.IdleClose
+			e.h, e.hAt, e.keptTill = min(d.health(e)+reward, 1), d.now, d.now+d.terms.IdleTimeout
 			if e.known {
 				d.kept.add(e)
 			}
@@ -861,7 +861,7 @@
 }
 
 func (d *Dispatcher) withdraw(p *Posting) {
-	if p.Open && !p.withdrawn && d.terms.MayCancel {
+	if p.Open && !p.withdrawn && d.terms.AllowCancel {
 		p.withdrawn, p.Txn.live = true, p.Txn.live-1
 		d.door.Withdraw(p)
 	}
@@ -877,7 +877,7 @@
 	// Danger: a decline tells the client that trying again is harmless; where it might not be, reverse.
 	s := t.Scheme
 	if t.anchor() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
-		d.door.Decline(t, d.terms.MaxReturn)
+		d.door.Decline(t, d.terms.MaxRetryAfter)
 	} else {
 		d.door.Reverse(t)
 	}
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -15,13 +15,13 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, terms uint8) {
 		w := newWorld(t, seed, basicTerms())
-		w.terms.MayDuplicate = terms&1 == 0
-		w.terms.MayCancel = terms&2 == 0
-		w.terms.TellsStart = terms&4 == 0
-		w.terms.Nodes, w.terms.Reports = 1+int(seed%3)*200, terms&16 != 0
-		w.terms.Probes, w.terms.Live, w.terms.MayTell = terms&32 != 0, terms&64 != 0, terms&32 != 0
+		w.terms.AllowHedging = terms&1 == 0
+		w.terms.AllowCancel = terms&2 == 0
+		w.terms.StartNotices = terms&4 == 0
+		w.terms.Nodes, w.terms.LoadReports = 1+int(seed%3)*200, terms&16 != 0
+		w.terms.CapacityProbes, w.terms.LiveCapacity, w.terms.PeerMessages = terms&32 != 0, terms&64 != 0, terms&32 != 0
 		if terms&8 != 0 {
-			w.terms.CrossPrice, w.terms.Progress = 0.1, 0
+			w.terms.CrossZoneCost, w.terms.ProgressInterval = 0.1, 0
 		}
 		w.join(int(seed%13), true)
 		for range 600 {
@@ -271,7 +271,7 @@
 	if w.d.copy(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though none of those left should find room")
 	}
-	w.terms.Reports = true
+	w.terms.LoadReports = true
 	*w.d.starts[true] = ledger{10, 6, w.now}
 	if w.d.copy(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though four starts in ten were late, as other nodes' txns wait")
@@ -285,7 +285,7 @@
 // A burst of one tenant must not count as within its share; even traffic must.
 func TestOverShare(t *testing.T) {
 	terms := basicTerms()
-	terms.OverValue, terms.Tenants = 0.1, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
+	terms.OverQuotaWeight, terms.Tenants = 0.1, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 	w := newWorld(t, 1, terms)
 	over := func(n, burst int) (count int) {
 		for i := range n {
@@ -319,11 +319,11 @@
 func TestColdBudget(t *testing.T) {
 	w := newWorld(t, 1, basicTerms())
 	w.join(1, false)
-	w.pass(w.terms.Fall)
+	w.pass(w.terms.OverloadWindow)
 	w.fleet[0].Since = w.now
 	w.list(true)
 	for range 32 {
-		w.pass(w.terms.Fall / 32)
+		w.pass(w.terms.OverloadWindow / 32)
 		w.arrive(0, 1, 1e8, 9e9)
 		w.settle()
 	}
@@ -339,10 +339,10 @@
 	w.fleet[0].Since = w.now
 	w.list(true)
 	w.arrive(0, 1, 1e8, 9e9)
-	if w.pass(w.terms.Fall / 8); len(w.open) > 0 {
+	if w.pass(w.terms.OverloadWindow / 8); len(w.open) > 0 {
 		t.Fatal("sent to a cold executor right after the start")
 	}
-	w.pass(w.terms.Fall)
+	w.pass(w.terms.OverloadWindow)
 	if w.arrive(0, 1, 1e8, 9e9); len(w.open) == 0 {
 		t.Fatal("nothing is sent to it later")
 	}
@@ -368,7 +368,7 @@
 // A home zone that cannot carry its own traffic must not drown while others idle.
 func TestCrowdedHomeIsLeft(t *testing.T) {
 	terms, far := basicTerms(), 0
-	terms.CrossPrice = 0.1
+	terms.CrossZoneCost = 0.1
 	w := newWorld(t, 1, terms)
 	w.join(8, false)
 	for _, m := range w.fleet {
@@ -388,7 +388,7 @@
 // A quiet node must keep to executors that were prompt, and leave one that was late.
 func TestOpenConnectionsAreUsedAgain(t *testing.T) {
 	terms, met := basicTerms(), map[*Executor]bool{}
-	terms.IdleClose = 5e9
+	terms.IdleTimeout = 5e9
 	w := newWorld(t, 1, terms)
 	w.join(8, false)
 	for range 40 {
@@ -417,7 +417,7 @@
 func TestBeyondShareStaysOutOfAJam(t *testing.T) {
 	for _, prompt := range []float64{0, 400} {
 		terms, declined := basicTerms(), 0
-		terms.Reports, terms.OverValue, terms.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
+		terms.LoadReports, terms.OverQuotaWeight, terms.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 		w := newWorld(t, 1, terms)
 		w.join(40, false)
 		*w.d.starts[true] = ledger{400, prompt, w.now}
@@ -481,7 +481,7 @@
 func meets(t *testing.T, key func(i int) uint64, units func(i int) float64) map[*Executor]int {
 	t.Helper()
 	terms := basicTerms()
-	terms.Live = units != nil
+	terms.LiveCapacity = units != nil
 	met := map[*Executor]int{}
 	var fleet []*Member
 	for i := range 20 {
@@ -541,7 +541,7 @@
 // and no third.
 func TestCrowdedHomeGivesWay(t *testing.T) {
 	terms := basicTerms()
-	terms.Live = true
+	terms.LiveCapacity = true
 	w := newWorld(t, 7, terms)
 	w.join(12, false)
 	for i, m := range w.fleet {
@@ -594,7 +594,7 @@
 		met := map[uint64]int{}
 		for node := range 20 {
 			terms := basicTerms()
-			terms.CrossPrice, terms.FetchPrice, terms.Zone = 0.03, fetch, node%2
+			terms.CrossZoneCost, terms.FetchCost, terms.Zone = 0.03, fetch, node%2
 			w := newWorld(t, uint64(node), terms)
 			w.join(8, false)
 			for i, m := range w.fleet {
@@ -639,7 +639,7 @@
 // of none; where nobody answers it goes out all the same, before it is hopeless.
 func TestRoomIsAskedFor(t *testing.T) {
 	terms := basicTerms()
-	terms.Probes = true
+	terms.CapacityProbes = true
 	w := newWorld(t, 9, terms)
 	w.join(8, false)
 	tx := w.arrive(0, 2, 1e8, 9e9)
@@ -671,7 +671,7 @@
 // TestLateAnswersToProbes: an answer that comes when the executor is gone or the txn over leads to nothing.
 func TestLateAnswersToProbes(t *testing.T) {
 	terms := basicTerms()
-	terms.Probes = true
+	terms.CapacityProbes = true
 	w := newWorld(t, 9, terms)
 	w.join(4, false)
 	tx := w.arrive(0, 1, 1e8, 9e9)
@@ -694,7 +694,7 @@
 // TestRoomToldToAllIsNotTakenByAll: where starts are late though room was told of, it is taken by chance only.
 func TestRoomToldToAllIsNotTakenByAll(t *testing.T) {
 	terms := basicTerms()
-	terms.Probes = true
+	terms.CapacityProbes = true
 	taken := 0
 	for seed := range uint64(100) {
 		w := newWorld(t, seed, terms)
@@ -723,7 +723,7 @@
 		"once-only": {2, true, true, 1}, "referenced": {3, true, false, 2},
 	} {
 		terms := basicTerms()
-		terms.MayDuplicate, terms.Live = false, c.live
+		terms.AllowHedging, terms.LiveCapacity = false, c.live
 		w := newWorld(t, 5, terms)
 		w.join(8, false)
 		tx := w.arrive(c.scheme, 1, 1e8, 4e9)
@@ -773,7 +773,7 @@
 func TestCheapCrossing(t *testing.T) {
 	away := func(price float64) (n int) {
 		terms := basicTerms()
-		terms.CrossPrice = price
+		terms.CrossZoneCost = price
 		w := newWorld(t, 8, terms)
 		w.join(8, false)
 		for range 200 {
@@ -794,7 +794,7 @@
 // room at first tells the others what it took; words long past change nothing.
 func TestTakenRoomIsTold(t *testing.T) {
 	terms := basicTerms()
-	terms.Probes, terms.MayTell = true, true
+	terms.CapacityProbes, terms.PeerMessages = true, true
 	start := func() (*world, *Executor) {
 		w := newWorld(t, 9, terms)
 		w.join(1, false)
@@ -876,7 +876,7 @@
 		w.pass(3e9)
 		w.d.counted = 200 // others are about other things
 		cold := w.fleet[7]
-		cold.Since = w.now - w.terms.Cold/2
+		cold.Since = w.now - w.terms.SlowStart/2
 		w.list(true)
 		for range 20 {
 			tx := &Txn{Scheme: w.terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 9e9, Key: key + 1}
--- a/dispatch/figures_test.go
+++ b/dispatch/figures_test.go
@@ -31,13 +31,13 @@
 // uses it from the next turn on; in the present one another process may have sent all of it.
 func TestBudgetOfOneProcess(t *testing.T) {
 	terms := basicTerms()
-	terms.Nodes, terms.Cold = 1, 100e9
+	terms.Nodes, terms.SlowStart = 1, 100e9
 	w := newWorld(t, 1, terms)
 	w.join(1, false)
 	w.fleet[0].Since = w.now
 	w.list(true)
 	sent := func() int { return len(w.coldWork[w.fleet[0].Executor]) }
-	turn := terms.Fall / turns
+	turn := terms.OverloadWindow / turns
 	w.pass(8 * turn)
 	w.d.Own(false)
 	within := func(span int64) (count int) {
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -14,7 +14,7 @@
 // herd is many nodes that share nothing but the clock and the executors.
 type herd struct {
 	*rand.Rand
-	terms   *Terms
+	terms   *Settings
 	now     int64
 	nodes   []*herdNode
 	since   []int64 // of each executor
@@ -78,8 +78,8 @@
 
 // able is the part of its capacity that an executor has at least.
 func (h *herd) able(i int, at int64) float64 {
-	if age := at - h.since[i]; h.since[i] > 0 && age < h.terms.Cold {
-		return h.terms.ColdShare + (1-h.terms.ColdShare)*float64(max(age, 0))/float64(h.terms.Cold)
+	if age := at - h.since[i]; h.since[i] > 0 && age < h.terms.SlowStart {
+		return h.terms.SlowStartShare + (1-h.terms.SlowStartShare)*float64(max(age, 0))/float64(h.terms.SlowStart)
 	}
 	return 1
 }
@@ -108,28 +108,28 @@
 	for i := range executors {
 		places[strconv.Itoa(i)] = invariants.Place{Slots: h.slots}
 	}
-	h.judge = invariants.New(invariants.Rules{Fall: h.terms.Fall, FallMultiple: h.terms.FallMultiple, Cold: h.terms.Cold,
-		ColdShare: h.terms.ColdShare, Doubles: h.terms.MayDuplicate, Executors: places,
+	h.judge = invariants.New(invariants.Rules{Fall: h.terms.OverloadWindow, FallMultiple: h.terms.OverloadFactor, Cold: h.terms.SlowStart,
+		ColdShare: h.terms.SlowStartShare, Doubles: h.terms.AllowHedging, Executors: places,
 		Schemes: map[string]invariants.Scheme{"s": {Effect: "repeatable"}}})
 	for i := range nodes {
 		terms := *h.terms
-		terms.Me = i
+		terms.NodeIndex = i
 		h.start(&terms)
 	}
 	return h
 }
 
-func (h *herd) start(terms *Terms) {
+func (h *herd) start(terms *Settings) {
 	n := &herdNode{herd: h, at: map[*Posting]int64{}}
 	n.d = New(terms, h.Uint64(), n, h.now)
 	for range h.since {
 		n.fleet = append(n.fleet, &Executor{})
 	}
-	if len(h.nodes) <= terms.Me {
+	if len(h.nodes) <= terms.NodeIndex {
 		h.nodes = append(h.nodes, n)
 	} else {
-		h.tell(invariants.Event{Kind: invariants.Killed, Node: strconv.Itoa(terms.Me)})
-		h.nodes[terms.Me] = n // started again: it knows nothing of what it sent before
+		h.tell(invariants.Event{Kind: invariants.Killed, Node: strconv.Itoa(terms.NodeIndex)})
+		h.nodes[terms.NodeIndex] = n // started again: it knows nothing of what it sent before
 	}
 	n.list()
 }
@@ -146,7 +146,7 @@
 func (h *herd) renew(apart int64, unlike int) {
 	for i := range h.since {
 		h.since[i] = h.now - h.Int64N(apart+1)
-		h.off[i] = h.Int64N(2*h.terms.StampError+1) - h.terms.StampError
+		h.off[i] = h.Int64N(2*h.terms.StartTimeError+1) - h.terms.StartTimeError
 	}
 	for _, i := range h.Perm(len(h.since)) {
 		h.tell(invariants.Event{Kind: invariants.Begun, Executor: strconv.Itoa(i), Since: h.since[i]})
@@ -176,7 +176,7 @@
 				if h.work != nil {
 					t.Hint, t.Expiry, h.works[t] = 0, h.now+h.patient, h.work()
 				}
-				h.tell(invariants.Event{Kind: invariants.Taken, Node: strconv.Itoa(n.d.terms.Me), Txn: t.Tag, Scheme: "s", Expiry: t.Expiry})
+				h.tell(invariants.Event{Kind: invariants.Taken, Node: strconv.Itoa(n.d.terms.NodeIndex), Txn: t.Tag, Scheme: "s", Expiry: t.Expiry})
 				n.d.Arrive(t)
 			}
 			n.d.Settle()
@@ -204,14 +204,14 @@
 		for from, first := range sends {
 			sum, last := 0.0, first
 			for _, c := range sends[from:] {
-				if c.at-first.at <= h.terms.Fall {
+				if c.at-first.at <= h.terms.OverloadWindow {
 					sum, last = sum+c.work, c
 				}
 			}
 			age := max(first.at-h.since[i], 0) // capacity at the window's start: the least in it
-			able := h.terms.ColdShare + (1-h.terms.ColdShare)*float64(age)/float64(h.terms.Cold)
-			if first.at >= h.since[i] && last.at < h.since[i]+h.terms.Cold {
-				part = max(part, sum/(h.terms.FallMultiple*able*h.slots*float64(h.terms.Fall)))
+			able := h.terms.SlowStartShare + (1-h.terms.SlowStartShare)*float64(age)/float64(h.terms.SlowStart)
+			if first.at >= h.since[i] && last.at < h.since[i]+h.terms.SlowStart {
+				part = max(part, sum/(h.terms.OverloadFactor*able*h.slots*float64(h.terms.OverloadWindow)))
 			}
 		}
 	}
@@ -228,17 +228,17 @@
 	f.Fuzz(func(t *testing.T, seed uint64, nodes uint16, hasty bool) {
 		h := newHerd(seed, 1+int(nodes)%500, 1+int(seed%3))
 		h.hasty = hasty
-		h.terms.StampError = []int64{0, h.terms.Fall, h.terms.Cold}[seed%3]
+		h.terms.StartTimeError = []int64{0, h.terms.OverloadWindow, h.terms.SlowStart}[seed%3]
 		for _, n := range h.nodes {
-			n.d.terms.StampError = h.terms.StampError
+			n.d.terms.StartTimeError = h.terms.StartTimeError
 		}
 		size := int64(2e7) << (seed % 5)
-		h.pass(h.terms.Fall, size, 0)
-		h.renew(int64(seed%2)*h.terms.Cold/3, 1+int(seed/2)%4)
+		h.pass(h.terms.OverloadWindow, size, 0)
+		h.renew(int64(seed%2)*h.terms.SlowStart/3, 1+int(seed/2)%4)
 		for range 5 {
-			h.pass(h.terms.Fall/2, size, min(800/float64(len(h.nodes)), 1)/4)
+			h.pass(h.terms.OverloadWindow/2, size, min(800/float64(len(h.nodes)), 1)/4)
 			again := *h.terms
-			again.Me = h.IntN(len(h.nodes))
+			again.NodeIndex = h.IntN(len(h.nodes))
 			h.start(&again)
 		}
 		h.verdict(t)
@@ -254,9 +254,9 @@
 // executors is used, and no node has it for itself.
 func TestManyNodesUseTheCold(t *testing.T) {
 	h := newHerd(5, 80, 3)
-	h.pass(h.terms.Fall, 1e8, 0)
-	h.renew(h.terms.Cold/10, 4)
-	h.pass(h.terms.Cold/2, 3e8, 0.05)
+	h.pass(h.terms.OverloadWindow, 1e8, 0)
+	h.renew(h.terms.SlowStart/10, 4)
+	h.pass(h.terms.SlowStart/2, 3e8, 0.05)
 	h.verdict(t)
 	work := 0.0
 	for _, sends := range h.sent {
@@ -265,7 +265,7 @@
 		}
 	}
 	// what they can do meanwhile, if they warm as late as the terms allow
-	able := 3 * h.slots * (h.terms.ColdShare + (1-h.terms.ColdShare)/4) * float64(h.terms.Cold/2)
+	able := 3 * h.slots * (h.terms.SlowStartShare + (1-h.terms.SlowStartShare)/4) * float64(h.terms.SlowStart/2)
 	if used := work / able; used < 0.3 || h.worst() > 1 {
 		t.Errorf("%.2f of cold executors is used, at most %.2f of a budget", used, h.worst())
 	} else {
@@ -279,7 +279,7 @@
 	part := func(free float64) float64 {
 		w := newWorld(t, 1, basicTerms())
 		w.join(1, false)
-		w.pass(w.terms.Fall)
+		w.pass(w.terms.OverloadWindow)
 		w.arrive(0, 1, 1e8, 9e9)
 		w.open[0].Free = free
 		w.settle()
@@ -298,7 +298,7 @@
 func TestFirstCallsAreSpread(t *testing.T) {
 	for _, within := range []int64{0, 8e9} {
 		h := newHerd(4, 80, 1)
-		h.terms.AskWithin, h.terms.Grace = within, 2e9
+		h.terms.UnpolledEventAge, h.terms.DrainGrace = within, 2e9
 		bound := within + 1e9
 		var per [8]int
 		for _, node := range h.nodes {
@@ -326,7 +326,7 @@
 func TestFailedCallsAreSpread(t *testing.T) {
 	for _, c := range []struct{ within, spent, bound int64 }{{0, 0, 1e9}, {0, 1e8, 1e9}, {0, 2e9, 4e9}, {0, 4e9, 2e9}, {8e9, 0, 8e9}} {
 		h := newHerd(3, 80, 1)
-		h.terms.AskWithin, h.terms.Grace = c.within, 2e9
+		h.terms.UnpolledEventAge, h.terms.DrainGrace = c.within, 2e9
 		most := func(rounds int) (n int, last int64) {
 			var per [16]int
 			for _, node := range h.nodes {
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -14,7 +14,7 @@
 type world struct {
 	*testing.T
 	*rand.Rand
-	terms    *Terms
+	terms    *Settings
 	d        *Dispatcher
 	now      int64
 	alarms   []*alarm
@@ -40,10 +40,10 @@
 
 var open = &thing{gate: gate{limit: math.Inf(1)}} // what txns are about that never were taken
 
-func basicTerms() *Terms {
-	return &Terms{Nodes: 2, Tick: 4e6, TellsStart: true, Progress: 1e9, MostPostings: 4, MayCancel: true,
-		MayDuplicate: true, MaxReturn: 2e9, ColdShare: 0.2, Cold: 10e9, Fall: 2e9,
-		FallMultiple: 3, AskWithin: 8e9, Told: 6e9, Classes: []*Class{
+func basicTerms() *Settings {
+	return &Settings{Nodes: 2, Tick: 4e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 4, AllowCancel: true,
+		AllowHedging: true, MaxRetryAfter: 2e9, SlowStartShare: 0.2, SlowStart: 10e9, OverloadWindow: 2e9,
+		OverloadFactor: 3, UnpolledEventAge: 8e9, MaxPollInterval: 6e9, Classes: []*Class{
 			{LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 3, LateShare: 0.3, MachineType: -1},
 			{Index: 1, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 8, MachineType: -1, Idempotency: IdempotentInGroup, DedupScope: DedupCell, DedupWindow: 3e9},
 			{Index: 2, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1, Idempotency: NonIdempotent},
@@ -51,7 +51,7 @@
 			{Index: 4, LatencyObjective: 2e8, Weight: 1, LateShare: 0.9, MachineType: -1, Idempotency: IdempotentInGroup, DedupWindow: 1e9}}}
 }
 
-func newWorld(t *testing.T, seed uint64, terms *Terms) *world {
+func newWorld(t *testing.T, seed uint64, terms *Settings) *world {
 	w := &world{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), terms: terms, now: 1e12, ended: map[*Txn]int{},
 		mayRun: map[*Posting]bool{}, sentAt: map[*Posting]int64{}, stopped: map[*Executor]bool{},
 		coldWork: map[*Executor][]charge{}}
@@ -64,7 +64,7 @@
 	for i := range n {
 		m := &Member{Executor: &Executor{}, Zone: i / 4, Cell: i / 2, Kind: i % 2}
 		if cold && i%3 == 0 {
-			m.Since = w.now - w.Int64N(w.terms.Cold)
+			m.Since = w.now - w.Int64N(w.terms.SlowStart)
 		}
 		w.fleet = append(w.fleet, m)
 	}
@@ -91,7 +91,7 @@
 	switch {
 	case w.ended[t] > 0:
 		w.Fatal("rule 1: posting for a txn that has its final answer")
-	case p.Number >= w.terms.MostPostings:
+	case p.Number >= w.terms.MaxAttempts:
 		w.Fatal("more postings than the terms allow")
 	}
 	if w.stopped[p.Executor] {
@@ -102,7 +102,7 @@
 		if first == nil && w.mayRun[q] {
 			first = q
 		}
-		if q.Open && !w.terms.MayDuplicate {
+		if q.Open && !w.terms.AllowHedging {
 			w.Fatal("rule 2: two postings out where none may be doubled")
 		}
 	}
@@ -122,22 +122,22 @@
 func (w *world) cold(p *Posting) {
 	e := p.Executor
 	i := slices.IndexFunc(w.fleet, func(m *Member) bool { return m.Executor == e })
-	if age := w.now - w.fleet[i].Since; w.fleet[i].Since > 0 && age < w.terms.Cold && w.terms.StampError == 0 {
+	if age := w.now - w.fleet[i].Since; w.fleet[i].Since > 0 && age < w.terms.SlowStart && w.terms.StartTimeError == 0 {
 		w.coldWork[e] = append(w.coldWork[e], charge{w.now, float64(p.Txn.Hint) * p.Txn.Slots})
-		sum, share := 0.0, w.terms.ColdShare+(1-w.terms.ColdShare)*float64(age)/float64(w.terms.Cold)
+		sum, share := 0.0, w.terms.SlowStartShare+(1-w.terms.SlowStartShare)*float64(age)/float64(w.terms.SlowStart)
 		for _, c := range w.coldWork[e] {
-			if w.now-c.at <= w.terms.Fall {
+			if w.now-c.at <= w.terms.OverloadWindow {
 				sum += c.work
 			}
 		}
-		if sum > w.terms.FallMultiple*share*testSlots*float64(w.terms.Fall) {
+		if sum > w.terms.OverloadFactor*share*testSlots*float64(w.terms.OverloadWindow) {
 			w.Fatalf("rule 4: %.0f ms of work sent to a cold executor", sum/1e6)
 		}
 	}
 }
 
 func (w *world) Withdraw(p *Posting) {
-	if w.withdraw++; !w.terms.MayCancel {
+	if w.withdraw++; !w.terms.AllowCancel {
 		w.Fatal("withdrawn where it is not permitted")
 	}
 }
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -29,8 +29,8 @@
 // are known in time: either may take half of its time to wait in all its turns.
 func (d *Dispatcher) bearable(left int64) int64 {
 	longest := left / (2 * requestTurns)
-	if d.terms.Grace > 0 {
-		longest = min(longest, d.terms.Grace/(2*updateTurns))
+	if d.terms.DrainGrace > 0 {
+		longest = min(longest, d.terms.DrainGrace/(2*updateTurns))
 	}
 	return max(longest, leastLag*d.terms.Tick)
 }
@@ -43,7 +43,7 @@
 // stale says whether this process is so far behind that updates of the server list may wait unread for longer than drains allow.
 // Danger: a process that stood still sends what it had decided before, and reads only then that the server has left.
 func (d *Dispatcher) stale() bool {
-	return d.terms.Grace > 0 && d.lag > max(d.terms.Grace/updateTurns, leastLag*d.terms.Tick)
+	return d.terms.DrainGrace > 0 && d.lag > max(d.terms.DrainGrace/updateTurns, leastLag*d.terms.Tick)
 }
 
 // hedges says whether this process can afford second attempts. Danger: late by itself, it takes all servers for late.
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -8,7 +8,7 @@
 // the node can bear is shed before anything is done for it; what lay there for less is served, with so much less time.
 func TestOverloadedIsShed(t *testing.T) {
 	terms := basicTerms()
-	terms.Grace = 2e9
+	terms.DrainGrace = 2e9
 	w := newWorld(t, 1, terms)
 	w.join(4, false)
 	for _, waited := range []int64{0, 1e8, 3e8, 3e9} {
@@ -16,7 +16,7 @@
 		w.txns = append(w.txns, request)
 		w.d.Arrive(request)
 		w.d.Settle()
-		if shed := waited > terms.Grace/8; request.Over != shed || shed && (request.Reason != Overloaded || len(request.Postings) > 0) {
+		if shed := waited > terms.DrainGrace/8; request.Over != shed || shed && (request.Reason != Overloaded || len(request.Postings) > 0) {
 			t.Errorf("waited %d ms: over %v, %d attempts, %v", waited/1e6, request.Over, len(request.Postings), request.Reason)
 		}
 	}
@@ -40,12 +40,12 @@
 // Danger: a process that stood still sends what it had decided, to servers of which it would have heard meanwhile that they drain.
 func TestNothingIsSentOnAStaleList(t *testing.T) {
 	terms := basicTerms()
-	terms.Grace = 2e9
+	terms.DrainGrace = 2e9
 	w := newWorld(t, 1, terms)
 	w.join(4, false)
 	w.arrive(0, 1, 1e7, 5e9)
 	decided := w.open[0]
-	w.d.Behind(terms.Grace)
+	w.d.Behind(terms.DrainGrace)
 	if w.d.Stands(decided) {
 		t.Error("what was decided before would go out")
 	}
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -13,7 +13,7 @@
 // A job that is taken back runs all the same, as the terms do not tell whether it does.
 type town struct {
 	*rand.Rand
-	terms   *Terms
+	terms   *Settings
 	now     int64
 	nodes   []*townNode
 	workers []*worker
@@ -122,14 +122,14 @@
 	return a
 }
 
-func newTown(seed uint64, nodes, workers, slots int, terms *Terms) *town {
+func newTown(seed uint64, nodes, workers, slots int, terms *Settings) *town {
 	h := &town{Rand: rand.New(rand.NewPCG(seed, 3)), terms: terms, now: 1e12, work: func() int64 { return 2e8 }}
 	for range workers {
 		h.workers = append(h.workers, &worker{slots: slots, slow: 1})
 	}
 	for i := range nodes {
 		own := *terms
-		own.Me, own.Nodes = i, nodes
+		own.NodeIndex, own.Nodes = i, nodes
 		n := &townNode{town: h, sent: map[*Posting]int64{}, done: map[*Txn]func(int64){}}
 		n.d = New(&own, h.Uint64(), n, h.now)
 		var members []Member
@@ -211,8 +211,8 @@
 	return float64(inTime) / float64(max(offered, 1))
 }
 
-func townTerms() *Terms {
-	return &Terms{Nodes: 5, Tick: 5e6, TellsStart: true, MostPostings: 6, MayCancel: true, Classes: []*Class{
+func townTerms() *Settings {
+	return &Settings{Nodes: 5, Tick: 5e6, StartNotices: true, MaxAttempts: 6, AllowCancel: true, Classes: []*Class{
 		{LatencyObjective: 2e8, ObjectivePerWork: 2, MaxDeadline: 5e9, Weight: 1, MachineType: -1}}}
 }
 
@@ -250,7 +250,7 @@
 	for seed := range uint64(4) {
 		terms := townTerms()
 		if seed > 1 {
-			terms.Tenants, terms.OverValue = []*Tenant{{Quota: 0.375}, {Quota: 0.25}, {Quota: 0.375}}, 1
+			terms.Tenants, terms.OverQuotaWeight = []*Tenant{{Quota: 0.375}, {Quota: 0.25}, {Quota: 0.375}}, 1
 		}
 		terms.Classes[0].LatencyObjective, terms.Classes[0].MaxDeadline = 8e8, 8e9
 		h := newTown(seed, 5, 16, 6, terms)
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -40,11 +40,11 @@
 // than the rules allow. Danger: work for what drained, since no share ever came; or all nodes calling at once.
 func TestCallsWaitForTheirShare(t *testing.T) {
 	terms := basicTerms()
-	terms.AskWithin, terms.Told, terms.Grace = 1e9, 75e7, 0
+	terms.UnpolledEventAge, terms.MaxPollInterval, terms.DrainGrace = 1e9, 75e7, 0
 	w := newWorld(t, 1, terms)
 	s := &fickle{world: w}
 	door := &watches{fickle: s}
-	terms.Shares = s
+	terms.Quotas = s
 	w.d = New(terms, 1, door, w.now)
 	w.join(4, false)
 	for _, step := range []struct {
@@ -106,13 +106,13 @@
 	}
 	said.Bad = 1
 	used(11e8) // what it did well a moment ago counts for a second after the last of it
-	for n := 0; n < 100 && w.now-said.keptTill+terms.IdleClose <= heed; n++ {
+	for n := 0; n < 100 && w.now-said.keptTill+terms.IdleTimeout <= heed; n++ {
 		w.pass(1e8)
 	}
 	if n := used(1e9); n > 0 {
 		t.Errorf("%d jobs though many say that it is bad", n)
 	}
-	said.keptTill = w.now + terms.IdleClose
+	said.keptTill = w.now + terms.IdleTimeout
 	if used(5e8) == 0 {
 		t.Error("an own job that ended well does not count")
 	}
@@ -130,11 +130,11 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		terms := basicTerms()
-		terms.MayDuplicate, terms.Nodes = seed%2 == 0, 1+int(seed%3)*100
-		terms.FallMultiple = 100 // who keeps the budget is not the module here
+		terms.AllowHedging, terms.Nodes = seed%2 == 0, 1+int(seed%3)*100
+		terms.OverloadFactor = 100 // who keeps the budget is not the module here
 		w := newWorld(t, seed, terms)
 		s := &fickle{world: w, part: w.Float64()}
-		terms.Shares = s
+		terms.Quotas = s
 		w.d = New(terms, seed, &purse{s}, w.now)
 		w.join(4+int(seed%9), true)
 		for range 600 {
@@ -155,7 +155,7 @@
 	terms := basicTerms()
 	w := newWorld(t, 1, terms)
 	s := &fickle{world: w}
-	terms.Shares = s
+	terms.Quotas = s
 	w.d = New(terms, 1, &purse{s}, w.now)
 	w.join(4, false)
 	s.none[Again] = true
@@ -216,7 +216,7 @@
 	// Danger: the few nodes that may send to a cold one are not those that it is near to.
 	w.fleet[3].Since = w.now - 1
 	w.list(true)
-	w.pass(2 * terms.Fall)
+	w.pass(2 * terms.OverloadWindow)
 	if cold := used(0); cold[2] == 0 {
 		t.Errorf("far and cold, and in turn: %v", cold)
 	}
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -48,41 +48,41 @@
 	Quota float64
 }
 
-// Terms are the settings handed over at start, decoded once.
-type Terms struct {
-	Zone             int // of this node
-	Nodes, Me        int // how many there are, and this one's index among them
-	Tick             int64
-	Classes          []*Class
-	Tenants          []*Tenant
-	ByWork           bool // billing value counts for each unit of work
-	OverValue        float64
-	Live             bool // the list's units are size over one and the txns held a core
-	Subscribe        bool // list changes come only when asked for
-	Reports          bool // executors tell their load with answers
-	MayTell          bool // nodes may send one another messages
-	Probes           bool // executors tell free slots when probed
-	TellsStart       bool
-	Progress         int64 // between progress notes; 0: none
-	MostPostings     int
-	MayCancel        bool
-	MayDuplicate     bool
-	MaxReturn        int64 // longest advice that a client follows; 0: give none
-	CrossPrice       float64
-	FetchPrice       float64 // of fetching what a txn is about from the store that all share
-	IdleClose        int64   // how long an unused connection stays
-	WorstClassWeight float64 // weight of the scheme served worst, over that of the whole
-	Missed           float64 // what a missed SLA time costs besides, over the billing value
-	ColdShare        float64
-	Cold             int64
-	Fall             int64
-	FallMultiple     float64
-	AskWithin        int64  // how long news may lie while no call for the list is out; then it counts as told
-	LeftMargin       int64  // by which a txn's expiry may be told too early or too late
-	StampError       int64  // by which an executor's start may be
-	Told             int64  // from the start of a failed call for the list to that of the next at the latest
-	Grace            int64  // how long after that a posting may still be sent to what drains or is gone
-	Shares           Shares // of what all nodes hold together; nil: they share nothing
+// Settings are the settings handed over at start, decoded once.
+type Settings struct {
+	Zone                int // of this node
+	Nodes, NodeIndex    int // how many there are, and this one's index among them
+	Tick                int64
+	Classes             []*Class
+	Tenants             []*Tenant
+	WeightByWork        bool // billing value counts for each unit of work
+	OverQuotaWeight     float64
+	LiveCapacity        bool // the list's units are size over one and the txns held a core
+	PollForChanges      bool // list changes come only when asked for
+	LoadReports         bool // executors tell their load with answers
+	PeerMessages        bool // nodes may send one another messages
+	CapacityProbes      bool // executors tell free slots when probed
+	StartNotices        bool
+	ProgressInterval    int64 // between progress notes; 0: none
+	MaxAttempts         int
+	AllowCancel         bool
+	AllowHedging        bool
+	MaxRetryAfter       int64 // longest advice that a client follows; 0: give none
+	CrossZoneCost       float64
+	FetchCost           float64 // of fetching what a txn is about from the store that all share
+	IdleTimeout         int64   // how long an unused connection stays
+	WorstClassWeight    float64 // weight of the scheme served worst, over that of the whole
+	MissedObjectiveCost float64 // what a missed SLA time costs besides, over the billing value
+	SlowStartShare      float64
+	SlowStart           int64
+	OverloadWindow      int64
+	OverloadFactor      float64
+	UnpolledEventAge    int64  // how long news may lie while no call for the list is out; then it counts as told
+	DeadlineMargin      int64  // by which a txn's expiry may be told too early or too late
+	StartTimeError      int64  // by which an executor's start may be
+	MaxPollInterval     int64  // from the start of a failed call for the list to that of the next at the latest
+	DrainGrace          int64  // how long after that a posting may still be sent to what drains or is gone
+	Quotas              Shares // of what all nodes hold together; nil: they share nothing
 }
 
 // Budget is something that all nodes use together, each its share.
@@ -106,8 +106,8 @@
 }
 
 // inTurn is how many nodes take turns at what is cold; leases take the place of turns.
-func (t *Terms) inTurn() int {
-	if t.Shares != nil {
+func (t *Settings) inTurn() int {
+	if t.Quotas != nil {
 		return 1
 	}
 	return max(t.Nodes, 1)
@@ -115,33 +115,35 @@
 
 // oftener is how much likelier a node takes a cold executor than others do, as few may send to it: by the groups that take
 // turns at it, or by this node's part of what all have. Danger: who may send to it draws it as seldom as if all could.
-func (t *Terms) oftener(e *Executor, groups float64) float64 {
-	if t.Shares == nil {
+func (t *Settings) oftener(e *Executor, groups float64) float64 {
+	if t.Quotas == nil {
 		return groups
 	}
-	return t.Shares.Part(Cold, e) * float64(max(t.Nodes, 1))
+	return t.Quotas.Part(Cold, e) * float64(max(t.Nodes, 1))
 }
 
 // warmth is the share of its capacity that an executor has at least, at a time; its stamp may be too early.
-func (t *Terms) warmth(e *Executor, at int64) float64 {
-	age := float64(at - e.since - t.StampError)
-	if e.since == 0 || age >= float64(t.Cold) {
+func (t *Settings) warmth(e *Executor, at int64) float64 {
+	age := float64(at - e.since - t.StartTimeError)
+	if e.since == 0 || age >= float64(t.SlowStart) {
 		return 1
 	}
-	return t.ColdShare + (1-t.ColdShare)*max(age, 0)/float64(t.Cold)
+	return t.SlowStartShare + (1-t.SlowStartShare)*max(age, 0)/float64(t.SlowStart)
 }
 
-// Soon is how long a call for the list can wait at most, after one that brought something or failed.
-func (t *Terms) Soon() int64 { return min(t.AskWithin+t.Grace/2, t.Told) }
+// MaxPollWait is how long a call for the list can wait at most, after one that brought something or failed.
+func (t *Settings) MaxPollWait() int64 {
+	return min(t.UnpolledEventAge+t.DrainGrace/2, t.MaxPollInterval)
+}
 
 // need says whether some scheme runs on that kind of machine alone.
-func (t *Terms) need(kind int) bool {
+func (t *Settings) need(kind int) bool {
 	return slices.ContainsFunc(t.Classes, func(s *Class) bool { return s.MachineType == kind })
 }
 
 // mayPost says whether one more posting of a txn to an executor that is warm fits into this node's shares.
-func (t *Terms) mayPost(x *Txn, e *Executor) bool {
-	s := t.Shares
+func (t *Settings) mayPost(x *Txn, e *Executor) bool {
+	s := t.Quotas
 	return s == nil || (len(x.Postings) == 0 || s.May(Again, e, x, 1)) && s.May(Jobs, e, x, 1) && s.May(Connect, e, x, 1)
 }
 
@@ -251,7 +253,7 @@
 
 // farther is how far an executor is from this node for a txn; one that has homes goes by these.
 // Danger: few nodes at a time may send to a cold one, and those that it is near to are other ones.
-func (t *Terms) farther(x *Txn, e *Executor, now int64) int {
+func (t *Settings) farther(x *Txn, e *Executor, now int64) int {
 	if x.Key != 0 || e.Far == 0 || t.warmth(e, now) < 1 {
 		return 0
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,7 +32,7 @@
 	Sockets                 int
 	Known                   *protocol.List
 	Names                   *protocol.Names
-	Terms                   *dispatch.Terms
+	Settings                *dispatch.Settings
 	Dial                    time.Duration // for a connection to an executor to come up
 	Idle                    time.Duration // after which an executor closes an unused connection
 	Values                  protocol.Values
@@ -140,7 +140,7 @@
 		n.said["settings."+key] = value
 	}
 	var err error
-	if n.Terms, err = Decode(find); err != nil {
+	if n.Settings, err = Decode(find); err != nil {
 		return nil, err
 	}
 	r := &reader{find: find}
@@ -148,25 +148,25 @@
 	r.whole("Tick", 1e6, 1)
 	n.Values = LoadValues(find)
 	// Messages have no page for sockets, and none is guessed: the module is told that there are none.
-	n.Unheard, n.Terms.MayTell = n.Terms.MayTell, false
+	n.Unheard, n.Settings.PeerMessages = n.Settings.PeerMessages, false
 	n.Dial = time.Duration(r.whole("Limits.DialTimeout", 1e9, 1))
 	// Danger: a posting that waits for its connection when its executor begins to drain, and sends after the grace.
 	// Danger: on sockets what the agent on this machine has counts a while after it can be asked, whatever failed before, and
 	// where a grace for drains is told, at once, asked for or not.
-	n.Terms.Told = int64(protocol.Again)
-	n.Terms.AskWithin = min(n.Terms.AskWithin, n.Terms.Told)
-	if grace := time.Duration(n.Terms.Grace); grace > 0 {
+	n.Settings.MaxPollInterval = int64(protocol.Again)
+	n.Settings.UnpolledEventAge = min(n.Settings.UnpolledEventAge, n.Settings.MaxPollInterval)
+	if grace := time.Duration(n.Settings.DrainGrace); grace > 0 {
 		n.Dial = min(n.Dial, max(grace/2, 1))
-		n.Terms.AskWithin, n.Terms.Grace = 0, min(n.Terms.Grace-int64(n.Dial), 2*n.Terms.Told)
+		n.Settings.UnpolledEventAge, n.Settings.DrainGrace = 0, min(n.Settings.DrainGrace-int64(n.Dial), 2*n.Settings.MaxPollInterval)
 	}
 	n.Idle = time.Duration(r.whole("Limits.IdleClose", 10e9, 0))
 	n.Names = &protocol.Names{Zones: r.list("Dcs"), Kinds: r.list("Skus")}
-	for i := range n.Terms.Classes {
+	for i := range n.Settings.Classes {
 		at := "Schemes." + strconv.Itoa(i) + "."
 		n.Names.Schemes = append(n.Names.Schemes, r.word(at+"Name"))
 		n.Longest = max(n.Longest, time.Duration(r.whole(at+"Expiry", 60e9, 1)))
 	}
-	for i := range n.Terms.Tenants {
+	for i := range n.Settings.Tenants {
 		n.Names.Tenants = append(n.Names.Tenants, r.word("Tenants."+strconv.Itoa(i)+".Name"))
 	}
 	if r.err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -39,9 +39,9 @@
 	if e := n.Known.Entries[0]; e.ID != "s-1" || e.Zone != 1 || e.Kind != 1 || e.Started != 12e6 {
 		t.Errorf("%+v", e)
 	}
-	pay, tick := n.Terms.Classes[1], n.Terms.Tick
+	pay, tick := n.Settings.Classes[1], n.Settings.Tick
 	if pay.Idempotency != dispatch.IdempotentInGroup || pay.DedupScope != dispatch.DedupCell || pay.DedupWindow != 7 || pay.MachineType != 1 ||
-		pay.ObjectivePerWork != 2 || tick != 5e6 || !n.Terms.MayCancel || n.Terms.MayDuplicate || n.Terms.Tenants[0].Quota != 0.25 {
+		pay.ObjectivePerWork != 2 || tick != 5e6 || !n.Settings.AllowCancel || n.Settings.AllowHedging || n.Settings.Tenants[0].Quota != 0.25 {
 		t.Errorf("%+v", pay)
 	}
 }
@@ -157,8 +157,8 @@
 		t.Errorf("%v %v", n.Dial, err)
 	}
 	// What discovery's agent has counts as told without a call, and what waits for a connection goes out later still.
-	if n.Terms.AskWithin != 0 || n.Terms.Told != int64(protocol.Again) || n.Terms.Grace+int64(n.Dial) > 100e6 {
-		t.Errorf("%d ns may pass without a call, %d ns after news", n.Terms.AskWithin, n.Terms.Grace)
+	if n.Settings.UnpolledEventAge != 0 || n.Settings.MaxPollInterval != int64(protocol.Again) || n.Settings.DrainGrace+int64(n.Dial) > 100e6 {
+		t.Errorf("%d ns may pass without a call, %d ns after news", n.Settings.UnpolledEventAge, n.Settings.DrainGrace)
 	}
 }
 
@@ -173,12 +173,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if x := n.Terms; !x.Subscribe || !x.Live || !x.Probes || x.Reports || x.MayTell || x.MayDuplicate || !n.Unheard ||
+	if x := n.Settings; !x.PollForChanges || !x.LiveCapacity || !x.CapacityProbes || x.LoadReports || x.PeerMessages || x.AllowHedging || !n.Unheard ||
 		n.Values.Free != "x0" || n.Values.Memory != "x1" || n.Probe != 80*time.Millisecond {
 		t.Errorf("%+v %+v", n, x)
 	}
-	if n, err = parse([]byte(whole), nothing); err != nil || n.Terms.Live || n.Terms.Probes || n.Terms.MayTell || n.Unheard || n.Terms.Subscribe {
-		t.Errorf("%+v %v", n.Terms, err)
+	if n, err = parse([]byte(whole), nothing); err != nil || n.Settings.LiveCapacity || n.Settings.CapacityProbes || n.Settings.PeerMessages || n.Unheard || n.Settings.PollForChanges {
+		t.Errorf("%+v %v", n.Settings, err)
 	}
 }
 
@@ -187,7 +187,7 @@
 	for text, want := range map[string][3]int64{whole: {0, 0, 5e9},
 		strings.Replace(whole, `"Odd":true`, `"Rules":{"LeftMargin":7500000000,"BootStampError":40}`, 1): {7500e6, 40, 5e9}} {
 		n, err := parse([]byte(text), nothing)
-		if err != nil || [3]int64{n.Terms.LeftMargin, n.Terms.StampError, n.Terms.Classes[0].MaxDeadline} != want {
+		if err != nil || [3]int64{n.Settings.DeadlineMargin, n.Settings.StartTimeError, n.Settings.Classes[0].MaxDeadline} != want {
 			t.Errorf("%v, want %v", err, want)
 		}
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -103,7 +103,7 @@
 			return nil, fmt.Errorf("fleet.subset: without fleet.gossip no node knows of others")
 		}
 	}
-	if z := n.Terms.Zone; z >= 0 && z < len(n.Names.Zones) {
+	if z := n.Settings.Zone; z >= 0 && z < len(n.Names.Zones) {
 		f.Zone = n.Names.Zones[z]
 	}
 	if _, told := flat["fleet.signals.quorum"]; told {
@@ -141,8 +141,8 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		at := "fleet.budgets." + name + "."
-		window, longest, soon := int64(1000), n.Longest.Milliseconds(), n.Terms.Soon()
-		switch fall := n.Terms.Fall / 1e6; {
+		window, longest, soon := int64(1000), n.Longest.Milliseconds(), n.Settings.MaxPollWait()
+		switch fall := n.Settings.OverloadWindow / 1e6; {
 		case !slices.Contains([]string{Again, Connect, Cold, Jobs, Calls}, name):
 			return nil, fmt.Errorf("fleet.budgets.%s: no such budget; there are %s, %s, %s, %s and %s", name, Again, Connect, Cold, Jobs, Calls)
 		case name == Cold && fall > 0:
@@ -152,7 +152,7 @@
 		}
 		t := budget.Terms{Whole: r.whole(at+"whole", 0, 1), Floor: r.whole(at+"floor", 0, 0), Reserve: r.whole(at+"reserve", 0, 0),
 			Step: r.whole(at+"step", 1, 1), Window: r.whole(at+"window_ms", window, 1) * 1e6, Parts: r.whole(at+"parts", 1, 1), Share: r.real(at+"share", 0)}
-		if name == Cold && t.Window < n.Terms.Fall {
+		if name == Cold && t.Window < n.Settings.OverloadWindow {
 			return nil, fmt.Errorf("%swindow_ms: %d is under the window in which a cold executor falls over, settings.Rules.Fall", at, t.Window/1e6)
 		}
 		if name == Jobs && t.Window < int64(n.Longest) {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -108,7 +108,7 @@
 	if err != nil || n.Fleet != nil || !n.Silenced {
 		t.Errorf("%v, %+v", err, n)
 	}
-	silenced := n.Terms
+	silenced := n.Settings
 	n, err = Load(fleetFile(t, func(file, _ map[string]any) {
 		file["settings"].(map[string]any)["Limits"].(map[string]any)["MayTell"] = false
 		delete(file, "fleet")
@@ -117,7 +117,7 @@
 		t.Errorf("%v, %+v", err, n)
 	}
 	// The module sees its terms, its seed and what happens; with the same terms its decisions are the same.
-	if !reflect.DeepEqual(n.Terms, silenced) || silenced.Shares != nil {
-		t.Errorf("a section that is not in force changes the terms: %+v, %+v", n.Terms, silenced)
+	if !reflect.DeepEqual(n.Settings, silenced) || silenced.Quotas != nil {
+		t.Errorf("a section that is not in force changes the terms: %+v, %+v", n.Settings, silenced)
 	}
 }
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -103,35 +103,35 @@
 
 // Decode reads the settings that the module uses; what it does not know is skipped, what is absent gets the value
 // that permits least.
-func Decode(find Find) (*dispatch.Terms, error) {
+func Decode(find Find) (*dispatch.Settings, error) {
 	r := &reader{find: find}
 	whole := max(r.real("ScoreParts.Whole", 1), 0.01)
-	t := &dispatch.Terms{
-		Zone: int(r.whole("MyZone", 0, 0)), Nodes: int(r.whole("ReplicasOfMe", 1, 0)), Me: int(r.whole("Me", 0, 0)), Tick: r.whole("Tick", 1e6, 0),
-		ByWork: r.word("BillingValueBasis") == "work", OverValue: r.real("OverageBillingValue", 1),
-		Subscribe:  r.choice("Discovery", "automatic", "subscribe") == "subscribe",
-		Live:       r.choice("Weights", "silent", "nominal", "rough", "live") == "live",
-		Reports:    r.choice("Report.Source", "silent", "piggyback", "pull") == "piggyback",
-		MayTell:    r.flag("Limits.MayTell"),
-		Probes:     r.flag("Limits.MayProbe") && r.word("Report.Source") == "pull" && LoadValues(find).Free != "",
-		TellsStart: r.flag("Extra.TellsStart"), Progress: r.whole("Extra.Progress", 0, 0),
-		MostPostings: int(r.whole("Limits.MostPostings", 1, 0)),
-		MayCancel:    r.flag("Limits.MayCancel"), MayDuplicate: r.flag("Limits.MayDuplicate"),
-		MaxReturn: r.whole("Limits.MaxRetryAfter", 0, 0), CrossPrice: r.real("Prices.CrossZone", 0), FetchPrice: r.real("Prices.Origin", 0),
-		IdleClose:        r.whole("Limits.IdleClose", 0, 0),
-		ColdShare:        r.real("Rules.ColdShare", 0),
-		Cold:             r.whole("Rules.Cold", 0, 0),
-		Fall:             r.whole("Rules.Fall", 0, 0),
+	t := &dispatch.Settings{
+		Zone: int(r.whole("MyZone", 0, 0)), Nodes: int(r.whole("ReplicasOfMe", 1, 0)), NodeIndex: int(r.whole("Me", 0, 0)), Tick: r.whole("Tick", 1e6, 0),
+		WeightByWork: r.word("BillingValueBasis") == "work", OverQuotaWeight: r.real("OverageBillingValue", 1),
+		PollForChanges: r.choice("Discovery", "automatic", "subscribe") == "subscribe",
+		LiveCapacity:   r.choice("Weights", "silent", "nominal", "rough", "live") == "live",
+		LoadReports:    r.choice("Report.Source", "silent", "piggyback", "pull") == "piggyback",
+		PeerMessages:   r.flag("Limits.MayTell"),
+		CapacityProbes: r.flag("Limits.MayProbe") && r.word("Report.Source") == "pull" && LoadValues(find).Free != "",
+		StartNotices:   r.flag("Extra.TellsStart"), ProgressInterval: r.whole("Extra.Progress", 0, 0),
+		MaxAttempts: int(r.whole("Limits.MostPostings", 1, 0)),
+		AllowCancel: r.flag("Limits.MayCancel"), AllowHedging: r.flag("Limits.MayDuplicate"),
+		MaxRetryAfter: r.whole("Limits.MaxRetryAfter", 0, 0), CrossZoneCost: r.real("Prices.CrossZone", 0), FetchCost: r.real("Prices.Origin", 0),
+		IdleTimeout:      r.whole("Limits.IdleClose", 0, 0),
+		SlowStartShare:   r.real("Rules.ColdShare", 0),
+		SlowStart:        r.whole("Rules.Cold", 0, 0),
+		OverloadWindow:   r.whole("Rules.Fall", 0, 0),
 		WorstClassWeight: r.real("ScoreParts.WorstClass", 0) / whole,
-		Missed: r.real("ScoreParts.Punctual", 0) / (4 * max(r.real("ScoreParts.MissAllowed", 1), 0.001)) /
+		MissedObjectiveCost: r.real("ScoreParts.Punctual", 0) / (4 * max(r.real("ScoreParts.MissAllowed", 1), 0.001)) /
 			whole,
-		FallMultiple: r.real("Rules.FallMultiple", 1), AskWithin: r.whole("Rules.AskWithin", 1e9, 0),
-		Grace: r.whole("Rules.DrainGrace", 0, 0), LeftMargin: r.whole("Rules.LeftMargin", 0, 0),
-		StampError: r.whole("Rules.BootStampError", 0, 0),
+		OverloadFactor: r.real("Rules.FallMultiple", 1), UnpolledEventAge: r.whole("Rules.AskWithin", 1e9, 0),
+		DrainGrace: r.whole("Rules.DrainGrace", 0, 0), DeadlineMargin: r.whole("Rules.LeftMargin", 0, 0),
+		StartTimeError: r.whole("Rules.BootStampError", 0, 0),
 	}
-	t.Told = t.AskWithin / 4 * 3
+	t.MaxPollInterval = t.UnpolledEventAge / 4 * 3
 	if !r.flag("Limits.RetryAfter") {
-		t.MaxReturn = 0
+		t.MaxRetryAfter = 0
 	}
 	kinds, stretches := r.list("Extra.ClassKind"), r.list("Extra.ClassStretch")
 	listed := func(key string, values []string, i int, absent float64) float64 {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -11,7 +11,7 @@
 )
 
 // Policy makes what decides on one node. The decision module is one; baselines are others.
-type Policy func(terms *dispatch.Terms, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Executor) float64) Decider
+type Policy func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Executor) float64) Decider
 
 // Decider is what a node calls, as docs of the module tell.
 type Decider interface {
@@ -76,7 +76,7 @@
 	terms := w.s.terms(n)
 	if n.share = nil; w.s.Leases.shares() {
 		n.share = n.join()
-		terms.Shares = n.share
+		terms.Quotas = n.share
 	}
 	truth := func(x *dispatch.Executor) float64 {
 		e := w.executors[n.places[x]]
@@ -377,13 +377,13 @@
 }
 
 // terms are the settings as the node is handed them.
-func (s *Scenario) terms(n *node) *dispatch.Terms {
-	t := &dispatch.Terms{Zone: n.zone, Nodes: s.Fleet.Nodes, Me: n.index, Tick: int64(s.Fleet.Tick), TellsStart: s.Rules.Started,
-		Progress: int64(s.Rules.Progress), MostPostings: s.Rules.Postings, MayCancel: true, MayDuplicate: s.Rules.Doubles,
-		MaxReturn: int64(s.Rules.Return), IdleClose: int64(s.Net.Idle), ColdShare: s.Rules.ColdShare, Cold: int64(s.Rules.Cold),
-		Fall: int64(s.Rules.Fall), FallMultiple: s.Rules.FallMultiple, Grace: int64(s.Rules.Grace), OverValue: 1}
+func (s *Scenario) terms(n *node) *dispatch.Settings {
+	t := &dispatch.Settings{Zone: n.zone, Nodes: s.Fleet.Nodes, NodeIndex: n.index, Tick: int64(s.Fleet.Tick), StartNotices: s.Rules.Started,
+		ProgressInterval: int64(s.Rules.Progress), MaxAttempts: s.Rules.Postings, AllowCancel: true, AllowHedging: s.Rules.Doubles,
+		MaxRetryAfter: int64(s.Rules.Return), IdleTimeout: int64(s.Net.Idle), SlowStartShare: s.Rules.ColdShare, SlowStart: int64(s.Rules.Cold),
+		OverloadWindow: int64(s.Rules.Fall), OverloadFactor: s.Rules.FallMultiple, DrainGrace: int64(s.Rules.Grace), OverQuotaWeight: 1}
 	if s.Leases.Mode == "alone" {
-		t.Nodes, t.Me = 1, 0
+		t.Nodes, t.NodeIndex = 1, 0
 	}
 	for i := range s.Scheme {
 		c := &s.Scheme[i]
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -12,7 +12,7 @@
 )
 
 // Module is the decision module as the node runs it.
-func Module(terms *dispatch.Terms, seed uint64, door dispatch.Door, now int64, _ func(*dispatch.Executor) float64) Decider {
+func Module(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, _ func(*dispatch.Executor) float64) Decider {
 	return dispatch.New(terms, seed, door, now)
 }
 
@@ -60,14 +60,14 @@
 	if !known {
 		return nil, fmt.Errorf("%q is no policy; there are %s", name, strings.Join(Policies(), ", "))
 	}
-	return func(terms *dispatch.Terms, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Executor) float64) Decider {
+	return func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Executor) float64) Decider {
 		return &baseline{terms: terms, door: door, now: now, pick: pick, truth: truth, chance: rand.New(rand.NewPCG(seed, 4)),
 			busy: map[*dispatch.Executor]int{}, state: map[*dispatch.Posting]bool{}, forget: map[*dispatch.Txn]func(){}}
 	}, nil
 }
 
 type baseline struct {
-	terms  *dispatch.Terms
+	terms  *dispatch.Settings
 	door   dispatch.Door
 	now    int64
 	pick   choice
@@ -118,7 +118,7 @@
 	s := t.Scheme
 	switch {
 	case t.Over:
-	case len(b.up) == 0 || len(t.Postings) >= b.terms.MostPostings || b.mayRun(t) && s.Idempotency != dispatch.Idempotent:
+	case len(b.up) == 0 || len(t.Postings) >= b.terms.MaxAttempts || b.mayRun(t) && s.Idempotency != dispatch.Idempotent:
 		b.finish(t)
 	default:
 		e := b.pick(b, b.up)
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -52,7 +52,7 @@
 
 // Node is the module with all that it acts through. It is the module's Door.
 type Node struct {
-	terms   *dispatch.Terms
+	terms   *dispatch.Settings
 	carrier Carrier
 	probe   time.Duration // how long the answer to a probe is waited for
 	lister  Lister        // Follow alone uses it
@@ -94,7 +94,7 @@
 }
 
 // New starts the module on the list as it was last known. purse is nil where nodes share nothing.
-func New(terms *dispatch.Terms, seed uint64, known *protocol.List, c Carrier, probe time.Duration, l Lister, purse Purse, log zerolog.Logger) *Node {
+func New(terms *dispatch.Settings, seed uint64, known *protocol.List, c Carrier, probe time.Duration, l Lister, purse Purse, log zerolog.Logger) *Node {
 	n := &Node{terms: terms, carrier: c, probe: probe, lister: l, known: known, log: log, start: time.Now(), lag: newLagMeter(), till: math.MaxInt64, members: map[string]*member{}, listedOnce: map[string]bool{},
 		news: make(chan struct{}), ids: [2]map[string]int64{{}, {}}, lives: map[*dispatch.Txn]*life{}, out: map[*dispatch.Posting]context.CancelFunc{}, watch: make(chan bool, 1), turn: make(chan Lister, 1), relisted: make(chan struct{}, 1)}
 	n.heard = n.news
@@ -103,14 +103,14 @@
 	}
 	if n.purse = purse; purse != nil {
 		own := *terms
-		own.Shares, terms = n, &own
+		own.Quotas, terms = n, &own
 		n.terms = terms
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.module = dispatch.New(terms, seed, n, n.clock())
 	n.listed(known)
-	if !terms.Subscribe {
+	if !terms.PollForChanges {
 		n.module.Follow()
 	}
 	return n
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -99,9 +99,9 @@
 	return a.(*protocol.List), nil
 }
 
-func terms() *dispatch.Terms {
-	return &dispatch.Terms{Nodes: 2, Tick: 5e6, TellsStart: true, Progress: 1e9, MostPostings: 3, MayCancel: true,
-		MayDuplicate: true, MaxReturn: 2e9, IdleClose: 1e10, Grace: 4e9, Told: 15e8, Classes: []*dispatch.Class{
+func terms() *dispatch.Settings {
+	return &dispatch.Settings{Nodes: 2, Tick: 5e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 3, AllowCancel: true,
+		AllowHedging: true, MaxRetryAfter: 2e9, IdleTimeout: 1e10, DrainGrace: 4e9, MaxPollInterval: 15e8, Classes: []*dispatch.Class{
 			{LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 3, LateShare: 0.3, MachineType: -1},
 			{Index: 1, LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1, Idempotency: dispatch.NonIdempotent}}}
 }
@@ -384,7 +384,7 @@
 			a.news = map[int64]*protocol.List{1: {Version: 1, Full: true, Entries: known("a", "b").Entries},
 				2: {Version: 2, Entries: []protocol.Entry{entry("b", dispatch.Draining)}}}
 			settings := terms()
-			settings.Grace, settings.Told = 2e9, int64(protocol.Again)
+			settings.DrainGrace, settings.MaxPollInterval = 2e9, int64(protocol.Again)
 			n := New(settings, seed, known("a", "b"), c, time.Second, a, nil, zerolog.Nop())
 			ctx, stop := context.WithCancel(t.Context())
 			go n.Follow(ctx)
@@ -477,7 +477,7 @@
 			l.answers = append(l.answers, answer)
 		}
 		hasty := terms()
-		hasty.Told = 0
+		hasty.MaxPollInterval = 0
 		n := New(hasty, 1, &protocol.List{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Follow(ctx)
@@ -694,7 +694,7 @@
 func TestProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asking := terms()
-		asking.Probes = true
+		asking.CapacityProbes = true
 		c := &carrier{script: serves(50 * time.Millisecond), load: func(ctx context.Context, address string) (protocol.Load, error) {
 			if address == "b:7" {
 				return protocol.Load{Free: 2, Memory: 1}, nil
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -71,7 +71,7 @@
 	name      string
 	session   *session
 	module    *dispatch.Dispatcher // nil: not started, killed or crashed
-	terms     *dispatch.Terms
+	terms     *dispatch.Settings
 	values    protocol.Values // of load reports
 	executors map[string]*dispatch.Executor
 	marks     map[uint32]*dispatch.Executor // the same, as nodes name them to one another
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -48,7 +48,7 @@
 	}
 	d, x = fresh()
 	news, gone = make(lister), make(chan struct{}, 99)
-	n := routing.New(c.Terms, 1, listing(1, addresses...), x, time.Second, news, nil, zerolog.Nop())
+	n := routing.New(c.Settings, 1, listing(1, addresses...), x, time.Second, news, nil, zerolog.Nop())
 	follow, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	go n.Follow(follow)
--- a/internal/transport/known_test.go
+++ b/internal/transport/known_test.go
@@ -173,7 +173,7 @@
 					_, x := fresh()
 					known := listing(1, "h:1")
 					known.Entries[0].ID = "e"
-					n := routing.New(c.Terms, 1, known, x, time.Second, NewDiscovery(first.Addr().String(), c.Names), nil, zerolog.Nop())
+					n := routing.New(c.Settings, 1, known, x, time.Second, NewDiscovery(first.Addr().String(), c.Names), nil, zerolog.Nop())
 					ctx, stop := context.WithCancel(t.Context())
 					defer stop()
 					go n.Follow(ctx)
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -454,7 +454,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	p.node = routing.New(c.Terms, w.rand.Uint64(), list, x, c.Probe, p.discovery("one:1"), nil, zerolog.Nop())
+	p.node = routing.New(c.Settings, w.rand.Uint64(), list, x, c.Probe, p.discovery("one:1"), nil, zerolog.Nop())
 	go p.node.Follow(p.ctx)
 	return p
 }
--- a/internal/transport/unsafe_test.go
+++ b/internal/transport/unsafe_test.go
@@ -190,8 +190,8 @@
 		go serve(there)
 		return here, nil
 	}
-	settings := &dispatch.Terms{Nodes: 1, Tick: 5e6, TellsStart: true, MostPostings: 3, MayCancel: true, MayDuplicate: true, MaxReturn: 2e9,
-		IdleClose: 6e10, Grace: 2e9, Told: 55e8, Classes: []*dispatch.Class{{LatencyObjective: 3e8, MaxDeadline: 3e9, Weight: 1, LateShare: 0.5, MachineType: -1, Idempotency: effect, DedupWindow: 1e9}}}
+	settings := &dispatch.Settings{Nodes: 1, Tick: 5e6, StartNotices: true, MaxAttempts: 3, AllowCancel: true, AllowHedging: true, MaxRetryAfter: 2e9,
+		IdleTimeout: 6e10, DrainGrace: 2e9, MaxPollInterval: 55e8, Classes: []*dispatch.Class{{LatencyObjective: 3e8, MaxDeadline: 3e9, Weight: 1, LateShare: 0.5, MachineType: -1, Idempotency: effect, DedupWindow: 1e9}}}
 	known := &protocol.List{Full: true, Entries: []protocol.Entry{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}}}
 	n := routing.New(settings, 1, known, x, time.Second, nil, nil, zerolog.Nop())
 	txn := func(id string) *protocol.Answer {
