--- a/cmd/fernrail/purse.go
+++ b/cmd/fernrail/purse.go
@@ -17,14 +17,14 @@
 }
 
 // names are the module's budgets in the configuration's words.
-var names = [dispatch.Budgets]string{dispatch.Again: config.Again, dispatch.Connect: config.Connect, dispatch.Cold: config.Cold,
-	dispatch.Jobs: config.Jobs, dispatch.Calls: config.Calls}
+var names = [dispatch.BudgetCount]string{dispatch.BudgetRetries: config.BudgetRetries, dispatch.BudgetConnections: config.BudgetConnections, dispatch.BudgetSlowStart: config.BudgetSlowStart,
+	dispatch.BudgetTenantAttempts: config.BudgetTenantAttempts, dispatch.BudgetPolls: config.BudgetPolls}
 
 func (p *purse) May(b dispatch.Budget, key string, units float64) bool {
 	switch b {
-	case dispatch.Cold:
-		units *= p.share.Whole(config.Cold)
-	case dispatch.Connect:
+	case dispatch.BudgetSlowStart:
+		units *= p.share.Whole(config.BudgetSlowStart)
+	case dispatch.BudgetConnections:
 		// One that is open and unused costs nothing.
 		if p.descriptors.Idle(key) > 0 {
 			return true
@@ -40,7 +40,7 @@
 	if !again {
 		c.First(p.share)
 	}
-	if !c.Add(p.share, config.Jobs, tenant, 1) || again && !c.Add(p.share, config.Again, "", 1) || cold > 0 && !c.Add(p.share, config.Cold, executor, cold*p.share.Whole(config.Cold)) {
+	if !c.Add(p.share, config.BudgetTenantAttempts, tenant, 1) || again && !c.Add(p.share, config.BudgetRetries, "", 1) || cold > 0 && !c.Add(p.share, config.BudgetSlowStart, executor, cold*p.share.Whole(config.BudgetSlowStart)) {
 		c.End(false)
 		return nil
 	}
@@ -49,11 +49,11 @@
 
 func (p *purse) Call(overdue bool) bool {
 	c := &fleet.Charge{}
-	if c.Add(p.share, config.Calls, "", 1) && c.Send() {
+	if c.Add(p.share, config.BudgetPolls, "", 1) && c.Send() {
 		return true
 	}
 	if overdue {
-		p.share.Beyond(config.Calls, "", 1)
+		p.share.Beyond(config.BudgetPolls, "", 1)
 	}
 	return overdue
 }
@@ -61,5 +61,5 @@
 // dial asks for one new connection, at the moment at which it would be opened.
 func (p *purse) dial(address string) bool {
 	c := &fleet.Charge{}
-	return c.Add(p.share, config.Connect, address, 1) && c.Send()
+	return c.Add(p.share, config.BudgetConnections, address, 1) && c.Send()
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -180,7 +180,7 @@
 
 // Ask has the list asked for, or waits for this node's share.
 func (d *Dispatcher) Ask() {
-	if d.terms.Quotas == nil || d.Overdue() || d.terms.Quotas.May(Calls, nil, nil, 1) {
+	if d.terms.Quotas == nil || d.Overdue() || d.terms.Quotas.Allow(BudgetPolls, nil, nil, 1) {
 		d.door.Watch(true)
 	} else {
 		d.door.Alarm(d.terms.Tick, d.Ask)
@@ -387,7 +387,7 @@
 		return true
 	}
 	if d.terms.Quotas != nil { // it counts as it is sent
-		return d.terms.Quotas.May(Cold, e, t, t.size/d.bears(e, d.now-d.terms.OverloadWindow, 1))
+		return d.terms.Quotas.Allow(BudgetSlowStart, e, t, t.size/d.bears(e, d.now-d.terms.OverloadWindow, 1))
 	}
 	part, since, turn, _ := d.part(e)
 	return turn && d.born < since && e.sends.sum(t.size, since) <= part
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -7,18 +7,18 @@
 // fickle allows and denies by chance, between the module's steps; none says what is denied now.
 type fickle struct {
 	*world
-	none [Budgets]bool
+	none [BudgetCount]bool
 	part float64
 }
 
-func (f *fickle) May(b Budget, _ *Executor, _ *Txn, units float64) bool {
+func (f *fickle) Allow(b Budget, _ *Executor, _ *Txn, units float64) bool {
 	if !(units > 0) {
 		f.Fatalf("budget %d: %v units", b, units)
 	}
 	return !f.none[b]
 }
 
-func (f *fickle) Part(Budget, *Executor) float64 { return f.part }
+func (f *fickle) Quota(Budget, *Executor) float64 { return f.part }
 
 // purse is a Door that holds postings against what was allowed as they were decided.
 type purse struct {
@@ -27,7 +27,7 @@
 
 func (p *purse) Post(q *Posting) {
 	cold := p.d.terms.warmth(q.Executor, p.now) < 1
-	if q.Number > 0 && p.none[Again] || p.none[Connect] || p.none[Jobs] || cold && p.none[Cold] {
+	if q.Number > 0 && p.none[BudgetRetries] || p.none[BudgetConnections] || p.none[BudgetTenantAttempts] || cold && p.none[BudgetSlowStart] {
 		p.Fatalf("posting %d is sent, cold: %v, while %v is denied", q.Number, cold, p.none)
 	}
 	if cold != (q.Part > 0) {
@@ -52,12 +52,12 @@
 		most int64
 	}{{w.d.ListAsked, 1e9}, {func() { w.d.ListFailed(0, 0) }, 75e7}, {w.d.Follow, 1e9}} {
 		for _, denied := range []int64{0, 3e8, 9e9} {
-			s.none[Calls] = denied > 0
+			s.none[BudgetPolls] = denied > 0
 			began, before := w.now, door.calls
 			step.call()
 			for door.calls == before && w.now-began < 2e9 {
 				w.pass(terms.Tick)
-				s.none[Calls] = w.now-began < denied
+				s.none[BudgetPolls] = w.now-began < denied
 			}
 			took := w.now - began
 			if denied < step.most && took < denied || took > step.most+2*terms.Tick || denied > step.most && took < step.most {
@@ -158,7 +158,7 @@
 	terms.Quotas = s
 	w.d = New(terms, 1, &purse{s}, w.now)
 	w.join(4, false)
-	s.none[Again] = true
+	s.none[BudgetRetries] = true
 	x := w.arrive(0, 1, 1e8, 20e9)
 	w.end(w.open[0], Full)
 	began := w.now
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -77,32 +77,32 @@
 	SlowStart           int64
 	OverloadWindow      int64
 	OverloadFactor      float64
-	UnpolledEventAge    int64  // how long news may lie while no call for the list is out; then it counts as told
-	DeadlineMargin      int64  // by which a txn's expiry may be told too early or too late
-	StartTimeError      int64  // by which an executor's start may be
-	MaxPollInterval     int64  // from the start of a failed call for the list to that of the next at the latest
-	DrainGrace          int64  // how long after that a posting may still be sent to what drains or is gone
-	Quotas              Shares // of what all nodes hold together; nil: they share nothing
+	UnpolledEventAge    int64       // how long news may lie while no call for the list is out; then it counts as told
+	DeadlineMargin      int64       // by which a txn's expiry may be told too early or too late
+	StartTimeError      int64       // by which an executor's start may be
+	MaxPollInterval     int64       // from the start of a failed call for the list to that of the next at the latest
+	DrainGrace          int64       // how long after that a posting may still be sent to what drains or is gone
+	Quotas              QuotaSource // of what all nodes hold together; nil: they share nothing
 }
 
 // Budget is something that all nodes use together, each its share.
 type Budget int
 
 const (
-	Again   Budget = iota // second and later postings
-	Connect               // new connections to an executor
-	Cold                  // the work that a cold executor bears in a window, as a part of it
-	Jobs                  // postings of one tenant that are out
-	Calls                 // for the list
-	Budgets
+	BudgetRetries        Budget = iota // second and later postings
+	BudgetConnections                  // new connections to an executor
+	BudgetSlowStart                    // the work that a cold executor bears in a window, as a part of it
+	BudgetTenantAttempts               // postings of one tenant that are out
+	BudgetPolls                        // for the list
+	BudgetCount
 )
 
-// Shares tells whether this node may use so much more of a budget now, for an executor or a txn's tenant where each has its
+// QuotaSource tells whether this node may use so much more of a budget now, for an executor or a txn's tenant where each has its
 // own. It is a read: what counts is taken at the moment of sending.
-type Shares interface {
-	May(b Budget, e *Executor, t *Txn, units float64) bool
-	// Part is what this node has of all there is.
-	Part(b Budget, e *Executor) float64
+type QuotaSource interface {
+	Allow(b Budget, e *Executor, t *Txn, units float64) bool
+	// Quota is what this node has of all there is.
+	Quota(b Budget, e *Executor) float64
 }
 
 // inTurn is how many nodes take turns at what is cold; leases take the place of turns.
@@ -119,7 +119,7 @@
 	if t.Quotas == nil {
 		return groups
 	}
-	return t.Quotas.Part(Cold, e) * float64(max(t.Nodes, 1))
+	return t.Quotas.Quota(BudgetSlowStart, e) * float64(max(t.Nodes, 1))
 }
 
 // warmth is the share of its capacity that an executor has at least, at a time; its stamp may be too early.
@@ -144,7 +144,7 @@
 // mayPost says whether one more posting of a txn to an executor that is warm fits into this node's shares.
 func (t *Settings) mayPost(x *Txn, e *Executor) bool {
 	s := t.Quotas
-	return s == nil || (len(x.Postings) == 0 || s.May(Again, e, x, 1)) && s.May(Jobs, e, x, 1) && s.May(Connect, e, x, 1)
+	return s == nil || (len(x.Postings) == 0 || s.Allow(BudgetRetries, e, x, 1)) && s.Allow(BudgetTenantAttempts, e, x, 1) && s.Allow(BudgetConnections, e, x, 1)
 }
 
 // State is what the list says of an executor.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -36,11 +36,11 @@
 
 // Budgets that can be held together, by the names that the file gives them.
 const (
-	Again   = "again"   // second and later postings, of all txns of all nodes
-	Connect = "connect" // new connections to one executor
-	Cold    = "cold"    // parts of the work that a cold executor bears
-	Jobs    = "jobs"    // postings of one tenant that are out; the window is how long one may be that nothing is heard of
-	Calls   = "calls"   // for the list
+	BudgetRetries        = "again"   // second and later postings, of all txns of all nodes
+	BudgetConnections    = "connect" // new connections to one executor
+	BudgetSlowStart      = "cold"    // parts of the work that a cold executor bears
+	BudgetTenantAttempts = "jobs"    // postings of one tenant that are out; the window is how long one may be that nothing is heard of
+	BudgetPolls          = "calls"   // for the list
 )
 
 const (
@@ -143,24 +143,24 @@
 		at := "fleet.budgets." + name + "."
 		window, longest, soon := int64(1000), n.Longest.Milliseconds(), n.Settings.MaxPollWait()
 		switch fall := n.Settings.OverloadWindow / 1e6; {
-		case !slices.Contains([]string{Again, Connect, Cold, Jobs, Calls}, name):
-			return nil, fmt.Errorf("fleet.budgets.%s: no such budget; there are %s, %s, %s, %s and %s", name, Again, Connect, Cold, Jobs, Calls)
-		case name == Cold && fall > 0:
+		case !slices.Contains([]string{BudgetRetries, BudgetConnections, BudgetSlowStart, BudgetTenantAttempts, BudgetPolls}, name):
+			return nil, fmt.Errorf("fleet.budgets.%s: no such budget; there are %s, %s, %s, %s and %s", name, BudgetRetries, BudgetConnections, BudgetSlowStart, BudgetTenantAttempts, BudgetPolls)
+		case name == BudgetSlowStart && fall > 0:
 			window = fall
-		case name == Jobs:
+		case name == BudgetTenantAttempts:
 			window = longest
 		}
 		t := budget.Terms{Whole: r.whole(at+"whole", 0, 1), Floor: r.whole(at+"floor", 0, 0), Reserve: r.whole(at+"reserve", 0, 0),
 			Step: r.whole(at+"step", 1, 1), Window: r.whole(at+"window_ms", window, 1) * 1e6, Parts: r.whole(at+"parts", 1, 1), Share: r.real(at+"share", 0)}
-		if name == Cold && t.Window < n.Settings.OverloadWindow {
+		if name == BudgetSlowStart && t.Window < n.Settings.OverloadWindow {
 			return nil, fmt.Errorf("%swindow_ms: %d is under the window in which a cold executor falls over, settings.Rules.Fall", at, t.Window/1e6)
 		}
-		if name == Jobs && t.Window < int64(n.Longest) {
+		if name == BudgetTenantAttempts && t.Window < int64(n.Longest) {
 			return nil, fmt.Errorf("%swindow_ms: %d is under the longest expiry of a scheme, %d, for which a job may run that nothing is heard of", at, t.Window/1e6, longest)
 		}
 		// Danger: news that lies longer than the rules allow since no share comes. A floor is one call in a window, so the window is
 		// what a node waits at most.
-		if name == Calls && (t.Floor < 1 || float64(t.Window)*(1+f.Pact.Margin) >= float64(soon)) {
+		if name == BudgetPolls && (t.Floor < 1 || float64(t.Window)*(1+f.Pact.Margin) >= float64(soon)) {
 			return nil, fmt.Errorf("%sfloor: %d in a window of %d ms; each node needs one in less than %d, by settings.Rules", at, t.Floor, t.Window/1e6, soon/1e6)
 		}
 		f.Pact.Budgets[name] = t
@@ -176,14 +176,14 @@
 		return nil, fmt.Errorf("fleet.most: %d is not between the %d seats and %d", f.Pact.Most, count, mostNodes)
 	case f.Pact.Lease < roundTrips*int64(trip):
 		return nil, fmt.Errorf("fleet.lease_ms: %d is shorter than %d round trips of %v", f.Pact.Lease/1e6, roundTrips, trip)
-	case !names[Cold]:
+	case !names[BudgetSlowStart]:
 		return nil, fmt.Errorf("fleet.budgets.cold: missing; nodes that hold budgets together take no turns at cold executors")
-	case slices.ContainsFunc([]string{Cold, Connect, Jobs, Calls}, func(name string) bool { return f.Pact.Budgets[name].Share != 0 }):
+	case slices.ContainsFunc([]string{BudgetSlowStart, BudgetConnections, BudgetTenantAttempts, BudgetPolls}, func(name string) bool { return f.Pact.Budgets[name].Share != 0 }):
 		return nil, fmt.Errorf("fleet.budgets: share is for second postings alone, which are one of first ones")
-	case f.Pact.Budgets[Again].Parts > 1:
-		return nil, fmt.Errorf("fleet.budgets.again.parts: %d; second postings are counted for all executors together", f.Pact.Budgets[Again].Parts)
-	case f.Pact.Budgets[Calls].Parts > 1:
-		return nil, fmt.Errorf("fleet.budgets.calls.parts: %d; there is one list", f.Pact.Budgets[Calls].Parts)
+	case f.Pact.Budgets[BudgetRetries].Parts > 1:
+		return nil, fmt.Errorf("fleet.budgets.again.parts: %d; second postings are counted for all executors together", f.Pact.Budgets[BudgetRetries].Parts)
+	case f.Pact.Budgets[BudgetPolls].Parts > 1:
+		return nil, fmt.Errorf("fleet.budgets.calls.parts: %d; there is one list", f.Pact.Budgets[BudgetPolls].Parts)
 	}
 	if err := f.Pact.Check(); err != nil {
 		return nil, fmt.Errorf("fleet.%w", err)
--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -33,7 +33,7 @@
 var modes = []string{"turns", "leased", "alone", "all"}
 
 // budgets are the module's, by the scenario's words.
-var budgets = [dispatch.Budgets]string{dispatch.Again: "again", dispatch.Connect: "connect", dispatch.Cold: "cold"}
+var budgets = [dispatch.BudgetCount]string{dispatch.BudgetRetries: "again", dispatch.BudgetConnections: "connect", dispatch.BudgetSlowStart: "cold"}
 
 func (l *Leases) pact(nodes int) budget.Pact {
 	p := budget.Pact{Most: int64(nodes), Lease: int64(l.Lease), Margin: l.Margin, Budgets: map[string]budget.Terms{}}
@@ -210,22 +210,22 @@
 // of is the share that a sending to an executor falls to, its meter, key and whole.
 func (s *share) of(b dispatch.Budget, e *dispatch.Executor) (name string, m *budget.Meter, key string, whole int64) {
 	w := s.node.world
-	if name = budgets[b]; b != dispatch.Again {
+	if name = budgets[b]; b != dispatch.BudgetRetries {
 		name, key = w.pact.Name(name, e.Mark), e.Tag
 	}
 	return name, s.meters[name], key, w.pact.Budgets[budgets[b]].Whole
 }
 
-// May implements dispatch.Shares. Tenants' jobs and calls for the list are not held together here.
-func (s *share) May(b dispatch.Budget, e *dispatch.Executor, _ *dispatch.Txn, units float64) bool {
+// Allow implements dispatch.Shares. Tenants' jobs and calls for the list are not held together here.
+func (s *share) Allow(b dispatch.Budget, e *dispatch.Executor, _ *dispatch.Txn, units float64) bool {
 	if budgets[b] == "" {
 		return true
 	}
 	name, m, key, whole := s.of(b, e)
-	if m == nil || b == dispatch.Connect && len(s.node.idle[s.node.places[e]]) > 0 {
+	if m == nil || b == dispatch.BudgetConnections && len(s.node.idle[s.node.places[e]]) > 0 {
 		return true
 	}
-	if b == dispatch.Cold {
+	if b == dispatch.BudgetSlowStart {
 		units *= float64(whole)
 	}
 	now := s.node.world.now
@@ -246,8 +246,8 @@
 	}
 }
 
-// Part implements dispatch.Shares.
-func (s *share) Part(b dispatch.Budget, e *dispatch.Executor) float64 {
+// Quota implements dispatch.Shares.
+func (s *share) Quota(b dispatch.Budget, e *dispatch.Executor) float64 {
 	name, m, _, whole := s.of(b, e)
 	if m == nil {
 		return 1
@@ -262,13 +262,13 @@
 func (s *share) take(p *dispatch.Posting, connects bool) bool {
 	now := s.node.world.now
 	undo := func() {}
-	for b := range dispatch.Budgets {
+	for b := range dispatch.BudgetCount {
 		name, m, key, whole := s.of(b, p.Executor)
 		units := 0.0
 		switch {
-		case b == dispatch.Cold:
+		case b == dispatch.BudgetSlowStart:
 			units = p.Part * float64(whole)
-		case b == dispatch.Again && p.Number > 0, b == dispatch.Connect && connects:
+		case b == dispatch.BudgetRetries && p.Number > 0, b == dispatch.BudgetConnections && connects:
 			units = 1
 		}
 		if m == nil || units == 0 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -77,7 +77,7 @@
 	f := &Fleet{plan: plan, name: name, clock: clock, log: log.With().Str("part", "fleet").Logger(), kick: make(chan struct{}, 1), news: make(chan struct{}, 1),
 		stop: stop, shares: map[string]*share{}}
 	f.holder = budget.NewHolder(name, identity(), &plan.Pact, clock())
-	f.wants, f.firsts = budget.NewAppetite(name, &plan.Pact), budget.NewMeter(&plan.Pact, config.Again)
+	f.wants, f.firsts = budget.NewAppetite(name, &plan.Pact), budget.NewMeter(&plan.Pact, config.BudgetRetries)
 	for b, t := range plan.Pact.Budgets {
 		for _, part := range plan.Pact.Names(b) {
 			f.shares[part] = &share{terms: t, meter: budget.NewMeter(&plan.Pact, part), whole: t.Whole}
@@ -481,7 +481,7 @@
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	for _, u := range c.uses {
-		if u.share.meter.Void(u.use); over && u.name == c.fleet.share(config.Jobs, u.use.Key()) {
+		if u.share.meter.Void(u.use); over && u.name == c.fleet.share(config.BudgetTenantAttempts, u.use.Key()) {
 			u.share.meter.Over(u.use)
 		}
 	}
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -223,12 +223,12 @@
 	go n.carry(ctx, withdraw, p, job, charge)
 }
 
-// May implements dispatch.Shares, under the lock as well.
-func (n *Node) May(b dispatch.Budget, e *dispatch.Executor, t *dispatch.Txn, units float64) bool {
+// Allow implements dispatch.Shares, under the lock as well.
+func (n *Node) Allow(b dispatch.Budget, e *dispatch.Executor, t *dispatch.Txn, units float64) bool {
 	switch b {
-	case dispatch.Jobs:
+	case dispatch.BudgetTenantAttempts:
 		return n.purse.May(b, n.tenant(t), units)
-	case dispatch.Again, dispatch.Calls:
+	case dispatch.BudgetRetries, dispatch.BudgetPolls:
 		return n.purse.May(b, "", units)
 	}
 	return n.purse.May(b, n.key(b, e), units)
@@ -242,13 +242,13 @@
 	return n.terms.Tenants[t.Tenant].Tag
 }
 
-// Part implements dispatch.Shares, under the lock as well.
-func (n *Node) Part(b dispatch.Budget, e *dispatch.Executor) float64 {
+// Quota implements dispatch.Shares, under the lock as well.
+func (n *Node) Quota(b dispatch.Budget, e *dispatch.Executor) float64 {
 	return n.purse.Part(b, n.key(b, e))
 }
 
 func (n *Node) key(b dispatch.Budget, e *dispatch.Executor) string {
-	if m := n.members[e.Tag]; b == dispatch.Connect && m != nil {
+	if m := n.members[e.Tag]; b == dispatch.BudgetConnections && m != nil {
 		return m.address
 	}
 	return e.Tag
