--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -8,23 +8,23 @@
 )
 
 // still is a Door on which nothing happens by itself.
-type still struct{ posted *Posting }
+type still struct{ posted *Attempt }
 
 func (*still) Alarm(int64, func()) func() { return func() {} }
 func (*still) Watch(bool)                 {}
-func (*still) Probe(*Executor)            {}
-func (*still) Tell(*Executor, float64)    {}
-func (s *still) Post(p *Posting)          { s.posted = p }
-func (*still) Withdraw(*Posting)          {}
-func (*still) Decline(*Txn, int64)        {}
-func (*still) Reverse(*Txn)               {}
+func (*still) Probe(*Server)              {}
+func (*still) Tell(*Server, float64)      {}
+func (s *still) Post(p *Attempt)          { s.posted = p }
+func (*still) Withdraw(*Attempt)          {}
+func (*still) Decline(*Request, int64)    {}
+func (*still) Reverse(*Request)           {}
 
 func stillWorld(executors int) (*Dispatcher, *still, *Settings) {
 	terms, door := basicTerms(), &still{}
 	d := New(terms, 1, door, 1e12)
-	var members []Member
+	var members []Endpoint
 	for i := range executors {
-		members = append(members, Member{Executor: &Executor{Tag: fmt.Sprint(i)}, Zone: i % 3, Kind: i % 2})
+		members = append(members, Endpoint{Server: &Server{Tag: fmt.Sprint(i)}, Zone: i % 3, MachineType: i % 2})
 	}
 	d.List(true, members)
 	return d, door, terms
@@ -38,7 +38,7 @@
 			b.ReportAllocs()
 			for now := int64(1e12); b.Loop(); now += 1e6 {
 				d.At(now)
-				t := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: now + 3e9}
+				t := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: now + 3e9}
 				d.Arrive(t)
 				d.Settle()
 				d.Started(door.posted)
@@ -60,7 +60,7 @@
 					e.limit = 0
 				}
 				for range waiting {
-					d.Arrive(&Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9})
+					d.Arrive(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9})
 				}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -23,18 +23,18 @@
 
 // serverSet is a set of servers that is added to in any order, and from which some are drawn at random.
 type serverSet struct {
-	servers []*Executor
-	at      func(*Executor) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
+	servers []*Server
+	at      func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
 }
 
-func (s *serverSet) add(e *Executor) {
+func (s *serverSet) add(e *Server) {
 	if at := s.at(e); *at == 0 {
 		s.servers = append(s.servers, e)
 		*at = len(s.servers)
 	}
 }
 
-func (s *serverSet) remove(e *Executor) {
+func (s *serverSet) remove(e *Server) {
 	at := s.at(e)
 	if *at == 0 {
 		return
@@ -53,7 +53,7 @@
 
 // sample calls use with count servers of the set, drawn evenly, of which some may be the same; with each once if there are no more.
 // Those that use does not want are taken out.
-func (d *Dispatcher) sample(s *serverSet, count int, use func(*Executor) (keep bool)) {
+func (d *Dispatcher) sample(s *serverSet, count int, use func(*Server) (keep bool)) {
 	if len(s.servers) <= count {
 		for i := 0; i < len(s.servers); {
 			if e := s.servers[i]; use(e) {
@@ -73,7 +73,7 @@
 
 // search is one draw under way.
 type search struct {
-	t      *Txn
+	t      *Request
 	count  int
 	run    int64
 	mean   float64 // load per server
@@ -91,7 +91,7 @@
 		}
 		return
 	}
-	d.sample(&d.kept, sampleFew, func(e *Executor) bool {
+	d.sample(&d.kept, sampleFew, func(e *Server) bool {
 		if !e.known || d.now >= e.keptTill {
 			return false
 		}
@@ -101,7 +101,7 @@
 		return true
 	})
 	d.lookRamping(s)
-	use := func(e *Executor) bool {
+	use := func(e *Server) bool {
 		d.consider(s, e)
 		return true
 	}
@@ -151,7 +151,7 @@
 
 // mayRamp says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
 // the budget by warmEnough.
-func (d *Dispatcher) mayRamp(e *Executor) bool {
+func (d *Dispatcher) mayRamp(e *Server) bool {
 	if d.terms.Quotas != nil {
 		return true
 	}
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -8,10 +8,10 @@
 )
 
 // longList is a dispatcher with a list of thousands and one request that nothing was done for yet.
-func longList(t *testing.T) (*Dispatcher, *Settings, *Txn) {
+func longList(t *testing.T) (*Dispatcher, *Settings, *Request) {
 	d, _, terms := stillWorld(3200)
 	d.At(1e12)
-	request := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9}
+	request := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
 	d.Arrive(request)
 	return d, terms, request
 }
@@ -55,7 +55,7 @@
 	const draws = 40000
 	d, _, request := longList(t)
 	want, all, got := map[int]float64{}, 0.0, map[int]float64{}
-	class := func(e *Executor) int { return e.sum/poolSize*2 + int(2*e.h) }
+	class := func(e *Server) int { return e.sum/poolSize*2 + int(2*e.h) }
 	for i, e := range d.fleet.servers {
 		e.pooled, e.sum = poolSize, poolSize*[...]int{10, 6, 2, 2}[i%4]
 		if i%5 == 0 {
@@ -81,10 +81,10 @@
 	for i, e := range d.fleet.servers {
 		e.cell = i / 2
 	}
-	request := &Txn{Scheme: terms.Classes[1], Slots: 1, Hint: 1e7, Expiry: 1e12 + 3e9}
+	request := &Request{Class: terms.Classes[1], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
 	d.Arrive(request)
 	home := d.fleet.servers[1001]
-	request.Postings = append(request.Postings, &Posting{Txn: request, Executor: home, sent: d.now})
+	request.Attempts = append(request.Attempts, &Attempt{Request: request, Server: home, sent: d.now})
 	for range 20 {
 		if drawn := d.draw(request, 1); len(drawn) != 1 || drawn[0].cell != home.cell {
 			t.Fatalf("%d servers of its group were found", len(drawn))
@@ -96,16 +96,16 @@
 func TestLongListUsesServersInTurn(t *testing.T) {
 	d, terms, request := longList(t)
 	terms.Nodes, d.born, request.size = 300, 0, request.size/2
-	var members []Member
+	var members []Endpoint
 	for i, e := range d.fleet.servers {
 		if i%2 == 0 {
-			members = append(members, Member{Executor: e, Since: d.now - 2e9 - int64(i)*1e6})
+			members = append(members, Endpoint{Server: e, StartedAt: d.now - 2e9 - int64(i)*1e6})
 		}
 	}
 	d.List(false, members)
 	may := 0
 	for _, m := range members {
-		if d.allowed(request, m.Executor) {
+		if d.allowed(request, m.Server) {
 			may++
 		}
 	}
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -20,8 +20,8 @@
 	w.join(2, false)
 	for i := range 40 {
 		x := w.arrive(i%5, 1, 5e7, -int64(i%3)*1e6)
-		if x.Over || len(x.Postings) != 1 {
-			t.Fatalf("txn %d, told of nothing of 3 s, has %d postings", i, len(x.Postings))
+		if x.Done || len(x.Attempts) != 1 {
+			t.Fatalf("txn %d, told of nothing of 3 s, has %d postings", i, len(x.Attempts))
 		}
 		w.settle()
 	}
@@ -42,12 +42,12 @@
 	w.join(2, false)
 	for i := range 8 {
 		x := w.arrive(i%5, 1, 5e7, 45e8)
-		if at := w.now + 3e9; x.Expiry > at {
-			t.Fatalf("kept for %d ms too long", (x.Expiry-at)/1e6)
+		if at := w.now + 3e9; x.Deadline > at {
+			t.Fatalf("kept for %d ms too long", (x.Deadline-at)/1e6)
 		}
 	}
 	later := w.arrive(0, 1, 5e7, 25e8) // a later try, told as much too long
-	if left := later.Expiry - w.now; left > 11e8 {
+	if left := later.Deadline - w.now; left > 11e8 {
 		t.Errorf("a later try with 1 s left is kept for %d ms", left/1e6)
 	}
 	w.finish()
@@ -60,10 +60,10 @@
 		w.join(4, false)
 		x := w.arrive(i, 1, 5e7, 25e8)
 		w.pass(1e9)
-		n := len(x.Postings)
-		w.end(x.Postings[0], TimedOut)
-		if w.pass(1e8); !x.Over || len(x.Postings) != n {
-			t.Errorf("scheme %d: over %v, %d postings, %d before", i, x.Over, len(x.Postings), n)
+		n := len(x.Attempts)
+		w.end(x.Attempts[0], TimedOut)
+		if w.pass(1e8); !x.Done || len(x.Attempts) != n {
+			t.Errorf("scheme %d: over %v, %d postings, %d before", i, x.Done, len(x.Attempts), n)
 		}
 	}
 }
@@ -73,13 +73,13 @@
 func TestOtherClocksAhead(t *testing.T) {
 	w := newWorld(t, 4, clockTerms())
 	w.join(4, false)
-	ahead := w.fleet[0].Executor
+	ahead := w.fleet[0].Server
 	served := 0
 	for range 200 {
 		x := w.arrive(0, 1, 5e7, 25e8)
-		for w.ended[x] == 0 && !x.Over {
-			p := x.Postings[len(x.Postings)-1]
-			if o := Full; p.Executor == ahead {
+		for w.ended[x] == 0 && !x.Done {
+			p := x.Attempts[len(x.Attempts)-1]
+			if o := Full; p.Server == ahead {
 				if w.IntN(2) == 0 {
 					o = Erred
 				}
@@ -111,14 +111,14 @@
 		w := newWorld(t, 5, terms)
 		w.join(2, false)
 		w.pass(2 * terms.OverloadWindow)
-		e := w.fleet[0].Executor
-		w.fleet[0].Since, w.d.models[0].slots = w.now+off*terms.StartTimeError, testSlots
+		e := w.fleet[0].Server
+		w.fleet[0].StartedAt, w.d.models[0].slots = w.now+off*terms.StartTimeError, testSlots
 		w.list(false)
 		born, sent := w.now, []charge{}
 		for w.now < born+terms.SlowStart-terms.StartTimeError {
 			for range 8 {
-				for _, p := range w.arrive(0, 1, 1e8, 2e9).Postings {
-					if p.Executor == e {
+				for _, p := range w.arrive(0, 1, 1e8, 2e9).Attempts {
+					if p.Server == e {
 						sent = append(sent, charge{w.now, 1e8})
 					}
 				}
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -18,7 +18,7 @@
 			for seed := range uint64(2) {
 				name := fmt.Sprintf("%d nodes, mean %.0f ms, seed %d", nodes, mean/1e6, seed)
 				h := newHerd(seed, nodes, 6)
-				h.works, h.speed = map[*Txn]int64{}, []float64{0.7, 0.8, 0.9, 1.7, 2, 2.3}
+				h.works, h.speed = map[*Request]int64{}, []float64{0.7, 0.8, 0.9, 1.7, 2, 2.3}
 				h.work = func() int64 { return int64(mean * h.ExpFloat64()) }
 				if seed%2 == 1 {
 					h.work = func() int64 { return int64(mean * math.Exp(h.NormFloat64()*0.66-0.22)) } // lognormal, cv 0.74
@@ -86,8 +86,8 @@
 			w.settle()
 		}
 		before := len(w.sentAt)
-		w.coldWork = map[*Executor][]charge{}
-		w.fleet[0].Since = since
+		w.coldWork = map[*Server][]charge{}
+		w.fleet[0].StartedAt = since
 		w.list(true)
 		for range 40 {
 			w.arrive(0, 1, 5e7, 1e9)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -58,12 +58,12 @@
 	failed, counted    int   // calls for the list since one succeeded; txns counted in things
 	spent, prompt      int64 // on the last of those calls; least time seen from sending to the note of the start
 	chance             *rand.Rand
-	fleet              serverSet   // all that are listed
-	kept, ramping, low serverSet   // of these: with an idle connection; in slow start; whose limit is under firstRoom
-	drawn, near        []*Executor // scratch space of homes and draw
-	draws              int         // so far
-	lag                int64       // how long work of this process waits until it runs, ns
-	queue              []*Txn
+	fleet              serverSet // all that are listed
+	kept, ramping, low serverSet // of these: with an idle connection; in slow start; whose limit is under firstRoom
+	drawn, near        []*Server // scratch space of homes and draw
+	draws              int       // so far
+	lag                int64     // how long work of this process waits until it runs, ns
+	queue              []*Request
 	recent             map[family][]last
 	runs               []spread          // by scheme: running time over hint, or in seconds without one
 	large              float64           // what a large txn takes, in ns
@@ -85,10 +85,10 @@
 		starts: map[bool]*ledger{true: {}, false: {}}, cures: make([]ledger, len(terms.Classes)),
 		runs:    make([]spread, len(terms.Classes)),
 		tenants: make([]ledger, len(terms.Tenants)), schemes: make([]ledger, len(terms.Classes)),
-		fleet:   serverSet{at: func(e *Executor) *int { return &e.inFleet }},
-		kept:    serverSet{at: func(e *Executor) *int { return &e.inKept }},
-		ramping: serverSet{at: func(e *Executor) *int { return &e.inRamping }},
-		low:     serverSet{at: func(e *Executor) *int { return &e.inLow }}}
+		fleet:   serverSet{at: func(e *Server) *int { return &e.inFleet }},
+		kept:    serverSet{at: func(e *Server) *int { return &e.inKept }},
+		ramping: serverSet{at: func(e *Server) *int { return &e.inRamping }},
+		low:     serverSet{at: func(e *Server) *int { return &e.inLow }}}
 	if terms.PollForChanges {
 		d.Ask()
 	}
@@ -98,28 +98,28 @@
 func (d *Dispatcher) At(now int64) { d.now = now }
 
 // List takes the list or changes to it; whole says that absent executors are gone.
-func (d *Dispatcher) List(whole bool, members []Member) {
+func (d *Dispatcher) List(whole bool, members []Endpoint) {
 	d.failed, d.spent = 0, 0
 	gone := whole
 	for i := 0; whole && i < len(d.fleet.servers); i++ {
-		d.fleet.servers[i].State = Gone
+		d.fleet.servers[i].State = Removed
 	}
 	for _, m := range members {
-		e := m.Executor
-		if !e.known || m.Since > e.since {
+		e := m.Server
+		if !e.known || m.StartedAt > e.since {
 			e.h, e.hAt, e.limit, e.size = 1, d.now, firstRoom, 1
 		}
 		d.fleet.add(e)
-		if d.models[m.Kind] == nil {
-			d.models[m.Kind] = &model{bound: d.terms.need(m.Kind)}
+		if d.models[m.MachineType] == nil {
+			d.models[m.MachineType] = &model{bound: d.terms.need(m.MachineType)}
 		}
 		// Danger: of many nodes each sees next to nothing of load; the draw alone fills the small and the slow.
 		if e.left = 1; d.terms.LiveCapacity {
-			e.left, e.size = max(m.Units, 0.01), max(m.Units, e.size)
+			e.left, e.size = max(m.Capacity, 0.01), max(m.Capacity, e.size)
 		}
-		e.known, e.State, e.since, e.model = true, m.State, m.Since, d.models[m.Kind]
-		e.zone, e.kind, e.cell = m.Zone, m.Kind, m.Cell
-		if gone = gone || m.State == Gone; d.terms.warmth(e, d.now) < 1 {
+		e.known, e.State, e.since, e.model = true, m.State, m.StartedAt, d.models[m.MachineType]
+		e.zone, e.kind, e.cell = m.Zone, m.MachineType, m.Cell
+		if gone = gone || m.State == Removed; d.terms.warmth(e, d.now) < 1 {
 			e.turnTill = 0
 			d.ramping.add(e)
 		}
@@ -139,7 +139,7 @@
 func (d *Dispatcher) forget() {
 	left := d.fleet.servers[:0]
 	for _, e := range d.fleet.servers {
-		if e.known = e.State != Gone; e.known {
+		if e.known = e.State != Removed; e.known {
 			left = append(left, e)
 			e.inFleet = len(left)
 		} else {
@@ -190,26 +190,26 @@
 // Overdue says that a call goes out whatever shares say. Danger: work for what drained, as no news is heard.
 func (d *Dispatcher) Overdue() bool { return d.now >= d.by }
 
-func (d *Dispatcher) Arrive(t *Txn) {
+func (d *Dispatcher) Arrive(t *Request) {
 	if d.overloaded(t) {
 		d.finish(t, Overloaded)
 		return
 	}
-	waited := max(t.Waited-waitSlack, 0)
-	t.Expiry -= waited
-	t.Expiry, t.arrived, t.over = d.till(t), d.now-waited, len(d.terms.Tenants) > 0 && d.overShare(t)
+	waited := max(t.UnreadTime-waitSlack, 0)
+	t.Deadline -= waited
+	t.Deadline, t.arrived, t.over = d.till(t), d.now-waited, len(d.terms.Tenants) > 0 && d.overShare(t)
 	// Danger: the first job that runs far longer than its hint would speak for all to come.
-	for r := &d.runs[t.Scheme.Index]; t.Hint > 0 && r.n < 3; {
+	for r := &d.runs[t.Class.Index]; t.ExpectedWork > 0 && r.n < 3; {
 		r.add(1)
 	}
-	work := cmp.Or(t.Hint, d.running(t, 0.5))
-	t.aim = min(d.now+t.Scheme.LatencyObjective+int64(t.Scheme.ObjectivePerWork*float64(work)), t.Expiry)
+	work := cmp.Or(t.ExpectedWork, d.running(t, 0.5))
+	t.aim = min(d.now+t.Class.LatencyObjective+int64(t.Class.ObjectivePerWork*float64(work)), t.Deadline)
 	t.size = max(t.Slots, 1) * float64(work)
 	d.works.add(t.size / 1e9)
 	// Danger: of jobs of milliseconds many begin and end while a word of room is still taken for news.
 	d.large = d.works.at(highEnd, 0) * 1e9
 	d.fresh = min(askAgain, int64(d.large))
-	if t.value = t.Scheme.Weight; d.terms.WeightByWork {
+	if t.value = t.Class.Weight; d.terms.WeightByWork {
 		t.value *= t.size
 	}
 	if t.over {
@@ -219,32 +219,32 @@
 			t.value = 0
 		}
 	}
-	d.schemes[t.Scheme.Index].fade(d.now).asked += t.value
+	d.schemes[t.Class.Index].fade(d.now).asked += t.value
 	d.count(t)
-	d.Expire(t, t.Expiry)
+	d.Expire(t, t.Deadline)
 	d.enqueue(t)
 }
 
 // till is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
 // or earlier by what the latest first tries lacked. Danger: all is declined at once, or answered too late.
-func (d *Dispatcher) till(t *Txn) int64 {
-	if d.terms.DeadlineMargin == 0 || t.Scheme.MaxDeadline == 0 {
-		return t.Expiry
+func (d *Dispatcher) till(t *Request) int64 {
+	if d.terms.DeadlineMargin == 0 || t.Class.MaxDeadline == 0 {
+		return t.Deadline
 	}
-	d.offs = append(d.offs[max(len(d.offs)-lefts+1, 0):], t.Scheme.MaxDeadline-t.Expiry+d.now)
+	d.offs = append(d.offs[max(len(d.offs)-lefts+1, 0):], t.Class.MaxDeadline-t.Deadline+d.now)
 	off := min(max(slices.Min(d.offs), -d.terms.DeadlineMargin), d.terms.DeadlineMargin)
-	return t.Expiry + min(off, max(off-t.Scheme.MaxDeadline/way, 0))
+	return t.Deadline + min(off, max(off-t.Class.MaxDeadline/way, 0))
 }
 
 // Expire sets when the txn has to be answered at the latest; a node that is told to end brings it forward.
 // Danger: a txn that is forgotten. This alarm answers it whatever else happens.
-func (d *Dispatcher) Expire(t *Txn, at int64) {
-	t.Expiry = min(t.Expiry, at)
-	t.forget = d.door.Alarm(t.Expiry-d.now-d.headroom(), func() { d.finish(t, TimeUp) })
+func (d *Dispatcher) Expire(t *Request, at int64) {
+	t.Deadline = min(t.Deadline, at)
+	t.forget = d.door.Alarm(t.Deadline-d.now-d.headroom(), func() { d.finish(t, TimeUp) })
 }
 
 // overShare tells by chance whether a txn lies beyond its tenant's share, by the other tenants' arrivals.
-func (d *Dispatcher) overShare(t *Txn) bool {
+func (d *Dispatcher) overShare(t *Request) bool {
 	var others, shares float64
 	for i, tenant := range d.terms.Tenants {
 		if i != t.Tenant {
@@ -270,13 +270,13 @@
 }
 
 // running is how long the txn is expected to run, at quantile q.
-func (d *Dispatcher) running(t *Txn, q float64) int64 {
-	return max(int64(t.unit()*d.runs[t.Scheme.Index].at(q, float64(t.Scheme.LatencyObjective)/t.unit())), 1e6)
+func (d *Dispatcher) running(t *Request, q float64) int64 {
+	return max(int64(t.unit()*d.runs[t.Class.Index].at(q, float64(t.Class.LatencyObjective)/t.unit())), 1e6)
 }
 
 // place posts the txn or lets it wait at the node.
-func (d *Dispatcher) place(t *Txn) {
-	if t.Over || t.live > 0 {
+func (d *Dispatcher) place(t *Request) {
+	if t.Done || t.live > 0 {
 		return
 	}
 	// Danger: executors that never answer probes. What has heard nothing for some rounds goes out blindly.
@@ -284,7 +284,7 @@
 	if asking {
 		count = asks
 	}
-	if len(t.Postings) >= d.terms.MaxAttempts || t.anchor() != nil && d.spanOver(t) {
+	if len(t.Attempts) >= d.terms.MaxAttempts || t.anchor() != nil && d.spanOver(t) {
 		d.finish(t, NoAttempt)
 	} else if d.stale() {
 		t.look = d.now + leastLag*d.terms.Tick
@@ -302,7 +302,7 @@
 
 // ask looks for room at a few executors drawn; the first to tell of some gets the txn.
 // Danger: of many nodes each sees next to nothing of load, and a long job's late start can't be made good.
-func (d *Dispatcher) ask(t *Txn, drawn []*Executor) {
+func (d *Dispatcher) ask(t *Request, drawn []*Server) {
 	for _, e := range drawn {
 		if len(e.askers) == 0 {
 			d.door.Probe(e)
@@ -312,7 +312,7 @@
 	t.rounds++
 	round := t.rounds
 	d.door.Alarm(int64(round)*d.fresh, func() {
-		if !t.Over && t.live == 0 && t.rounds == round {
+		if !t.Done && t.live == 0 && t.rounds == round {
 			d.enqueue(t)
 		}
 	})
@@ -320,7 +320,7 @@
 
 // Probed takes what an executor told of its room, if it told of any.
 // Danger: what many nodes were told they all take at once; so with the chance that starts are prompt.
-func (d *Dispatcher) Probed(e *Executor, told bool, free, memory float64) {
+func (d *Dispatcher) Probed(e *Server, told bool, free, memory float64) {
 	askers := e.askers
 	e.free = e.claims.sum(free, d.now-4*d.fresh)
 	if e.askers, e.toldAt, e.memory = nil, d.now, memory; told {
@@ -328,7 +328,7 @@
 	}
 	for _, t := range askers {
 		// Danger: an answer that comes late; the executor may be gone, and the txn out or over.
-		if !t.Over && t.live == 0 && !d.full(t, e) && d.allowed(t, e) &&
+		if !t.Done && t.live == 0 && !d.full(t, e) && d.allowed(t, e) &&
 			d.chance.Float64() < d.prompts(e.zone == d.terms.Zone) {
 			e.memory -= t.Memory
 			d.post(t, e)
@@ -341,36 +341,36 @@
 }
 
 // Taken notes slots that this or another node took at an executor, for as long as reports may lack them.
-func (d *Dispatcher) Taken(e *Executor, slots float64) {
+func (d *Dispatcher) Taken(e *Server, slots float64) {
 	e.claims = e.claims.add(d.now, -slots, 4*d.fresh)
 	e.free -= slots
 }
 
 // full says whether the executor told lately that the txn finds no room there.
-func (d *Dispatcher) full(t *Txn, e *Executor) bool {
+func (d *Dispatcher) full(t *Request, e *Server) bool {
 	return e.toldAt > 0 && d.now-e.toldAt < d.fresh && (e.free < t.Slots || e.memory < t.Memory)
 }
 
 // spanOver says whether a txn that may have run must not go again at all.
-func (d *Dispatcher) spanOver(t *Txn) bool {
-	return t.Scheme.Idempotency == NonIdempotent ||
-		t.Scheme.Idempotency == IdempotentInGroup && d.now-t.anchor().sent >= t.Scheme.DedupWindow-d.terms.Tick
+func (d *Dispatcher) spanOver(t *Request) bool {
+	return t.Class.Idempotency == NonIdempotent ||
+		t.Class.Idempotency == IdempotentInGroup && d.now-t.anchor().sent >= t.Class.DedupWindow-d.terms.Tick
 }
 
 // allowed says whether the rules let the txn go to the executor now.
-func (d *Dispatcher) allowed(t *Txn, e *Executor) bool {
+func (d *Dispatcher) allowed(t *Request, e *Server) bool {
 	// Danger: a drained or gone executor that still gets work; the list's word counts at once.
-	if e.State != Up || !e.known || t.Scheme.MachineType >= 0 && t.Scheme.MachineType != e.kind {
+	if e.State != Up || !e.known || t.Class.MachineType >= 0 && t.Class.MachineType != e.kind {
 		return false
 	}
-	for _, p := range t.Postings {
-		if p.withdrawn && p.Executor == e || p.Open && (p.Executor == e || !d.terms.AllowHedging) {
+	for _, p := range t.Attempts {
+		if p.withdrawn && p.Server == e || p.InFlight && (p.Server == e || !d.terms.AllowHedging) {
 			return false
 		}
 	}
 	if a := t.anchor(); a != nil {
 		// Danger: an effect twice. Only the group that holds the mark drops the repeat, and not for ever.
-		s, f := t.Scheme, a.Executor
+		s, f := t.Class, a.Server
 		if d.spanOver(t) || s.Idempotency == IdempotentInGroup &&
 			(s.DedupScope == DedupZone && e.zone != f.zone || s.DedupScope == DedupCell && e.cell != f.cell) {
 			return false
@@ -382,7 +382,7 @@
 
 // warmEnough keeps this node's part of a cold executor's budget, by all that was sent, refused or not.
 // Danger: one pushed over by all nodes together, or by a new node that knows nothing of what it sent before.
-func (d *Dispatcher) warmEnough(t *Txn, e *Executor) bool {
+func (d *Dispatcher) warmEnough(t *Request, e *Server) bool {
 	if d.terms.warmth(e, d.now) == 1 {
 		return true
 	}
@@ -395,14 +395,14 @@
 
 // bears is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
 // It bears N jobs, two root N + 2 for chance; what is sent has that chance too, so that N / doubt follows.
-func (d *Dispatcher) bears(e *Executor, at int64, parts float64) float64 {
+func (d *Dispatcher) bears(e *Server, at int64, parts float64) float64 {
 	work := d.terms.OverloadFactor * float64(d.terms.OverloadWindow) * max(e.model.slots, 1) / e.model.pace(d.now)
 	return work * (d.terms.warmth(e, at) / doubt / parts)
 }
 
 // part is what this node may send a cold executor, since when, whether now, and how many groups take turns.
 // Danger: an even part of many is less than one txn, and what was swapped stands empty. So a few take turns.
-func (d *Dispatcher) part(e *Executor) (part float64, since int64, turn bool, of float64) {
+func (d *Dispatcher) part(e *Server) (part float64, since int64, turn bool, of float64) {
 	nodes, length := d.terms.inTurn(), max(d.terms.OverloadWindow/turns, 1)
 	// Danger: a start that is stamped too late lies ahead, and nothing sent since then would count.
 	first := e.since - d.terms.StartTimeError
@@ -415,7 +415,7 @@
 }
 
 // health is H, drifted back towards 1 up to now.
-func (d *Dispatcher) health(e *Executor) float64 {
+func (d *Dispatcher) health(e *Server) float64 {
 	// Danger: nearly all executors are well; working out a drift for each at every draw is the dearest step.
 	if e.h == 1 || float64(d.now-e.hAt) > 7*recovery {
 		return 1
@@ -425,18 +425,18 @@
 
 // standing is H, or less where many other nodes say so and no job of this one ended well there of late.
 // Danger: old news that beats a fresh outcome; or each of many nodes finds out for itself, at its txns' cost.
-func (d *Dispatcher) standing(e *Executor) float64 {
-	if e.Bad > 0 && d.now-e.keptTill+d.terms.IdleTimeout > heed {
-		return min(d.health(e), 1-e.Bad)
+func (d *Dispatcher) standing(e *Server) float64 {
+	if e.OutlierScore > 0 && d.now-e.keptTill+d.terms.IdleTimeout > heed {
+		return min(d.health(e), 1-e.OutlierScore)
 	}
 	return d.health(e)
 }
 
 // sick says whether the executor is left out while others remain.
-func (d *Dispatcher) sick(e *Executor) bool { return d.standing(e) < leastH }
+func (d *Dispatcher) sick(e *Server) bool { return d.standing(e) < leastH }
 
 // weight is the design's: mean score over the top score, times H; a cold executor counts by its age.
-func (d *Dispatcher) weight(t *Txn, e *Executor) float64 {
+func (d *Dispatcher) weight(t *Request, e *Server) float64 {
 	// Danger: one of many nodes meets most executors seldom or never; until then their kind's mean stands in.
 	score := (e.model.scores.earned + unscored) / (e.model.scores.asked + 1)
 	score = (float64(e.sum)/topScore + score*kindScores) / (float64(e.pooled) + kindScores)
@@ -445,7 +445,7 @@
 		score *= warmth * d.terms.oftener(e, groups)
 	}
 	// Danger: the rest crowd out a scheme that one kind alone can run.
-	if t.Scheme.MachineType < 0 && e.model.bound {
+	if t.Class.MachineType < 0 && e.model.bound {
 		score *= leave
 	}
 	return max(score, 0.01) * d.standing(e) * e.left
@@ -471,16 +471,16 @@
 func (d *Dispatcher) patience() int64 { return 4 * (d.terms.Tick + d.prompt) }
 
 // tolerated is how long a posting may wait at its executor before that counts as full: a part of its slack.
-func (d *Dispatcher) tolerated(p *Posting) int64 {
+func (d *Dispatcher) tolerated(p *Attempt) int64 {
 	if !d.terms.LoadReports {
 		return d.patience()
 	}
-	return max(d.patience(), d.slack(p.Txn, p.sent)/4)
+	return max(d.patience(), d.slack(p.Request, p.sent)/4)
 }
 
 // slack is the time left to start in. Without a hint a long job's SLA time is long too; the middle one tells.
-func (d *Dispatcher) slack(t *Txn, from int64) int64 {
-	return t.aim - d.running(t, [2]float64{0.5, highEnd}[min(max(t.Hint, 0), 1)]) - from
+func (d *Dispatcher) slack(t *Request, from int64) int64 {
+	return t.aim - d.running(t, [2]float64{0.5, highEnd}[min(max(t.ExpectedWork, 0), 1)]) - from
 }
 
 // prompts is the share of postings that started promptly, at home or away; one while nothing is known.
@@ -491,7 +491,7 @@
 
 // draw picks executors by chance and weight, idle and prompt ones before uncrowded ones before any with room,
 // home first where crossing is dear. The least of waits drawn at rates of weights is a draw by weight.
-func (d *Dispatcher) draw(t *Txn, count int) []*Executor {
+func (d *Dispatcher) draw(t *Request, count int) []*Server {
 	mean := d.busy / float64(len(d.fleet.servers))
 	d.draws++
 	s := &search{t: t, count: count, run: d.running(t, 0.5), mean: mean, number: d.draws}
@@ -500,7 +500,7 @@
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
 	s.roam = d.terms.CrossZoneCost < dear || d.chance.Float64()*d.prompts(false) > d.prompts(true)
-	if t.Key == 0 {
+	if t.AffinityKey == 0 {
 		d.look(s)
 		return d.drawn[:min(count, len(d.drawn))]
 	}
@@ -513,7 +513,7 @@
 }
 
 // consider draws a wait for a server, if it may be sent to, and keeps it if that is among the least; each server once a draw.
-func (d *Dispatcher) consider(s *search, e *Executor) {
+func (d *Dispatcher) consider(s *search, e *Server) {
 	if e.draw == s.number {
 		return
 	}
@@ -550,14 +550,14 @@
 
 // homes are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
 // Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
-func (d *Dispatcher) homes(t *Txn, roam bool) []*Executor {
+func (d *Dispatcher) homes(t *Request, roam bool) []*Server {
 	count := 1 + int(d.prompts(true)+spare) + (len(d.fleet.servers)*max(t.thing.n-1, 0)+d.counted/2)/d.counted
 	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
 	few := count
 	d.near, count = d.near[:0], count+1
 	for _, e := range d.fleet.servers {
-		luck := float64(rand.NewPCG(t.Key, e.Mark).Uint64()>>11+1) / (1 << 53)
-		if e.wait = -math.Log(luck) / e.size; t.Scheme.MachineType < 0 && e.model.bound {
+		luck := float64(rand.NewPCG(t.AffinityKey, e.Hash).Uint64()>>11+1) / (1 << 53)
+		if e.wait = -math.Log(luck) / e.size; t.Class.MachineType < 0 && e.model.bound {
 			e.wait /= leave
 		}
 		// Danger: a few nodes at a time may send to a cold one; by key none of them ever would.
@@ -588,16 +588,16 @@
 	return d.near[:min(few, len(d.near))]
 }
 
-func byWait(a, b *Executor) int { return cmp.Compare(a.wait, b.wait) }
+func byWait(a, b *Server) int { return cmp.Compare(a.wait, b.wait) }
 
 // post sends the txn and leaves behind what its outcome leads to.
-func (d *Dispatcher) post(t *Txn, e *Executor) {
-	p := &Posting{Txn: t, Executor: e, Number: len(t.Postings), Open: true, sent: d.now}
-	t.Postings = append(t.Postings, p)
+func (d *Dispatcher) post(t *Request, e *Server) {
+	p := &Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true, sent: d.now}
+	t.Attempts = append(t.Attempts, p)
 	e.busy, d.busy, t.thing.busy, t.live = e.busy+t.Slots, d.busy+t.Slots, t.thing.busy+t.Slots, t.live+1
 	// Danger: a node that hears of a start late, and has sent to it as to a warm one since.
 	if e.sends = e.sends.add(d.now, t.size, d.terms.OverloadWindow); d.terms.warmth(e, d.now) < 1 {
-		p.Part = t.size / d.bears(e, d.now-d.terms.OverloadWindow, 1)
+		p.SlowStartShare = t.size / d.bears(e, d.now-d.terms.OverloadWindow, 1)
 	}
 	p.then = func() { d.place(t) }
 	d.door.Post(p)
@@ -605,17 +605,17 @@
 }
 
 // Stands says at a posting's first byte whether it may still leave. Danger: news that came while it waited.
-func (d *Dispatcher) Stands(p *Posting) bool {
-	return p.Executor.State == Up && !p.Txn.Over && !p.withdrawn && !d.stale()
+func (d *Dispatcher) Stands(p *Attempt) bool {
+	return p.Server.State == Up && !p.Request.Done && !p.withdrawn && !d.stale()
 }
 
 // judge looks after a while at a posting that is still out.
 // Danger: a node that stood still finds alarms and notes at once; its lateness looks like its executors'.
-func (d *Dispatcher) judge(p *Posting, after int64, then func()) {
+func (d *Dispatcher) judge(p *Attempt, after int64, then func()) {
 	due := d.now + after + d.patience()
 	d.door.Alarm(after, func() {
 		switch {
-		case !p.Open || p.Txn.Over:
+		case !p.InFlight || p.Request.Done:
 		case d.now > due:
 			d.judge(p, d.terms.Tick, then)
 		default:
@@ -625,13 +625,13 @@
 }
 
 // watch sees to a posting's start, where executors tell of it, and then to its end.
-func (d *Dispatcher) watch(p *Posting) {
+func (d *Dispatcher) watch(p *Attempt) {
 	if p.started > 0 || !d.terms.StartNotices {
 		d.awaitEnd(p, d.terms.Tick)
 		return
 	}
 	d.judge(p, d.tolerated(p), func() {
-		if e := p.Executor; p.started == 0 {
+		if e := p.Server; p.started == 0 {
 			// Danger: many slots stand half empty, or one that slowed is judged by its best. Late in a row, ever less.
 			least := min(e.limit, e.model.slots/float64(max(d.terms.Nodes, 1))*math.Exp2(-e.late))
 			d.adjust(p, e.busy, false)
@@ -643,14 +643,14 @@
 }
 
 // awaitStart decides what becomes of a posting that waits at its executor.
-func (d *Dispatcher) awaitStart(p *Posting) {
-	wait, s := d.slack(p.Txn, d.now)/2, p.Txn.Scheme
+func (d *Dispatcher) awaitStart(p *Attempt) {
+	wait, s := d.slack(p.Request, d.now)/2, p.Request.Class
 	switch {
 	case p.started > 0:
 		return
 	// Danger: what is declined here may run all the same and comes back as a retry, so that a jam never ends.
-	case s.Idempotency == Idempotent && s.LateShare == 0 && d.earns(p.Txn) <= 0:
-		d.finish(p.Txn, LateAnswer)
+	case s.Idempotency == Idempotent && s.LateShare == 0 && d.earns(p.Request) <= 0:
+		d.finish(p.Request, LateAnswer)
 		return
 	case !d.terms.LoadReports || wait <= d.patience():
 		d.copy(p)
@@ -660,8 +660,8 @@
 }
 
 // awaitEnd decides what becomes of a posting that runs too long or stands still.
-func (d *Dispatcher) awaitEnd(p *Posting, wait int64) {
-	run, period := d.running(p.Txn, highEnd), d.terms.ProgressInterval
+func (d *Dispatcher) awaitEnd(p *Attempt, wait int64) {
+	run, period := d.running(p.Request, highEnd), d.terms.ProgressInterval
 	still := period > 0 && d.now-max(p.told, p.started, p.sent) > int64(missing*float64(period))
 	if still || d.now-max(p.sent, p.started) > int64(overrun*float64(run)) {
 		if d.blame(p, 1); still || d.terms.AllowHedging {
@@ -673,13 +673,13 @@
 }
 
 // copy sends a late posting's txn to a second executor, or takes it back to go again where that is forbidden.
-func (d *Dispatcher) copy(p *Posting) {
-	t, left := p.Txn, d.terms.MaxAttempts-len(p.Txn.Postings)
+func (d *Dispatcher) copy(p *Attempt) {
+	t, left := p.Request, d.terms.MaxAttempts-len(p.Request.Attempts)
 	if !d.terms.AllowHedging {
 		// Danger: what is taken back may run all the same, for nobody. Who stands still runs none of it; a list
 		// that tells of load promises room elsewhere.
 		late := d.terms.LiveCapacity && d.now-p.sent >= d.slack(t, p.sent)/4
-		if left > 0 && !d.spanOver(t) && (p.started > 0 || late || d.standing(p.Executor) < hopeless) {
+		if left > 0 && !d.spanOver(t) && (p.started > 0 || late || d.standing(p.Server) < hopeless) {
 			d.withdraw(p)
 		}
 		return
@@ -689,7 +689,7 @@
 	}
 	// Danger: copies in a full fleet take the room of txns that wait for it, here or at many other nodes.
 	for _, e := range d.draw(t, 1) {
-		hit, gain := d.prompts(e.zone == d.terms.Zone), 1-t.Scheme.LateShare+d.terms.MissedObjectiveCost
+		hit, gain := d.prompts(e.zone == d.terms.Zone), 1-t.Class.LateShare+d.terms.MissedObjectiveCost
 		if len(d.queue) == 0 && left > 0 && t.live <= 1 && hit*gain >= (1-hit)*behind {
 			d.post(t, e)
 		}
@@ -697,8 +697,8 @@
 }
 
 // adjust moves an executor's in-flight limit by how prompt a start was.
-func (d *Dispatcher) adjust(p *Posting, busy float64, prompt bool) {
-	e := p.Executor
+func (d *Dispatcher) adjust(p *Attempt, busy float64, prompt bool) {
+	e := p.Server
 	if d.starts[e.zone == d.terms.Zone].fade(d.now).count(prompt); !prompt {
 		d.halve(&e.gate, p.sent, busy)
 		d.lowered(e)
@@ -720,42 +720,42 @@
 }
 
 // lowered notes a server whose limit is under the one that all start with.
-func (d *Dispatcher) lowered(e *Executor) {
+func (d *Dispatcher) lowered(e *Server) {
 	if e.known && e.limit < firstRoom {
 		d.low.add(e)
 	}
 }
 
 // cured is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
-func (d *Dispatcher) cured(t *Txn) float64 {
-	s, k := d.cures[t.Scheme.Index].fade(d.now), t.thing.cure.fade(d.now)
+func (d *Dispatcher) cured(t *Request) float64 {
+	s, k := d.cures[t.Class.Index].fade(d.now), t.thing.cure.fade(d.now)
 	return (k.earned + (s.earned+1)/(s.asked+1)) / (k.asked + 1)
 }
 
 // jam moves a thing's limit in flight. Danger: what waits for a lock holds slots everywhere; others starve.
-func (d *Dispatcher) jam(h *thing, p *Posting, bad bool) {
+func (d *Dispatcher) jam(h *thing, p *Attempt, bad bool) {
 	if !bad {
-		if h.bad = nil; h.busy+p.Txn.Slots+1 >= h.limit {
+		if h.bad = nil; h.busy+p.Request.Slots+1 >= h.limit {
 			h.limit += growth * min(h.limit, 1)
 		}
-	} else if h.bad == nil || h.bad == p.Executor {
-		h.bad = p.Executor
+	} else if h.bad == nil || h.bad == p.Server {
+		h.bad = p.Server
 	} else { // two executors agree, so it is not theirs
-		d.halve(&h.gate, p.sent, h.busy+p.Txn.Slots)
+		d.halve(&h.gate, p.sent, h.busy+p.Request.Slots)
 	}
 }
 
 // blame counts a posting as lost, once; in part where the executor is at fault by that part.
-func (d *Dispatcher) blame(p *Posting, part float64) {
-	if e := p.Executor; !p.blamed {
+func (d *Dispatcher) blame(p *Attempt, part float64) {
+	if e := p.Server; !p.blamed {
 		p.blamed, e.h, e.hAt = true, d.health(e)*(1-(1-penalty)*part), d.now
 		d.rank(p, 0, true)
 	}
 }
 
 // rank scores a job against the last two of its family at other executors.
-func (d *Dispatcher) rank(p *Posting, time float64, lost bool) {
-	e, key := p.Executor, family{p.Txn.Scheme, p.Txn.Slots}
+func (d *Dispatcher) rank(p *Attempt, time float64, lost bool) {
+	e, key := p.Server, family{p.Request.Class, p.Request.Slots}
 	marks := slices.DeleteFunc(d.recent[key], func(m last) bool { return m.at == e })
 	d.recent[key] = append(marks[max(len(marks)-2, 0):], last{e, time, lost})
 	place, lostToo := 0, 0
@@ -780,9 +780,9 @@
 }
 
 // Ended takes the outcome of a posting; over says that the txn has ended by it or earlier.
-func (d *Dispatcher) Ended(p *Posting, o Outcome, took int64, over bool) {
-	t, e := p.Txn, p.Executor
-	if p.Open, e.idleAt = false, d.now; p.started > 0 {
+func (d *Dispatcher) Ended(p *Attempt, o Outcome, took int64, over bool) {
+	t, e := p.Request, p.Server
+	if p.InFlight, e.idleAt = false, d.now; p.started > 0 {
 		e.atWork -= t.Slots
 	}
 	free := func() {
@@ -798,27 +798,27 @@
 		t.live--
 	}
 	// Danger: of many nodes none has more than one or two txns at an executor, and takes it for that small.
-	e.model.slots = max(e.model.slots, p.Free)
+	e.model.slots = max(e.model.slots, p.FreeSlots)
 	// Danger: a txn that errs wherever it goes, or what is behind all executors, takes the healthy ones out.
 	part, again, cured := 1.0, t.erred != nil && t.erred != e, d.cured(t)
 	if o == Erred {
 		part, t.erred = cured, e
 	}
 	if again && (o == Settled || o == Erred) {
-		d.cures[t.Scheme.Index].fade(d.now).count(o == Settled)
+		d.cures[t.Class.Index].fade(d.now).count(o == Settled)
 		t.thing.cure.fade(d.now).count(o == Settled)
 	}
-	if (t.Key != 0 || len(d.terms.Tenants) > 1) && (o == Settled || o == Erred) {
+	if (t.AffinityKey != 0 || len(d.terms.Tenants) > 1) && (o == Settled || o == Erred) {
 		far := float64(d.now-max(p.sent, p.started)) > overrun*float64(d.running(t, 0.5))
 		// What is about one thing is alike; of a tenant's long runs alone say nothing.
-		if bad := far && cured < hopeless || t.Key != 0 && (far || part < hopeless); bad || o == Settled {
+		if bad := far && cured < hopeless || t.AffinityKey != 0 && (far || part < hopeless); bad || o == Settled {
 			d.jam(t.thing, p, bad)
 		}
 	}
 	switch o {
 	case Settled:
-		if !t.Over && d.now <= t.aim {
-			d.schemes[t.Scheme.Index].earned += t.value
+		if !t.Done && d.now <= t.aim {
+			d.schemes[t.Class.Index].earned += t.value
 		}
 		if !p.blamed {
 			e.h, e.hAt, e.keptTill = min(d.health(e)+reward, 1), d.now, d.now+d.terms.IdleTimeout
@@ -839,7 +839,7 @@
 	}
 	if over {
 		d.Left(t)
-	} else if o == TimedOut && p.Limit == 0 { // its client has given up, whatever was told
+	} else if o == TimedOut && p.Timeout == 0 { // its client has given up, whatever was told
 		d.finish(t, ClientsTime)
 	} else if again && o == Erred && part < incurable {
 		d.finish(t, ErrsAnywhere)
@@ -848,34 +848,34 @@
 }
 
 // Gone ends a txn whose client has closed, or shut its sending side and may still read: it gets the final answer that the rules allow.
-func (d *Dispatcher) Gone(t *Txn) { d.finish(t, ClientGone) }
+func (d *Dispatcher) Gone(t *Request) { d.finish(t, ClientGone) }
 
 // Left ends a txn that is answered, or whose client has gone.
-func (d *Dispatcher) Left(t *Txn) {
-	if t.Over = true; t.forget != nil {
+func (d *Dispatcher) Left(t *Request) {
+	if t.Done = true; t.forget != nil {
 		t.forget()
 	}
-	for _, p := range t.Postings {
+	for _, p := range t.Attempts {
 		d.withdraw(p)
 	}
 }
 
-func (d *Dispatcher) withdraw(p *Posting) {
-	if p.Open && !p.withdrawn && d.terms.AllowCancel {
-		p.withdrawn, p.Txn.live = true, p.Txn.live-1
+func (d *Dispatcher) withdraw(p *Attempt) {
+	if p.InFlight && !p.withdrawn && d.terms.AllowCancel {
+		p.withdrawn, p.Request.live = true, p.Request.live-1
 		d.door.Withdraw(p)
 	}
 }
 
 // finish gives the final answer that the rules allow.
-func (d *Dispatcher) finish(t *Txn, why Reason) {
-	if t.Over {
+func (d *Dispatcher) finish(t *Request, why Reason) {
+	if t.Done {
 		return
 	}
 	t.Reason = why
 	d.Left(t)
 	// Danger: a decline tells the client that trying again is harmless; where it might not be, reverse.
-	s := t.Scheme
+	s := t.Class
 	if t.anchor() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
 		d.door.Decline(t, d.terms.MaxRetryAfter)
 	} else {
@@ -883,11 +883,11 @@
 	}
 }
 
-func (d *Dispatcher) Started(p *Posting) {
-	if !p.Open || p.started > 0 {
+func (d *Dispatcher) Started(p *Attempt) {
+	if !p.InFlight || p.started > 0 {
 		return
 	}
-	t, e := p.Txn, p.Executor
+	t, e := p.Request, p.Server
 	p.started, d.prompt = d.now, min(cmp.Or(d.prompt, d.now-p.sent), d.now-p.sent)
 	e.atWork += t.Slots
 	e.model.slots = max(e.model.slots, e.atWork)
@@ -895,7 +895,7 @@
 		d.adjust(p, e.busy, true)
 	}
 	// Tied copies: the first to start is kept, the others are still waiting and cost nothing to take back.
-	for _, q := range t.Postings {
+	for _, q := range t.Attempts {
 		if q != p && q.started == 0 {
 			d.withdraw(q)
 		}
@@ -903,7 +903,7 @@
 	d.watch(p)
 }
 
-func (d *Dispatcher) Progress(p *Posting) { p.told = d.now }
+func (d *Dispatcher) Progress(p *Attempt) { p.told = d.now }
 
 // Settle ends a round of events: it places waiting txns, the worthiest first, or gives them up.
 func (d *Dispatcher) Settle() {
@@ -912,7 +912,7 @@
 	for _, t := range waiting {
 		t.queued, t.earns = false, d.earns(t)
 	}
-	slices.SortStableFunc(waiting, func(a, b *Txn) int { return cmp.Compare(b.earns, a.earns) })
+	slices.SortStableFunc(waiting, func(a, b *Request) int { return cmp.Compare(b.earns, a.earns) })
 	for _, t := range waiting {
 		switch {
 		case t.earns <= 0:
@@ -929,7 +929,7 @@
 	}
 }
 
-func (d *Dispatcher) enqueue(t *Txn) {
+func (d *Dispatcher) enqueue(t *Request) {
 	if !t.queued {
 		t.queued = true
 		d.queue = append(d.queue, t)
@@ -937,21 +937,21 @@
 }
 
 // earns is the billing value a slot and second to be expected of a waiting txn; 0: give it up now.
-func (d *Dispatcher) earns(t *Txn) float64 {
-	late := t.Scheme.LateShare
+func (d *Dispatcher) earns(t *Request) float64 {
+	late := t.Class.LateShare
 	part, atOnce, age := late+(1-late)*d.onTime(t, d.now), late+(1-late)*d.onTime(t, t.arrived), d.now-t.arrived
 	// Danger: hints that are off make the best of chances look slim. It is the wait that takes a txn's hope.
-	if part < hopeless*atOnce || d.now+d.running(t, lowEnd) >= t.Expiry || age > 2*(t.aim-t.arrived) {
+	if part < hopeless*atOnce || d.now+d.running(t, lowEnd) >= t.Deadline || age > 2*(t.aim-t.arrived) {
 		return 0
 	}
-	return part * t.value / t.size * d.favour(t.Scheme)
+	return part * t.value / t.size * d.favour(t.Class)
 }
 
 // onTime is the chance that a txn started then ends in time; without a hint only long jobs make up for waits.
-func (d *Dispatcher) onTime(t *Txn, at int64) float64 {
-	room, runs := float64(t.arrived+t.Scheme.LatencyObjective-at), &d.runs[t.Scheme.Index]
-	if t.Hint > 0 {
-		return runs.below(room/float64(t.Hint) + t.Scheme.ObjectivePerWork)
+func (d *Dispatcher) onTime(t *Request, at int64) float64 {
+	room, runs := float64(t.arrived+t.Class.LatencyObjective-at), &d.runs[t.Class.Index]
+	if t.ExpectedWork > 0 {
+		return runs.below(room/float64(t.ExpectedWork) + t.Class.ObjectivePerWork)
 	}
-	return 1 - runs.below(-room/1e9/max(t.Scheme.ObjectivePerWork-1, 0.1))
+	return 1 - runs.below(-room/1e9/max(t.Class.ObjectivePerWork-1, 0.1))
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -33,7 +33,7 @@
 		}
 		w.pass(6e9) // what was taken back may run for a while
 		for _, m := range w.fleet {
-			if e := m.Executor; e.busy != 0 || e.atWork != 0 {
+			if e := m.Server; e.busy != 0 || e.atWork != 0 {
 				t.Fatalf("executor keeps %v slots, %v at work", e.busy, e.atWork)
 			}
 		}
@@ -47,7 +47,7 @@
 		w := newWorld(t, 1, basicTerms())
 		w.join(1, false)
 		w.arrive(0, 1, 2e8, 4e9)
-		e := w.open[0].Executor
+		e := w.open[0].Server
 		w.d.Left(w.txns[0])
 		w.ended[w.txns[0]] = 1
 		w.end(w.open[0], o)
@@ -67,7 +67,7 @@
 func TestHealth(t *testing.T) {
 	w := newWorld(t, 1, basicTerms())
 	w.join(1, false)
-	e := w.fleet[0].Executor
+	e := w.fleet[0].Server
 	near := func(want float64) {
 		t.Helper()
 		if got := w.d.health(e); got < want-0.02 || got > want+0.02 {
@@ -108,9 +108,9 @@
 func TestRankAgainstTwoOthers(t *testing.T) {
 	w := newWorld(t, 1, basicTerms())
 	w.join(3, false)
-	fast, mid, slow := w.fleet[0].Executor, w.fleet[1].Executor, w.fleet[2].Executor
-	job := func(e *Executor, time float64, lost bool) {
-		w.d.rank(&Posting{Txn: &Txn{Scheme: w.terms.Classes[0], Slots: 1}, Executor: e}, time, lost)
+	fast, mid, slow := w.fleet[0].Server, w.fleet[1].Server, w.fleet[2].Server
+	job := func(e *Server, time float64, lost bool) {
+		w.d.rank(&Attempt{Request: &Request{Class: w.terms.Classes[0], Slots: 1}, Server: e}, time, lost)
 	}
 	job(fast, 1, false)
 	job(mid, 2, false)
@@ -136,11 +136,11 @@
 	terms.Classes = terms.Classes[:1] // no other is bound to one of the two kinds
 	w := newWorld(t, 1, terms)
 	w.join(2, false)
-	good, bad := w.fleet[0].Executor, w.fleet[1].Executor
+	good, bad := w.fleet[0].Server, w.fleet[1].Server
 	good.pooled, good.sum, bad.pooled, bad.sum = 50, 475, 50, 125
 	count := 0
 	for range 4000 {
-		if w.d.draw(&Txn{Scheme: w.terms.Classes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0] == good {
+		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0] == good {
 			count++
 		}
 	}
@@ -149,7 +149,7 @@
 	}
 	bad.h, bad.hAt = 0.05, w.now
 	for range 100 {
-		if w.d.draw(&Txn{Scheme: w.terms.Classes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0] == bad {
+		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0] == bad {
 			t.Fatal("drawn below the least H though another remains")
 		}
 	}
@@ -160,11 +160,11 @@
 	w := newWorld(t, 1, basicTerms())
 	w.terms.Nodes = 20
 	w.join(2, false)
-	bad, full := w.fleet[0].Executor, 0
+	bad, full := w.fleet[0].Server, 0
 	for range 200 {
 		w.arrive(0, 1, 1e8, 1e9)
 		for len(w.open) > 0 {
-			if p := w.open[0]; p.Executor == bad {
+			if p := w.open[0]; p.Server == bad {
 				full++
 				w.end(p, Full)
 			} else {
@@ -185,7 +185,7 @@
 	for _, late := range []bool{false, true} {
 		w := newWorld(t, 1, basicTerms())
 		w.join(1, false)
-		e := w.fleet[0].Executor
+		e := w.fleet[0].Server
 		w.arrive(0, 1, 1e8, 5e9)
 		w.settle() // how prompt a start can be is known
 		had := e.limit
@@ -211,7 +211,7 @@
 	w.join(1, false)
 	w.arrive(0, 1, 1e8, 5e9)
 	w.settle()
-	e := w.fleet[0].Executor
+	e := w.fleet[0].Server
 	for range 4 {
 		w.arrive(0, 1, 1e8, 5e9)
 	}
@@ -228,7 +228,7 @@
 		w := newWorld(t, 1, basicTerms())
 		w.terms.Nodes = 20
 		w.join(1, false)
-		e := w.fleet[0].Executor
+		e := w.fleet[0].Server
 		e.model.slots = slots
 		limit := func(late int64) float64 {
 			w.arrive(0, 1, 1e8, 5e9)
@@ -262,7 +262,7 @@
 	w := newWorld(t, 1, basicTerms())
 	w.join(2, false)
 	w.arrive(0, 1, 1e8, 5e9)
-	w.d.queue = []*Txn{{Scheme: w.terms.Classes[0]}}
+	w.d.queue = []*Request{{Class: w.terms.Classes[0]}}
 	if w.d.copy(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out while a txn waited")
 	}
@@ -289,7 +289,7 @@
 	w := newWorld(t, 1, terms)
 	over := func(n, burst int) (count int) {
 		for i := range n {
-			if tenant := min(i%burst, 1); w.d.overShare(&Txn{Tenant: tenant}) && tenant == 1 {
+			if tenant := min(i%burst, 1); w.d.overShare(&Request{Tenant: tenant}) && tenant == 1 {
 				count++
 			}
 		}
@@ -311,7 +311,7 @@
 	w.terms.Classes[0].LateShare = 0
 	x := w.arrive(0, 1, 1e8, 5e9)
 	w.pass(2e9)
-	if !x.Over || w.withdraw != 1 {
+	if !x.Done || w.withdraw != 1 {
 		t.Fatal("still waiting after four times its SLA time")
 	}
 }
@@ -320,14 +320,14 @@
 	w := newWorld(t, 1, basicTerms())
 	w.join(1, false)
 	w.pass(w.terms.OverloadWindow)
-	w.fleet[0].Since = w.now
+	w.fleet[0].StartedAt = w.now
 	w.list(true)
 	for range 32 {
 		w.pass(w.terms.OverloadWindow / 32)
 		w.arrive(0, 1, 1e8, 9e9)
 		w.settle()
 	}
-	if n := len(w.coldWork[w.fleet[0].Executor]); n < 3 || n > 5 {
+	if n := len(w.coldWork[w.fleet[0].Server]); n < 3 || n > 5 {
 		t.Fatalf("%d postings of 0.1 s", n)
 	}
 }
@@ -336,7 +336,7 @@
 func TestRestartedNodeSparesTheCold(t *testing.T) {
 	w := newWorld(t, 1, basicTerms())
 	w.join(1, false)
-	w.fleet[0].Since = w.now
+	w.fleet[0].StartedAt = w.now
 	w.list(true)
 	w.arrive(0, 1, 1e8, 9e9)
 	if w.pass(w.terms.OverloadWindow / 8); len(w.open) > 0 {
@@ -353,14 +353,14 @@
 	w.join(4, false)
 	x := w.arrive(1, 1, 1e8, 9e9)
 	w.end(w.open[0], Broken)
-	if len(x.Postings) != 2 || x.Postings[0].Executor.cell != x.Postings[1].Executor.cell {
+	if len(x.Attempts) != 2 || x.Attempts[0].Server.cell != x.Attempts[1].Server.cell {
 		t.Fatal("not sent again within its cell")
 	}
 	w.pass(w.terms.Classes[1].DedupWindow)
 	for len(w.open) > 0 {
 		w.end(w.open[0], Broken)
 	}
-	if !x.Over || w.ended[x] != 1 {
+	if !x.Done || w.ended[x] != 1 {
 		t.Fatal("past its memory span it must be reversed at once")
 	}
 }
@@ -373,12 +373,12 @@
 	w.join(8, false)
 	for _, m := range w.fleet {
 		for range 20 {
-			w.d.adjust(&Posting{Executor: m.Executor, sent: w.now}, 0, m.Zone != 0)
+			w.d.adjust(&Attempt{Server: m.Server, sent: w.now}, 0, m.Zone != 0)
 		}
-		m.Executor.limit = firstRoom
+		m.Server.limit = firstRoom
 	}
 	for range 200 {
-		far += w.d.draw(&Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0].zone
+		far += w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0].zone
 	}
 	if far < 80 {
 		t.Fatalf("%d of 200 went to the zone with room", far)
@@ -387,12 +387,12 @@
 
 // A quiet node must keep to executors that were prompt, and leave one that was late.
 func TestOpenConnectionsAreUsedAgain(t *testing.T) {
-	terms, met := basicTerms(), map[*Executor]bool{}
+	terms, met := basicTerms(), map[*Server]bool{}
 	terms.IdleTimeout = 5e9
 	w := newWorld(t, 1, terms)
 	w.join(8, false)
 	for range 40 {
-		met[w.arrive(0, 1, 1e8, 5e9).Postings[0].Executor] = true
+		met[w.arrive(0, 1, 1e8, 5e9).Attempts[0].Server] = true
 		w.settle()
 		w.pass(1e9)
 	}
@@ -404,7 +404,7 @@
 	}
 	again := 0
 	for range 40 {
-		if met[w.d.draw(&Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, thing: open}, 1)[0]] {
+		if met[w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0]] {
 			again++
 		}
 	}
@@ -422,7 +422,7 @@
 		w.join(40, false)
 		*w.d.starts[true] = ledger{400, prompt, w.now}
 		for range 40 {
-			if w.arrive(0, 1, 1e8, 5e9).Over {
+			if w.arrive(0, 1, 1e8, 5e9).Done {
 				declined++
 			}
 		}
@@ -472,39 +472,39 @@
 		w.end(p, Settled)
 	}
 	fresh := w.arrive(0, 1, 1e9, 9e9)
-	if w.ended[fresh] != 0 || len(fresh.Postings) == 0 {
+	if w.ended[fresh] != 0 || len(fresh.Attempts) == 0 {
 		t.Error("a fresh txn is declined for its hint")
 	}
 }
 
 // meets counts the executors that txns about one thing are sent to, of all that nodes with seeds of their own send.
-func meets(t *testing.T, key func(i int) uint64, units func(i int) float64) map[*Executor]int {
+func meets(t *testing.T, key func(i int) uint64, units func(i int) float64) map[*Server]int {
 	t.Helper()
 	terms := basicTerms()
 	terms.LiveCapacity = units != nil
-	met := map[*Executor]int{}
-	var fleet []*Member
+	met := map[*Server]int{}
+	var fleet []*Endpoint
 	for i := range 20 {
-		m := &Member{Executor: &Executor{Mark: Mark("e" + strconv.Itoa(i))}, Units: 1}
+		m := &Endpoint{Server: &Server{Hash: HashName("e" + strconv.Itoa(i))}, Capacity: 1}
 		if units != nil {
-			m.Units = units(i)
+			m.Capacity = units(i)
 		}
 		fleet = append(fleet, m)
 	}
 	for node := range 6 {
 		w := newWorld(t, uint64(node), terms)
 		for _, m := range fleet {
-			w.fleet = append(w.fleet, &Member{Executor: &Executor{Mark: m.Executor.Mark}, Units: m.Units})
+			w.fleet = append(w.fleet, &Endpoint{Server: &Server{Hash: m.Server.Hash}, Capacity: m.Capacity})
 		}
 		w.list(true)
 		for i := range 100 {
-			tx := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, Expiry: w.now + 9e9, Key: key(i)}
+			tx := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: key(i)}
 			w.txns = append(w.txns, tx)
 			w.d.Arrive(tx)
 			w.d.Settle()
 			for j, m := range w.fleet {
-				if len(w.open) > 0 && m.Executor == w.open[0].Executor {
-					met[fleet[j].Executor]++
+				if len(w.open) > 0 && m.Server == w.open[0].Server {
+					met[fleet[j].Server]++
 				}
 			}
 			w.settle()
@@ -516,7 +516,7 @@
 // TestEqualKeysMeet: txns about one thing among many meet on few executors, at all nodes alike; where all ask for one
 // thing it is spread, and without keys all executors are met.
 func TestEqualKeysMeet(t *testing.T) {
-	most := func(met map[*Executor]int) (n int) {
+	most := func(met map[*Server]int) (n int) {
 		for _, count := range met {
 			n = max(n, count)
 		}
@@ -545,18 +545,18 @@
 	w := newWorld(t, 7, terms)
 	w.join(12, false)
 	for i, m := range w.fleet {
-		m.Executor.Mark, m.Units = Mark("e"+strconv.Itoa(i)), 4
+		m.Server.Hash, m.Capacity = HashName("e"+strconv.Itoa(i)), 4
 	}
 	w.list(true)
-	met := func() map[*Executor]int {
-		n := map[*Executor]int{}
+	met := func() map[*Server]int {
+		n := map[*Server]int{}
 		for i := range 120 { // about forty things
-			tx := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, Expiry: w.now + 9e9, Key: uint64(2 + i%40)}
+			tx := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%40)}
 			w.txns = append(w.txns, tx)
 			w.d.Arrive(tx)
 			w.d.Settle()
 			if i%40 == 1 {
-				n[w.open[0].Executor]++
+				n[w.open[0].Server]++
 			}
 			w.settle()
 		}
@@ -567,8 +567,8 @@
 		maps.Copy(homes, met())
 	}
 	for _, m := range w.fleet {
-		if _, is := homes[m.Executor]; is {
-			m.Units = 1
+		if _, is := homes[m.Server]; is {
+			m.Capacity = 1
 		}
 	}
 	w.list(true)
@@ -598,15 +598,15 @@
 			w := newWorld(t, uint64(node), terms)
 			w.join(8, false)
 			for i, m := range w.fleet {
-				m.Executor.Mark = Mark("e" + strconv.Itoa(i))
+				m.Server.Hash = HashName("e" + strconv.Itoa(i))
 			}
 			for i := range 200 { // about seven things, the middle one of three
-				tx := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e8, Expiry: w.now + 9e9, Key: uint64(2 + i%7)}
+				tx := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%7)}
 				w.txns = append(w.txns, tx)
 				w.d.Arrive(tx)
 				w.d.Settle()
 				if i%7 == 1 {
-					met[w.open[0].Executor.Mark]++
+					met[w.open[0].Server.Hash]++
 				}
 				w.settle()
 			}
@@ -623,9 +623,9 @@
 	low, high := 0, 0
 	for e, n := range meets(t, func(int) uint64 { return 0 }, units) {
 		for i := range 20 {
-			if e.Mark == Mark("e"+strconv.Itoa(i)) && i%2 == 0 {
+			if e.Hash == HashName("e"+strconv.Itoa(i)) && i%2 == 0 {
 				low += n
-			} else if e.Mark == Mark("e"+strconv.Itoa(i)) {
+			} else if e.Hash == HashName("e"+strconv.Itoa(i)) {
 				high += n
 			}
 		}
@@ -643,27 +643,27 @@
 	w := newWorld(t, 9, terms)
 	w.join(8, false)
 	tx := w.arrive(0, 2, 1e8, 9e9)
-	if len(tx.Postings) > 0 || len(w.probes) != asks {
-		t.Fatalf("%d postings, %d probes", len(tx.Postings), len(w.probes))
+	if len(tx.Attempts) > 0 || len(w.probes) != asks {
+		t.Fatalf("%d postings, %d probes", len(tx.Attempts), len(w.probes))
 	}
 	tx.Memory = 2
 	w.d.Probed(w.probes[0], true, 1, 4)
 	w.d.Probed(w.probes[1], true, 4, 1)
 	w.d.Probed(w.probes[2], false, 0, 0)
 	w.d.Settle()
-	if len(tx.Postings) > 0 {
+	if len(tx.Attempts) > 0 {
 		t.Fatal("posted to an executor without room")
 	}
 	w.d.Probed(w.probes[3], true, 2, 2)
 	w.d.Settle()
-	if len(tx.Postings) != 1 || tx.Postings[0].Executor != w.probes[3] {
+	if len(tx.Attempts) != 1 || tx.Attempts[0].Server != w.probes[3] {
 		t.Fatal("not posted where there is room")
 	}
 	w.settle()
 	silent := newWorld(t, 9, terms)
 	silent.join(8, false)
 	tx = silent.arrive(0, 1, 3e9, 9e9)
-	if silent.pass(2e9); len(tx.Postings) == 0 {
+	if silent.pass(2e9); len(tx.Attempts) == 0 {
 		t.Error("no probe is answered, and the txn never goes out")
 	}
 }
@@ -678,15 +678,15 @@
 	for _, m := range w.fleet[:2] {
 		m.State = Draining
 	}
-	w.fleet[2].State = Gone
+	w.fleet[2].State = Removed
 	w.list(true)
 	for _, m := range w.fleet[:3] {
-		w.d.Probed(m.Executor, true, 9, 9)
+		w.d.Probed(m.Server, true, 9, 9)
 	}
 	w.ended[tx] = 1
 	w.d.Left(tx)
-	w.d.Probed(w.fleet[3].Executor, true, 9, 9)
-	if w.d.Settle(); len(tx.Postings) > 0 {
+	w.d.Probed(w.fleet[3].Server, true, 9, 9)
+	if w.d.Settle(); len(tx.Attempts) > 0 {
 		t.Error("posted")
 	}
 }
@@ -701,7 +701,7 @@
 		w.join(4, false)
 		w.d.starts[true].asked, w.d.starts[true].at = 9, w.now
 		tx := w.arrive(0, 1, 1e8, 9e9)
-		if w.d.Probed(w.probes[0], true, 9, 9); len(tx.Postings) > 0 {
+		if w.d.Probed(w.probes[0], true, 9, 9); len(tx.Attempts) > 0 {
 			taken++
 		}
 		w.settle()
@@ -734,14 +734,14 @@
 		} else {
 			w.pass(3e8)
 		}
-		if len(tx.Postings) > 1 {
+		if len(tx.Attempts) > 1 {
 			t.Fatalf("%s: two postings out", name)
 		}
 		if w.withdraw > 0 {
 			w.end(p, Revoked)
 		}
-		if len(tx.Postings) != c.want || c.want > 1 && tx.Postings[1].Executor == p.Executor {
-			t.Errorf("%s: %d postings, want %d", name, len(tx.Postings), c.want)
+		if len(tx.Attempts) != c.want || c.want > 1 && tx.Attempts[1].Server == p.Server {
+			t.Errorf("%s: %d postings, want %d", name, len(tx.Attempts), c.want)
 		}
 	}
 }
@@ -755,7 +755,7 @@
 		w.join(12, false)
 		for range 600 {
 			w.arrive(0, 1, 1e8, 9e9)
-			if w.open[0].Executor.kind == 1 {
+			if w.open[0].Server.kind == 1 {
 				n++
 			}
 			w.settle()
@@ -778,7 +778,7 @@
 		w.join(8, false)
 		for range 200 {
 			w.arrive(0, 1, 1e8, 9e9)
-			if w.open[0].Executor.zone != 0 {
+			if w.open[0].Server.zone != 0 {
 				n++
 			}
 			w.settle()
@@ -795,37 +795,37 @@
 func TestTakenRoomIsTold(t *testing.T) {
 	terms := basicTerms()
 	terms.CapacityProbes, terms.PeerMessages = true, true
-	start := func() (*world, *Executor) {
+	start := func() (*world, *Server) {
 		w := newWorld(t, 9, terms)
 		w.join(1, false)
-		w.fleet[0].Executor.Mark = Mark("e")
-		return w, w.fleet[0].Executor
+		w.fleet[0].Server.Hash = HashName("e")
+		return w, w.fleet[0].Server
 	}
 	w, e := start()
 	first := w.arrive(0, 1, 1e8, 9e9)
 	w.d.Probed(e, true, 1, 9)
-	if len(first.Postings) != 1 || len(w.told) > 0 {
-		t.Fatalf("%d postings, %d told of a txn that found room at once", len(first.Postings), len(w.told))
+	if len(first.Attempts) != 1 || len(w.told) > 0 {
+		t.Fatalf("%d postings, %d told of a txn that found room at once", len(first.Attempts), len(w.told))
 	}
 	w.settle()
 	second := w.arrive(0, 1, 1e9, 9e9)
 	w.d.Probed(e, true, 1, 9)
-	if len(second.Postings) > 0 {
+	if len(second.Attempts) > 0 {
 		t.Fatal("the slot that this node has just taken is taken again")
 	}
 	w.pass(6 * askAgain)
 	w.d.Probed(e, true, 1, 9)
-	if len(second.Postings) != 1 || len(w.told) != 1 {
-		t.Fatalf("%d postings, %d told", len(second.Postings), len(w.told))
+	if len(second.Attempts) != 1 || len(w.told) != 1 {
+		t.Fatalf("%d postings, %d told", len(second.Attempts), len(w.told))
 	}
 	other, e := start()
 	other.d.Taken(e, w.told[0])
 	held := other.arrive(0, 1, 1e9, 9e9)
-	if other.d.Probed(e, true, 1, 9); len(held.Postings) > 0 {
+	if other.d.Probed(e, true, 1, 9); len(held.Attempts) > 0 {
 		t.Error("a slot that another node told it has taken is taken again")
 	}
 	other.pass(6 * askAgain)
-	if other.d.Probed(e, true, 1, 9); len(held.Postings) != 1 {
+	if other.d.Probed(e, true, 1, 9); len(held.Attempts) != 1 {
 		t.Error("what was told once counts for ever")
 	}
 }
@@ -834,7 +834,7 @@
 func TestANodeThatStoodStill(t *testing.T) {
 	w := newWorld(t, 4, basicTerms())
 	w.join(1, false)
-	e := w.fleet[0].Executor
+	e := w.fleet[0].Server
 	w.arrive(0, 1, 3e9, 9e9)
 	running := w.open[0]
 	w.d.Started(running)
@@ -871,21 +871,21 @@
 		w := newWorld(t, key, basicTerms())
 		w.join(20, false)
 		for i, m := range w.fleet {
-			m.Executor.Mark = Mark(strconv.Itoa(i))
+			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
 		w.pass(3e9)
 		w.d.counted = 200 // others are about other things
 		cold := w.fleet[7]
-		cold.Since = w.now - w.terms.SlowStart/2
+		cold.StartedAt = w.now - w.terms.SlowStart/2
 		w.list(true)
 		for range 20 {
-			tx := &Txn{Scheme: w.terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 9e9, Key: key + 1}
+			tx := &Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 9e9, AffinityKey: key + 1}
 			w.txns = append(w.txns, tx)
 			w.d.Arrive(tx)
 			w.d.Settle()
 			w.settle()
 			w.pass(1e8)
-			if tx.Postings[0].Executor == cold.Executor {
+			if tx.Attempts[0].Server == cold.Server {
 				met++
 				break
 			}
@@ -902,7 +902,7 @@
 	w := newWorld(t, 6, basicTerms())
 	w.join(2, false)
 	for _, m := range w.fleet {
-		m.Executor.limit, m.Executor.busy = 1, 1
+		m.Server.limit, m.Server.busy = 1, 1
 	}
 	tx := w.arrive(0, 1, 2e9, 2e10)
 	for range 100 {
@@ -913,9 +913,9 @@
 		t.Errorf("looked for room %d times in 100 rounds", tx.looks)
 	}
 	for _, m := range w.fleet {
-		m.Executor.busy = 0
+		m.Server.busy = 0
 	}
-	if w.pass(32 * w.terms.Tick); len(tx.Postings) != 1 {
+	if w.pass(32 * w.terms.Tick); len(tx.Attempts) != 1 {
 		t.Error("room is not found")
 	}
 }
@@ -927,10 +927,10 @@
 		w := newWorld(t, 2, basicTerms())
 		w.join(20, false)
 		for i, m := range w.fleet {
-			m.Executor.Mark = Mark(strconv.Itoa(i))
+			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
 		w.d.counted = 100
-		tx := &Txn{Scheme: w.terms.Classes[0], Key: 7, thing: &thing{n: 1}}
+		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, thing: &thing{n: 1}}
 		*w.d.starts[true] = ledger{9, prompt, w.now}
 		if homes := w.d.homes(tx, true); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
--- a/dispatch/figures_test.go
+++ b/dispatch/figures_test.go
@@ -19,7 +19,7 @@
 	w.list(true)
 	check(1)
 	for i, want := range []int{2, 3, 4, 5, 1} {
-		e := w.fleet[1+i].Executor
+		e := w.fleet[1+i].Server
 		e.h, e.hAt = leastH/2, w.now
 		check(want)
 	}
@@ -34,9 +34,9 @@
 	terms.Nodes, terms.SlowStart = 1, 100e9
 	w := newWorld(t, 1, terms)
 	w.join(1, false)
-	w.fleet[0].Since = w.now
+	w.fleet[0].StartedAt = w.now
 	w.list(true)
-	sent := func() int { return len(w.coldWork[w.fleet[0].Executor]) }
+	sent := func() int { return len(w.coldWork[w.fleet[0].Server]) }
 	turn := terms.OverloadWindow / turns
 	w.pass(8 * turn)
 	w.d.Own(false)
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -23,12 +23,12 @@
 	slots   float64
 	hasty   bool // every posting is turned away at once, so that all that the nodes hold goes out again
 	settle  int64
-	speed   []float64         // of each executor; nil: jobs run for settle everywhere
-	work    func() int64      // of a txn that tells nothing of it
-	works   map[*Txn]int64    // of these
-	patient int64             // how long clients wait; 0: a second
-	judge   *invariants.Judge // hears of all that happens, and shares nothing with the module
-	fault   error             // what the judge could not make sense of
+	speed   []float64          // of each executor; nil: jobs run for settle everywhere
+	work    func() int64       // of a txn that tells nothing of it
+	works   map[*Request]int64 // of these
+	patient int64              // how long clients wait; 0: a second
+	judge   *invariants.Judge  // hears of all that happens, and shares nothing with the module
+	fault   error              // what the judge could not make sense of
 	taken   int
 }
 
@@ -50,30 +50,30 @@
 type herdNode struct {
 	*herd
 	d      *Dispatcher
-	fleet  []*Executor
+	fleet  []*Server
 	alarms []*alarm
-	open   []*Posting
-	at     map[*Posting]int64
+	open   []*Attempt
+	at     map[*Attempt]int64
 }
 
-func (n *herdNode) Post(p *Posting) {
-	i := slices.Index(n.fleet, p.Executor)
-	work := p.Txn.size
+func (n *herdNode) Post(p *Attempt) {
+	i := slices.Index(n.fleet, p.Server)
+	work := p.Request.size
 	if n.work != nil {
-		work = float64(n.works[p.Txn])
+		work = float64(n.works[p.Request])
 	}
 	n.sent[i] = append(n.sent[i], charge{n.now, work})
 	n.open, n.at[p] = append(n.open, p), n.now
-	n.tell(invariants.Event{Kind: invariants.Posted, Txn: p.Txn.Tag, Posting: p.Number, Executor: strconv.Itoa(i), Work: work / 1e9})
+	n.tell(invariants.Event{Kind: invariants.Posted, Txn: p.Request.Tag, Posting: p.Number, Executor: strconv.Itoa(i), Work: work / 1e9})
 }
 
 // runs is how long a posting runs, without a queue.
-func (n *herdNode) runs(p *Posting) int64 {
+func (n *herdNode) runs(p *Attempt) int64 {
 	if n.work == nil {
 		return n.settle
 	}
-	i := slices.Index(n.fleet, p.Executor)
-	return int64(float64(n.works[p.Txn]) / n.speed[i] / n.able(i, n.at[p]))
+	i := slices.Index(n.fleet, p.Server)
+	return int64(float64(n.works[p.Request]) / n.speed[i] / n.able(i, n.at[p]))
 }
 
 // able is the part of its capacity that an executor has at least.
@@ -83,16 +83,16 @@
 	}
 	return 1
 }
-func (n *herdNode) Withdraw(*Posting) {}
-func (n *herdNode) Decline(t *Txn, _ int64) {
+func (n *herdNode) Withdraw(*Attempt) {}
+func (n *herdNode) Decline(t *Request, _ int64) {
 	n.tell(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: "declined"})
 }
-func (n *herdNode) Reverse(t *Txn) {
+func (n *herdNode) Reverse(t *Request) {
 	n.tell(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: "reversed"})
 }
-func (n *herdNode) Watch(bool)              {}
-func (n *herdNode) Tell(*Executor, float64) {}
-func (n *herdNode) Probe(*Executor)         {}
+func (n *herdNode) Watch(bool)            {}
+func (n *herdNode) Tell(*Server, float64) {}
+func (n *herdNode) Probe(*Server)         {}
 func (n *herdNode) Alarm(after int64, then func()) (forget func()) {
 	a := &alarm{n.now + max(after, 1), then}
 	n.alarms = append(n.alarms, a)
@@ -120,10 +120,10 @@
 }
 
 func (h *herd) start(terms *Settings) {
-	n := &herdNode{herd: h, at: map[*Posting]int64{}}
+	n := &herdNode{herd: h, at: map[*Attempt]int64{}}
 	n.d = New(terms, h.Uint64(), n, h.now)
 	for range h.since {
-		n.fleet = append(n.fleet, &Executor{})
+		n.fleet = append(n.fleet, &Server{})
 	}
 	if len(h.nodes) <= terms.NodeIndex {
 		h.nodes = append(h.nodes, n)
@@ -135,9 +135,9 @@
 }
 
 func (n *herdNode) list() {
-	var members []Member
+	var members []Endpoint
 	for i, e := range n.fleet {
-		members = append(members, Member{Executor: e, Since: n.since[i] + n.off[i]})
+		members = append(members, Endpoint{Server: e, StartedAt: n.since[i] + n.off[i]})
 	}
 	n.d.List(true, members)
 }
@@ -172,11 +172,11 @@
 			}
 			for due := share; due > 0 && h.Float64() < due; due-- {
 				h.taken++
-				t := &Txn{Tag: strconv.Itoa(h.taken), Scheme: h.terms.Classes[0], Slots: 1, Hint: size/2 + h.Int64N(size), Expiry: h.now + 1e9}
+				t := &Request{Tag: strconv.Itoa(h.taken), Class: h.terms.Classes[0], Slots: 1, ExpectedWork: size/2 + h.Int64N(size), Deadline: h.now + 1e9}
 				if h.work != nil {
-					t.Hint, t.Expiry, h.works[t] = 0, h.now+h.patient, h.work()
+					t.ExpectedWork, t.Deadline, h.works[t] = 0, h.now+h.patient, h.work()
 				}
-				h.tell(invariants.Event{Kind: invariants.Taken, Node: strconv.Itoa(n.d.terms.NodeIndex), Txn: t.Tag, Scheme: "s", Expiry: t.Expiry})
+				h.tell(invariants.Event{Kind: invariants.Taken, Node: strconv.Itoa(n.d.terms.NodeIndex), Txn: t.Tag, Scheme: "s", Expiry: t.Deadline})
 				n.d.Arrive(t)
 			}
 			n.d.Settle()
@@ -185,12 +185,12 @@
 					if h.hasty {
 						o = Full
 					}
-					n.open = slices.DeleteFunc(n.open, func(q *Posting) bool { return p == q })
-					n.tell(invariants.Event{Kind: invariants.Ended, Txn: p.Txn.Tag, Posting: p.Number, Result: o.String()})
-					if o == Settled && !p.Txn.Over {
-						n.tell(invariants.Event{Kind: invariants.Answered, Txn: p.Txn.Tag, Result: "settled"})
+					n.open = slices.DeleteFunc(n.open, func(q *Attempt) bool { return p == q })
+					n.tell(invariants.Event{Kind: invariants.Ended, Txn: p.Request.Tag, Posting: p.Number, Result: o.String()})
+					if o == Settled && !p.Request.Done {
+						n.tell(invariants.Event{Kind: invariants.Answered, Txn: p.Request.Tag, Result: "settled"})
 					}
-					n.d.Ended(p, o, h.now-n.at[p], p.Txn.Over || o == Settled)
+					n.d.Ended(p, o, h.now-n.at[p], p.Request.Done || o == Settled)
 				}
 			}
 			n.d.Settle()
@@ -281,11 +281,11 @@
 		w.join(1, false)
 		w.pass(w.terms.OverloadWindow)
 		w.arrive(0, 1, 1e8, 9e9)
-		w.open[0].Free = free
+		w.open[0].FreeSlots = free
 		w.settle()
-		w.fleet[0].Since = w.now
+		w.fleet[0].StartedAt = w.now
 		w.list(true)
-		part, _, _, _ := w.d.part(w.fleet[0].Executor)
+		part, _, _, _ := w.d.part(w.fleet[0].Server)
 		return part
 	}
 	if untold, told := part(0), part(4); told <= untold {
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -18,17 +18,17 @@
 	d        *Dispatcher
 	now      int64
 	alarms   []*alarm
-	open     []*Posting
-	txns     []*Txn
-	ended    map[*Txn]int
-	mayRun   map[*Posting]bool // not proved unrun
-	sentAt   map[*Posting]int64
+	open     []*Attempt
+	txns     []*Request
+	ended    map[*Request]int
+	mayRun   map[*Attempt]bool // not proved unrun
+	sentAt   map[*Attempt]int64
 	withdraw int
 	told     []float64
-	probes   []*Executor // without an answer
-	fleet    []*Member
-	stopped  map[*Executor]bool // told that it drains or is gone
-	coldWork map[*Executor][]charge
+	probes   []*Server // without an answer
+	fleet    []*Endpoint
+	stopped  map[*Server]bool // told that it drains or is gone
+	coldWork map[*Server][]charge
 }
 
 type alarm struct {
@@ -52,9 +52,9 @@
 }
 
 func newWorld(t *testing.T, seed uint64, terms *Settings) *world {
-	w := &world{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), terms: terms, now: 1e12, ended: map[*Txn]int{},
-		mayRun: map[*Posting]bool{}, sentAt: map[*Posting]int64{}, stopped: map[*Executor]bool{},
-		coldWork: map[*Executor][]charge{}}
+	w := &world{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), terms: terms, now: 1e12, ended: map[*Request]int{},
+		mayRun: map[*Attempt]bool{}, sentAt: map[*Attempt]int64{}, stopped: map[*Server]bool{},
+		coldWork: map[*Server][]charge{}}
 	w.d = New(terms, seed, w, w.now)
 	return w
 }
@@ -62,9 +62,9 @@
 // join lists n executors, two a cell and four a zone; every third one has just started when cold is set.
 func (w *world) join(n int, cold bool) {
 	for i := range n {
-		m := &Member{Executor: &Executor{}, Zone: i / 4, Cell: i / 2, Kind: i % 2}
+		m := &Endpoint{Server: &Server{}, Zone: i / 4, Cell: i / 2, MachineType: i % 2}
 		if cold && i%3 == 0 {
-			m.Since = w.now - w.Int64N(w.terms.SlowStart)
+			m.StartedAt = w.now - w.Int64N(w.terms.SlowStart)
 		}
 		w.fleet = append(w.fleet, m)
 	}
@@ -72,10 +72,10 @@
 }
 
 func (w *world) list(whole bool) {
-	var members []Member
+	var members []Endpoint
 	for _, m := range w.fleet {
-		w.stopped[m.Executor] = m.State != Up
-		if !whole || m.State != Gone {
+		w.stopped[m.Server] = m.State != Up
+		if !whole || m.State != Removed {
 			members = append(members, *m)
 		}
 	}
@@ -85,31 +85,31 @@
 	w.d.List(whole, members)
 }
 
-func (w *world) Post(p *Posting) {
+func (w *world) Post(p *Attempt) {
 	w.Helper()
-	t := p.Txn
+	t := p.Request
 	switch {
 	case w.ended[t] > 0:
 		w.Fatal("rule 1: posting for a txn that has its final answer")
 	case p.Number >= w.terms.MaxAttempts:
 		w.Fatal("more postings than the terms allow")
 	}
-	if w.stopped[p.Executor] {
+	if w.stopped[p.Server] {
 		w.Fatal("rule 3: posting to an executor that drains or is gone")
 	}
-	var first *Posting
-	for _, q := range t.Postings[:p.Number] {
+	var first *Attempt
+	for _, q := range t.Attempts[:p.Number] {
 		if first == nil && w.mayRun[q] {
 			first = q
 		}
-		if q.Open && !w.terms.AllowHedging {
+		if q.InFlight && !w.terms.AllowHedging {
 			w.Fatal("rule 2: two postings out where none may be doubled")
 		}
 	}
-	if s := t.Scheme; first != nil && s.Idempotency != Idempotent {
+	if s := t.Class; first != nil && s.Idempotency != Idempotent {
 		if s.Idempotency == NonIdempotent || w.now-w.sentAt[first] > s.DedupWindow ||
-			s.DedupScope == DedupCell && p.Executor.cell != first.Executor.cell ||
-			s.DedupScope == DedupZone && p.Executor.zone != first.Executor.zone {
+			s.DedupScope == DedupCell && p.Server.cell != first.Server.cell ||
+			s.DedupScope == DedupZone && p.Server.zone != first.Server.zone {
 			w.Fatalf("rule 2: scheme %d sent again where it may run twice", s.Index)
 		}
 	}
@@ -119,11 +119,11 @@
 }
 
 // cold holds this node's sends alone to a cold executor's budget. What all nodes send together is FuzzColdFleet's.
-func (w *world) cold(p *Posting) {
-	e := p.Executor
-	i := slices.IndexFunc(w.fleet, func(m *Member) bool { return m.Executor == e })
-	if age := w.now - w.fleet[i].Since; w.fleet[i].Since > 0 && age < w.terms.SlowStart && w.terms.StartTimeError == 0 {
-		w.coldWork[e] = append(w.coldWork[e], charge{w.now, float64(p.Txn.Hint) * p.Txn.Slots})
+func (w *world) cold(p *Attempt) {
+	e := p.Server
+	i := slices.IndexFunc(w.fleet, func(m *Endpoint) bool { return m.Server == e })
+	if age := w.now - w.fleet[i].StartedAt; w.fleet[i].StartedAt > 0 && age < w.terms.SlowStart && w.terms.StartTimeError == 0 {
+		w.coldWork[e] = append(w.coldWork[e], charge{w.now, float64(p.Request.ExpectedWork) * p.Request.Slots})
 		sum, share := 0.0, w.terms.SlowStartShare+(1-w.terms.SlowStartShare)*float64(age)/float64(w.terms.SlowStart)
 		for _, c := range w.coldWork[e] {
 			if w.now-c.at <= w.terms.OverloadWindow {
@@ -136,36 +136,36 @@
 	}
 }
 
-func (w *world) Withdraw(p *Posting) {
+func (w *world) Withdraw(p *Attempt) {
 	if w.withdraw++; !w.terms.AllowCancel {
 		w.Fatal("withdrawn where it is not permitted")
 	}
 }
 
-func (w *world) final(t *Txn) {
+func (w *world) final(t *Request) {
 	w.Helper()
 	if w.ended[t]++; w.ended[t] > 1 {
 		w.Fatal("rule 1: two final answers")
 	}
-	if w.now > t.Expiry {
+	if w.now > t.Deadline {
 		w.Fatal("rule 1: final answer after expiry")
 	}
 }
 
-func (w *world) Decline(t *Txn, returnIn int64) {
+func (w *world) Decline(t *Request, returnIn int64) {
 	w.Helper()
 	w.final(t)
-	for _, p := range t.Postings {
-		if s := t.Scheme; w.mayRun[p] && (s.Idempotency == NonIdempotent || s.Idempotency == IdempotentInGroup && s.DedupScope != DedupAll) {
+	for _, p := range t.Attempts {
+		if s := t.Class; w.mayRun[p] && (s.Idempotency == NonIdempotent || s.Idempotency == IdempotentInGroup && s.DedupScope != DedupAll) {
 			w.Fatalf("rule 2: scheme %d declined though it may have run", s.Index)
 		}
 	}
 }
 
-func (w *world) Reverse(t *Txn)                  { w.final(t) }
-func (w *world) Watch(bool)                      {}
-func (w *world) Tell(_ *Executor, slots float64) { w.told = append(w.told, slots) }
-func (w *world) Probe(e *Executor)               { w.probes = append(w.probes, e) }
+func (w *world) Reverse(t *Request)            { w.final(t) }
+func (w *world) Watch(bool)                    {}
+func (w *world) Tell(_ *Server, slots float64) { w.told = append(w.told, slots) }
+func (w *world) Probe(e *Server)               { w.probes = append(w.probes, e) }
 func (w *world) Alarm(after int64, then func()) (forget func()) {
 	a := &alarm{w.now + max(after, 1), then}
 	w.alarms = append(w.alarms, a)
@@ -188,8 +188,8 @@
 	}
 }
 
-func (w *world) arrive(scheme int, slots float64, hint, left int64) *Txn {
-	t := &Txn{Scheme: w.terms.Classes[scheme], Slots: slots, Hint: hint, Expiry: w.now + left}
+func (w *world) arrive(scheme int, slots float64, hint, left int64) *Request {
+	t := &Request{Class: w.terms.Classes[scheme], Slots: slots, ExpectedWork: hint, Deadline: w.now + left}
 	w.txns = append(w.txns, t)
 	w.d.Arrive(t)
 	w.d.Settle()
@@ -197,15 +197,15 @@
 }
 
 // end gives a posting an outcome, as the bench would.
-func (w *world) end(p *Posting, o Outcome) {
-	w.open = slices.DeleteFunc(w.open, func(q *Posting) bool { return q == p })
+func (w *world) end(p *Attempt, o Outcome) {
+	w.open = slices.DeleteFunc(w.open, func(q *Attempt) bool { return q == p })
 	if o == Full || o == Undialed || o == Unsent {
 		w.mayRun[p] = false
 	}
-	if o == Settled && w.ended[p.Txn] == 0 {
-		w.final(p.Txn)
+	if o == Settled && w.ended[p.Request] == 0 {
+		w.final(p.Request)
 	}
-	w.d.Ended(p, o, w.now-w.sentAt[p], w.ended[p.Txn] > 0)
+	w.d.Ended(p, o, w.now-w.sentAt[p], w.ended[p.Request] > 0)
 	w.d.Settle()
 }
 
@@ -226,14 +226,14 @@
 		w.end(w.open[w.IntN(len(w.open))], Outcome(w.IntN(int(Stale)+1)))
 	case n < 14 && len(w.open) > 0:
 		p := w.open[w.IntN(len(w.open))]
-		if busy := p.Executor.atWork; busy+p.Txn.Slots <= testSlots {
+		if busy := p.Server.atWork; busy+p.Request.Slots <= testSlots {
 			w.d.Started(p)
 		}
 		w.d.Progress(p)
 	case n == 14 && len(w.fleet) > 0:
 		m := w.fleet[w.IntN(len(w.fleet))]
-		if m.State = State(w.IntN(3)); m.State == Up && w.IntN(2) == 0 {
-			m.Since = w.now
+		if m.State = EndpointState(w.IntN(3)); m.State == Up && w.IntN(2) == 0 {
+			m.StartedAt = w.now
 		}
 		w.list(w.IntN(3) == 0)
 	case n == 15 && len(w.txns) > 0:
@@ -247,7 +247,7 @@
 		w.probes = slices.Delete(w.probes, i, i+1)
 		w.d.Probed(e, w.IntN(3) > 0, float64(w.IntN(3)), float64(w.IntN(3)))
 	case n == 18 && len(w.fleet) > 0:
-		w.d.Taken(w.fleet[w.IntN(len(w.fleet))].Executor, float64(w.IntN(300)))
+		w.d.Taken(w.fleet[w.IntN(len(w.fleet))].Server, float64(w.IntN(300)))
 	case n == 16:
 		w.d.ListFailed(0, 0)
 	default:
@@ -260,7 +260,7 @@
 	w.pass(6e9)
 	for _, t := range w.txns {
 		if w.ended[t] != 1 {
-			w.Fatalf("rule 1: txn of scheme %d has %d final answers", t.Scheme.Index, w.ended[t])
+			w.Fatalf("rule 1: txn of scheme %d has %d final answers", t.Class.Index, w.ended[t])
 		}
 	}
 }
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -36,8 +36,8 @@
 }
 
 // overloaded says whether a request that has just been read has to be shed.
-func (d *Dispatcher) overloaded(t *Txn) bool {
-	return t.Waited > d.bearable(t.Expiry-d.now)
+func (d *Dispatcher) overloaded(t *Request) bool {
+	return t.UnreadTime > d.bearable(t.Deadline-d.now)
 }
 
 // stale says whether this process is so far behind that updates of the server list may wait unread for longer than drains allow.
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -12,12 +12,12 @@
 	w := newWorld(t, 1, terms)
 	w.join(4, false)
 	for _, waited := range []int64{0, 1e8, 3e8, 3e9} {
-		request := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 5e9, Waited: waited}
+		request := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9, UnreadTime: waited}
 		w.txns = append(w.txns, request)
 		w.d.Arrive(request)
 		w.d.Settle()
-		if shed := waited > terms.DrainGrace/8; request.Over != shed || shed && (request.Reason != Overloaded || len(request.Postings) > 0) {
-			t.Errorf("waited %d ms: over %v, %d attempts, %v", waited/1e6, request.Over, len(request.Postings), request.Reason)
+		if shed := waited > terms.DrainGrace/8; request.Done != shed || shed && (request.Reason != Overloaded || len(request.Attempts) > 0) {
+			t.Errorf("waited %d ms: over %v, %d attempts, %v", waited/1e6, request.Done, len(request.Attempts), request.Reason)
 		}
 	}
 }
@@ -28,11 +28,11 @@
 	for _, waited := range []int64{0, 1e3, 2e7} {
 		w := newWorld(t, 1, basicTerms())
 		w.join(4, false)
-		request := &Txn{Scheme: w.terms.Classes[0], Slots: 1, Expiry: w.now + w.terms.Classes[0].LatencyObjective + 1, Waited: waited}
+		request := &Request{Class: w.terms.Classes[0], Slots: 1, Deadline: w.now + w.terms.Classes[0].LatencyObjective + 1, UnreadTime: waited}
 		w.txns = append(w.txns, request)
 		w.d.Arrive(request)
-		if w.d.Settle(); request.Over || len(request.Postings) != 1 {
-			t.Errorf("waited %d us: over %v by %v", waited/1e3, request.Over, request.Reason)
+		if w.d.Settle(); request.Done || len(request.Attempts) != 1 {
+			t.Errorf("waited %d us: over %v by %v", waited/1e3, request.Done, request.Reason)
 		}
 	}
 }
@@ -67,9 +67,9 @@
 		w.d.Behind(lag)
 		request := w.arrive(0, 1, 1e7, 5e9)
 		w.pass(5e9 - 2*lag - 4*w.terms.Tick)
-		early := request.Over
-		if w.pass(3 * w.terms.Tick); early || !request.Over {
-			t.Errorf("lag %d ms: over %v before, %v at the time, by %v", lag/1e6, early, request.Over, request.Reason)
+		early := request.Done
+		if w.pass(3 * w.terms.Tick); early || !request.Done {
+			t.Errorf("lag %d ms: over %v before, %v at the time, by %v", lag/1e6, early, request.Done, request.Reason)
 		}
 	}
 }
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -18,7 +18,7 @@
 	nodes   []*townNode
 	workers []*worker
 	later   []*alarm
-	error   func(t *Txn, e int) bool // whether a job ends at once with an error there
+	error   func(t *Request, e int) bool // whether a job ends at once with an error there
 	work    func() int64
 	hot     uint64 // what is about it takes turns at one lock, in its slot, for hold each
 	hold    int64
@@ -41,24 +41,24 @@
 type townNode struct {
 	*town
 	d        *Dispatcher
-	fleet    []*Executor
-	sent     map[*Posting]int64
-	done     map[*Txn]func(work int64) // with the time it ran for; 0: not served
-	posts    int                       // postings, ever
+	fleet    []*Server
+	sent     map[*Attempt]int64
+	done     map[*Request]func(work int64) // with the time it ran for; 0: not served
+	posts    int                           // postings, ever
 	declined int
 }
 
-func (n *townNode) Post(p *Posting) {
+func (n *townNode) Post(p *Attempt) {
 	n.posts++
 	n.sent[p] = n.now
-	w, i, t := n.workers[slices.Index(n.fleet, p.Executor)], slices.Index(n.fleet, p.Executor), p.Txn
+	w, i, t := n.workers[slices.Index(n.fleet, p.Server)], slices.Index(n.fleet, p.Server), p.Request
 	work := n.work()
 	end := func(o Outcome) {
-		if !p.Open {
+		if !p.InFlight {
 			return
 		}
-		over := t.Over || o == Settled
-		if o == Settled && !t.Over {
+		over := t.Done || o == Settled
+		if o == Settled && !t.Done {
 			n.done[t](work)
 		}
 		n.d.Ended(p, o, n.now-n.sent[p], over)
@@ -77,12 +77,12 @@
 		}
 	}
 	w.queue = append(w.queue, func() {
-		if p.Open {
+		if p.InFlight {
 			n.d.Started(p)
 		}
 		took, o := work*w.slow, Settled
-		if n.hot > 0 && (t.Key == n.hot || t.Key == 0 && t.Tenant == int(n.hot)) {
-			if wait := max(n.unlock-n.now, 0); wait > 3*t.Scheme.LatencyObjective/2 {
+		if n.hot > 0 && (t.AffinityKey == n.hot || t.AffinityKey == 0 && t.Tenant == int(n.hot)) {
+			if wait := max(n.unlock-n.now, 0); wait > 3*t.Class.LatencyObjective/2 {
 				took, o = 2e6, Erred
 			} else {
 				took, n.unlock = took+wait, max(n.unlock, n.now)+n.hold
@@ -97,18 +97,18 @@
 	n.after(1e6, next)
 }
 
-func (n *townNode) Withdraw(p *Posting) {
+func (n *townNode) Withdraw(p *Attempt) {
 	n.after(1e6, func() {
-		if p.Open {
+		if p.InFlight {
 			n.d.Ended(p, Revoked, n.now-n.sent[p], true)
 		}
 	})
 }
-func (n *townNode) Decline(t *Txn, _ int64) { n.declined++; n.done[t](0) }
-func (n *townNode) Reverse(t *Txn)          { n.done[t](0) }
-func (n *townNode) Watch(bool)              {}
-func (n *townNode) Tell(*Executor, float64) {}
-func (n *townNode) Probe(*Executor)         {}
+func (n *townNode) Decline(t *Request, _ int64) { n.declined++; n.done[t](0) }
+func (n *townNode) Reverse(t *Request)          { n.done[t](0) }
+func (n *townNode) Watch(bool)                  {}
+func (n *townNode) Tell(*Server, float64)       {}
+func (n *townNode) Probe(*Server)               {}
 func (n *townNode) Alarm(after int64, then func()) (forget func()) {
 	a := n.after(max(after, 1), then)
 	return func() { a.then = func() {} }
@@ -130,12 +130,12 @@
 	for i := range nodes {
 		own := *terms
 		own.NodeIndex, own.Nodes = i, nodes
-		n := &townNode{town: h, sent: map[*Posting]int64{}, done: map[*Txn]func(int64){}}
+		n := &townNode{town: h, sent: map[*Attempt]int64{}, done: map[*Request]func(int64){}}
 		n.d = New(&own, h.Uint64(), n, h.now)
-		var members []Member
+		var members []Endpoint
 		for j := range workers {
-			n.fleet = append(n.fleet, &Executor{Mark: Mark("e" + strconv.Itoa(j))})
-			members = append(members, Member{Executor: n.fleet[j], Units: 1})
+			n.fleet = append(n.fleet, &Server{Hash: HashName("e" + strconv.Itoa(j))})
+			members = append(members, Endpoint{Server: n.fleet[j], Capacity: 1})
 		}
 		n.d.List(true, members)
 		h.nodes = append(h.nodes, n)
@@ -146,9 +146,9 @@
 // arrive takes a txn; where it is not served in time its client comes again after a while, so many times.
 func (h *town) arrive(again int, first int64, key uint64) {
 	n, s := h.nodes[h.IntN(len(h.nodes))], h.terms.Classes[0]
-	t := &Txn{Scheme: s, Slots: 1, Key: key, Expiry: first + s.MaxDeadline}
+	t := &Request{Class: s, Slots: 1, AffinityKey: key, Deadline: first + s.MaxDeadline}
 	if n := uint64(len(h.terms.Tenants)); n > 0 {
-		t.Key, t.Tenant = 0, int(key%n)
+		t.AffinityKey, t.Tenant = 0, int(key%n)
 	}
 	from := first - 1e12
 	n.done[t] = func(work int64) {
@@ -225,8 +225,8 @@
 	for seed := range uint64(4) {
 		h := newTown(seed, 5, 16, 6, townTerms())
 		h.work = func() int64 { return 5e7 + int64(h.ExpFloat64()*1.5e8) }
-		spoilt := map[*Txn]bool{}
-		h.error = func(t *Txn, _ int) bool {
+		spoilt := map[*Request]bool{}
+		h.error = func(t *Request, _ int) bool {
 			if _, known := spoilt[t]; !known {
 				spoilt[t] = h.now > 1e12+10e9 && h.now < 1e12+20e9 && h.IntN(10) < 3
 			}
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -11,27 +11,27 @@
 	part float64
 }
 
-func (f *fickle) Allow(b Budget, _ *Executor, _ *Txn, units float64) bool {
+func (f *fickle) Allow(b Budget, _ *Server, _ *Request, units float64) bool {
 	if !(units > 0) {
 		f.Fatalf("budget %d: %v units", b, units)
 	}
 	return !f.none[b]
 }
 
-func (f *fickle) Quota(Budget, *Executor) float64 { return f.part }
+func (f *fickle) Quota(Budget, *Server) float64 { return f.part }
 
 // purse is a Door that holds postings against what was allowed as they were decided.
 type purse struct {
 	*fickle
 }
 
-func (p *purse) Post(q *Posting) {
-	cold := p.d.terms.warmth(q.Executor, p.now) < 1
+func (p *purse) Post(q *Attempt) {
+	cold := p.d.terms.warmth(q.Server, p.now) < 1
 	if q.Number > 0 && p.none[BudgetRetries] || p.none[BudgetConnections] || p.none[BudgetTenantAttempts] || cold && p.none[BudgetSlowStart] {
 		p.Fatalf("posting %d is sent, cold: %v, while %v is denied", q.Number, cold, p.none)
 	}
-	if cold != (q.Part > 0) {
-		p.Fatalf("cold: %v, takes %v of the budget", cold, q.Part)
+	if cold != (q.SlowStartShare > 0) {
+		p.Fatalf("cold: %v, takes %v of the budget", cold, q.SlowStartShare)
 	}
 	p.world.Post(q)
 }
@@ -85,15 +85,15 @@
 	w := newWorld(t, 1, terms)
 	w.join(4, false)
 	for _, m := range w.fleet {
-		m.Zone, m.Kind = 0, 0
+		m.Zone, m.MachineType = 0, 0
 	}
 	w.list(true)
-	said := w.fleet[0].Executor
+	said := w.fleet[0].Server
 	used := func(span int64) (count int) {
 		for end := w.now + span; w.now < end; w.pass(1e7) {
 			w.arrive(0, 1, 1e6, 5e9)
 			for _, p := range w.open {
-				if p.Executor == said {
+				if p.Server == said {
 					count++
 				}
 			}
@@ -104,7 +104,7 @@
 	if used(2e9) == 0 {
 		t.Fatal("it is not used at all")
 	}
-	said.Bad = 1
+	said.OutlierScore = 1
 	used(11e8) // what it did well a moment ago counts for a second after the last of it
 	for n := 0; n < 100 && w.now-said.keptTill+terms.IdleTimeout <= heed; n++ {
 		w.pass(1e8)
@@ -116,7 +116,7 @@
 	if used(5e8) == 0 {
 		t.Error("an own job that ended well does not count")
 	}
-	said.Bad = 0
+	said.OutlierScore = 0
 	if used(1e9) == 0 {
 		t.Error("it is not used again")
 	}
@@ -165,8 +165,8 @@
 	for w.ended[x] == 0 && w.now-began < 20e9 {
 		w.pass(1e7)
 	}
-	if took := w.now - began; len(x.Postings) != 1 || w.ended[x] != 1 || took > 2e9 {
-		t.Errorf("%d postings, %d answers, after %d ms", len(x.Postings), w.ended[x], took/1e6)
+	if took := w.now - began; len(x.Attempts) != 1 || w.ended[x] != 1 || took > 2e9 {
+		t.Errorf("%d postings, %d answers, after %d ms", len(x.Attempts), w.ended[x], took/1e6)
 	}
 }
 
@@ -177,16 +177,16 @@
 	w := newWorld(t, 1, terms)
 	w.join(9, false)
 	for i, m := range w.fleet {
-		m.Executor.Far = i / 3
+		m.Server.Distance = i / 3
 	}
 	used := func(key uint64) (used [3]int) {
 		for range 60 {
-			x := &Txn{Scheme: terms.Classes[0], Slots: 1, Hint: 1e7, Expiry: w.now + 5e9, Key: key}
+			x := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9, AffinityKey: key}
 			w.txns = append(w.txns, x)
 			w.d.Arrive(x)
 			w.d.Settle()
 			for _, p := range w.open {
-				used[p.Executor.Far]++
+				used[p.Server.Distance]++
 			}
 			w.settle()
 			w.pass(1e8)
@@ -204,9 +204,9 @@
 		t.Errorf("with the near ones drained: %v", u)
 	}
 	for i, m := range w.fleet {
-		m.State, m.Executor.Far = Up, 0
+		m.State, m.Server.Distance = Up, 0
 		if i > 0 {
-			m.Executor.Far = 2
+			m.Server.Distance = 2
 		}
 	}
 	w.list(true)
@@ -214,7 +214,7 @@
 		t.Errorf("with homes: %v", homes)
 	}
 	// Danger: the few nodes that may send to a cold one are not those that it is near to.
-	w.fleet[3].Since = w.now - 1
+	w.fleet[3].StartedAt = w.now - 1
 	w.list(true)
 	w.pass(2 * terms.OverloadWindow)
 	if cold := used(0); cold[2] == 0 {
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -100,9 +100,9 @@
 // QuotaSource tells whether this node may use so much more of a budget now, for an executor or a txn's tenant where each has its
 // own. It is a read: what counts is taken at the moment of sending.
 type QuotaSource interface {
-	Allow(b Budget, e *Executor, t *Txn, units float64) bool
+	Allow(b Budget, e *Server, t *Request, units float64) bool
 	// Quota is what this node has of all there is.
-	Quota(b Budget, e *Executor) float64
+	Quota(b Budget, e *Server) float64
 }
 
 // inTurn is how many nodes take turns at what is cold; leases take the place of turns.
@@ -115,7 +115,7 @@
 
 // oftener is how much likelier a node takes a cold executor than others do, as few may send to it: by the groups that take
 // turns at it, or by this node's part of what all have. Danger: who may send to it draws it as seldom as if all could.
-func (t *Settings) oftener(e *Executor, groups float64) float64 {
+func (t *Settings) oftener(e *Server, groups float64) float64 {
 	if t.Quotas == nil {
 		return groups
 	}
@@ -123,7 +123,7 @@
 }
 
 // warmth is the share of its capacity that an executor has at least, at a time; its stamp may be too early.
-func (t *Settings) warmth(e *Executor, at int64) float64 {
+func (t *Settings) warmth(e *Server, at int64) float64 {
 	age := float64(at - e.since - t.StartTimeError)
 	if e.since == 0 || age >= float64(t.SlowStart) {
 		return 1
@@ -142,27 +142,27 @@
 }
 
 // mayPost says whether one more posting of a txn to an executor that is warm fits into this node's shares.
-func (t *Settings) mayPost(x *Txn, e *Executor) bool {
+func (t *Settings) mayPost(x *Request, e *Server) bool {
 	s := t.Quotas
-	return s == nil || (len(x.Postings) == 0 || s.Allow(BudgetRetries, e, x, 1)) && s.Allow(BudgetTenantAttempts, e, x, 1) && s.Allow(BudgetConnections, e, x, 1)
+	return s == nil || (len(x.Attempts) == 0 || s.Allow(BudgetRetries, e, x, 1)) && s.Allow(BudgetTenantAttempts, e, x, 1) && s.Allow(BudgetConnections, e, x, 1)
 }
 
-// State is what the list says of an executor.
-type State int
+// EndpointState is what the list says of an executor.
+type EndpointState int
 
 const (
-	Up State = iota
+	Up EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Member is one entry of the list: an executor and what is now said of it.
-type Member struct {
-	Executor         *Executor
-	State            State
-	Zone, Kind, Cell int
-	Since            int64 // its latest start; 0: long ago
-	Units            float64
+// Endpoint is one entry of the list: an executor and what is now said of it.
+type Endpoint struct {
+	Server                  *Server
+	State                   EndpointState
+	Zone, MachineType, Cell int
+	StartedAt               int64 // its latest start; 0: long ago
+	Capacity                float64
 }
 
 // Outcome is how a posting ended.
@@ -186,42 +186,42 @@
 
 // Door is how the module acts on the world. Tag fields are the door's own names; the module never reads them.
 type Door interface {
-	Post(p *Posting)
-	Withdraw(p *Posting)
-	Decline(t *Txn, returnIn int64)
-	Reverse(t *Txn)
+	Post(p *Attempt)
+	Withdraw(p *Attempt)
+	Decline(t *Request, returnIn int64)
+	Reverse(t *Request)
 	Alarm(after int64, then func()) (forget func())
 	Watch(on bool)
-	Probe(e *Executor)
-	Tell(e *Executor, slots float64) // all other nodes of slots taken
-}
-
-// Txn is one job taken from a client, owed exactly one final answer.
-type Txn struct {
-	Tag      string
-	Scheme   *Class
-	Tenant   int
-	Slots    float64
-	Memory   float64
-	Key      uint64 // what it is about, below 2^53; 0: not told
-	Hint     int64  // expected work on a standard core; 0: not told
-	Expiry   int64  // clock time
-	Waited   int64  // ns, how long it may have lain unread at this node; Expiry counts from when it was read
-	Postings []*Posting
-	Over     bool   // the final answer is given, or the client has left
-	Reason   Reason // why it was refused or failed, once it is
+	Probe(e *Server)
+	Tell(e *Server, slots float64) // all other nodes of slots taken
+}
+
+// Request is one job taken from a client, owed exactly one final answer.
+type Request struct {
+	Tag          string
+	Class        *Class
+	Tenant       int
+	Slots        float64
+	Memory       float64
+	AffinityKey  uint64 // what it is about, below 2^53; 0: not told
+	ExpectedWork int64  // expected work on a standard core; 0: not told
+	Deadline     int64  // clock time
+	UnreadTime   int64  // ns, how long it may have lain unread at this node; Expiry counts from when it was read
+	Attempts     []*Attempt
+	Done         bool   // the final answer is given, or the client has left
+	Reason       Reason // why it was refused or failed, once it is
 
 	arrived, aim int64
-	value        float64   // billing value when in time
-	size         float64   // slots times expected work
-	earns        float64   // billing value for each unit of size that can be expected now
-	live         int       // postings out and not withdrawn
-	thing        *thing    // what it is about; nil: not told
-	erred        *Executor // where it ended in an error last
-	rounds       int       // of asking for room
-	look, looks  int64     // when room is looked for again, and how often that was in vain
-	queued, over bool      // over: beyond its tenant's share
-	forget       func()    // releases the alarm of its expiry
+	value        float64 // billing value when in time
+	size         float64 // slots times expected work
+	earns        float64 // billing value for each unit of size that can be expected now
+	live         int     // postings out and not withdrawn
+	thing        *thing  // what it is about; nil: not told
+	erred        *Server // where it ended in an error last
+	rounds       int     // of asking for room
+	look, looks  int64   // when room is looked for again, and how often that was in vain
+	queued, over bool    // over: beyond its tenant's share
+	forget       func()  // releases the alarm of its expiry
 }
 
 // Reason says why a request was refused or failed. It is for logs; nothing is decided by it.
@@ -244,33 +244,33 @@
 }
 
 // anchor is the first posting that may have run or still may.
-func (t *Txn) anchor() *Posting {
-	if i := slices.IndexFunc(t.Postings, func(p *Posting) bool { return !p.unrun }); i >= 0 {
-		return t.Postings[i]
+func (t *Request) anchor() *Attempt {
+	if i := slices.IndexFunc(t.Attempts, func(p *Attempt) bool { return !p.unrun }); i >= 0 {
+		return t.Attempts[i]
 	}
 	return nil
 }
 
 // farther is how far an executor is from this node for a txn; one that has homes goes by these.
 // Danger: few nodes at a time may send to a cold one, and those that it is near to are other ones.
-func (t *Settings) farther(x *Txn, e *Executor, now int64) int {
-	if x.Key != 0 || e.Far == 0 || t.warmth(e, now) < 1 {
+func (t *Settings) farther(x *Request, e *Server, now int64) int {
+	if x.AffinityKey != 0 || e.Distance == 0 || t.warmth(e, now) < 1 {
 		return 0
 	}
-	return e.Far
+	return e.Distance
 }
 
-func (t *Txn) unit() float64 { return float64(cmp.Or(t.Hint, 1e9)) }
+func (t *Request) unit() float64 { return float64(cmp.Or(t.ExpectedWork, 1e9)) }
 
-// Posting is one sending of a txn to an executor.
-type Posting struct {
-	Txn      *Txn
-	Executor *Executor
-	Number   int
-	Limit    int64   // time-out; 0: until the client gives up
-	Open     bool    // no outcome yet
-	Part     float64 // of a cold executor's budget that it takes; 0: the executor is warm
-	Free     float64 // free slots that the executor reported with the outcome; 0: none, or not told
+// Attempt is one sending of a txn to an executor.
+type Attempt struct {
+	Request        *Request
+	Server         *Server
+	Number         int
+	Timeout        int64   // time-out; 0: until the client gives up
+	InFlight       bool    // no outcome yet
+	SlowStartShare float64 // of a cold executor's budget that it takes; 0: the executor is warm
+	FreeSlots      float64 // free slots that the executor reported with the outcome; 0: none, or not told
 
 	sent, started, told int64
 	blamed, withdrawn   bool
@@ -278,13 +278,13 @@
 	then                func() // what the outcome leads to
 }
 
-// Executor is a worker that runs jobs.
-type Executor struct {
-	Tag   string
-	Mark  uint64 // by chance, the same at all nodes
-	State State
-	Bad   float64 // how bad many nodes together say that it is, from 0 to 1; 0: nothing is said
-	Far   int     // 0: one that this node is to use; else those of 1 come before those of 2, where the others can't serve
+// Server is a worker that runs jobs.
+type Server struct {
+	Tag          string
+	Hash         uint64 // by chance, the same at all nodes
+	State        EndpointState
+	OutlierScore float64 // how bad many nodes together say that it is, from 0 to 1; 0: nothing is said
+	Distance     int     // 0: one that this node is to use; else those of 1 come before those of 2, where the others can't serve
 
 	zone, kind, cell int
 	model            *model
@@ -304,9 +304,9 @@
 	hAt         int64
 	keptTill    int64 // until then a connection should be open and unused
 
-	askers       []*Txn  // that wait for the answer to a probe
-	toldAt       int64   // of room
-	claims       charges // slots taken since, by this node or others
+	askers       []*Request // that wait for the answer to a probe
+	toldAt       int64      // of room
+	claims       charges    // slots taken since, by this node or others
 	free, memory float64
 
 	size float64 // the most that the list told of it
@@ -364,7 +364,7 @@
 
 // last is how a recent job of one scheme and slot count went at one executor.
 type last struct {
-	at   *Executor
+	at   *Server
 	time float64
 	lost bool
 }
@@ -386,18 +386,18 @@
 // thing is what some txns are about.
 type thing struct {
 	gate
-	n    int       // of the txns counted
-	cure ledger    // its txns that erred and went elsewhere, and those of them served there
-	bad  *Executor // where the last one ended badly, with none that ended well since
+	n    int     // of the txns counted
+	cure ledger  // its txns that erred and went elsewhere, and those of them served there
+	bad  *Server // where the last one ended badly, with none that ended well since
 }
 
 // count adds a txn to those about one thing; without a key that is its tenant.
-func (d *Dispatcher) count(t *Txn) {
+func (d *Dispatcher) count(t *Request) {
 	if d.counted++; d.counted > keyCounts {
 		d.counted /= 2
 		maps.DeleteFunc(d.things, func(_ uint64, h *thing) bool { h.n /= 2; return h.n < 1 && h.busy == 0 })
 	}
-	key := cmp.Or(t.Key, ^uint64(t.Tenant))
+	key := cmp.Or(t.AffinityKey, ^uint64(t.Tenant))
 	if t.thing = d.things[key]; t.thing == nil {
 		t.thing = &thing{gate: gate{limit: math.Inf(1)}}
 		d.things[key] = t.thing
@@ -405,8 +405,8 @@
 	t.thing.n++
 }
 
-// Mark turns a name that all nodes know an executor by into a number by chance that all of them share.
-func Mark(name string) uint64 {
+// HashName turns a name that all nodes know an executor by into a number by chance that all of them share.
+func HashName(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
@@ -428,10 +428,10 @@
 }
 
 // ran notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
-func (d *Dispatcher) ran(p *Posting, ran int64) {
-	if t, e := p.Txn, p.Executor; ran > 0 {
+func (d *Dispatcher) ran(p *Attempt, ran int64) {
+	if t, e := p.Request, p.Server; ran > 0 {
 		l := e.model.ran.fade(d.now)
 		l.asked, l.earned = l.asked+1, l.earned+float64(ran)*d.terms.warmth(e, p.sent)/float64(d.running(t, 0.5))
-		d.runs[t.Scheme.Index].add(float64(ran) / t.unit())
+		d.runs[t.Class.Index].add(float64(ran) / t.unit())
 	}
 }
--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -208,16 +208,16 @@
 }
 
 // of is the share that a sending to an executor falls to, its meter, key and whole.
-func (s *share) of(b dispatch.Budget, e *dispatch.Executor) (name string, m *budget.Meter, key string, whole int64) {
+func (s *share) of(b dispatch.Budget, e *dispatch.Server) (name string, m *budget.Meter, key string, whole int64) {
 	w := s.node.world
 	if name = budgets[b]; b != dispatch.BudgetRetries {
-		name, key = w.pact.Name(name, e.Mark), e.Tag
+		name, key = w.pact.Name(name, e.Hash), e.Tag
 	}
 	return name, s.meters[name], key, w.pact.Budgets[budgets[b]].Whole
 }
 
 // Allow implements dispatch.Shares. Tenants' jobs and calls for the list are not held together here.
-func (s *share) Allow(b dispatch.Budget, e *dispatch.Executor, _ *dispatch.Txn, units float64) bool {
+func (s *share) Allow(b dispatch.Budget, e *dispatch.Server, _ *dispatch.Request, units float64) bool {
 	if budgets[b] == "" {
 		return true
 	}
@@ -247,7 +247,7 @@
 }
 
 // Quota implements dispatch.Shares.
-func (s *share) Quota(b dispatch.Budget, e *dispatch.Executor) float64 {
+func (s *share) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
 	name, m, _, whole := s.of(b, e)
 	if m == nil {
 		return 1
@@ -259,15 +259,15 @@
 }
 
 // take charges a posting as it goes out; false: it may not.
-func (s *share) take(p *dispatch.Posting, connects bool) bool {
+func (s *share) take(p *dispatch.Attempt, connects bool) bool {
 	now := s.node.world.now
 	undo := func() {}
 	for b := range dispatch.BudgetCount {
-		name, m, key, whole := s.of(b, p.Executor)
+		name, m, key, whole := s.of(b, p.Server)
 		units := 0.0
 		switch {
 		case b == dispatch.BudgetSlowStart:
-			units = p.Part * float64(whole)
+			units = p.SlowStartShare * float64(whole)
 		case b == dispatch.BudgetRetries && p.Number > 0, b == dispatch.BudgetConnections && connects:
 			units = 1
 		}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -11,17 +11,17 @@
 )
 
 // Policy makes what decides on one node. The decision module is one; baselines are others.
-type Policy func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Executor) float64) Decider
+type Policy func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Server) float64) Decider
 
 // Decider is what a node calls, as docs of the module tell.
 type Decider interface {
 	At(now int64)
-	List(whole bool, members []dispatch.Member)
-	Arrive(*dispatch.Txn)
-	Left(*dispatch.Txn)
-	Started(*dispatch.Posting)
-	Progress(*dispatch.Posting)
-	Ended(p *dispatch.Posting, o dispatch.Outcome, took int64, over bool)
+	List(whole bool, members []dispatch.Endpoint)
+	Arrive(*dispatch.Request)
+	Left(*dispatch.Request)
+	Started(*dispatch.Attempt)
+	Progress(*dispatch.Attempt)
+	Ended(p *dispatch.Attempt, o dispatch.Outcome, took int64, over bool)
 	Settle()
 }
 
@@ -36,14 +36,14 @@
 	watches  bool
 	lives    int
 	had      int // version of the list
-	places   map[*dispatch.Executor]int
-	told     []dispatch.State // of each executor; at its start a node takes all for up
+	places   map[*dispatch.Server]int
+	told     []dispatch.EndpointState // of each executor; at its start a node takes all for up
 	free     int64
 	decider  Decider
-	fleet    []*dispatch.Executor // by the world's order
-	idle     [][]int64            // kept connections by executor: until when each stays
-	txns     map[*dispatch.Txn]*held
-	out      map[*dispatch.Posting]*flight
+	fleet    []*dispatch.Server // by the world's order
+	idle     [][]int64          // kept connections by executor: until when each stays
+	txns     map[*dispatch.Request]*held
+	out      map[*dispatch.Attempt]*flight
 	settling bool
 	schemes  []*dispatch.Class // as its decider has them
 	share    *share            // of what all hold together; nil: nothing is
@@ -66,11 +66,11 @@
 func (n *node) start(seed uint64) {
 	w := n.world
 	n.up, n.lives, n.had = true, n.lives+1, 0
-	n.txns, n.out = map[*dispatch.Txn]*held{}, map[*dispatch.Posting]*flight{}
-	n.places = map[*dispatch.Executor]int{}
-	n.fleet, n.idle, n.told = nil, make([][]int64, len(w.executors)), make([]dispatch.State, len(w.executors))
+	n.txns, n.out = map[*dispatch.Request]*held{}, map[*dispatch.Attempt]*flight{}
+	n.places = map[*dispatch.Server]int{}
+	n.fleet, n.idle, n.told = nil, make([][]int64, len(w.executors)), make([]dispatch.EndpointState, len(w.executors))
 	for _, e := range w.executors {
-		n.fleet = append(n.fleet, &dispatch.Executor{Tag: e.id, Mark: dispatch.Mark(e.id)})
+		n.fleet = append(n.fleet, &dispatch.Server{Tag: e.id, Hash: dispatch.HashName(e.id)})
 		n.places[n.fleet[len(n.fleet)-1]] = len(n.fleet) - 1
 	}
 	terms := w.s.terms(n)
@@ -78,7 +78,7 @@
 		n.share = n.join()
 		terms.Quotas = n.share
 	}
-	truth := func(x *dispatch.Executor) float64 {
+	truth := func(x *dispatch.Server) float64 {
 		e := w.executors[n.places[x]]
 		if !e.up || e.hung || e.draining {
 			return 1e9
@@ -154,14 +154,14 @@
 	n.had = w.version
 	members := slices.Clone(w.listing)
 	for i := range members {
-		members[i].Executor = n.fleet[i]
+		members[i].Server = n.fleet[i]
 		// Danger: each node's word of each executor with each list; at 300 nodes and 200 executors nothing else was logged.
 		if state := members[i].State; state != n.told[i] {
 			n.told[i] = state
 			w.log(invariants.Event{Kind: invariants.Told, Node: n.name, Executor: w.executors[i].id, Result: []string{"up", "draining", "gone"}[state]})
 		}
 	}
-	members = slices.DeleteFunc(members, func(m dispatch.Member) bool { return m.State == dispatch.Gone })
+	members = slices.DeleteFunc(members, func(m dispatch.Endpoint) bool { return m.State == dispatch.Removed })
 	n.event(func() { n.decider.List(true, members) })
 }
 
@@ -175,9 +175,9 @@
 	w.taken++
 	q.id = "t" + strconv.Itoa(w.taken)
 	s := q.scheme
-	t := &dispatch.Txn{Tag: q.id, Tenant: q.tenant, Slots: float64(s.Slots), Key: q.key, Expiry: q.expiry, Scheme: w.schemeOf(n, s)}
+	t := &dispatch.Request{Tag: q.id, Tenant: q.tenant, Slots: float64(s.Slots), AffinityKey: q.key, Deadline: q.expiry, Class: w.schemeOf(n, s)}
 	if w.s.Crowd.Hints {
-		t.Hint = int64(q.work / float64(s.Slots))
+		t.ExpectedWork = int64(q.work / float64(s.Slots))
 	}
 	n.txns[t] = &held{q, w.taken}
 	tenant := ""
@@ -191,7 +191,7 @@
 }
 
 // drop ends a txn whose client has gone; that is the client's end, not an answer.
-func (n *node) drop(t *dispatch.Txn) {
+func (n *node) drop(t *dispatch.Request) {
 	if h := n.txns[t]; h != nil {
 		delete(n.txns, t)
 		n.event(func() { n.decider.Left(t) })
@@ -199,16 +199,16 @@
 }
 
 // timeOut ends what is out for a txn at its expiry.
-func (n *node) timeOut(t *dispatch.Txn) {
-	for _, p := range t.Postings {
+func (n *node) timeOut(t *dispatch.Request) {
+	for _, p := range t.Attempts {
 		if f := n.out[p]; f != nil {
-			n.heardEnd(p, n.places[p.Executor], f, dispatch.TimedOut)
+			n.heardEnd(p, n.places[p.Server], f, dispatch.TimedOut)
 		}
 	}
 }
 
 // answer gives the final answer.
-func (n *node) answer(t *dispatch.Txn, result string) {
+func (n *node) answer(t *dispatch.Request, result string) {
 	h := n.txns[t]
 	n.world.log(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: result})
 	if h == nil {
@@ -219,15 +219,15 @@
 }
 
 // Decline implements dispatch.Door, as do the methods after it.
-func (n *node) Decline(t *dispatch.Txn, returnIn int64) {
+func (n *node) Decline(t *dispatch.Request, returnIn int64) {
 	if h := n.txns[t]; h != nil {
 		h.request.advice = returnIn
 	}
 	n.answer(t, declined)
 }
-func (n *node) Reverse(t *dispatch.Txn)          { n.answer(t, reversed) }
-func (n *node) Tell(*dispatch.Executor, float64) {}
-func (n *node) Probe(*dispatch.Executor)         {}
+func (n *node) Reverse(t *dispatch.Request)    { n.answer(t, reversed) }
+func (n *node) Tell(*dispatch.Server, float64) {}
+func (n *node) Probe(*dispatch.Server)         {}
 func (n *node) Watch(on bool) {
 	if n.watches = on; on && n.decider != nil {
 		n.world.news(n)
@@ -245,10 +245,10 @@
 }
 
 // Post sends a posting over a kept connection, or a new one if there is none.
-func (n *node) Post(p *dispatch.Posting) {
+func (n *node) Post(p *dispatch.Attempt) {
 	w := n.world
-	i := n.places[p.Executor]
-	e, h := w.executors[i], n.txns[p.Txn]
+	i := n.places[p.Server]
+	e, h := w.executors[i], n.txns[p.Request]
 	f := &flight{sent: w.now}
 	n.out[p] = f
 	n.idle[i] = slices.DeleteFunc(n.idle[i], func(till int64) bool {
@@ -266,7 +266,7 @@
 		return
 	}
 	w.postings++
-	w.log(invariants.Event{Kind: invariants.Posted, Txn: p.Txn.Tag, Posting: p.Number, Executor: e.id, Work: h.request.work / 1e9})
+	w.log(invariants.Event{Kind: invariants.Posted, Txn: p.Request.Tag, Posting: p.Number, Executor: e.id, Work: h.request.work / 1e9})
 	f.job = &job{txn: h.request, slots: h.request.scheme.Slots, left: h.request.work / float64(h.request.scheme.Slots), posting: p.Number}
 	f.job.tell = func(what line) { w.send(e.zone, n.zone, func() { n.heard(p, i, f, what) }) }
 	request := func() { w.send(n.zone, e.zone, func() { e.take(f.job) }) }
@@ -318,7 +318,7 @@
 }
 
 // heard is a line from an executor.
-func (n *node) heard(p *dispatch.Posting, i int, f *flight, what line) {
+func (n *node) heard(p *dispatch.Attempt, i int, f *flight, what line) {
 	switch what {
 	case lineStarted:
 		n.note(p, f, func() { n.decider.Started(p) })
@@ -329,7 +329,7 @@
 	}
 }
 
-func (n *node) note(p *dispatch.Posting, f *flight, step func()) {
+func (n *node) note(p *dispatch.Attempt, f *flight, step func()) {
 	if n.up && n.out[p] == f && !f.over {
 		n.event(func() {
 			if !f.over {
@@ -340,7 +340,7 @@
 }
 
 // heardEnd is a posting's one outcome.
-func (n *node) heardEnd(p *dispatch.Posting, i int, f *flight, o dispatch.Outcome) {
+func (n *node) heardEnd(p *dispatch.Attempt, i int, f *flight, o dispatch.Outcome) {
 	if !n.up || n.out[p] != f || f.over {
 		return
 	}
@@ -353,23 +353,23 @@
 	n.event(func() { n.ended(p, i, o) })
 }
 
-func (n *node) ended(p *dispatch.Posting, _ int, o dispatch.Outcome) {
+func (n *node) ended(p *dispatch.Attempt, _ int, o dispatch.Outcome) {
 	f := n.out[p]
 	delete(n.out, p)
-	n.world.log(invariants.Event{Kind: invariants.Ended, Txn: p.Txn.Tag, Posting: p.Number, Result: o.String()})
-	if o == dispatch.Settled && n.txns[p.Txn] != nil {
-		n.answer(p.Txn, settled)
+	n.world.log(invariants.Event{Kind: invariants.Ended, Txn: p.Request.Tag, Posting: p.Number, Result: o.String()})
+	if o == dispatch.Settled && n.txns[p.Request] != nil {
+		n.answer(p.Request, settled)
 	}
-	n.decider.Ended(p, o, n.world.now-f.sent, n.txns[p.Txn] == nil)
+	n.decider.Ended(p, o, n.world.now-f.sent, n.txns[p.Request] == nil)
 }
 
 // Withdraw takes a posting back; the executor hears of it over the network.
-func (n *node) Withdraw(p *dispatch.Posting) {
+func (n *node) Withdraw(p *dispatch.Attempt) {
 	f := n.out[p]
 	if f == nil || f.over {
 		return
 	}
-	i := n.places[p.Executor]
+	i := n.places[p.Server]
 	if f.job != nil {
 		n.world.send(n.zone, n.world.executors[i].zone, func() { n.world.executors[i].forget(f.job) })
 	}
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -12,25 +12,25 @@
 )
 
 // Module is the decision module as the node runs it.
-func Module(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, _ func(*dispatch.Executor) float64) Decider {
+func Module(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, _ func(*dispatch.Server) float64) Decider {
 	return dispatch.New(terms, seed, door, now)
 }
 
 // choice picks one of the executors that are up; none is empty.
-type choice func(b *baseline, up []*dispatch.Executor) *dispatch.Executor
+type choice func(b *baseline, up []*dispatch.Server) *dispatch.Server
 
 // The baselines are there to be compared with, and keep the rules in the plainest way: a txn goes out at once, to another
 // executor while that is harmless, and is given up at its expiry or when it has spent its postings.
 var baselines = map[string]choice{
-	"random":      func(b *baseline, up []*dispatch.Executor) *dispatch.Executor { return up[b.chance.IntN(len(up))] },
-	"round-robin": func(b *baseline, up []*dispatch.Executor) *dispatch.Executor { b.turn++; return up[b.turn%len(up)] },
-	"least":       func(b *baseline, up []*dispatch.Executor) *dispatch.Executor { return b.least(up) },
-	"two-choices": func(b *baseline, up []*dispatch.Executor) *dispatch.Executor {
-		return b.least([]*dispatch.Executor{up[b.chance.IntN(len(up))], up[b.chance.IntN(len(up))]})
+	"random":      func(b *baseline, up []*dispatch.Server) *dispatch.Server { return up[b.chance.IntN(len(up))] },
+	"round-robin": func(b *baseline, up []*dispatch.Server) *dispatch.Server { b.turn++; return up[b.turn%len(up)] },
+	"least":       func(b *baseline, up []*dispatch.Server) *dispatch.Server { return b.least(up) },
+	"two-choices": func(b *baseline, up []*dispatch.Server) *dispatch.Server {
+		return b.least([]*dispatch.Server{up[b.chance.IntN(len(up))], up[b.chance.IntN(len(up))]})
 	},
 	// It sees the true state of every executor at once, which no node can: an upper bound.
-	"truth": func(b *baseline, up []*dispatch.Executor) *dispatch.Executor {
-		return slices.MinFunc(up, func(x, y *dispatch.Executor) int {
+	"truth": func(b *baseline, up []*dispatch.Server) *dispatch.Server {
+		return slices.MinFunc(up, func(x, y *dispatch.Server) int {
 			if a, c := b.truth(x), b.truth(y); a < c {
 				return -1
 			} else if a > c {
@@ -60,9 +60,9 @@
 	if !known {
 		return nil, fmt.Errorf("%q is no policy; there are %s", name, strings.Join(Policies(), ", "))
 	}
-	return func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Executor) float64) Decider {
+	return func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Server) float64) Decider {
 		return &baseline{terms: terms, door: door, now: now, pick: pick, truth: truth, chance: rand.New(rand.NewPCG(seed, 4)),
-			busy: map[*dispatch.Executor]int{}, state: map[*dispatch.Posting]bool{}, forget: map[*dispatch.Txn]func(){}}
+			busy: map[*dispatch.Server]int{}, state: map[*dispatch.Attempt]bool{}, forget: map[*dispatch.Request]func(){}}
 	}, nil
 }
 
@@ -71,30 +71,30 @@
 	door   dispatch.Door
 	now    int64
 	pick   choice
-	truth  func(*dispatch.Executor) float64
+	truth  func(*dispatch.Server) float64
 	chance *rand.Rand
 	turn   int
-	up     []*dispatch.Executor
-	busy   map[*dispatch.Executor]int
-	state  map[*dispatch.Posting]bool // that may have run
-	forget map[*dispatch.Txn]func()
+	up     []*dispatch.Server
+	busy   map[*dispatch.Server]int
+	state  map[*dispatch.Attempt]bool // that may have run
+	forget map[*dispatch.Request]func()
 }
 
 func (b *baseline) At(now int64) { b.now = now }
 
-func (b *baseline) List(whole bool, members []dispatch.Member) {
+func (b *baseline) List(whole bool, members []dispatch.Endpoint) {
 	if whole {
 		b.up = nil
 	}
 	for _, m := range members {
-		b.up = slices.DeleteFunc(b.up, func(e *dispatch.Executor) bool { return e == m.Executor })
+		b.up = slices.DeleteFunc(b.up, func(e *dispatch.Server) bool { return e == m.Server })
 		if m.State == dispatch.Up {
-			b.up = append(b.up, m.Executor)
+			b.up = append(b.up, m.Server)
 		}
 	}
 }
 
-func (b *baseline) least(of []*dispatch.Executor) *dispatch.Executor {
+func (b *baseline) least(of []*dispatch.Server) *dispatch.Server {
 	best, from := of[0], b.chance.IntN(len(of))
 	for i := range of {
 		if e := of[(from+i)%len(of)]; i == 0 || b.busy[e] < b.busy[best] {
@@ -104,62 +104,62 @@
 	return best
 }
 
-func (b *baseline) Arrive(t *dispatch.Txn) {
-	b.forget[t] = b.door.Alarm(t.Expiry-b.now-2*b.terms.Tick, func() { b.finish(t) })
+func (b *baseline) Arrive(t *dispatch.Request) {
+	b.forget[t] = b.door.Alarm(t.Deadline-b.now-2*b.terms.Tick, func() { b.finish(t) })
 	b.place(t)
 }
 
 // mayRun says whether some posting of a txn may have run.
-func (b *baseline) mayRun(t *dispatch.Txn) bool {
-	return slices.ContainsFunc(t.Postings, func(p *dispatch.Posting) bool { return b.state[p] })
+func (b *baseline) mayRun(t *dispatch.Request) bool {
+	return slices.ContainsFunc(t.Attempts, func(p *dispatch.Attempt) bool { return b.state[p] })
 }
 
-func (b *baseline) place(t *dispatch.Txn) {
-	s := t.Scheme
+func (b *baseline) place(t *dispatch.Request) {
+	s := t.Class
 	switch {
-	case t.Over:
-	case len(b.up) == 0 || len(t.Postings) >= b.terms.MaxAttempts || b.mayRun(t) && s.Idempotency != dispatch.Idempotent:
+	case t.Done:
+	case len(b.up) == 0 || len(t.Attempts) >= b.terms.MaxAttempts || b.mayRun(t) && s.Idempotency != dispatch.Idempotent:
 		b.finish(t)
 	default:
 		e := b.pick(b, b.up)
-		p := &dispatch.Posting{Txn: t, Executor: e, Number: len(t.Postings), Open: true}
-		t.Postings = append(t.Postings, p)
+		p := &dispatch.Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true}
+		t.Attempts = append(t.Attempts, p)
 		b.state[p] = true
 		b.busy[e]++
 		b.door.Post(p)
 	}
 }
 
-func (b *baseline) Ended(p *dispatch.Posting, o dispatch.Outcome, _ int64, over bool) {
-	p.Open = false
-	b.busy[p.Executor]--
+func (b *baseline) Ended(p *dispatch.Attempt, o dispatch.Outcome, _ int64, over bool) {
+	p.InFlight = false
+	b.busy[p.Server]--
 	b.state[p] = o != dispatch.Full && o != dispatch.Undialed && o != dispatch.Unsent
 	if over {
-		b.Left(p.Txn)
+		b.Left(p.Request)
 		return
 	}
-	b.place(p.Txn)
+	b.place(p.Request)
 }
 
-func (b *baseline) Left(t *dispatch.Txn) {
-	if t.Over {
+func (b *baseline) Left(t *dispatch.Request) {
+	if t.Done {
 		return
 	}
-	t.Over = true
+	t.Done = true
 	b.forget[t]()
 	delete(b.forget, t)
-	for _, p := range t.Postings {
-		if p.Open {
+	for _, p := range t.Attempts {
+		if p.InFlight {
 			b.door.Withdraw(p)
 		}
 	}
 }
 
-func (b *baseline) finish(t *dispatch.Txn) {
-	if t.Over {
+func (b *baseline) finish(t *dispatch.Request) {
+	if t.Done {
 		return
 	}
-	harmless := !b.mayRun(t) || t.Scheme.Idempotency == dispatch.Idempotent || t.Scheme.Idempotency == dispatch.IdempotentInGroup && t.Scheme.DedupScope == dispatch.DedupAll
+	harmless := !b.mayRun(t) || t.Class.Idempotency == dispatch.Idempotent || t.Class.Idempotency == dispatch.IdempotentInGroup && t.Class.DedupScope == dispatch.DedupAll
 	b.Left(t)
 	if harmless {
 		b.door.Decline(t, 0)
@@ -168,6 +168,6 @@
 	}
 }
 
-func (b *baseline) Started(*dispatch.Posting)  {}
-func (b *baseline) Progress(*dispatch.Posting) {}
+func (b *baseline) Started(*dispatch.Attempt)  {}
+func (b *baseline) Progress(*dispatch.Attempt) {}
 func (b *baseline) Settle()                    {}
--- a/internal/emulator/subset.go
+++ b/internal/emulator/subset.go
@@ -39,14 +39,14 @@
 		}
 		executors := make([]subset.Executor, len(w.executors))
 		for i, e := range w.executors {
-			executors[i] = subset.Executor{Name: e.id, Zone: e.zone, Kind: w.listing[i].Kind, Size: float64(e.kind.Slots)}
+			executors[i] = subset.Executor{Name: e.id, Zone: e.zone, Kind: w.listing[i].MachineType, Size: float64(e.kind.Slots)}
 		}
 		d := subset.Divide(nodes, executors, subset.Terms{Size: w.s.Subset.Size, Cover: w.s.Subset.Cover})
 		for _, n := range w.nodes {
 			if n.up {
 				far := d.Far(n.name)
 				for _, e := range n.fleet {
-					e.Far = far[e.Tag]
+					e.Distance = far[e.Tag]
 				}
 			}
 		}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -21,7 +21,7 @@
 	arrivals  *rand.Rand // of the clients, so that policies meet the same traffic
 	executors []*executor
 	nodes     []*node
-	listing   []dispatch.Member // what discovery knows
+	listing   []dispatch.Endpoint // what discovery knows
 	version   int
 	silent    bool // discovery is
 	cuts      map[[2]int]int
@@ -75,7 +75,7 @@
 		e := &executor{world: w, id: "e" + strconv.Itoa(i), zone: i % len(s.Fleet.Zones), kind: k, at: w.now, up: true,
 			speed: k.Speed * (1 + k.Spread*(2*place.Float64()-1))}
 		w.executors = append(w.executors, e)
-		w.listing = append(w.listing, dispatch.Member{Zone: e.zone, Kind: best, Units: 1})
+		w.listing = append(w.listing, dispatch.Endpoint{Zone: e.zone, MachineType: best, Capacity: 1})
 	}
 	w.pact = s.Leases.pact(s.Fleet.Nodes)
 	w.seen = w.meters()
@@ -167,11 +167,11 @@
 }
 
 // tell has discovery learn what an executor is now, after a while, and then all nodes.
-func (w *world) tell(i int, state dispatch.State) {
+func (w *world) tell(i int, state dispatch.EndpointState) {
 	since := w.executors[i].begun
 	w.after(int64(w.s.Lists.Notice), func() {
-		if m := &w.listing[i]; m.Since <= since {
-			m.State, m.Since = state, since
+		if m := &w.listing[i]; m.StartedAt <= since {
+			m.State, m.StartedAt = state, since
 			w.version++
 		}
 		w.spread()
@@ -336,7 +336,7 @@
 	}
 	i := w.place(e)
 	e.stop(false)
-	w.tell(i, dispatch.Gone)
+	w.tell(i, dispatch.Removed)
 	w.after(away, func() {
 		e.start()
 		w.tell(i, dispatch.Up)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -361,7 +361,7 @@
 	if f.plan.Pact.Budgets[budget].Parts <= 1 {
 		return budget
 	}
-	return f.plan.Pact.Name(budget, dispatch.Mark(key))
+	return f.plan.Pact.Name(budget, dispatch.HashName(key))
 }
 
 // Whole is what all nodes have of a budget, by the pact.
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -30,7 +30,7 @@
 // Entry is one executor as the list tells of it.
 type Entry struct {
 	ID, Address      string
-	State            dispatch.State
+	State            dispatch.EndpointState
 	Zone, Kind, Cell int
 	Started          int64   // Unix time, ns; 0: long ago
 	Units            float64 // the list's weight; what it means is in the settings
@@ -48,7 +48,7 @@
 // MaxList bounds the bytes of a list; some thousands of executors fit.
 const MaxList = 4 << 20
 
-var listed = map[string]dispatch.State{"Ready": dispatch.Up, "Terminating": dispatch.Draining, "Gone": dispatch.Gone}
+var listed = map[string]dispatch.EndpointState{"Ready": dispatch.Up, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
 
 // listPause is how many entries are decoded until other work of the process may go on. Danger: a list of thousands takes a node with a
 // small share of a core hundreds of milliseconds, and all that came meanwhile waits for its end.
@@ -152,7 +152,7 @@
 		return e, errors.New("id is missing")
 	case !known:
 		return e, fmt.Errorf("unknown state %q", s.State)
-	case err != nil && state != dispatch.Gone:
+	case err != nil && state != dispatch.Removed:
 		return e, fmt.Errorf("addr %q is not host:port", s.Addr)
 	case !(e.Units >= 0 && e.Units < mostSlots):
 		return e, fmt.Errorf("weight %v is no size", e.Units)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -224,7 +224,7 @@
 	}
 	first := Entry{ID: "s-1", Address: "10.0.0.1:7", Zone: 1, Cell: 3, Started: 17e17, Units: 1.5}
 	if l.Entries[0] != first || l.Entries[1].State != dispatch.Draining || l.Entries[1].Zone != -1 ||
-		l.Entries[2].State != dispatch.Gone {
+		l.Entries[2].State != dispatch.Removed {
 		t.Errorf("%+v", l.Entries)
 	}
 	for _, c := range [][2]string{{`"version":41,`, ""}, {`"full":true,`, ""}, {`"servers":[`, `"server":[`},
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -130,7 +130,7 @@
 		}
 	}
 	if about := r.URL.Query().Get("obj"); about != "" {
-		q.Key = dispatch.Mark(about)>>11 | 1
+		q.Key = dispatch.HashName(about)>>11 | 1
 	}
 	if cost := r.Header.Get("X-Call-Cost"); cost != "" {
 		micros, err := strconv.ParseFloat(cost, 64)
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -46,7 +46,7 @@
 }
 
 // end takes a txn out that has its final answer or lost its client; nil: there is none. Under mu.
-func (n *Node) end(t *dispatch.Txn) *life {
+func (n *Node) end(t *dispatch.Request) *life {
 	l := n.lives[t]
 	if l != nil {
 		delete(n.lives, t)
@@ -77,16 +77,16 @@
 	// Danger: a client counts its time from when it sent, and a node that is behind reads late what lay in the socket meanwhile.
 	waited := n.lag.Lag()
 	l := &life{request: q, answer: make(chan *protocol.Answer, 1)}
-	t := &dispatch.Txn{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, Key: q.Key, Hint: q.Hint, Waited: waited,
-		Scheme: n.terms.Classes[q.Scheme]}
+	t := &dispatch.Request{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, AffinityKey: q.Key, ExpectedWork: q.Hint, UnreadTime: waited,
+		Class: n.terms.Classes[q.Scheme]}
 	err := n.event(func() {
-		t.Expiry = n.clock() + int64(q.Budget)
+		t.Deadline = n.clock() + int64(q.Budget)
 		n.taken++
 		l.number, l.began = n.taken, n.clock()
 		n.lives[t] = l
 		n.module.Arrive(t)
 		// Danger: where clocks may differ the module moves the expiry; a node that ends has no more time for all that.
-		if !t.Over && t.Expiry > n.till {
+		if !t.Done && t.Deadline > n.till {
 			n.module.Expire(t, n.till)
 		}
 	})
@@ -110,7 +110,7 @@
 
 // clientGone ends a txn whose client has closed. Danger: one that shut its sending side alone still reads, and what was read from it and
 // ends with no answer is lost.
-func (n *Node) clientGone(t *dispatch.Txn) {
+func (n *Node) clientGone(t *dispatch.Request) {
 	if l := n.lives[t]; l != nil {
 		l.gone = true
 		n.module.Gone(t)
@@ -118,9 +118,9 @@
 }
 
 // unserved tells of a request that ends with no result: why, after how long, with how many attempts, and how far the process is behind.
-func (n *Node) unserved(t *dispatch.Txn, l *life, a *protocol.Answer) {
+func (n *Node) unserved(t *dispatch.Request, l *life, a *protocol.Answer) {
 	if a != nil && a.Status != http.StatusOK && !a.Gone {
-		n.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Postings)).
+		n.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
 			Int64("age_ms", (n.clock()-l.began)/1e6).Int64("lag_ms", n.lag.Lag()/1e6).Msg("not served")
 	}
 }
@@ -129,7 +129,7 @@
 func (n *Node) End(within time.Duration) {
 	n.event(func() {
 		n.till = n.clock() + int64(within)
-		inOrder := slices.SortedFunc(maps.Keys(n.lives), func(a, b *dispatch.Txn) int {
+		inOrder := slices.SortedFunc(maps.Keys(n.lives), func(a, b *dispatch.Request) int {
 			return cmp.Compare(n.lives[a].number, n.lives[b].number)
 		})
 		for _, t := range inOrder {
@@ -139,7 +139,7 @@
 }
 
 // drop ends a txn whose client takes no answer any more.
-func (n *Node) drop(t *dispatch.Txn) {
+func (n *Node) drop(t *dispatch.Request) {
 	if l := n.end(t); l != nil {
 		n.module.Left(t)
 		l.answer <- nil
@@ -147,7 +147,7 @@
 }
 
 // answer gives a txn its final answer, the first one that comes.
-func (n *Node) answer(t *dispatch.Txn, a *protocol.Answer) {
+func (n *Node) answer(t *dispatch.Request, a *protocol.Answer) {
 	if l := n.end(t); l != nil {
 		a.Gone = l.gone
 		l.answer <- a
@@ -159,7 +159,7 @@
 // for a connection, the processor or a descriptor. Nothing of it has left, so it is proved not run.
 type leave struct {
 	node    *Node
-	posting *dispatch.Posting
+	posting *dispatch.Attempt
 	job     *protocol.Job
 	ctx     context.Context
 	charge  Charge       // nil: it takes nothing
@@ -169,14 +169,14 @@
 func (l *leave) Send() bool {
 	l.node.mu.Lock()
 	l.node.module.Behind(l.node.lag.Lag())
-	stands := l.node.module.Stands(l.posting) && l.node.at(l.posting.Executor) == l.job.Address
+	stands := l.node.module.Stands(l.posting) && l.node.at(l.posting.Server) == l.job.Address
 	l.node.mu.Unlock()
 	if !stands || l.ctx.Err() != nil || l.job.Overtold(time.Now()) {
 		return false
 	}
 	// Danger: word that a client has closed waits behind work at a full node, and its job is begun for nobody.
 	if l.job.Request.Gone() {
-		l.node.event(func() { l.node.clientGone(l.posting.Txn) })
+		l.node.event(func() { l.node.clientGone(l.posting.Request) })
 		return false
 	}
 	if l.charge != nil && !l.charge.Send() {
@@ -193,13 +193,13 @@
 }
 
 // carry takes one posting to its executor and tells the module of its one outcome.
-func (n *Node) carry(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Posting, job *protocol.Job, charge Charge) {
+func (n *Node) carry(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Job, charge Charge) {
 	sent, gate := n.clock(), &leave{node: n, posting: p, job: job, ctx: ctx, charge: charge}
 	job.Admit = gate
 	defer withdraw()
 	began := int64(0) // when it told of its start
 	ended := func(e protocol.End) {
-		n.log.Trace().Str("id", p.Txn.Tag).Int("number", p.Number).Str("executor", p.Executor.Tag).Stringer("outcome", e.Outcome).
+		n.log.Trace().Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
 			Int64("sent_us", sent/1e3).Int64("left_us", gate.at.Load()/1e3).Int64("began_us", began/1e3).Int64("ended_us", n.clock()/1e3).Msg("posting")
 		if charge != nil {
 			charge.End(e.Outcome == dispatch.Settled || e.Outcome == dispatch.Erred || e.Outcome == dispatch.Full)
@@ -224,28 +224,28 @@
 }
 
 // ended tells the module of a posting's one outcome.
-func (n *Node) ended(p *dispatch.Posting, e protocol.End, sent int64) {
+func (n *Node) ended(p *dispatch.Attempt, e protocol.End, sent int64) {
 	n.event(func() {
 		if n.out[p] == nil {
 			return
 		}
 		delete(n.out, p)
 		if e.Outcome == dispatch.Settled {
-			n.answer(p.Txn, &protocol.Answer{Status: http.StatusOK, Body: e.Result})
+			n.answer(p.Request, &protocol.Answer{Status: http.StatusOK, Body: e.Result})
 		}
-		p.Free = e.Free
-		n.module.Ended(p, e.Outcome, n.clock()-sent, n.lives[p.Txn] == nil)
+		p.FreeSlots = e.Free
+		n.module.Ended(p, e.Outcome, n.clock()-sent, n.lives[p.Request] == nil)
 	})
 	if n.witness != nil {
 		switch e.Outcome {
 		case dispatch.Settled:
-			n.witness(p.Executor.Tag, false)
+			n.witness(p.Server.Tag, false)
 		case dispatch.Erred, dispatch.TimedOut, dispatch.Undialed, dispatch.Broken:
-			n.witness(p.Executor.Tag, true)
+			n.witness(p.Server.Tag, true)
 		}
 	}
 	if e.Cause != nil && e.Outcome != dispatch.Revoked {
-		n.log.Debug().Err(e.Cause).Str("id", p.Txn.Tag).Int("number", p.Number).Str("executor", p.Executor.Tag).Stringer("outcome", e.Outcome).
+		n.log.Debug().Err(e.Cause).Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
 			Int64("lag_ms", n.lag.Lag()/1e6).Msg("posting ended")
 	}
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -149,11 +149,11 @@
 
 // listed hands the list to the module and keeps the addresses.
 func (n *Node) listed(l *protocol.List) {
-	var members []dispatch.Member
+	var members []dispatch.Endpoint
 	for _, e := range l.Entries {
 		m := n.members[e.ID]
 		if m == nil {
-			m = &member{executor: &dispatch.Executor{Tag: e.ID, Mark: dispatch.Mark(e.ID), Far: n.beyond, Bad: n.doubted[e.ID]}}
+			m = &member{executor: &dispatch.Server{Tag: e.ID, Hash: dispatch.HashName(e.ID), Distance: n.beyond, OutlierScore: n.doubted[e.ID]}}
 			n.members[e.ID] = m
 			n.other()
 		}
@@ -180,7 +180,7 @@
 
 // forget drops a server that is gone.
 func (n *Node) forget(id string) {
-	if m := n.members[id]; m != nil && m.executor.State == dispatch.Gone {
+	if m := n.members[id]; m != nil && m.executor.State == dispatch.Removed {
 		delete(n.members, id)
 		n.other()
 	}
@@ -213,7 +213,7 @@
 		n.beyond = 1
 		for id, m := range n.members {
 			if at, is := far[id]; is {
-				m.executor.Far = at
+				m.executor.Distance = at
 			}
 		}
 	})
@@ -227,19 +227,19 @@
 	n.event(func() {
 		n.doubted = bad
 		for id, m := range n.members {
-			m.executor.Bad = bad[id]
+			m.executor.OutlierScore = bad[id]
 		}
 	})
 }
 
 // present is an executor as the module is told of it: a banned one drains, whatever discovery says.
-func (n *Node) present(m *member) dispatch.Member {
+func (n *Node) present(m *member) dispatch.Endpoint {
 	e := &m.entry
 	state := e.State
 	if state == dispatch.Up && n.banned[e.ID] {
 		state = dispatch.Draining
 	}
-	return dispatch.Member{Executor: m.executor, State: state, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Since: e.Started, Units: e.Units}
+	return dispatch.Endpoint{Server: m.executor, State: state, Zone: e.Zone, MachineType: e.Kind, Cell: e.Cell, StartedAt: e.Started, Capacity: e.Units}
 }
 
 // Ban has these executors drain, and no others but those that discovery says do.
@@ -247,7 +247,7 @@
 	n.event(func() {
 		was := n.banned
 		n.banned = map[string]bool{}
-		var changed []dispatch.Member
+		var changed []dispatch.Endpoint
 		for _, id := range ids {
 			n.banned[id] = true
 		}
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -77,8 +77,8 @@
 	ids        [2]map[string]int64 // of txns taken, by when they may come again: since turned, and in the span before
 	turned     int64
 	span       int64                                    // the longest that an id is kept
-	lives      map[*dispatch.Txn]*life                  // txns without a final answer
-	out        map[*dispatch.Posting]context.CancelFunc // postings without an outcome
+	lives      map[*dispatch.Request]*life              // txns without a final answer
+	out        map[*dispatch.Attempt]context.CancelFunc // postings without an outcome
 	watch      chan bool                                // what the module wants of the list, at most one order
 	relisted   chan struct{}                            // there are other executors than were; at most one word of it
 	doubted    map[string]float64                       // how bad others say that executors are
@@ -88,7 +88,7 @@
 
 // member is an executor of the list with its present address.
 type member struct {
-	executor *dispatch.Executor
+	executor *dispatch.Server
 	entry    protocol.Entry // what discovery said last
 	address  string
 }
@@ -96,7 +96,7 @@
 // New starts the module on the list as it was last known. purse is nil where nodes share nothing.
 func New(terms *dispatch.Settings, seed uint64, known *protocol.List, c Carrier, probe time.Duration, l Lister, purse Purse, log zerolog.Logger) *Node {
 	n := &Node{terms: terms, carrier: c, probe: probe, lister: l, known: known, log: log, start: time.Now(), lag: newLagMeter(), till: math.MaxInt64, members: map[string]*member{}, listedOnce: map[string]bool{},
-		news: make(chan struct{}), ids: [2]map[string]int64{{}, {}}, lives: map[*dispatch.Txn]*life{}, out: map[*dispatch.Posting]context.CancelFunc{}, watch: make(chan bool, 1), turn: make(chan Lister, 1), relisted: make(chan struct{}, 1)}
+		news: make(chan struct{}), ids: [2]map[string]int64{{}, {}}, lives: map[*dispatch.Request]*life{}, out: map[*dispatch.Attempt]context.CancelFunc{}, watch: make(chan bool, 1), turn: make(chan Lister, 1), relisted: make(chan struct{}, 1)}
 	n.heard = n.news
 	for i := range terms.Classes {
 		n.span = max(n.span, n.window(i))
@@ -177,7 +177,7 @@
 }
 
 // Probe asks an executor for its load. What does not come while the longest probe may last tells of no room.
-func (n *Node) Probe(e *dispatch.Executor) {
+func (n *Node) Probe(e *dispatch.Server) {
 	address := n.at(e)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), n.probe)
@@ -192,29 +192,29 @@
 }
 
 // Tell implements dispatch.Door. The protocol has no messages between nodes, so the module is told that there are none.
-func (n *Node) Tell(*dispatch.Executor, float64) {}
+func (n *Node) Tell(*dispatch.Server, float64) {}
 
 // at is an executor's present address. Under mu.
 // Danger: one that came back elsewhere while a connection to where it was is still under way.
-func (n *Node) at(e *dispatch.Executor) string {
+func (n *Node) at(e *dispatch.Server) string {
 	if m := n.members[e.Tag]; m != nil {
 		return m.address
 	}
 	return ""
 }
 
-func (n *Node) Post(p *dispatch.Posting) {
-	till := p.Txn.Expiry
-	if p.Limit > 0 {
-		till = min(till, n.clock()+p.Limit)
+func (n *Node) Post(p *dispatch.Attempt) {
+	till := p.Request.Deadline
+	if p.Timeout > 0 {
+		till = min(till, n.clock()+p.Timeout)
 	}
 	deadline := time.Now().Add(time.Duration(till - n.clock()))
 	ctx, withdraw := context.WithDeadline(context.Background(), deadline)
 	n.out[p] = withdraw
-	job := &protocol.Job{Request: n.lives[p.Txn].request, Deadline: deadline, Address: n.at(p.Executor)}
+	job := &protocol.Job{Request: n.lives[p.Request].request, Deadline: deadline, Address: n.at(p.Server)}
 	var charge Charge
 	if n.purse != nil {
-		if charge = n.purse.Charge(p.Executor.Tag, n.tenant(p.Txn), p.Number > 0, p.Part); charge == nil {
+		if charge = n.purse.Charge(p.Server.Tag, n.tenant(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
 			defer withdraw()
 			go n.ended(p, protocol.End{Outcome: dispatch.Unsent}, n.clock())
 			return
@@ -224,7 +224,7 @@
 }
 
 // Allow implements dispatch.Shares, under the lock as well.
-func (n *Node) Allow(b dispatch.Budget, e *dispatch.Executor, t *dispatch.Txn, units float64) bool {
+func (n *Node) Allow(b dispatch.Budget, e *dispatch.Server, t *dispatch.Request, units float64) bool {
 	switch b {
 	case dispatch.BudgetTenantAttempts:
 		return n.purse.May(b, n.tenant(t), units)
@@ -235,7 +235,7 @@
 }
 
 // tenant is the name of a txn's; empty where there are none.
-func (n *Node) tenant(t *dispatch.Txn) string {
+func (n *Node) tenant(t *dispatch.Request) string {
 	if t.Tenant >= len(n.terms.Tenants) {
 		return ""
 	}
@@ -243,27 +243,27 @@
 }
 
 // Quota implements dispatch.Shares, under the lock as well.
-func (n *Node) Quota(b dispatch.Budget, e *dispatch.Executor) float64 {
+func (n *Node) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
 	return n.purse.Part(b, n.key(b, e))
 }
 
-func (n *Node) key(b dispatch.Budget, e *dispatch.Executor) string {
+func (n *Node) key(b dispatch.Budget, e *dispatch.Server) string {
 	if m := n.members[e.Tag]; b == dispatch.BudgetConnections && m != nil {
 		return m.address
 	}
 	return e.Tag
 }
 
-func (n *Node) Withdraw(p *dispatch.Posting) {
+func (n *Node) Withdraw(p *dispatch.Attempt) {
 	if withdraw := n.out[p]; withdraw != nil {
 		withdraw()
 	}
 }
 
-func (n *Node) Decline(t *dispatch.Txn, returnIn int64) {
+func (n *Node) Decline(t *dispatch.Request, returnIn int64) {
 	n.answer(t, &protocol.Answer{Status: http.StatusServiceUnavailable, ReturnIn: time.Duration(returnIn)})
 }
 
-func (n *Node) Reverse(t *dispatch.Txn) {
+func (n *Node) Reverse(t *dispatch.Request) {
 	n.answer(t, &protocol.Answer{Status: http.StatusInternalServerError})
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -106,7 +106,7 @@
 			{Index: 1, LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1, Idempotency: dispatch.NonIdempotent}}}
 }
 
-func entry(id string, state dispatch.State) protocol.Entry {
+func entry(id string, state dispatch.EndpointState) protocol.Entry {
 	return protocol.Entry{ID: id, Address: id + ":7", State: state}
 }
 
@@ -557,7 +557,7 @@
 		return o, result
 	}
 	ids := []string{"a", "b", "c", "d"}
-	states, banned := map[string]dispatch.State{}, map[string]bool{}
+	states, banned := map[string]dispatch.EndpointState{}, map[string]bool{}
 	mark := func() { // under mu
 		for _, id := range ids {
 			at := id + ":7"
@@ -573,7 +573,7 @@
 	for i := range 60 {
 		time.Sleep(time.Duration(dice(100)) * time.Millisecond)
 		if dice(5) == 0 {
-			e, whole := entry(ids[dice(len(ids))], dispatch.State(dice(3))), dice(2) == 0
+			e, whole := entry(ids[dice(len(ids))], dispatch.EndpointState(dice(3))), dice(2) == 0
 			e.Started = time.Now().UnixNano() * int64(dice(2)) // it may have restarted
 			n.event(func() {
 				mu.Lock()
@@ -584,7 +584,7 @@
 				if whole {
 					l.Entries = nil
 					for _, id := range ids {
-						if states[id] != dispatch.Gone {
+						if states[id] != dispatch.Removed {
 							l.Entries = append(l.Entries, entry(id, states[id]))
 						}
 					}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -63,7 +63,7 @@
 type listing struct {
 	left    int
 	mode    string
-	members []dispatch.Member
+	members []dispatch.Endpoint
 }
 
 // node is one instance with its tables. It is the module's Door.
@@ -73,9 +73,9 @@
 	module    *dispatch.Dispatcher // nil: not started, killed or crashed
 	terms     *dispatch.Settings
 	values    protocol.Values // of load reports
-	executors map[string]*dispatch.Executor
-	marks     map[uint32]*dispatch.Executor // the same, as nodes name them to one another
-	txns      map[string]*dispatch.Txn
+	executors map[string]*dispatch.Server
+	marks     map[uint32]*dispatch.Server // the same, as nodes name them to one another
+	txns      map[string]*dispatch.Request
 	alarms    map[int64]func()
 	token     int64
 	touched   bool
@@ -201,8 +201,8 @@
 		f.err = cmp.Or(f.err, err)
 		return
 	}
-	n.executors, n.txns, n.alarms = map[string]*dispatch.Executor{}, map[string]*dispatch.Txn{}, map[int64]func(){}
-	n.marks = map[uint32]*dispatch.Executor{}
+	n.executors, n.txns, n.alarms = map[string]*dispatch.Server{}, map[string]*dispatch.Request{}, map[int64]func(){}
+	n.marks = map[uint32]*dispatch.Server{}
 	n.terms, n.values = terms, config.LoadValues(f.find)
 	n.module = dispatch.New(terms, uint64(seed), n, n.session.now)
 }
@@ -236,18 +236,18 @@
 	tag, state := f.text("Executor"), f.text("Lifecycle")
 	e := n.executors[tag]
 	if e == nil {
-		e = &dispatch.Executor{Tag: tag, Mark: dispatch.Mark(tag)}
-		n.executors[tag], n.marks[uint32(e.Mark)] = e, e
+		e = &dispatch.Server{Tag: tag, Hash: dispatch.HashName(tag)}
+		n.executors[tag], n.marks[uint32(e.Hash)] = e, e
 	}
-	m := dispatch.Member{Executor: e, Zone: int(f.wholeOr("Zone", 0)), Kind: int(f.wholeOr("ClassOfHost", 0)),
-		Cell: int(f.wholeOr("UnitGroup", 0)), Since: f.wholeOr("OnlineSince", 0),
-		Units: f.realOr("Units", 1)}
+	m := dispatch.Endpoint{Server: e, Zone: int(f.wholeOr("Zone", 0)), MachineType: int(f.wholeOr("ClassOfHost", 0)),
+		Cell: int(f.wholeOr("UnitGroup", 0)), StartedAt: f.wholeOr("OnlineSince", 0),
+		Capacity: f.realOr("Units", 1)}
 	switch state {
 	case "up":
 	case "draining":
 		m.State = dispatch.Draining
 	case "removed":
-		m.State = dispatch.Gone
+		m.State = dispatch.Removed
 	default:
 		f.fail("unknown state %q", state)
 	}
@@ -261,18 +261,18 @@
 func (n *node) listed(l *listing) {
 	n.module.List(l.mode != "patch", l.members)
 	for tag, e := range n.executors {
-		if e.State == dispatch.Gone {
+		if e.State == dispatch.Removed {
 			delete(n.executors, tag)
-			delete(n.marks, uint32(e.Mark))
+			delete(n.marks, uint32(e.Hash))
 		}
 	}
 }
 
 func (n *node) order(f *fields) {
 	tag, scheme := f.text("Job"), int(f.whole("Grade"))
-	t := &dispatch.Txn{Tag: tag, Tenant: int(f.wholeOr("Tenant", 0)), Slots: f.realOr("Slots", 1),
-		Key:  uint64(f.wholeOr("Resource", 0)),
-		Hint: f.wholeOr("Predicted", 0), Expiry: f.whole("GiveUpAt")}
+	t := &dispatch.Request{Tag: tag, Tenant: int(f.wholeOr("Tenant", 0)), Slots: f.realOr("Slots", 1),
+		AffinityKey:  uint64(f.wholeOr("Resource", 0)),
+		ExpectedWork: f.wholeOr("Predicted", 0), Deadline: f.whole("GiveUpAt")}
 	if f.err == nil && (scheme < 0 || scheme >= len(n.terms.Classes)) {
 		f.fail("no scheme %d in the settings", scheme)
 	}
@@ -282,26 +282,26 @@
 	if f.err != nil {
 		return
 	}
-	t.Scheme = n.terms.Classes[scheme]
+	t.Class = n.terms.Classes[scheme]
 	n.txns[tag] = t
 	n.module.Arrive(t)
 	n.tidy(t)
 }
 
-func (n *node) posting(f *fields) *dispatch.Posting {
+func (n *node) posting(f *fields) *dispatch.Attempt {
 	job, trial := f.text("Job"), f.whole("Trial")
-	if t := n.txns[job]; t != nil && f.err == nil && trial >= 0 && trial < int64(len(t.Postings)) {
-		return t.Postings[trial]
+	if t := n.txns[job]; t != nil && f.err == nil && trial >= 0 && trial < int64(len(t.Attempts)) {
+		return t.Attempts[trial]
 	}
 	return nil
 }
 
 func (n *node) reportBack(f *fields) {
 	p, o, took, over := n.posting(f), f.outcome(), f.wholeOr("TimeTaken", 0), f.wholeOr("Ended", 0) != 0
-	if p != nil && p.Open && f.err == nil {
-		p.Free = f.reported(n.values.Free)
+	if p != nil && p.InFlight && f.err == nil {
+		p.FreeSlots = f.reported(n.values.Free)
 		n.module.Ended(p, o, took, over)
-		n.tidy(p.Txn)
+		n.tidy(p.Request)
 	}
 }
 
@@ -335,7 +335,7 @@
 
 func (n *node) note(f *fields) {
 	p, topic := n.posting(f), f.whole("Topic")
-	if p == nil || !p.Open || f.err != nil {
+	if p == nil || !p.InFlight || f.err != nil {
 		return
 	}
 	switch topic {
@@ -347,12 +347,12 @@
 }
 
 // tidy drops a txn once it is answered and nothing is out for it.
-func (n *node) tidy(t *dispatch.Txn) {
-	if !t.Over {
+func (n *node) tidy(t *dispatch.Request) {
+	if !t.Done {
 		return
 	}
-	for _, p := range t.Postings {
-		if p.Open {
+	for _, p := range t.Attempts {
+		if p.InFlight {
 			return
 		}
 	}
@@ -379,20 +379,20 @@
 func number(v int64) string { return strconv.FormatInt(v, 10) }
 
 // Post implements dispatch.Door, as do the methods after it.
-func (n *node) Post(p *dispatch.Posting) {
-	n.say("TRY", "Job", p.Txn.Tag, "Executor", p.Executor.Tag, "Limit", number(p.Limit))
+func (n *node) Post(p *dispatch.Attempt) {
+	n.say("TRY", "Job", p.Request.Tag, "Executor", p.Server.Tag, "Limit", number(p.Timeout))
 }
 
-func (n *node) Withdraw(p *dispatch.Posting) {
-	n.say("WITHDRAW", "Job", p.Txn.Tag, "Trial", number(int64(p.Number)))
+func (n *node) Withdraw(p *dispatch.Attempt) {
+	n.say("WITHDRAW", "Job", p.Request.Tag, "Trial", number(int64(p.Number)))
 }
 
-func (n *node) Decline(t *dispatch.Txn, returnIn int64) {
+func (n *node) Decline(t *dispatch.Request, returnIn int64) {
 	n.say("NOT_NOW", "Job", t.Tag, "RetryIn", number(returnIn))
 	n.tidy(t)
 }
 
-func (n *node) Reverse(t *dispatch.Txn) {
+func (n *node) Reverse(t *dispatch.Request) {
 	n.say("ABORT", "Job", t.Tag)
 	n.tidy(t)
 }
@@ -405,11 +405,11 @@
 	return func() { delete(n.alarms, token) }
 }
 
-func (n *node) Probe(e *dispatch.Executor) { n.say("SOUND_OUT", "Executor", e.Tag) }
+func (n *node) Probe(e *dispatch.Server) { n.say("SOUND_OUT", "Executor", e.Tag) }
 
 // Tell sends what was taken in five bytes: slots and the executor's mark.
-func (n *node) Tell(e *dispatch.Executor, slots float64) {
-	message := binary.BigEndian.AppendUint32([]byte{byte(min(max(slots, 0), 255))}, uint32(e.Mark))
+func (n *node) Tell(e *dispatch.Server, slots float64) {
+	message := binary.BigEndian.AppendUint32([]byte{byte(min(max(slots, 0), 255))}, uint32(e.Hash))
 	n.say("SHARE", "Recipient", "*", "Content", base64.StdEncoding.EncodeToString(message))
 }
 
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -338,7 +338,7 @@
 
 // chance is that of one actor's nth act.
 func (w *world) chance(actor string, nth uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(w.seed^dispatch.Mark(actor), nth))
+	return rand.New(rand.NewPCG(w.seed^dispatch.HashName(actor), nth))
 }
 
 // dial gives an agent's or an executor's end of a pipe to who is at work there.
