--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -42,7 +42,7 @@
 				d.Arrive(t)
 				d.Settle()
 				d.Started(door.posted)
-				d.Ended(door.posted, Settled, 1e7, true)
+				d.Ended(door.posted, Succeeded, 1e7, true)
 				d.Settle()
 			}
 		})
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -79,15 +79,15 @@
 		x := w.arrive(0, 1, 5e7, 25e8)
 		for w.ended[x] == 0 && !x.Done {
 			p := x.Attempts[len(x.Attempts)-1]
-			if o := Full; p.Server == ahead {
+			if o := Rejected; p.Server == ahead {
 				if w.IntN(2) == 0 {
-					o = Erred
+					o = Failed
 				}
 				w.end(p, o)
 				continue
 			}
 			w.d.Started(p)
-			w.end(p, Settled)
+			w.end(p, Succeeded)
 			served++
 		}
 		w.pass(1e7)
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -240,7 +240,7 @@
 // Danger: a txn that is forgotten. This alarm answers it whatever else happens.
 func (d *Dispatcher) Expire(t *Request, at int64) {
 	t.Deadline = min(t.Deadline, at)
-	t.forget = d.door.Alarm(t.Deadline-d.now-d.headroom(), func() { d.finish(t, TimeUp) })
+	t.forget = d.door.Alarm(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
 }
 
 // overShare tells by chance whether a txn lies beyond its tenant's share, by the other tenants' arrivals.
@@ -285,7 +285,7 @@
 		count = asks
 	}
 	if len(t.Attempts) >= d.terms.MaxAttempts || t.anchor() != nil && d.spanOver(t) {
-		d.finish(t, NoAttempt)
+		d.finish(t, AttemptsExhausted)
 	} else if d.stale() {
 		t.look = d.now + leastLag*d.terms.Tick
 		d.enqueue(t)
@@ -650,7 +650,7 @@
 		return
 	// Danger: what is declined here may run all the same and comes back as a retry, so that a jam never ends.
 	case s.Idempotency == Idempotent && s.LateShare == 0 && d.earns(p.Request) <= 0:
-		d.finish(p.Request, LateAnswer)
+		d.finish(p.Request, LateAtServer)
 		return
 	case !d.terms.LoadReports || wait <= d.patience():
 		d.copy(p)
@@ -789,34 +789,34 @@
 		e.busy, d.busy, t.thing.busy, t.thing.idleAt = e.busy-t.Slots, d.busy-t.Slots, t.thing.busy-t.Slots, d.now
 	}
 	// Danger: what was taken back may run all the same; with its place taken for free a jam outlives its cause.
-	if o == Revoked {
+	if o == Canceled {
 		d.door.Alarm(d.running(t, 0.5), free)
 	} else {
 		free()
 	}
-	if p.unrun = o == Full || o == Undialed || o == Unsent; !p.withdrawn {
+	if p.unrun = o == Rejected || o == ConnectFailed || o == NotSent; !p.withdrawn {
 		t.live--
 	}
 	// Danger: of many nodes none has more than one or two txns at an executor, and takes it for that small.
 	e.model.slots = max(e.model.slots, p.FreeSlots)
 	// Danger: a txn that errs wherever it goes, or what is behind all executors, takes the healthy ones out.
 	part, again, cured := 1.0, t.erred != nil && t.erred != e, d.cured(t)
-	if o == Erred {
+	if o == Failed {
 		part, t.erred = cured, e
 	}
-	if again && (o == Settled || o == Erred) {
-		d.cures[t.Class.Index].fade(d.now).count(o == Settled)
-		t.thing.cure.fade(d.now).count(o == Settled)
+	if again && (o == Succeeded || o == Failed) {
+		d.cures[t.Class.Index].fade(d.now).count(o == Succeeded)
+		t.thing.cure.fade(d.now).count(o == Succeeded)
 	}
-	if (t.AffinityKey != 0 || len(d.terms.Tenants) > 1) && (o == Settled || o == Erred) {
+	if (t.AffinityKey != 0 || len(d.terms.Tenants) > 1) && (o == Succeeded || o == Failed) {
 		far := float64(d.now-max(p.sent, p.started)) > overrun*float64(d.running(t, 0.5))
 		// What is about one thing is alike; of a tenant's long runs alone say nothing.
-		if bad := far && cured < hopeless || t.AffinityKey != 0 && (far || part < hopeless); bad || o == Settled {
+		if bad := far && cured < hopeless || t.AffinityKey != 0 && (far || part < hopeless); bad || o == Succeeded {
 			d.jam(t.thing, p, bad)
 		}
 	}
 	switch o {
-	case Settled:
+	case Succeeded:
 		if !t.Done && d.now <= t.aim {
 			d.schemes[t.Class.Index].earned += t.value
 		}
@@ -828,11 +828,11 @@
 			d.rank(p, float64(took)/t.unit(), false)
 		}
 		d.ran(p, d.now-max(p.sent, p.started))
-	case Erred, TimedOut, Undialed, Broken, Stale: // Danger: a gone connection, at once, is no sick executor
-		if !p.withdrawn && (o != Stale || took > d.patience()) {
+	case Failed, TimedOut, ConnectFailed, ConnectionLost, StaleConnection: // Danger: a gone connection, at once, is no sick executor
+		if !p.withdrawn && (o != StaleConnection || took > d.patience()) {
 			d.blame(p, part)
 		}
-	case Full:
+	case Rejected:
 		// Danger: an executor that turns all away at once looks idle and draws everything; its limit falls as well.
 		e.room = max(e.room, e.limit)
 		d.adjust(p, e.busy+t.Slots, false)
@@ -840,9 +840,9 @@
 	if over {
 		d.Left(t)
 	} else if o == TimedOut && p.Timeout == 0 { // its client has given up, whatever was told
-		d.finish(t, ClientsTime)
-	} else if again && o == Erred && part < incurable {
-		d.finish(t, ErrsAnywhere)
+		d.finish(t, ClientTimeout)
+	} else if again && o == Failed && part < incurable {
+		d.finish(t, FailsEverywhere)
 	}
 	p.then()
 }
@@ -916,7 +916,7 @@
 	for _, t := range waiting {
 		switch {
 		case t.earns <= 0:
-			d.finish(t, NoHope)
+			d.finish(t, QueueTimeout)
 		case d.now < t.look:
 			d.enqueue(t)
 		default:
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -29,7 +29,7 @@
 		}
 		w.finish()
 		for len(w.open) > 0 {
-			w.end(w.open[0], Revoked)
+			w.end(w.open[0], Canceled)
 		}
 		w.pass(6e9) // what was taken back may run for a while
 		for _, m := range w.fleet {
@@ -43,7 +43,7 @@
 // TestTakenBackKeepsItsPlace: a job that was taken back may run all the same, so its place counts as taken for as long as one
 // runs; what ended otherwise leaves at once.
 func TestTakenBackKeepsItsPlace(t *testing.T) {
-	for _, o := range []Outcome{Revoked, Erred} {
+	for _, o := range []Outcome{Canceled, Failed} {
 		w := newWorld(t, 1, basicTerms())
 		w.join(1, false)
 		w.arrive(0, 1, 2e8, 4e9)
@@ -51,11 +51,11 @@
 		w.d.Left(w.txns[0])
 		w.ended[w.txns[0]] = 1
 		w.end(w.open[0], o)
-		if kept := e.busy == 1; kept != (o == Revoked) {
+		if kept := e.busy == 1; kept != (o == Canceled) {
 			t.Errorf("%v: %v slots are taken", o, e.busy)
 		}
 		w.pass(19e7)
-		if kept := e.busy == 1; kept != (o == Revoked) {
+		if kept := e.busy == 1; kept != (o == Canceled) {
 			t.Errorf("%v: %v slots are taken just before it would have run", o, e.busy)
 		}
 		if w.pass(2e8); e.busy != 0 {
@@ -80,15 +80,15 @@
 	}
 	near(1)
 	w.arrive(0, 1, 1e8, 2e10)
-	w.end(w.open[0], Undialed)
+	w.end(w.open[0], ConnectFailed)
 	near(penalty)
 	again()
 	before := w.d.health(e)
-	w.end(w.open[0], Full)
+	w.end(w.open[0], Rejected)
 	near(before)
 	again()
 	before = w.d.health(e)
-	w.end(w.open[0], Settled)
+	w.end(w.open[0], Succeeded)
 	near(before + reward)
 	w.pass(recovery)
 	near(1 - (1-before-reward)*0.37)
@@ -100,7 +100,7 @@
 		w.now += took
 		w.d.At(w.now)
 		before = w.d.health(e)
-		w.end(p, Stale)
+		w.end(p, StaleConnection)
 		near(before * map[int64]float64{0: 1, 1e9: penalty}[took])
 	}
 }
@@ -166,11 +166,11 @@
 		for len(w.open) > 0 {
 			if p := w.open[0]; p.Server == bad {
 				full++
-				w.end(p, Full)
+				w.end(p, Rejected)
 			} else {
 				w.d.Started(p)
 				w.pass(5e7)
-				w.end(p, Settled)
+				w.end(p, Succeeded)
 			}
 		}
 		w.pass(2e7)
@@ -190,7 +190,7 @@
 		w.settle() // how prompt a start can be is known
 		had := e.limit
 		w.arrive(0, 1, 1e8, 5e9)
-		if w.end(w.open[0], Full); e.limit > had/2 {
+		if w.end(w.open[0], Rejected); e.limit > had/2 {
 			t.Fatalf("limit is %v, not cut from %v", e.limit, had)
 		}
 		for len(w.open) == 0 { // until it goes again
@@ -352,13 +352,13 @@
 	w := newWorld(t, 1, basicTerms())
 	w.join(4, false)
 	x := w.arrive(1, 1, 1e8, 9e9)
-	w.end(w.open[0], Broken)
+	w.end(w.open[0], ConnectionLost)
 	if len(x.Attempts) != 2 || x.Attempts[0].Server.cell != x.Attempts[1].Server.cell {
 		t.Fatal("not sent again within its cell")
 	}
 	w.pass(w.terms.Classes[1].DedupWindow)
 	for len(w.open) > 0 {
-		w.end(w.open[0], Broken)
+		w.end(w.open[0], ConnectionLost)
 	}
 	if !x.Done || w.ended[x] != 1 {
 		t.Fatal("past its memory span it must be reversed at once")
@@ -469,7 +469,7 @@
 		p := w.open[len(w.open)-1]
 		w.d.Started(p)
 		w.pass(24e8)
-		w.end(p, Settled)
+		w.end(p, Succeeded)
 	}
 	fresh := w.arrive(0, 1, 1e9, 9e9)
 	if w.ended[fresh] != 0 || len(fresh.Attempts) == 0 {
@@ -738,7 +738,7 @@
 			t.Fatalf("%s: two postings out", name)
 		}
 		if w.withdraw > 0 {
-			w.end(p, Revoked)
+			w.end(p, Canceled)
 		}
 		if len(tx.Attempts) != c.want || c.want > 1 && tx.Attempts[1].Server == p.Server {
 			t.Errorf("%s: %d postings, want %d", name, len(tx.Attempts), c.want)
--- a/dispatch/figures_test.go
+++ b/dispatch/figures_test.go
@@ -46,7 +46,7 @@
 			w.arrive(0, 1, 2e7, 4e8)
 			w.settle()
 			for len(w.open) > 0 {
-				w.end(w.open[0], Settled)
+				w.end(w.open[0], Succeeded)
 			}
 		}
 		return sent() - before
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -181,16 +181,16 @@
 			}
 			n.d.Settle()
 			for _, p := range slices.Clone(n.open) {
-				if o := Settled; h.hasty || h.now-n.at[p] >= n.runs(p) {
+				if o := Succeeded; h.hasty || h.now-n.at[p] >= n.runs(p) {
 					if h.hasty {
-						o = Full
+						o = Rejected
 					}
 					n.open = slices.DeleteFunc(n.open, func(q *Attempt) bool { return p == q })
 					n.tell(invariants.Event{Kind: invariants.Ended, Txn: p.Request.Tag, Posting: p.Number, Result: o.String()})
-					if o == Settled && !p.Request.Done {
+					if o == Succeeded && !p.Request.Done {
 						n.tell(invariants.Event{Kind: invariants.Answered, Txn: p.Request.Tag, Result: "settled"})
 					}
-					n.d.Ended(p, o, h.now-n.at[p], p.Request.Done || o == Settled)
+					n.d.Ended(p, o, h.now-n.at[p], p.Request.Done || o == Succeeded)
 				}
 			}
 			n.d.Settle()
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -199,10 +199,10 @@
 // end gives a posting an outcome, as the bench would.
 func (w *world) end(p *Attempt, o Outcome) {
 	w.open = slices.DeleteFunc(w.open, func(q *Attempt) bool { return q == p })
-	if o == Full || o == Undialed || o == Unsent {
+	if o == Rejected || o == ConnectFailed || o == NotSent {
 		w.mayRun[p] = false
 	}
-	if o == Settled && w.ended[p.Request] == 0 {
+	if o == Succeeded && w.ended[p.Request] == 0 {
 		w.final(p.Request)
 	}
 	w.d.Ended(p, o, w.now-w.sentAt[p], w.ended[p.Request] > 0)
@@ -213,7 +213,7 @@
 func (w *world) settle() {
 	for len(w.open) > 0 {
 		w.d.Started(w.open[0])
-		w.end(w.open[0], Settled)
+		w.end(w.open[0], Succeeded)
 	}
 }
 
@@ -223,7 +223,7 @@
 	case n < 6:
 		w.arrive(w.IntN(len(w.terms.Classes)), float64(int(1)<<w.IntN(3)), 1e7+w.Int64N(6e8), w.Int64N(5e9)+2e7)
 	case n < 10 && len(w.open) > 0:
-		w.end(w.open[w.IntN(len(w.open))], Outcome(w.IntN(int(Stale)+1)))
+		w.end(w.open[w.IntN(len(w.open))], Outcome(w.IntN(int(StaleConnection)+1)))
 	case n < 14 && len(w.open) > 0:
 		p := w.open[w.IntN(len(w.open))]
 		if busy := p.Server.atWork; busy+p.Request.Slots <= testSlots {
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -57,14 +57,14 @@
 		if !p.InFlight {
 			return
 		}
-		over := t.Done || o == Settled
-		if o == Settled && !t.Done {
+		over := t.Done || o == Succeeded
+		if o == Succeeded && !t.Done {
 			n.done[t](work)
 		}
 		n.d.Ended(p, o, n.now-n.sent[p], over)
 	}
 	if n.error != nil && n.error(t, i) {
-		n.after(2e6, func() { end(Erred) })
+		n.after(2e6, func() { end(Failed) })
 		return
 	}
 	next := func() {}
@@ -80,10 +80,10 @@
 		if p.InFlight {
 			n.d.Started(p)
 		}
-		took, o := work*w.slow, Settled
+		took, o := work*w.slow, Succeeded
 		if n.hot > 0 && (t.AffinityKey == n.hot || t.AffinityKey == 0 && t.Tenant == int(n.hot)) {
 			if wait := max(n.unlock-n.now, 0); wait > 3*t.Class.LatencyObjective/2 {
-				took, o = 2e6, Erred
+				took, o = 2e6, Failed
 			} else {
 				took, n.unlock = took+wait, max(n.unlock, n.now)+n.hold
 			}
@@ -100,7 +100,7 @@
 func (n *townNode) Withdraw(p *Attempt) {
 	n.after(1e6, func() {
 		if p.InFlight {
-			n.d.Ended(p, Revoked, n.now-n.sent[p], true)
+			n.d.Ended(p, Canceled, n.now-n.sent[p], true)
 		}
 	})
 }
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -160,7 +160,7 @@
 	w.join(4, false)
 	s.none[BudgetRetries] = true
 	x := w.arrive(0, 1, 1e8, 20e9)
-	w.end(w.open[0], Full)
+	w.end(w.open[0], Rejected)
 	began := w.now
 	for w.ended[x] == 0 && w.now-began < 20e9 {
 		w.pass(1e7)
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -169,15 +169,15 @@
 type Outcome int
 
 const (
-	Settled  Outcome = iota // answered
-	Erred                   // an error, may have run
-	Full                    // turned away unseen
-	TimedOut                // may have run
-	Undialed                // no connection, never ran
-	Broken                  // connection lost, may have run
-	Revoked                 // withdrawn, may have run
-	Unsent                  // never left
-	Stale                   // met a kept connection that was gone; may have run
+	Succeeded       Outcome = iota // answered
+	Failed                         // an error, may have run
+	Rejected                       // turned away unseen
+	TimedOut                       // may have run
+	ConnectFailed                  // no connection, never ran
+	ConnectionLost                 // connection lost, may have run
+	Canceled                       // withdrawn, may have run
+	NotSent                        // never left
+	StaleConnection                // met a kept connection that was gone; may have run
 )
 
 func (o Outcome) String() string {
@@ -228,15 +228,15 @@
 type Reason int
 
 const (
-	NoReason     Reason = iota
-	TimeUp              // its deadline is here
-	NoAttempt           // it may not be sent again, or not once more
-	NoHope              // it waited for a server for so long that it can hardly end in time
-	LateAnswer          // it waits at a server, and a late answer earns nothing
-	ClientsTime         // an attempt ran until the client's time was over
-	ErrsAnywhere        // it ended in errors at two servers, as such requests do
-	Overloaded          // this process is too far behind
-	ClientGone          // its client has closed, or shut its sending side
+	NoReason          Reason = iota
+	DeadlineReached          // its deadline is here
+	AttemptsExhausted        // it may not be sent again, or not once more
+	QueueTimeout             // it waited for a server for so long that it can hardly end in time
+	LateAtServer             // it waits at a server, and a late answer earns nothing
+	ClientTimeout            // an attempt ran until the client's time was over
+	FailsEverywhere          // it ended in errors at two servers, as such requests do
+	Overloaded               // this process is too far behind
+	ClientGone               // its client has closed, or shut its sending side
 )
 
 func (r Reason) String() string {
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -258,11 +258,11 @@
 		return till < w.now
 	})
 	if h == nil {
-		n.event(func() { n.ended(p, i, dispatch.Unsent) })
+		n.event(func() { n.ended(p, i, dispatch.NotSent) })
 		return
 	}
 	if n.share != nil && !n.share.take(p, len(n.idle[i]) == 0) {
-		n.event(func() { n.ended(p, i, dispatch.Unsent) })
+		n.event(func() { n.ended(p, i, dispatch.NotSent) })
 		return
 	}
 	w.postings++
@@ -280,10 +280,10 @@
 		return
 	}
 	w.handshakes++
-	refused := func() { w.send(e.zone, n.zone, func() { n.heardEnd(p, i, f, dispatch.Undialed) }) }
+	refused := func() { w.send(e.zone, n.zone, func() { n.heardEnd(p, i, f, dispatch.ConnectFailed) }) }
 	n.world.after(int64(w.s.Net.Dial), func() {
 		if f.life == 0 {
-			n.heardEnd(p, i, f, dispatch.Undialed)
+			n.heardEnd(p, i, f, dispatch.ConnectFailed)
 		}
 	})
 	w.send(n.zone, e.zone, func() {
@@ -325,7 +325,7 @@
 	case lineProgress:
 		n.note(p, f, func() { n.decider.Progress(p) })
 	default:
-		n.heardEnd(p, i, f, map[line]dispatch.Outcome{lineDone: dispatch.Settled, lineError: dispatch.Erred, lineFull: dispatch.Full, lineReset: dispatch.Broken}[what])
+		n.heardEnd(p, i, f, map[line]dispatch.Outcome{lineDone: dispatch.Succeeded, lineError: dispatch.Failed, lineFull: dispatch.Rejected, lineReset: dispatch.ConnectionLost}[what])
 	}
 }
 
@@ -345,7 +345,7 @@
 		return
 	}
 	f.over = true
-	if o == dispatch.Settled || o == dispatch.Erred || o == dispatch.Full {
+	if o == dispatch.Succeeded || o == dispatch.Failed || o == dispatch.Rejected {
 		n.idle[i] = append(n.idle[i], n.world.now+int64(n.world.s.Net.Idle))
 	} else if f.life > 0 {
 		n.world.executors[i].connections = max(n.world.executors[i].connections-1, 0)
@@ -357,7 +357,7 @@
 	f := n.out[p]
 	delete(n.out, p)
 	n.world.log(invariants.Event{Kind: invariants.Ended, Txn: p.Request.Tag, Posting: p.Number, Result: o.String()})
-	if o == dispatch.Settled && n.txns[p.Request] != nil {
+	if o == dispatch.Succeeded && n.txns[p.Request] != nil {
 		n.answer(p.Request, settled)
 	}
 	n.decider.Ended(p, o, n.world.now-f.sent, n.txns[p.Request] == nil)
@@ -373,7 +373,7 @@
 	if f.job != nil {
 		n.world.send(n.zone, n.world.executors[i].zone, func() { n.world.executors[i].forget(f.job) })
 	}
-	n.heardEnd(p, i, f, dispatch.Revoked)
+	n.heardEnd(p, i, f, dispatch.Canceled)
 }
 
 // terms are the settings as the node is handed them.
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -133,7 +133,7 @@
 func (b *baseline) Ended(p *dispatch.Attempt, o dispatch.Outcome, _ int64, over bool) {
 	p.InFlight = false
 	b.busy[p.Server]--
-	b.state[p] = o != dispatch.Full && o != dispatch.Undialed && o != dispatch.Unsent
+	b.state[p] = o != dispatch.Rejected && o != dispatch.ConnectFailed && o != dispatch.NotSent
 	if over {
 		b.Left(p.Request)
 		return
--- a/internal/routing/leave_test.go
+++ b/internal/routing/leave_test.go
@@ -116,17 +116,17 @@
 	s.mu.Lock()
 	late := time.Duration(s.chance.Int64N(1e9))
 	s.mu.Unlock()
-	if o, _ := wait(ctx, late, dispatch.Settled); o != dispatch.Settled {
+	if o, _ := wait(ctx, late, dispatch.Succeeded); o != dispatch.Succeeded {
 		ended(protocol.End{Outcome: o})
 		return
 	}
 	if !job.Admit.Send() {
-		ended(protocol.End{Outcome: dispatch.Unsent})
+		ended(protocol.End{Outcome: dispatch.NotSent})
 		return
 	}
 	s.left(job.Address, job)
 	job.Admit.Sent()
-	o, result := wait(ctx, 50*time.Millisecond, dispatch.Settled)
+	o, result := wait(ctx, 50*time.Millisecond, dispatch.Succeeded)
 	ended(protocol.End{Outcome: o, Result: result})
 }
 
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -202,7 +202,7 @@
 		n.log.Trace().Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
 			Int64("sent_us", sent/1e3).Int64("left_us", gate.at.Load()/1e3).Int64("began_us", began/1e3).Int64("ended_us", n.clock()/1e3).Msg("posting")
 		if charge != nil {
-			charge.End(e.Outcome == dispatch.Settled || e.Outcome == dispatch.Erred || e.Outcome == dispatch.Full)
+			charge.End(e.Outcome == dispatch.Succeeded || e.Outcome == dispatch.Failed || e.Outcome == dispatch.Rejected)
 		}
 		n.ended(p, e, sent)
 	}
@@ -219,7 +219,7 @@
 			})
 		}, ended)
 	}); err != nil {
-		ended(protocol.End{Outcome: dispatch.Broken, Cause: err})
+		ended(protocol.End{Outcome: dispatch.ConnectionLost, Cause: err})
 	}
 }
 
@@ -230,7 +230,7 @@
 			return
 		}
 		delete(n.out, p)
-		if e.Outcome == dispatch.Settled {
+		if e.Outcome == dispatch.Succeeded {
 			n.answer(p.Request, &protocol.Answer{Status: http.StatusOK, Body: e.Result})
 		}
 		p.FreeSlots = e.Free
@@ -238,13 +238,13 @@
 	})
 	if n.witness != nil {
 		switch e.Outcome {
-		case dispatch.Settled:
+		case dispatch.Succeeded:
 			n.witness(p.Server.Tag, false)
-		case dispatch.Erred, dispatch.TimedOut, dispatch.Undialed, dispatch.Broken:
+		case dispatch.Failed, dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionLost:
 			n.witness(p.Server.Tag, true)
 		}
 	}
-	if e.Cause != nil && e.Outcome != dispatch.Revoked {
+	if e.Cause != nil && e.Outcome != dispatch.Canceled {
 		n.log.Debug().Err(e.Cause).Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
 			Int64("lag_ms", n.lag.Lag()/1e6).Msg("posting ended")
 	}
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -216,7 +216,7 @@
 	if n.purse != nil {
 		if charge = n.purse.Charge(p.Server.Tag, n.tenant(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
 			defer withdraw()
-			go n.ended(p, protocol.End{Outcome: dispatch.Unsent}, n.clock())
+			go n.ended(p, protocol.End{Outcome: dispatch.NotSent}, n.clock())
 			return
 		}
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -66,7 +66,7 @@
 	case <-ctx.Done():
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return dispatch.Revoked, ""
+		return dispatch.Canceled, ""
 	}
 	return dispatch.TimedOut, ""
 }
@@ -74,7 +74,7 @@
 func serves(span time.Duration) func(context.Context, int, *protocol.Job, func(protocol.Line)) (dispatch.Outcome, string) {
 	return func(ctx context.Context, _ int, _ *protocol.Job, heard func(protocol.Line)) (dispatch.Outcome, string) {
 		heard(protocol.Line{State: protocol.Started})
-		return wait(ctx, span, dispatch.Settled)
+		return wait(ctx, span, dispatch.Succeeded)
 	}
 }
 
@@ -548,8 +548,8 @@
 		if dice(3) > 0 {
 			heard(protocol.Line{State: protocol.Started})
 		}
-		o, result := wait(ctx, time.Duration(dice(1500))*time.Millisecond, dispatch.Outcome(dice(int(dispatch.Stale)+1)))
-		if o == dispatch.Full || o == dispatch.Undialed || o == dispatch.Unsent {
+		o, result := wait(ctx, time.Duration(dice(1500))*time.Millisecond, dispatch.Outcome(dice(int(dispatch.StaleConnection)+1)))
+		if o == dispatch.Rejected || o == dispatch.ConnectFailed || o == dispatch.NotSent {
 			mu.Lock()
 			mayRun[id] = false
 			mu.Unlock()
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -107,9 +107,9 @@
 }
 
 var outcomes = map[string]dispatch.Outcome{
-	"delivered": dispatch.Settled, "app_error": dispatch.Erred, "shed": dispatch.Full,
-	"expired": dispatch.TimedOut, "dial_failed": dispatch.Undialed, "dropped": dispatch.Broken,
-	"revoked": dispatch.Revoked, "unused": dispatch.Unsent,
+	"delivered": dispatch.Succeeded, "app_error": dispatch.Failed, "shed": dispatch.Rejected,
+	"expired": dispatch.TimedOut, "dial_failed": dispatch.ConnectFailed, "dropped": dispatch.ConnectionLost,
+	"revoked": dispatch.Canceled, "unused": dispatch.NotSent,
 }
 
 func (f *fields) outcome() dispatch.Outcome {
--- a/internal/transport/executors.go
+++ b/internal/transport/executors.go
@@ -167,11 +167,11 @@
 	defer response.Body.Close()
 	switch {
 	case protocol.TurnedAway(response):
-		ended(protocol.End{Outcome: dispatch.Full})
+		ended(protocol.End{Outcome: dispatch.Rejected})
 		finish(response.Body, cancel)
 		return
 	case response.StatusCode != http.StatusOK:
-		ended(protocol.End{Outcome: dispatch.Erred})
+		ended(protocol.End{Outcome: dispatch.Failed})
 		finish(response.Body, cancel)
 		return
 	}
@@ -184,8 +184,8 @@
 			// little later would make that a second copy where none is allowed.
 			h.conn.Close()
 			o := givenUp(ctx)
-			if o == dispatch.Settled {
-				o = dispatch.Broken
+			if o == dispatch.Succeeded {
+				o = dispatch.ConnectionLost
 			}
 			ended(protocol.End{Outcome: o, Cause: err})
 			return
@@ -193,13 +193,13 @@
 			heard(line)
 			continue
 		case line.State == protocol.Done:
-			ended(protocol.End{Outcome: dispatch.Settled, Result: line.Result, Free: line.Free})
+			ended(protocol.End{Outcome: dispatch.Succeeded, Result: line.Result, Free: line.Free})
 		case line.State == protocol.Returned:
-			ended(protocol.End{Outcome: dispatch.Full})
+			ended(protocol.End{Outcome: dispatch.Rejected})
 		case line.State == protocol.Lost:
-			ended(protocol.End{Outcome: dispatch.Broken})
+			ended(protocol.End{Outcome: dispatch.ConnectionLost})
 		default:
-			ended(protocol.End{Outcome: dispatch.Erred})
+			ended(protocol.End{Outcome: dispatch.Failed})
 		}
 		finish(response.Body, cancel)
 		return
@@ -246,9 +246,9 @@
 func givenUp(ctx context.Context) dispatch.Outcome {
 	switch {
 	case ctx.Err() == nil:
-		return dispatch.Settled
+		return dispatch.Succeeded
 	case errors.Is(ctx.Err(), context.Canceled):
-		return dispatch.Revoked
+		return dispatch.Canceled
 	}
 	return dispatch.TimedOut
 }
@@ -259,21 +259,21 @@
 	used, kept := h.conn, h.use > 1
 	switch {
 	case used == nil && (errors.Is(err, errShort) || errors.Is(err, errHeld) || errors.Is(err, errBehind)):
-		return dispatch.Unsent
-	case givenUp(ctx) != dispatch.Settled:
+		return dispatch.NotSent
+	case givenUp(ctx) != dispatch.Succeeded:
 		return givenUp(ctx)
 	// The library tells of a connection before it writes to it, in the same goroutine as the call.
 	case used == nil:
-		return dispatch.Undialed
+		return dispatch.ConnectFailed
 	}
 	never, yielded := used.unsent(h.use)
 	switch {
 	case never && (yielded || kept || used.held):
-		return dispatch.Unsent
+		return dispatch.NotSent
 	case never:
-		return dispatch.Undialed
+		return dispatch.ConnectFailed
 	case kept:
-		return dispatch.Stale
+		return dispatch.StaleConnection
 	}
-	return dispatch.Broken
+	return dispatch.ConnectionLost
 }
--- a/internal/transport/machine_errors_test.go
+++ b/internal/transport/machine_errors_test.go
@@ -61,9 +61,9 @@
 // TestShortageIsNoExecutorsFault: a connection that failed since this machine has no descriptor, port or buffer left costs its executor
 // nothing; one that was refused or has no route does.
 func TestShortageIsNoExecutorsFault(t *testing.T) {
-	for cause, want := range map[syscall.Errno]dispatch.Outcome{syscall.EMFILE: dispatch.Unsent, syscall.ENFILE: dispatch.Unsent,
-		syscall.ENOBUFS: dispatch.Unsent, syscall.ENOMEM: dispatch.Unsent, syscall.EADDRNOTAVAIL: dispatch.Unsent,
-		syscall.ECONNREFUSED: dispatch.Undialed, syscall.ENETUNREACH: dispatch.Undialed, syscall.ETIMEDOUT: dispatch.Undialed} {
+	for cause, want := range map[syscall.Errno]dispatch.Outcome{syscall.EMFILE: dispatch.NotSent, syscall.ENFILE: dispatch.NotSent,
+		syscall.ENOBUFS: dispatch.NotSent, syscall.ENOMEM: dispatch.NotSent, syscall.EADDRNOTAVAIL: dispatch.NotSent,
+		syscall.ECONNREFUSED: dispatch.ConnectFailed, syscall.ENETUNREACH: dispatch.ConnectFailed, syscall.ETIMEDOUT: dispatch.ConnectFailed} {
 		d, x := fresh()
 		x.connect = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", cause)}
--- a/internal/transport/told_span_test.go
+++ b/internal/transport/told_span_test.go
@@ -42,7 +42,7 @@
 		job := &protocol.Job{Address: strings.TrimPrefix(executor.URL, "http://"), Deadline: deadline,
 			Request: &protocol.Request{ID: "j", Target: "/p", Header: http.Header{"X-Call-Id": {"j"}}, Body: []byte("b")}}
 		x.Do(t.Context(), job, func(protocol.Line) {}, func(e protocol.End) {
-			if e.Outcome != dispatch.Settled {
+			if e.Outcome != dispatch.Succeeded {
 				t.Errorf("%v: %v", e.Outcome, e.Cause)
 			}
 		})
@@ -55,7 +55,7 @@
 // TestLateLookIsNobodysFault: a connection that is not there in time is its executor's fault, but at a process that is behind, which may
 // have looked too late. Danger: all executors lose their reliability while a node is short of processor time.
 func TestLateLookIsNobodysFault(t *testing.T) {
-	for lag, want := range map[time.Duration]dispatch.Outcome{0: dispatch.Undialed, 300 * time.Millisecond: dispatch.Undialed, 1100 * time.Millisecond: dispatch.Unsent} {
+	for lag, want := range map[time.Duration]dispatch.Outcome{0: dispatch.ConnectFailed, 300 * time.Millisecond: dispatch.ConnectFailed, 1100 * time.Millisecond: dispatch.NotSent} {
 		_, x := fresh()
 		x.Behind(func() int64 { return int64(lag) })
 		x.connect = func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -132,26 +132,26 @@
 		text string
 		want dispatch.Outcome
 	}{
-		"done":                 {head + line("started") + line("running") + line("done") + end, dispatch.Settled},
-		"done, bytes after":    {head + line("done") + chunk("more") + line("failed") + end, dispatch.Settled},
-		"failed":               {head + line("started") + line("failed") + end, dispatch.Erred},
-		"500":                  {"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n", dispatch.Erred},
-		"503 with the mark":    {"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Full},
-		"503 without the mark": {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", dispatch.Erred},
-		"redirect":             {"HTTP/1.1 307 Away\r\nLocation: /q\r\nContent-Length: 0\r\n\r\n", dispatch.Erred},
-		"returned":             {head + line("returned") + end, dispatch.Full},
-		"lost":                 {head + line("started") + line("lost") + end, dispatch.Broken},
-		"ends early":           {head + line("started") + end, dispatch.Broken},
-		"breaks":               {head + line("started"), dispatch.Broken},
-		"breaks within a line": {head + "40\r\n{\"id\":\"j\",\"state\":\"do", dispatch.Broken},
-		"foreign":              {head + chunk(`{"id":"k","state":"done","result":"r"}`) + end, dispatch.Broken},
-		"not HTTP":             {"hello\r\n\r\n", dispatch.Broken},
-		"nothing, then closed": {"", dispatch.Broken},
+		"done":                 {head + line("started") + line("running") + line("done") + end, dispatch.Succeeded},
+		"done, bytes after":    {head + line("done") + chunk("more") + line("failed") + end, dispatch.Succeeded},
+		"failed":               {head + line("started") + line("failed") + end, dispatch.Failed},
+		"500":                  {"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+		"503 with the mark":    {"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
+		"503 without the mark": {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+		"redirect":             {"HTTP/1.1 307 Away\r\nLocation: /q\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+		"returned":             {head + line("returned") + end, dispatch.Rejected},
+		"lost":                 {head + line("started") + line("lost") + end, dispatch.ConnectionLost},
+		"ends early":           {head + line("started") + end, dispatch.ConnectionLost},
+		"breaks":               {head + line("started"), dispatch.ConnectionLost},
+		"breaks within a line": {head + "40\r\n{\"id\":\"j\",\"state\":\"do", dispatch.ConnectionLost},
+		"foreign":              {head + chunk(`{"id":"k","state":"done","result":"r"}`) + end, dispatch.ConnectionLost},
+		"not HTTP":             {"hello\r\n\r\n", dispatch.ConnectionLost},
+		"nothing, then closed": {"", dispatch.ConnectionLost},
 	} {
 		e := play(t, says(c.text, false))
 		_, x := fresh()
 		got := do(t.Context(), x, e.Addr().String())
-		if got.outcome != c.want || (got.result == "r") != (c.want == dispatch.Settled) {
+		if got.outcome != c.want || (got.result == "r") != (c.want == dispatch.Succeeded) {
 			t.Errorf("%s: %+v, want %d", name, got, c.want)
 		}
 		if _, requests := e.seen(); requests != 1 {
@@ -166,7 +166,7 @@
 	l.Close()
 	d, x := fresh()
 	before := d.held
-	if got := do(t.Context(), x, address); got.outcome != dispatch.Undialed {
+	if got := do(t.Context(), x, address); got.outcome != dispatch.ConnectFailed {
 		t.Errorf("%+v", got)
 	}
 	if d.held != before {
@@ -197,7 +197,7 @@
 	d := NewDescriptors(1024)
 	x, before, start := NewExecutors(d, 50*time.Millisecond, time.Minute, protocol.Values{Free: "x0"}, func() {}), d.held, time.Now()
 	got := do(t.Context(), x, address)
-	if took := time.Since(start); got.outcome != dispatch.Undialed || took > time.Second || d.held != before {
+	if took := time.Since(start); got.outcome != dispatch.ConnectFailed || took > time.Second || d.held != before {
 		t.Errorf("%+v after %s", got, took)
 	}
 }
@@ -255,7 +255,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	withdraw <- cancel
-	if got := do(ctx, x, e.Addr().String()); got.outcome != dispatch.Revoked {
+	if got := do(ctx, x, e.Addr().String()); got.outcome != dispatch.Canceled {
 		t.Errorf("%+v", got)
 	}
 	<-e.closed
@@ -307,7 +307,7 @@
 	_, x := fresh()
 	do(t.Context(), x, e.Addr().String())
 	got := do(t.Context(), x, e.Addr().String())
-	if accepted, requests := e.seen(); got.outcome != dispatch.Stale || accepted != 1 || requests != 2 {
+	if accepted, requests := e.seen(); got.outcome != dispatch.StaleConnection || accepted != 1 || requests != 2 {
 		t.Errorf("%+v, %d connections, %d requests", got, accepted, requests)
 	}
 }
@@ -320,7 +320,7 @@
 	quick := play(t, says(head+line("done")+end, true))
 	d, x := fresh()
 	d.most[executors] = 1
-	if got := do(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.Settled {
+	if got := do(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.Succeeded {
 		t.Fatalf("%+v", got)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -333,7 +333,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if got := do(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.Unsent {
+	if got := do(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.NotSent {
 		t.Errorf("%+v", got)
 	}
 	cancel()
@@ -348,7 +348,7 @@
 	if _, err := x.transport.DialContext(t.Context(), "tcp", e.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	if got := do(t.Context(), x, e.Addr().String()); got.outcome != dispatch.Settled {
+	if got := do(t.Context(), x, e.Addr().String()); got.outcome != dispatch.Succeeded {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/transport/unsafe_test.go
+++ b/internal/transport/unsafe_test.go
@@ -282,8 +282,8 @@
 	}
 	callers.Wait()
 	_, came := e.seen()
-	never := outcomes[dispatch.Full] + outcomes[dispatch.Unsent] + outcomes[dispatch.Undialed]
-	if may := 8*500 - never; came > may || outcomes[dispatch.Full] > 0 {
+	never := outcomes[dispatch.Rejected] + outcomes[dispatch.NotSent] + outcomes[dispatch.ConnectFailed]
+	if may := 8*500 - never; came > may || outcomes[dispatch.Rejected] > 0 {
 		t.Errorf("%d came, %d may have run: %v", came, may, outcomes)
 	}
 }
