--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -10,14 +10,14 @@
 // still is a Door on which nothing happens by itself.
 type still struct{ posted *Attempt }
 
-func (*still) Alarm(int64, func()) func() { return func() {} }
-func (*still) Watch(bool)                 {}
-func (*still) Probe(*Server)              {}
-func (*still) Tell(*Server, float64)      {}
-func (s *still) Post(p *Attempt)          { s.posted = p }
-func (*still) Withdraw(*Attempt)          {}
-func (*still) Decline(*Request, int64)    {}
-func (*still) Reverse(*Request)           {}
+func (*still) Schedule(int64, func()) func() { return func() {} }
+func (*still) PollEndpoints(bool)            {}
+func (*still) ProbeCapacity(*Server)         {}
+func (*still) NotifyPeers(*Server, float64)  {}
+func (s *still) StartAttempt(p *Attempt)     { s.posted = p }
+func (*still) CancelAttempt(*Attempt)        {}
+func (*still) Shed(*Request, int64)          {}
+func (*still) Compensate(*Request)           {}
 
 func stillWorld(executors int) (*Dispatcher, *still, *Settings) {
 	terms, door := basicTerms(), &still{}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -52,7 +52,7 @@
 // Dispatcher is the decision module of one node.
 type Dispatcher struct {
 	terms              *Settings
-	door               Door
+	door               Actions
 	born, now, by      int64 // by: when a call for the list goes out at the latest
 	toldAt, fresh      int64 // when an executor last told of its room; how long that counts
 	failed, counted    int   // calls for the list since one succeeded; txns counted in things
@@ -78,7 +78,7 @@
 	starts             map[bool]*ledger  // by whether at home: postings whose start was due; the prompt ones
 }
 
-func New(terms *Settings, seed uint64, door Door, now int64) *Dispatcher {
+func New(terms *Settings, seed uint64, door Actions, now int64) *Dispatcher {
 	d := &Dispatcher{terms: terms, door: door, born: now, now: now, by: now + terms.UnpolledEventAge,
 		chance: rand.New(rand.NewPCG(seed, 1)),
 		recent: map[family][]last{}, things: map[uint64]*thing{}, models: map[int]*model{},
@@ -175,15 +175,15 @@
 
 func (d *Dispatcher) call(after, by float64) {
 	d.by = d.now + int64(by)
-	d.door.Alarm(int64(after), d.Ask)
+	d.door.Schedule(int64(after), d.Ask)
 }
 
 // Ask has the list asked for, or waits for this node's share.
 func (d *Dispatcher) Ask() {
 	if d.terms.Quotas == nil || d.Overdue() || d.terms.Quotas.Allow(BudgetPolls, nil, nil, 1) {
-		d.door.Watch(true)
+		d.door.PollEndpoints(true)
 	} else {
-		d.door.Alarm(d.terms.Tick, d.Ask)
+		d.door.Schedule(d.terms.Tick, d.Ask)
 	}
 }
 
@@ -240,7 +240,7 @@
 // Danger: a txn that is forgotten. This alarm answers it whatever else happens.
 func (d *Dispatcher) Expire(t *Request, at int64) {
 	t.Deadline = min(t.Deadline, at)
-	t.forget = d.door.Alarm(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
+	t.forget = d.door.Schedule(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
 }
 
 // overShare tells by chance whether a txn lies beyond its tenant's share, by the other tenants' arrivals.
@@ -305,13 +305,13 @@
 func (d *Dispatcher) ask(t *Request, drawn []*Server) {
 	for _, e := range drawn {
 		if len(e.askers) == 0 {
-			d.door.Probe(e)
+			d.door.ProbeCapacity(e)
 		}
 		e.askers = append(e.askers, t)
 	}
 	t.rounds++
 	round := t.rounds
-	d.door.Alarm(int64(round)*d.fresh, func() {
+	d.door.Schedule(int64(round)*d.fresh, func() {
 		if !t.Done && t.live == 0 && t.rounds == round {
 			d.enqueue(t)
 		}
@@ -334,7 +334,7 @@
 			d.post(t, e)
 			d.Taken(e, t.Slots)
 			if d.terms.PeerMessages && t.rounds > 1 {
-				d.door.Tell(e, t.Slots)
+				d.door.NotifyPeers(e, t.Slots)
 			}
 		}
 	}
@@ -600,7 +600,7 @@
 		p.SlowStartShare = t.size / d.bears(e, d.now-d.terms.OverloadWindow, 1)
 	}
 	p.then = func() { d.place(t) }
-	d.door.Post(p)
+	d.door.StartAttempt(p)
 	d.watch(p)
 }
 
@@ -613,7 +613,7 @@
 // Danger: a node that stood still finds alarms and notes at once; its lateness looks like its executors'.
 func (d *Dispatcher) judge(p *Attempt, after int64, then func()) {
 	due := d.now + after + d.patience()
-	d.door.Alarm(after, func() {
+	d.door.Schedule(after, func() {
 		switch {
 		case !p.InFlight || p.Request.Done:
 		case d.now > due:
@@ -790,7 +790,7 @@
 	}
 	// Danger: what was taken back may run all the same; with its place taken for free a jam outlives its cause.
 	if o == Canceled {
-		d.door.Alarm(d.running(t, 0.5), free)
+		d.door.Schedule(d.running(t, 0.5), free)
 	} else {
 		free()
 	}
@@ -863,7 +863,7 @@
 func (d *Dispatcher) withdraw(p *Attempt) {
 	if p.InFlight && !p.withdrawn && d.terms.AllowCancel {
 		p.withdrawn, p.Request.live = true, p.Request.live-1
-		d.door.Withdraw(p)
+		d.door.CancelAttempt(p)
 	}
 }
 
@@ -877,9 +877,9 @@
 	// Danger: a decline tells the client that trying again is harmless; where it might not be, reverse.
 	s := t.Class
 	if t.anchor() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
-		d.door.Decline(t, d.terms.MaxRetryAfter)
+		d.door.Shed(t, d.terms.MaxRetryAfter)
 	} else {
-		d.door.Reverse(t)
+		d.door.Compensate(t)
 	}
 }
 
@@ -925,7 +925,7 @@
 	}
 	if len(d.queue) > 0 && !d.pumped {
 		d.pumped = true
-		d.door.Alarm(2*d.terms.Tick, func() { d.pumped = false })
+		d.door.Schedule(2*d.terms.Tick, func() { d.pumped = false })
 	}
 }
 
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -56,7 +56,7 @@
 	at     map[*Attempt]int64
 }
 
-func (n *herdNode) Post(p *Attempt) {
+func (n *herdNode) StartAttempt(p *Attempt) {
 	i := slices.Index(n.fleet, p.Server)
 	work := p.Request.size
 	if n.work != nil {
@@ -83,17 +83,17 @@
 	}
 	return 1
 }
-func (n *herdNode) Withdraw(*Attempt) {}
-func (n *herdNode) Decline(t *Request, _ int64) {
+func (n *herdNode) CancelAttempt(*Attempt) {}
+func (n *herdNode) Shed(t *Request, _ int64) {
 	n.tell(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: "declined"})
 }
-func (n *herdNode) Reverse(t *Request) {
+func (n *herdNode) Compensate(t *Request) {
 	n.tell(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: "reversed"})
 }
-func (n *herdNode) Watch(bool)            {}
-func (n *herdNode) Tell(*Server, float64) {}
-func (n *herdNode) Probe(*Server)         {}
-func (n *herdNode) Alarm(after int64, then func()) (forget func()) {
+func (n *herdNode) PollEndpoints(bool)           {}
+func (n *herdNode) NotifyPeers(*Server, float64) {}
+func (n *herdNode) ProbeCapacity(*Server)        {}
+func (n *herdNode) Schedule(after int64, then func()) (forget func()) {
 	a := &alarm{n.now + max(after, 1), then}
 	n.alarms = append(n.alarms, a)
 	return func() { n.alarms = slices.DeleteFunc(n.alarms, func(b *alarm) bool { return a == b }) }
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -85,7 +85,7 @@
 	w.d.List(whole, members)
 }
 
-func (w *world) Post(p *Attempt) {
+func (w *world) StartAttempt(p *Attempt) {
 	w.Helper()
 	t := p.Request
 	switch {
@@ -136,7 +136,7 @@
 	}
 }
 
-func (w *world) Withdraw(p *Attempt) {
+func (w *world) CancelAttempt(p *Attempt) {
 	if w.withdraw++; !w.terms.AllowCancel {
 		w.Fatal("withdrawn where it is not permitted")
 	}
@@ -152,7 +152,7 @@
 	}
 }
 
-func (w *world) Decline(t *Request, returnIn int64) {
+func (w *world) Shed(t *Request, returnIn int64) {
 	w.Helper()
 	w.final(t)
 	for _, p := range t.Attempts {
@@ -162,11 +162,11 @@
 	}
 }
 
-func (w *world) Reverse(t *Request)            { w.final(t) }
-func (w *world) Watch(bool)                    {}
-func (w *world) Tell(_ *Server, slots float64) { w.told = append(w.told, slots) }
-func (w *world) Probe(e *Server)               { w.probes = append(w.probes, e) }
-func (w *world) Alarm(after int64, then func()) (forget func()) {
+func (w *world) Compensate(t *Request)                { w.final(t) }
+func (w *world) PollEndpoints(bool)                   {}
+func (w *world) NotifyPeers(_ *Server, slots float64) { w.told = append(w.told, slots) }
+func (w *world) ProbeCapacity(e *Server)              { w.probes = append(w.probes, e) }
+func (w *world) Schedule(after int64, then func()) (forget func()) {
 	a := &alarm{w.now + max(after, 1), then}
 	w.alarms = append(w.alarms, a)
 	return func() { w.alarms = slices.DeleteFunc(w.alarms, func(b *alarm) bool { return a == b }) }
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -48,7 +48,7 @@
 	declined int
 }
 
-func (n *townNode) Post(p *Attempt) {
+func (n *townNode) StartAttempt(p *Attempt) {
 	n.posts++
 	n.sent[p] = n.now
 	w, i, t := n.workers[slices.Index(n.fleet, p.Server)], slices.Index(n.fleet, p.Server), p.Request
@@ -97,19 +97,19 @@
 	n.after(1e6, next)
 }
 
-func (n *townNode) Withdraw(p *Attempt) {
+func (n *townNode) CancelAttempt(p *Attempt) {
 	n.after(1e6, func() {
 		if p.InFlight {
 			n.d.Ended(p, Canceled, n.now-n.sent[p], true)
 		}
 	})
 }
-func (n *townNode) Decline(t *Request, _ int64) { n.declined++; n.done[t](0) }
-func (n *townNode) Reverse(t *Request)          { n.done[t](0) }
-func (n *townNode) Watch(bool)                  {}
-func (n *townNode) Tell(*Server, float64)       {}
-func (n *townNode) Probe(*Server)               {}
-func (n *townNode) Alarm(after int64, then func()) (forget func()) {
+func (n *townNode) Shed(t *Request, _ int64)     { n.declined++; n.done[t](0) }
+func (n *townNode) Compensate(t *Request)        { n.done[t](0) }
+func (n *townNode) PollEndpoints(bool)           {}
+func (n *townNode) NotifyPeers(*Server, float64) {}
+func (n *townNode) ProbeCapacity(*Server)        {}
+func (n *townNode) Schedule(after int64, then func()) (forget func()) {
 	a := n.after(max(after, 1), then)
 	return func() { a.then = func() {} }
 }
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -25,7 +25,7 @@
 	*fickle
 }
 
-func (p *purse) Post(q *Attempt) {
+func (p *purse) StartAttempt(q *Attempt) {
 	cold := p.d.terms.warmth(q.Server, p.now) < 1
 	if q.Number > 0 && p.none[BudgetRetries] || p.none[BudgetConnections] || p.none[BudgetTenantAttempts] || cold && p.none[BudgetSlowStart] {
 		p.Fatalf("posting %d is sent, cold: %v, while %v is denied", q.Number, cold, p.none)
@@ -33,7 +33,7 @@
 	if cold != (q.SlowStartShare > 0) {
 		p.Fatalf("cold: %v, takes %v of the budget", cold, q.SlowStartShare)
 	}
-	p.world.Post(q)
+	p.world.StartAttempt(q)
 }
 
 // TestCallsWaitForTheirShare: a call for the list that has no share waits for one, and goes out without when news would lie longer
@@ -76,7 +76,7 @@
 	calls int
 }
 
-func (w *watches) Watch(bool) { w.calls++ }
+func (w *watches) PollEndpoints(bool) { w.calls++ }
 
 // TestOthersWord: an executor that many say is bad is left out while others remain, but for a second after an own job ended well
 // there; when nothing is said any more it is drawn again. Danger: old news of others against what this node sees now.
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -184,16 +184,16 @@
 	return [...]string{"settled", "erred", "full", "timed out", "undialed", "broken", "revoked", "unsent", "stale"}[o]
 }
 
-// Door is how the module acts on the world. Tag fields are the door's own names; the module never reads them.
-type Door interface {
-	Post(p *Attempt)
-	Withdraw(p *Attempt)
-	Decline(t *Request, returnIn int64)
-	Reverse(t *Request)
-	Alarm(after int64, then func()) (forget func())
-	Watch(on bool)
-	Probe(e *Server)
-	Tell(e *Server, slots float64) // all other nodes of slots taken
+// Actions is how the module acts on the world. Tag fields are the door's own names; the module never reads them.
+type Actions interface {
+	StartAttempt(p *Attempt)
+	CancelAttempt(p *Attempt)
+	Shed(t *Request, returnIn int64)
+	Compensate(t *Request)
+	Schedule(after int64, then func()) (forget func())
+	PollEndpoints(on bool)
+	ProbeCapacity(e *Server)
+	NotifyPeers(e *Server, slots float64) // all other nodes of slots taken
 }
 
 // Request is one job taken from a client, owed exactly one final answer.
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -11,7 +11,7 @@
 )
 
 // Policy makes what decides on one node. The decision module is one; baselines are others.
-type Policy func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Server) float64) Decider
+type Policy func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider
 
 // Decider is what a node calls, as docs of the module tell.
 type Decider interface {
@@ -218,23 +218,23 @@
 	n.world.reply(n, h.request, result)
 }
 
-// Decline implements dispatch.Door, as do the methods after it.
-func (n *node) Decline(t *dispatch.Request, returnIn int64) {
+// Shed implements dispatch.Door, as do the methods after it.
+func (n *node) Shed(t *dispatch.Request, returnIn int64) {
 	if h := n.txns[t]; h != nil {
 		h.request.advice = returnIn
 	}
 	n.answer(t, declined)
 }
-func (n *node) Reverse(t *dispatch.Request)    { n.answer(t, reversed) }
-func (n *node) Tell(*dispatch.Server, float64) {}
-func (n *node) Probe(*dispatch.Server)         {}
-func (n *node) Watch(on bool) {
+func (n *node) Compensate(t *dispatch.Request)        { n.answer(t, reversed) }
+func (n *node) NotifyPeers(*dispatch.Server, float64) {}
+func (n *node) ProbeCapacity(*dispatch.Server)        {}
+func (n *node) PollEndpoints(on bool) {
 	if n.watches = on; on && n.decider != nil {
 		n.world.news(n)
 	}
 }
 
-func (n *node) Alarm(after int64, then func()) (forget func()) {
+func (n *node) Schedule(after int64, then func()) (forget func()) {
 	life := n.lives
 	e := n.world.after(max(after, 1), func() {
 		if n.up && n.lives == life {
@@ -244,8 +244,8 @@
 	return func() { e.off = true }
 }
 
-// Post sends a posting over a kept connection, or a new one if there is none.
-func (n *node) Post(p *dispatch.Attempt) {
+// StartAttempt sends a posting over a kept connection, or a new one if there is none.
+func (n *node) StartAttempt(p *dispatch.Attempt) {
 	w := n.world
 	i := n.places[p.Server]
 	e, h := w.executors[i], n.txns[p.Request]
@@ -363,8 +363,8 @@
 	n.decider.Ended(p, o, n.world.now-f.sent, n.txns[p.Request] == nil)
 }
 
-// Withdraw takes a posting back; the executor hears of it over the network.
-func (n *node) Withdraw(p *dispatch.Attempt) {
+// CancelAttempt takes a posting back; the executor hears of it over the network.
+func (n *node) CancelAttempt(p *dispatch.Attempt) {
 	f := n.out[p]
 	if f == nil || f.over {
 		return
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -12,7 +12,7 @@
 )
 
 // Module is the decision module as the node runs it.
-func Module(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, _ func(*dispatch.Server) float64) Decider {
+func Module(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, _ func(*dispatch.Server) float64) Decider {
 	return dispatch.New(terms, seed, door, now)
 }
 
@@ -60,7 +60,7 @@
 	if !known {
 		return nil, fmt.Errorf("%q is no policy; there are %s", name, strings.Join(Policies(), ", "))
 	}
-	return func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Server) float64) Decider {
+	return func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider {
 		return &baseline{terms: terms, door: door, now: now, pick: pick, truth: truth, chance: rand.New(rand.NewPCG(seed, 4)),
 			busy: map[*dispatch.Server]int{}, state: map[*dispatch.Attempt]bool{}, forget: map[*dispatch.Request]func(){}}
 	}, nil
@@ -68,7 +68,7 @@
 
 type baseline struct {
 	terms  *dispatch.Settings
-	door   dispatch.Door
+	door   dispatch.Actions
 	now    int64
 	pick   choice
 	truth  func(*dispatch.Server) float64
@@ -105,7 +105,7 @@
 }
 
 func (b *baseline) Arrive(t *dispatch.Request) {
-	b.forget[t] = b.door.Alarm(t.Deadline-b.now-2*b.terms.Tick, func() { b.finish(t) })
+	b.forget[t] = b.door.Schedule(t.Deadline-b.now-2*b.terms.Tick, func() { b.finish(t) })
 	b.place(t)
 }
 
@@ -126,7 +126,7 @@
 		t.Attempts = append(t.Attempts, p)
 		b.state[p] = true
 		b.busy[e]++
-		b.door.Post(p)
+		b.door.StartAttempt(p)
 	}
 }
 
@@ -150,7 +150,7 @@
 	delete(b.forget, t)
 	for _, p := range t.Attempts {
 		if p.InFlight {
-			b.door.Withdraw(p)
+			b.door.CancelAttempt(p)
 		}
 	}
 }
@@ -162,9 +162,9 @@
 	harmless := !b.mayRun(t) || t.Class.Idempotency == dispatch.Idempotent || t.Class.Idempotency == dispatch.IdempotentInGroup && t.Class.DedupScope == dispatch.DedupAll
 	b.Left(t)
 	if harmless {
-		b.door.Decline(t, 0)
+		b.door.Shed(t, 0)
 	} else {
-		b.door.Reverse(t)
+		b.door.Compensate(t)
 	}
 }
 
--- a/internal/emulator/wrong_test.go
+++ b/internal/emulator/wrong_test.go
@@ -10,10 +10,10 @@
 )
 
 // mute is a door on which some answers are lost.
-type mute struct{ dispatch.Door }
+type mute struct{ dispatch.Actions }
 
-func (mute) Decline(*dispatch.Request, int64) {}
-func (mute) Reverse(*dispatch.Request)        {}
+func (mute) Shed(*dispatch.Request, int64) {}
+func (mute) Compensate(*dispatch.Request)  {}
 
 // deaf hears the list once.
 type deaf struct {
@@ -52,15 +52,15 @@
 	}{
 		{"keeps them", 0, []Fault{{Kind: "errors", At: Span(2e9), For: Span(3e9), Part: 0.5, Strength: 0.5}}, plain("random")},
 		{"forgets answers", 1, []Fault{{Kind: "hang", At: Span(2e9), For: Span(5e9), Part: 0.5}},
-			func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Server) float64) Decider {
+			func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider {
 				return plain("random")(terms, seed, mute{door}, now, truth)
 			}},
 		{"repeats what must not run twice", 2, []Fault{{Kind: "errors", At: Span(2e9), For: Span(3e9), Part: 0.5, Strength: 0.5}},
-			func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Server) float64) Decider {
+			func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider {
 				return plain("random")(repeats(terms), seed, door, now, truth)
 			}},
 		{"sends to what drains", 3, []Fault{{Kind: "deploy", At: Span(2e9), For: Span(3e9), Part: 0.5}},
-			func(terms *dispatch.Settings, seed uint64, door dispatch.Door, now int64, truth func(*dispatch.Server) float64) Decider {
+			func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider {
 				return &deaf{Decider: plain("random")(terms, seed, door, now, truth)}
 			}},
 		{"floods the cold", 4, []Fault{{Kind: "crash", At: Span(2e9), For: Span(1e9), Part: 0.9}, {Kind: "burst", At: Span(2e9), For: Span(5e9), Strength: 3}}, plain("least")},
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -162,13 +162,13 @@
 // Own says whether this process holds the node's part of cold executors' budgets. It does from the start.
 func (n *Node) Own(yes bool) { n.event(func() { n.module.Own(yes) }) }
 
-// Alarm implements dispatch.Door, as do the methods after it. All are called under the lock and none blocks.
-func (n *Node) Alarm(after int64, then func()) (forget func()) {
+// Schedule implements dispatch.Door, as do the methods after it. All are called under the lock and none blocks.
+func (n *Node) Schedule(after int64, then func()) (forget func()) {
 	alarm := time.AfterFunc(time.Duration(after), func() { n.event(then) })
 	return func() { alarm.Stop() }
 }
 
-func (n *Node) Watch(on bool) {
+func (n *Node) PollEndpoints(on bool) {
 	select {
 	case <-n.watch:
 	default:
@@ -176,8 +176,8 @@
 	n.watch <- on
 }
 
-// Probe asks an executor for its load. What does not come while the longest probe may last tells of no room.
-func (n *Node) Probe(e *dispatch.Server) {
+// ProbeCapacity asks an executor for its load. What does not come while the longest probe may last tells of no room.
+func (n *Node) ProbeCapacity(e *dispatch.Server) {
 	address := n.at(e)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), n.probe)
@@ -191,8 +191,8 @@
 	}()
 }
 
-// Tell implements dispatch.Door. The protocol has no messages between nodes, so the module is told that there are none.
-func (n *Node) Tell(*dispatch.Server, float64) {}
+// NotifyPeers implements dispatch.Door. The protocol has no messages between nodes, so the module is told that there are none.
+func (n *Node) NotifyPeers(*dispatch.Server, float64) {}
 
 // at is an executor's present address. Under mu.
 // Danger: one that came back elsewhere while a connection to where it was is still under way.
@@ -203,7 +203,7 @@
 	return ""
 }
 
-func (n *Node) Post(p *dispatch.Attempt) {
+func (n *Node) StartAttempt(p *dispatch.Attempt) {
 	till := p.Request.Deadline
 	if p.Timeout > 0 {
 		till = min(till, n.clock()+p.Timeout)
@@ -254,16 +254,16 @@
 	return e.Tag
 }
 
-func (n *Node) Withdraw(p *dispatch.Attempt) {
+func (n *Node) CancelAttempt(p *dispatch.Attempt) {
 	if withdraw := n.out[p]; withdraw != nil {
 		withdraw()
 	}
 }
 
-func (n *Node) Decline(t *dispatch.Request, returnIn int64) {
+func (n *Node) Shed(t *dispatch.Request, returnIn int64) {
 	n.answer(t, &protocol.Answer{Status: http.StatusServiceUnavailable, ReturnIn: time.Duration(returnIn)})
 }
 
-func (n *Node) Reverse(t *dispatch.Request) {
+func (n *Node) Compensate(t *dispatch.Request) {
 	n.answer(t, &protocol.Answer{Status: http.StatusInternalServerError})
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -378,26 +378,26 @@
 
 func number(v int64) string { return strconv.FormatInt(v, 10) }
 
-// Post implements dispatch.Door, as do the methods after it.
-func (n *node) Post(p *dispatch.Attempt) {
+// StartAttempt implements dispatch.Door, as do the methods after it.
+func (n *node) StartAttempt(p *dispatch.Attempt) {
 	n.say("TRY", "Job", p.Request.Tag, "Executor", p.Server.Tag, "Limit", number(p.Timeout))
 }
 
-func (n *node) Withdraw(p *dispatch.Attempt) {
+func (n *node) CancelAttempt(p *dispatch.Attempt) {
 	n.say("WITHDRAW", "Job", p.Request.Tag, "Trial", number(int64(p.Number)))
 }
 
-func (n *node) Decline(t *dispatch.Request, returnIn int64) {
+func (n *node) Shed(t *dispatch.Request, returnIn int64) {
 	n.say("NOT_NOW", "Job", t.Tag, "RetryIn", number(returnIn))
 	n.tidy(t)
 }
 
-func (n *node) Reverse(t *dispatch.Request) {
+func (n *node) Compensate(t *dispatch.Request) {
 	n.say("ABORT", "Job", t.Tag)
 	n.tidy(t)
 }
 
-func (n *node) Alarm(after int64, then func()) (forget func()) {
+func (n *node) Schedule(after int64, then func()) (forget func()) {
 	n.token++
 	token := n.token
 	n.alarms[token] = then
@@ -405,15 +405,15 @@
 	return func() { delete(n.alarms, token) }
 }
 
-func (n *node) Probe(e *dispatch.Server) { n.say("SOUND_OUT", "Executor", e.Tag) }
+func (n *node) ProbeCapacity(e *dispatch.Server) { n.say("SOUND_OUT", "Executor", e.Tag) }
 
-// Tell sends what was taken in five bytes: slots and the executor's mark.
-func (n *node) Tell(e *dispatch.Server, slots float64) {
+// NotifyPeers sends what was taken in five bytes: slots and the executor's mark.
+func (n *node) NotifyPeers(e *dispatch.Server, slots float64) {
 	message := binary.BigEndian.AppendUint32([]byte{byte(min(max(slots, 0), 255))}, uint32(e.Hash))
 	n.say("SHARE", "Recipient", "*", "Content", base64.StdEncoding.EncodeToString(message))
 }
 
-func (n *node) Watch(on bool) {
+func (n *node) PollEndpoints(on bool) {
 	enable := "0"
 	if on {
 		enable = "1"
