--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -26,7 +26,7 @@
 	for i := range executors {
 		members = append(members, Endpoint{Server: &Server{Tag: fmt.Sprint(i)}, Zone: i % 3, MachineType: i % 2})
 	}
-	d.List(true, members)
+	d.UpdateEndpoints(true, members)
 	return d, door, terms
 }
 
@@ -37,13 +37,13 @@
 			d, door, terms := stillWorld(executors)
 			b.ReportAllocs()
 			for now := int64(1e12); b.Loop(); now += 1e6 {
-				d.At(now)
+				d.Advance(now)
 				t := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: now + 3e9}
 				d.Arrive(t)
-				d.Settle()
-				d.Started(door.posted)
-				d.Ended(door.posted, Succeeded, 1e7, true)
-				d.Settle()
+				d.ProcessQueue()
+				d.AttemptStarted(door.posted)
+				d.AttemptEnded(door.posted, Succeeded, 1e7, true)
+				d.ProcessQueue()
 			}
 		})
 	}
@@ -55,7 +55,7 @@
 		for _, waiting := range []int{10, 100, 1000} {
 			b.Run(fmt.Sprintf("%d/%d", executors, waiting), func(b *testing.B) {
 				d, _, terms := stillWorld(executors)
-				d.At(1e12)
+				d.Advance(1e12)
 				for _, e := range d.fleet.servers {
 					e.limit = 0
 				}
@@ -64,7 +64,7 @@
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					d.Settle()
+					d.ProcessQueue()
 				}
 				if len(d.queue) != waiting {
 					b.Fatalf("%d of %d wait", len(d.queue), waiting)
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -10,7 +10,7 @@
 // longList is a dispatcher with a list of thousands and one request that nothing was done for yet.
 func longList(t *testing.T) (*Dispatcher, *Settings, *Request) {
 	d, _, terms := stillWorld(3200)
-	d.At(1e12)
+	d.Advance(1e12)
 	request := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
 	d.Arrive(request)
 	return d, terms, request
@@ -102,7 +102,7 @@
 			members = append(members, Endpoint{Server: e, StartedAt: d.now - 2e9 - int64(i)*1e6})
 		}
 	}
-	d.List(false, members)
+	d.UpdateEndpoints(false, members)
 	may := 0
 	for _, m := range members {
 		if d.allowed(request, m.Server) {
@@ -117,7 +117,7 @@
 	if d.draw(request, 1); looked(d) > 2*sampleMost {
 		t.Errorf("%d servers were considered, most of them in slow start", looked(d))
 	}
-	d.List(true, members[:10])
+	d.UpdateEndpoints(true, members[:10])
 	if n := len(d.fleet.servers) + len(d.kept.servers) + len(d.ramping.servers); n != 20 {
 		t.Errorf("%d places are kept for ten servers", n)
 	}
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -86,7 +86,7 @@
 				w.end(p, o)
 				continue
 			}
-			w.d.Started(p)
+			w.d.AttemptStarted(p)
 			w.end(p, Succeeded)
 			served++
 		}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -90,15 +90,15 @@
 		ramping: serverSet{at: func(e *Server) *int { return &e.inRamping }},
 		low:     serverSet{at: func(e *Server) *int { return &e.inLow }}}
 	if terms.PollForChanges {
-		d.Ask()
+		d.PollEndpoints()
 	}
 	return d
 }
 
-func (d *Dispatcher) At(now int64) { d.now = now }
+func (d *Dispatcher) Advance(now int64) { d.now = now }
 
-// List takes the list or changes to it; whole says that absent executors are gone.
-func (d *Dispatcher) List(whole bool, members []Endpoint) {
+// UpdateEndpoints takes the list or changes to it; whole says that absent executors are gone.
+func (d *Dispatcher) UpdateEndpoints(whole bool, members []Endpoint) {
 	d.failed, d.spent = 0, 0
 	gone := whole
 	for i := 0; whole && i < len(d.fleet.servers); i++ {
@@ -156,39 +156,39 @@
 // quiet is how long no call for the list may be out. Danger: longer, and what counts as told is unknown.
 func (d *Dispatcher) quiet() float64 { return float64(d.terms.UnpolledEventAge + d.terms.DrainGrace/2) }
 
-// Follow asks for news of the list for the first time; where there is a list to go by, at a time by chance.
+// StartPolling asks for news of the list for the first time; where there is a list to go by, at a time by chance.
 // Danger: nodes that start or fail together ask together; a service that falls behind serves none of them.
-func (d *Dispatcher) Follow() {
+func (d *Dispatcher) StartPolling() {
 	d.call(d.quiet()*d.chance.Float64()*float64(min(len(d.fleet.servers), 1)), d.quiet())
 }
 
-// ListFailed takes a failed call for the list; the next waits, for the same danger, by what two of them cost.
+// PollFailed takes a failed call for the list; the next waits, for the same danger, by what two of them cost.
 // Danger: an agent that could be asked again as the call was out has news that counts some time after that.
-func (d *Dispatcher) ListFailed(took, spent int64) {
+func (d *Dispatcher) PollFailed(took, spent int64) {
 	part := min(max(d.quiet()/3, float64(min(spent, d.spent))), float64(max(d.terms.MaxPollInterval-took, 0))/3)
 	d.failed, d.spent = min(d.failed+1, 2), spent
 	d.call(part*float64(d.failed)*(0.5+d.chance.Float64()), 3*part)
 }
 
-// ListAsked ends a call that brought something, where nodes hold calls together; the next goes in its turn.
-func (d *Dispatcher) ListAsked() { d.call(0, d.quiet()) }
+// PollSucceeded ends a call that brought something, where nodes hold calls together; the next goes in its turn.
+func (d *Dispatcher) PollSucceeded() { d.call(0, d.quiet()) }
 
 func (d *Dispatcher) call(after, by float64) {
 	d.by = d.now + int64(by)
-	d.door.Schedule(int64(after), d.Ask)
+	d.door.Schedule(int64(after), d.PollEndpoints)
 }
 
-// Ask has the list asked for, or waits for this node's share.
-func (d *Dispatcher) Ask() {
-	if d.terms.Quotas == nil || d.Overdue() || d.terms.Quotas.Allow(BudgetPolls, nil, nil, 1) {
+// PollEndpoints has the list asked for, or waits for this node's share.
+func (d *Dispatcher) PollEndpoints() {
+	if d.terms.Quotas == nil || d.PollOverdue() || d.terms.Quotas.Allow(BudgetPolls, nil, nil, 1) {
 		d.door.PollEndpoints(true)
 	} else {
-		d.door.Schedule(d.terms.Tick, d.Ask)
+		d.door.Schedule(d.terms.Tick, d.PollEndpoints)
 	}
 }
 
-// Overdue says that a call goes out whatever shares say. Danger: work for what drained, as no news is heard.
-func (d *Dispatcher) Overdue() bool { return d.now >= d.by }
+// PollOverdue says that a call goes out whatever shares say. Danger: work for what drained, as no news is heard.
+func (d *Dispatcher) PollOverdue() bool { return d.now >= d.by }
 
 func (d *Dispatcher) Arrive(t *Request) {
 	if d.overloaded(t) {
@@ -221,7 +221,7 @@
 	}
 	d.schemes[t.Class.Index].fade(d.now).asked += t.value
 	d.count(t)
-	d.Expire(t, t.Deadline)
+	d.SetDeadline(t, t.Deadline)
 	d.enqueue(t)
 }
 
@@ -236,9 +236,9 @@
 	return t.Deadline + min(off, max(off-t.Class.MaxDeadline/way, 0))
 }
 
-// Expire sets when the txn has to be answered at the latest; a node that is told to end brings it forward.
+// SetDeadline sets when the txn has to be answered at the latest; a node that is told to end brings it forward.
 // Danger: a txn that is forgotten. This alarm answers it whatever else happens.
-func (d *Dispatcher) Expire(t *Request, at int64) {
+func (d *Dispatcher) SetDeadline(t *Request, at int64) {
 	t.Deadline = min(t.Deadline, at)
 	t.forget = d.door.Schedule(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
 }
@@ -318,9 +318,9 @@
 	})
 }
 
-// Probed takes what an executor told of its room, if it told of any.
+// CapacityReported takes what an executor told of its room, if it told of any.
 // Danger: what many nodes were told they all take at once; so with the chance that starts are prompt.
-func (d *Dispatcher) Probed(e *Server, told bool, free, memory float64) {
+func (d *Dispatcher) CapacityReported(e *Server, told bool, free, memory float64) {
 	askers := e.askers
 	e.free = e.claims.sum(free, d.now-4*d.fresh)
 	if e.askers, e.toldAt, e.memory = nil, d.now, memory; told {
@@ -332,7 +332,7 @@
 			d.chance.Float64() < d.prompts(e.zone == d.terms.Zone) {
 			e.memory -= t.Memory
 			d.post(t, e)
-			d.Taken(e, t.Slots)
+			d.SlotsReserved(e, t.Slots)
 			if d.terms.PeerMessages && t.rounds > 1 {
 				d.door.NotifyPeers(e, t.Slots)
 			}
@@ -340,8 +340,8 @@
 	}
 }
 
-// Taken notes slots that this or another node took at an executor, for as long as reports may lack them.
-func (d *Dispatcher) Taken(e *Server, slots float64) {
+// SlotsReserved notes slots that this or another node took at an executor, for as long as reports may lack them.
+func (d *Dispatcher) SlotsReserved(e *Server, slots float64) {
 	e.claims = e.claims.add(d.now, -slots, 4*d.fresh)
 	e.free -= slots
 }
@@ -604,8 +604,8 @@
 	d.watch(p)
 }
 
-// Stands says at a posting's first byte whether it may still leave. Danger: news that came while it waited.
-func (d *Dispatcher) Stands(p *Attempt) bool {
+// MaySend says at a posting's first byte whether it may still leave. Danger: news that came while it waited.
+func (d *Dispatcher) MaySend(p *Attempt) bool {
 	return p.Server.State == Up && !p.Request.Done && !p.withdrawn && !d.stale()
 }
 
@@ -779,8 +779,8 @@
 	e.pool[e.next], e.next = score, (e.next+1)%poolSize
 }
 
-// Ended takes the outcome of a posting; over says that the txn has ended by it or earlier.
-func (d *Dispatcher) Ended(p *Attempt, o Outcome, took int64, over bool) {
+// AttemptEnded takes the outcome of a posting; over says that the txn has ended by it or earlier.
+func (d *Dispatcher) AttemptEnded(p *Attempt, o Outcome, took int64, over bool) {
 	t, e := p.Request, p.Server
 	if p.InFlight, e.idleAt = false, d.now; p.started > 0 {
 		e.atWork -= t.Slots
@@ -838,7 +838,7 @@
 		d.adjust(p, e.busy+t.Slots, false)
 	}
 	if over {
-		d.Left(t)
+		d.Finish(t)
 	} else if o == TimedOut && p.Timeout == 0 { // its client has given up, whatever was told
 		d.finish(t, ClientTimeout)
 	} else if again && o == Failed && part < incurable {
@@ -847,11 +847,11 @@
 	p.then()
 }
 
-// Gone ends a txn whose client has closed, or shut its sending side and may still read: it gets the final answer that the rules allow.
-func (d *Dispatcher) Gone(t *Request) { d.finish(t, ClientGone) }
+// ClientClosed ends a txn whose client has closed, or shut its sending side and may still read: it gets the final answer that the rules allow.
+func (d *Dispatcher) ClientClosed(t *Request) { d.finish(t, ClientGone) }
 
-// Left ends a txn that is answered, or whose client has gone.
-func (d *Dispatcher) Left(t *Request) {
+// Finish ends a txn that is answered, or whose client has gone.
+func (d *Dispatcher) Finish(t *Request) {
 	if t.Done = true; t.forget != nil {
 		t.forget()
 	}
@@ -873,7 +873,7 @@
 		return
 	}
 	t.Reason = why
-	d.Left(t)
+	d.Finish(t)
 	// Danger: a decline tells the client that trying again is harmless; where it might not be, reverse.
 	s := t.Class
 	if t.anchor() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
@@ -883,7 +883,7 @@
 	}
 }
 
-func (d *Dispatcher) Started(p *Attempt) {
+func (d *Dispatcher) AttemptStarted(p *Attempt) {
 	if !p.InFlight || p.started > 0 {
 		return
 	}
@@ -903,10 +903,10 @@
 	d.watch(p)
 }
 
-func (d *Dispatcher) Progress(p *Attempt) { p.told = d.now }
+func (d *Dispatcher) AttemptProgressed(p *Attempt) { p.told = d.now }
 
-// Settle ends a round of events: it places waiting txns, the worthiest first, or gives them up.
-func (d *Dispatcher) Settle() {
+// ProcessQueue ends a round of events: it places waiting txns, the worthiest first, or gives them up.
+func (d *Dispatcher) ProcessQueue() {
 	waiting := d.queue
 	d.queue = nil
 	for _, t := range waiting {
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -48,7 +48,7 @@
 		w.join(1, false)
 		w.arrive(0, 1, 2e8, 4e9)
 		e := w.open[0].Server
-		w.d.Left(w.txns[0])
+		w.d.Finish(w.txns[0])
 		w.ended[w.txns[0]] = 1
 		w.end(w.open[0], o)
 		if kept := e.busy == 1; kept != (o == Canceled) {
@@ -98,7 +98,7 @@
 		w.arrive(0, 1, 1e8, 2e10)
 		p := w.open[len(w.open)-1]
 		w.now += took
-		w.d.At(w.now)
+		w.d.Advance(w.now)
 		before = w.d.health(e)
 		w.end(p, StaleConnection)
 		near(before * map[int64]float64{0: 1, 1e9: penalty}[took])
@@ -168,7 +168,7 @@
 				full++
 				w.end(p, Rejected)
 			} else {
-				w.d.Started(p)
+				w.d.AttemptStarted(p)
 				w.pass(5e7)
 				w.end(p, Succeeded)
 			}
@@ -437,7 +437,7 @@
 	w := newWorld(t, 1, basicTerms())
 	w.join(2, false)
 	tx := w.arrive(2, 1, 1e9, 5e9)
-	w.d.Expire(tx, w.now+4e8)
+	w.d.SetDeadline(tx, w.now+4e8)
 	if w.pass(4e8); w.ended[tx] != 1 {
 		t.Fatal("not answered in time")
 	}
@@ -467,7 +467,7 @@
 	for range 40 {
 		w.arrive(0, 1, 1e9, 9e9)
 		p := w.open[len(w.open)-1]
-		w.d.Started(p)
+		w.d.AttemptStarted(p)
 		w.pass(24e8)
 		w.end(p, Succeeded)
 	}
@@ -501,7 +501,7 @@
 			tx := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: key(i)}
 			w.txns = append(w.txns, tx)
 			w.d.Arrive(tx)
-			w.d.Settle()
+			w.d.ProcessQueue()
 			for j, m := range w.fleet {
 				if len(w.open) > 0 && m.Server == w.open[0].Server {
 					met[fleet[j].Server]++
@@ -554,7 +554,7 @@
 			tx := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%40)}
 			w.txns = append(w.txns, tx)
 			w.d.Arrive(tx)
-			w.d.Settle()
+			w.d.ProcessQueue()
 			if i%40 == 1 {
 				n[w.open[0].Server]++
 			}
@@ -604,7 +604,7 @@
 				tx := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%7)}
 				w.txns = append(w.txns, tx)
 				w.d.Arrive(tx)
-				w.d.Settle()
+				w.d.ProcessQueue()
 				if i%7 == 1 {
 					met[w.open[0].Server.Hash]++
 				}
@@ -647,15 +647,15 @@
 		t.Fatalf("%d postings, %d probes", len(tx.Attempts), len(w.probes))
 	}
 	tx.Memory = 2
-	w.d.Probed(w.probes[0], true, 1, 4)
-	w.d.Probed(w.probes[1], true, 4, 1)
-	w.d.Probed(w.probes[2], false, 0, 0)
-	w.d.Settle()
+	w.d.CapacityReported(w.probes[0], true, 1, 4)
+	w.d.CapacityReported(w.probes[1], true, 4, 1)
+	w.d.CapacityReported(w.probes[2], false, 0, 0)
+	w.d.ProcessQueue()
 	if len(tx.Attempts) > 0 {
 		t.Fatal("posted to an executor without room")
 	}
-	w.d.Probed(w.probes[3], true, 2, 2)
-	w.d.Settle()
+	w.d.CapacityReported(w.probes[3], true, 2, 2)
+	w.d.ProcessQueue()
 	if len(tx.Attempts) != 1 || tx.Attempts[0].Server != w.probes[3] {
 		t.Fatal("not posted where there is room")
 	}
@@ -681,12 +681,12 @@
 	w.fleet[2].State = Removed
 	w.list(true)
 	for _, m := range w.fleet[:3] {
-		w.d.Probed(m.Server, true, 9, 9)
+		w.d.CapacityReported(m.Server, true, 9, 9)
 	}
 	w.ended[tx] = 1
-	w.d.Left(tx)
-	w.d.Probed(w.fleet[3].Server, true, 9, 9)
-	if w.d.Settle(); len(tx.Attempts) > 0 {
+	w.d.Finish(tx)
+	w.d.CapacityReported(w.fleet[3].Server, true, 9, 9)
+	if w.d.ProcessQueue(); len(tx.Attempts) > 0 {
 		t.Error("posted")
 	}
 }
@@ -701,7 +701,7 @@
 		w.join(4, false)
 		w.d.starts[true].asked, w.d.starts[true].at = 9, w.now
 		tx := w.arrive(0, 1, 1e8, 9e9)
-		if w.d.Probed(w.probes[0], true, 9, 9); len(tx.Attempts) > 0 {
+		if w.d.CapacityReported(w.probes[0], true, 9, 9); len(tx.Attempts) > 0 {
 			taken++
 		}
 		w.settle()
@@ -729,7 +729,7 @@
 		tx := w.arrive(c.scheme, 1, 1e8, 4e9)
 		p := w.open[0]
 		if c.still {
-			w.d.Started(p)
+			w.d.AttemptStarted(p)
 			w.pass(35e8)
 		} else {
 			w.pass(3e8)
@@ -803,29 +803,29 @@
 	}
 	w, e := start()
 	first := w.arrive(0, 1, 1e8, 9e9)
-	w.d.Probed(e, true, 1, 9)
+	w.d.CapacityReported(e, true, 1, 9)
 	if len(first.Attempts) != 1 || len(w.told) > 0 {
 		t.Fatalf("%d postings, %d told of a txn that found room at once", len(first.Attempts), len(w.told))
 	}
 	w.settle()
 	second := w.arrive(0, 1, 1e9, 9e9)
-	w.d.Probed(e, true, 1, 9)
+	w.d.CapacityReported(e, true, 1, 9)
 	if len(second.Attempts) > 0 {
 		t.Fatal("the slot that this node has just taken is taken again")
 	}
 	w.pass(6 * askAgain)
-	w.d.Probed(e, true, 1, 9)
+	w.d.CapacityReported(e, true, 1, 9)
 	if len(second.Attempts) != 1 || len(w.told) != 1 {
 		t.Fatalf("%d postings, %d told", len(second.Attempts), len(w.told))
 	}
 	other, e := start()
-	other.d.Taken(e, w.told[0])
+	other.d.SlotsReserved(e, w.told[0])
 	held := other.arrive(0, 1, 1e9, 9e9)
-	if other.d.Probed(e, true, 1, 9); len(held.Attempts) > 0 {
+	if other.d.CapacityReported(e, true, 1, 9); len(held.Attempts) > 0 {
 		t.Error("a slot that another node told it has taken is taken again")
 	}
 	other.pass(6 * askAgain)
-	if other.d.Probed(e, true, 1, 9); len(held.Attempts) != 1 {
+	if other.d.CapacityReported(e, true, 1, 9); len(held.Attempts) != 1 {
 		t.Error("what was told once counts for ever")
 	}
 }
@@ -837,14 +837,14 @@
 	e := w.fleet[0].Server
 	w.arrive(0, 1, 3e9, 9e9)
 	running := w.open[0]
-	w.d.Started(running)
+	w.d.AttemptStarted(running)
 	w.pass(2e8)
-	w.d.Progress(running)
+	w.d.AttemptProgressed(running)
 	w.arrive(0, 1, 3e9, 9e9)
 	waiting := w.open[1]
 	limit := e.limit
 	w.now += 2e9 // the node has no turn
-	w.d.At(w.now)
+	w.d.Advance(w.now)
 	due := w.alarms
 	w.alarms = nil
 	for _, a := range due {
@@ -854,9 +854,9 @@
 			w.alarms = append(w.alarms, a)
 		}
 	}
-	w.d.Progress(running)
-	w.d.Started(waiting)
-	w.d.Settle()
+	w.d.AttemptProgressed(running)
+	w.d.AttemptStarted(waiting)
+	w.d.ProcessQueue()
 	w.pass(1e8)
 	if w.d.health(e) < 1 || e.limit < limit || len(w.open) != 2 {
 		t.Errorf("H %v, limit %v of %v, %d out", w.d.health(e), e.limit, limit, len(w.open))
@@ -882,7 +882,7 @@
 			tx := &Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 9e9, AffinityKey: key + 1}
 			w.txns = append(w.txns, tx)
 			w.d.Arrive(tx)
-			w.d.Settle()
+			w.d.ProcessQueue()
 			w.settle()
 			w.pass(1e8)
 			if tx.Attempts[0].Server == cold.Server {
@@ -907,7 +907,7 @@
 	tx := w.arrive(0, 1, 2e9, 2e10)
 	for range 100 {
 		w.pass(w.terms.Tick)
-		w.d.Settle()
+		w.d.ProcessQueue()
 	}
 	if tx.looks == 0 || tx.looks > 20 {
 		t.Errorf("looked for room %d times in 100 rounds", tx.looks)
--- a/dispatch/figures.go
+++ b/dispatch/figures.go
@@ -4,9 +4,9 @@
 
 import "math"
 
-// Figures counts the executors of the list, and those of them that a draw leaves out now: what drains, and the sick
+// ServerCounts counts the executors of the list, and those of them that a draw leaves out now: what drains, and the sick
 // while others remain.
-func (d *Dispatcher) Figures() (known, excluded int) {
+func (d *Dispatcher) ServerCounts() (known, excluded int) {
 	sick := 0
 	for _, e := range d.fleet.servers {
 		switch {
@@ -22,9 +22,9 @@
 	return len(d.fleet.servers), excluded
 }
 
-// Own says whether this node's part of cold executors' budgets is this module's to use. Taken over from another process
+// SetSlowStartOwner says whether this node's part of cold executors' budgets is this module's to use. Taken over from another process
 // of the node it counts as one that knows nothing of what was sent before.
-func (d *Dispatcher) Own(yes bool) {
+func (d *Dispatcher) SetSlowStartOwner(yes bool) {
 	if d.born = math.MaxInt64; yes {
 		d.born = d.now
 	}
--- a/dispatch/figures_test.go
+++ b/dispatch/figures_test.go
@@ -10,7 +10,7 @@
 	w.join(6, false)
 	check := func(want int) {
 		t.Helper()
-		if known, excluded := w.d.Figures(); known != 6 || excluded != want {
+		if known, excluded := w.d.ServerCounts(); known != 6 || excluded != want {
 			t.Errorf("%d known, %d excluded, want %d", known, excluded, want)
 		}
 	}
@@ -39,7 +39,7 @@
 	sent := func() int { return len(w.coldWork[w.fleet[0].Server]) }
 	turn := terms.OverloadWindow / turns
 	w.pass(8 * turn)
-	w.d.Own(false)
+	w.d.SetSlowStartOwner(false)
 	within := func(span int64) (count int) {
 		before := sent()
 		for end := w.now + span; w.now < end; w.pass(2e7) {
@@ -54,7 +54,7 @@
 	if n := within(8*turn + turn/4); n > 0 {
 		t.Errorf("%d sent on another process's budget", n)
 	}
-	w.d.Own(true)
+	w.d.SetSlowStartOwner(true)
 	if n := within(turn / 2); n > 0 {
 		t.Errorf("%d sent right after the budget was taken over", n)
 	}
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -139,7 +139,7 @@
 	for i, e := range n.fleet {
 		members = append(members, Endpoint{Server: e, StartedAt: n.since[i] + n.off[i]})
 	}
-	n.d.List(true, members)
+	n.d.UpdateEndpoints(true, members)
 }
 
 // renew starts all executors again; starts tell how many have been seen at work in one.
@@ -162,7 +162,7 @@
 	for end := h.now + span; h.now < end; {
 		h.now += h.terms.Tick
 		for _, n := range h.nodes {
-			n.d.At(h.now)
+			n.d.Advance(h.now)
 			due := slices.Clone(n.alarms)
 			n.alarms = slices.DeleteFunc(n.alarms, func(a *alarm) bool { return a.at <= h.now })
 			for _, a := range due {
@@ -179,7 +179,7 @@
 				h.tell(invariants.Event{Kind: invariants.Taken, Node: strconv.Itoa(n.d.terms.NodeIndex), Txn: t.Tag, Scheme: "s", Expiry: t.Deadline})
 				n.d.Arrive(t)
 			}
-			n.d.Settle()
+			n.d.ProcessQueue()
 			for _, p := range slices.Clone(n.open) {
 				if o := Succeeded; h.hasty || h.now-n.at[p] >= n.runs(p) {
 					if h.hasty {
@@ -190,10 +190,10 @@
 					if o == Succeeded && !p.Request.Done {
 						n.tell(invariants.Event{Kind: invariants.Answered, Txn: p.Request.Tag, Result: "settled"})
 					}
-					n.d.Ended(p, o, h.now-n.at[p], p.Request.Done || o == Succeeded)
+					n.d.AttemptEnded(p, o, h.now-n.at[p], p.Request.Done || o == Succeeded)
 				}
 			}
-			n.d.Settle()
+			n.d.ProcessQueue()
 		}
 	}
 }
@@ -303,7 +303,7 @@
 		var per [8]int
 		for _, node := range h.nodes {
 			node.alarms, node.d.terms = nil, h.terms
-			node.d.Follow()
+			node.d.StartPolling()
 			if after := node.alarms[0].at - h.now; after >= bound {
 				t.Fatalf("a call after %d ms, %d at most", after/1e6, bound/1e6)
 			}
@@ -314,7 +314,7 @@
 		}
 	}
 	w := newWorld(t, 1, basicTerms())
-	if w.d.Follow(); w.alarms[0].at > w.now+1 {
+	if w.d.StartPolling(); w.alarms[0].at > w.now+1 {
 		t.Error("a node without a list waits before it asks")
 	}
 }
@@ -332,7 +332,7 @@
 			for _, node := range h.nodes {
 				node.alarms, node.d.terms = nil, h.terms
 				for range rounds {
-					node.d.ListFailed(c.spent, c.spent)
+					node.d.PollFailed(c.spent, c.spent)
 				}
 				last = max(last, node.alarms[rounds-1].at-h.now)
 				per[min((node.alarms[rounds-1].at-h.now)*16/c.bound, 15)]++
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -82,7 +82,7 @@
 	if whole && len(members) > 0 {
 		members = append(members, members[0])
 	}
-	w.d.List(whole, members)
+	w.d.UpdateEndpoints(whole, members)
 }
 
 func (w *world) StartAttempt(p *Attempt) {
@@ -176,7 +176,7 @@
 func (w *world) pass(span int64) {
 	for end := w.now + span; w.now < end; {
 		w.now = min(w.now+w.terms.Tick, end)
-		w.d.At(w.now)
+		w.d.Advance(w.now)
 		due := slices.Clone(w.alarms)
 		w.alarms = slices.DeleteFunc(w.alarms, func(a *alarm) bool { return a.at <= w.now })
 		for _, a := range due {
@@ -184,7 +184,7 @@
 				a.then()
 			}
 		}
-		w.d.Settle()
+		w.d.ProcessQueue()
 	}
 }
 
@@ -192,7 +192,7 @@
 	t := &Request{Class: w.terms.Classes[scheme], Slots: slots, ExpectedWork: hint, Deadline: w.now + left}
 	w.txns = append(w.txns, t)
 	w.d.Arrive(t)
-	w.d.Settle()
+	w.d.ProcessQueue()
 	return t
 }
 
@@ -205,14 +205,14 @@
 	if o == Succeeded && w.ended[p.Request] == 0 {
 		w.final(p.Request)
 	}
-	w.d.Ended(p, o, w.now-w.sentAt[p], w.ended[p.Request] > 0)
-	w.d.Settle()
+	w.d.AttemptEnded(p, o, w.now-w.sentAt[p], w.ended[p.Request] > 0)
+	w.d.ProcessQueue()
 }
 
 // settle lets all jobs that are out start and end well at once, and what they make room for.
 func (w *world) settle() {
 	for len(w.open) > 0 {
-		w.d.Started(w.open[0])
+		w.d.AttemptStarted(w.open[0])
 		w.end(w.open[0], Succeeded)
 	}
 }
@@ -227,9 +227,9 @@
 	case n < 14 && len(w.open) > 0:
 		p := w.open[w.IntN(len(w.open))]
 		if busy := p.Server.atWork; busy+p.Request.Slots <= testSlots {
-			w.d.Started(p)
+			w.d.AttemptStarted(p)
 		}
-		w.d.Progress(p)
+		w.d.AttemptProgressed(p)
 	case n == 14 && len(w.fleet) > 0:
 		m := w.fleet[w.IntN(len(w.fleet))]
 		if m.State = EndpointState(w.IntN(3)); m.State == Up && w.IntN(2) == 0 {
@@ -239,17 +239,17 @@
 	case n == 15 && len(w.txns) > 0:
 		if t := w.txns[w.IntN(len(w.txns))]; w.ended[t] == 0 && w.IntN(4) == 0 {
 			w.ended[t] = 1
-			w.d.Left(t)
+			w.d.Finish(t)
 		}
 	case n == 17 && len(w.probes) > 0:
 		i := w.IntN(len(w.probes))
 		e := w.probes[i]
 		w.probes = slices.Delete(w.probes, i, i+1)
-		w.d.Probed(e, w.IntN(3) > 0, float64(w.IntN(3)), float64(w.IntN(3)))
+		w.d.CapacityReported(e, w.IntN(3) > 0, float64(w.IntN(3)), float64(w.IntN(3)))
 	case n == 18 && len(w.fleet) > 0:
-		w.d.Taken(w.fleet[w.IntN(len(w.fleet))].Server, float64(w.IntN(300)))
+		w.d.SlotsReserved(w.fleet[w.IntN(len(w.fleet))].Server, float64(w.IntN(300)))
 	case n == 16:
-		w.d.ListFailed(0, 0)
+		w.d.PollFailed(0, 0)
 	default:
 		w.pass(w.Int64N(3e8))
 	}
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -22,8 +22,8 @@
 	leastLag = 10
 )
 
-// Behind tells how long work of this process waits until it runs, in ns. It is measured outside and holds until it is told again.
-func (d *Dispatcher) Behind(lag int64) { d.lag = lag }
+// SetSchedulingDelay tells how long work of this process waits until it runs, in ns. It is measured outside and holds until it is told again.
+func (d *Dispatcher) SetSchedulingDelay(lag int64) { d.lag = lag }
 
 // bearable is the longest wait at which a request with that time to its deadline can still be served, and updates of the server list
 // are known in time: either may take half of its time to wait in all its turns.
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -15,7 +15,7 @@
 		request := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9, UnreadTime: waited}
 		w.txns = append(w.txns, request)
 		w.d.Arrive(request)
-		w.d.Settle()
+		w.d.ProcessQueue()
 		if shed := waited > terms.DrainGrace/8; request.Done != shed || shed && (request.Reason != Overloaded || len(request.Attempts) > 0) {
 			t.Errorf("waited %d ms: over %v, %d attempts, %v", waited/1e6, request.Done, len(request.Attempts), request.Reason)
 		}
@@ -31,7 +31,7 @@
 		request := &Request{Class: w.terms.Classes[0], Slots: 1, Deadline: w.now + w.terms.Classes[0].LatencyObjective + 1, UnreadTime: waited}
 		w.txns = append(w.txns, request)
 		w.d.Arrive(request)
-		if w.d.Settle(); request.Done || len(request.Attempts) != 1 {
+		if w.d.ProcessQueue(); request.Done || len(request.Attempts) != 1 {
 			t.Errorf("waited %d us: over %v by %v", waited/1e3, request.Done, request.Reason)
 		}
 	}
@@ -45,16 +45,16 @@
 	w.join(4, false)
 	w.arrive(0, 1, 1e7, 5e9)
 	decided := w.open[0]
-	w.d.Behind(terms.DrainGrace)
-	if w.d.Stands(decided) {
+	w.d.SetSchedulingDelay(terms.DrainGrace)
+	if w.d.MaySend(decided) {
 		t.Error("what was decided before would go out")
 	}
 	w.arrive(0, 1, 1e7, 5e9)
 	if w.pass(1e8); len(w.open) != 1 {
 		t.Error("something was sent")
 	}
-	w.d.Behind(0)
-	if w.pass(1e8); len(w.open) != 2 || !w.d.Stands(decided) {
+	w.d.SetSchedulingDelay(0)
+	if w.pass(1e8); len(w.open) != 2 || !w.d.MaySend(decided) {
 		t.Errorf("%d attempts once the process has caught up", len(w.open))
 	}
 }
@@ -64,7 +64,7 @@
 	for _, lag := range []int64{0, 2e8} {
 		w := newWorld(t, 1, basicTerms())
 		w.join(4, false)
-		w.d.Behind(lag)
+		w.d.SetSchedulingDelay(lag)
 		request := w.arrive(0, 1, 1e7, 5e9)
 		w.pass(5e9 - 2*lag - 4*w.terms.Tick)
 		early := request.Done
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -61,7 +61,7 @@
 		if o == Succeeded && !t.Done {
 			n.done[t](work)
 		}
-		n.d.Ended(p, o, n.now-n.sent[p], over)
+		n.d.AttemptEnded(p, o, n.now-n.sent[p], over)
 	}
 	if n.error != nil && n.error(t, i) {
 		n.after(2e6, func() { end(Failed) })
@@ -78,7 +78,7 @@
 	}
 	w.queue = append(w.queue, func() {
 		if p.InFlight {
-			n.d.Started(p)
+			n.d.AttemptStarted(p)
 		}
 		took, o := work*w.slow, Succeeded
 		if n.hot > 0 && (t.AffinityKey == n.hot || t.AffinityKey == 0 && t.Tenant == int(n.hot)) {
@@ -100,7 +100,7 @@
 func (n *townNode) CancelAttempt(p *Attempt) {
 	n.after(1e6, func() {
 		if p.InFlight {
-			n.d.Ended(p, Canceled, n.now-n.sent[p], true)
+			n.d.AttemptEnded(p, Canceled, n.now-n.sent[p], true)
 		}
 	})
 }
@@ -137,7 +137,7 @@
 			n.fleet = append(n.fleet, &Server{Hash: HashName("e" + strconv.Itoa(j))})
 			members = append(members, Endpoint{Server: n.fleet[j], Capacity: 1})
 		}
-		n.d.List(true, members)
+		n.d.UpdateEndpoints(true, members)
 		h.nodes = append(h.nodes, n)
 	}
 	return h
@@ -190,14 +190,14 @@
 			h.later = h.later[1:]
 			h.now = max(h.now, a.at)
 			for _, n := range h.nodes {
-				n.d.At(h.now)
+				n.d.Advance(h.now)
 			}
 			a.then()
 		}
 		h.now = tick
 		for _, n := range h.nodes {
-			n.d.At(h.now)
-			n.d.Settle()
+			n.d.Advance(h.now)
+			n.d.ProcessQueue()
 		}
 	}
 }
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -50,7 +50,7 @@
 	for _, step := range []struct {
 		call func()
 		most int64
-	}{{w.d.ListAsked, 1e9}, {func() { w.d.ListFailed(0, 0) }, 75e7}, {w.d.Follow, 1e9}} {
+	}{{w.d.PollSucceeded, 1e9}, {func() { w.d.PollFailed(0, 0) }, 75e7}, {w.d.StartPolling, 1e9}} {
 		for _, denied := range []int64{0, 3e8, 9e9} {
 			s.none[BudgetPolls] = denied > 0
 			began, before := w.now, door.calls
@@ -184,7 +184,7 @@
 			x := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9, AffinityKey: key}
 			w.txns = append(w.txns, x)
 			w.d.Arrive(x)
-			w.d.Settle()
+			w.d.ProcessQueue()
 			for _, p := range w.open {
 				used[p.Server.Distance]++
 			}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -15,14 +15,14 @@
 
 // Decider is what a node calls, as docs of the module tell.
 type Decider interface {
-	At(now int64)
-	List(whole bool, members []dispatch.Endpoint)
+	Advance(now int64)
+	UpdateEndpoints(whole bool, members []dispatch.Endpoint)
 	Arrive(*dispatch.Request)
-	Left(*dispatch.Request)
-	Started(*dispatch.Attempt)
-	Progress(*dispatch.Attempt)
-	Ended(p *dispatch.Attempt, o dispatch.Outcome, took int64, over bool)
-	Settle()
+	Finish(*dispatch.Request)
+	AttemptStarted(*dispatch.Attempt)
+	AttemptProgressed(*dispatch.Attempt)
+	AttemptEnded(p *dispatch.Attempt, o dispatch.Outcome, took int64, over bool)
+	ProcessQueue()
 }
 
 // node is one dispatcher process with its connections. It carries out what its decider says and decides nothing.
@@ -120,7 +120,7 @@
 	n.free = max(n.free, w.now) + int64(w.s.Fleet.Decision)
 	do := func() {
 		if n.up && n.lives == life {
-			n.decider.At(w.now)
+			n.decider.Advance(w.now)
 			step()
 			n.settle()
 		}
@@ -142,8 +142,8 @@
 	tick := int64(n.world.s.Fleet.Tick)
 	n.world.after(tick-(n.world.now-epoch)%tick, func() {
 		if n.settling = false; n.up && n.lives == life {
-			n.decider.At(n.world.now)
-			n.decider.Settle()
+			n.decider.Advance(n.world.now)
+			n.decider.ProcessQueue()
 		}
 	})
 }
@@ -162,7 +162,7 @@
 		}
 	}
 	members = slices.DeleteFunc(members, func(m dispatch.Endpoint) bool { return m.State == dispatch.Removed })
-	n.event(func() { n.decider.List(true, members) })
+	n.event(func() { n.decider.UpdateEndpoints(true, members) })
 }
 
 // take is a request that has been read whole.
@@ -194,7 +194,7 @@
 func (n *node) drop(t *dispatch.Request) {
 	if h := n.txns[t]; h != nil {
 		delete(n.txns, t)
-		n.event(func() { n.decider.Left(t) })
+		n.event(func() { n.decider.Finish(t) })
 	}
 }
 
@@ -321,9 +321,9 @@
 func (n *node) heard(p *dispatch.Attempt, i int, f *flight, what line) {
 	switch what {
 	case lineStarted:
-		n.note(p, f, func() { n.decider.Started(p) })
+		n.note(p, f, func() { n.decider.AttemptStarted(p) })
 	case lineProgress:
-		n.note(p, f, func() { n.decider.Progress(p) })
+		n.note(p, f, func() { n.decider.AttemptProgressed(p) })
 	default:
 		n.heardEnd(p, i, f, map[line]dispatch.Outcome{lineDone: dispatch.Succeeded, lineError: dispatch.Failed, lineFull: dispatch.Rejected, lineReset: dispatch.ConnectionLost}[what])
 	}
@@ -360,7 +360,7 @@
 	if o == dispatch.Succeeded && n.txns[p.Request] != nil {
 		n.answer(p.Request, settled)
 	}
-	n.decider.Ended(p, o, n.world.now-f.sent, n.txns[p.Request] == nil)
+	n.decider.AttemptEnded(p, o, n.world.now-f.sent, n.txns[p.Request] == nil)
 }
 
 // CancelAttempt takes a posting back; the executor hears of it over the network.
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -80,9 +80,9 @@
 	forget map[*dispatch.Request]func()
 }
 
-func (b *baseline) At(now int64) { b.now = now }
+func (b *baseline) Advance(now int64) { b.now = now }
 
-func (b *baseline) List(whole bool, members []dispatch.Endpoint) {
+func (b *baseline) UpdateEndpoints(whole bool, members []dispatch.Endpoint) {
 	if whole {
 		b.up = nil
 	}
@@ -130,18 +130,18 @@
 	}
 }
 
-func (b *baseline) Ended(p *dispatch.Attempt, o dispatch.Outcome, _ int64, over bool) {
+func (b *baseline) AttemptEnded(p *dispatch.Attempt, o dispatch.Outcome, _ int64, over bool) {
 	p.InFlight = false
 	b.busy[p.Server]--
 	b.state[p] = o != dispatch.Rejected && o != dispatch.ConnectFailed && o != dispatch.NotSent
 	if over {
-		b.Left(p.Request)
+		b.Finish(p.Request)
 		return
 	}
 	b.place(p.Request)
 }
 
-func (b *baseline) Left(t *dispatch.Request) {
+func (b *baseline) Finish(t *dispatch.Request) {
 	if t.Done {
 		return
 	}
@@ -160,7 +160,7 @@
 		return
 	}
 	harmless := !b.mayRun(t) || t.Class.Idempotency == dispatch.Idempotent || t.Class.Idempotency == dispatch.IdempotentInGroup && t.Class.DedupScope == dispatch.DedupAll
-	b.Left(t)
+	b.Finish(t)
 	if harmless {
 		b.door.Shed(t, 0)
 	} else {
@@ -168,6 +168,6 @@
 	}
 }
 
-func (b *baseline) Started(*dispatch.Attempt)  {}
-func (b *baseline) Progress(*dispatch.Attempt) {}
-func (b *baseline) Settle()                    {}
+func (b *baseline) AttemptStarted(*dispatch.Attempt)    {}
+func (b *baseline) AttemptProgressed(*dispatch.Attempt) {}
+func (b *baseline) ProcessQueue()                       {}
--- a/internal/emulator/wrong_test.go
+++ b/internal/emulator/wrong_test.go
@@ -21,10 +21,10 @@
 	heard bool
 }
 
-func (d *deaf) List(whole bool, members []dispatch.Endpoint) {
+func (d *deaf) UpdateEndpoints(whole bool, members []dispatch.Endpoint) {
 	if !d.heard {
 		d.heard = true
-		d.Decider.List(whole, members)
+		d.Decider.UpdateEndpoints(whole, members)
 	}
 }
 
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -87,7 +87,7 @@
 		n.module.Arrive(t)
 		// Danger: where clocks may differ the module moves the expiry; a node that ends has no more time for all that.
 		if !t.Done && t.Deadline > n.till {
-			n.module.Expire(t, n.till)
+			n.module.SetDeadline(t, n.till)
 		}
 	})
 	// Danger: a txn that the module lost in a fault; it is owed an answer all the same.
@@ -113,7 +113,7 @@
 func (n *Node) clientGone(t *dispatch.Request) {
 	if l := n.lives[t]; l != nil {
 		l.gone = true
-		n.module.Gone(t)
+		n.module.ClientClosed(t)
 	}
 }
 
@@ -133,7 +133,7 @@
 			return cmp.Compare(n.lives[a].number, n.lives[b].number)
 		})
 		for _, t := range inOrder {
-			n.module.Expire(t, n.till)
+			n.module.SetDeadline(t, n.till)
 		}
 	})
 }
@@ -141,7 +141,7 @@
 // drop ends a txn whose client takes no answer any more.
 func (n *Node) drop(t *dispatch.Request) {
 	if l := n.end(t); l != nil {
-		n.module.Left(t)
+		n.module.Finish(t)
 		l.answer <- nil
 	}
 }
@@ -168,8 +168,8 @@
 
 func (l *leave) Send() bool {
 	l.node.mu.Lock()
-	l.node.module.Behind(l.node.lag.Lag())
-	stands := l.node.module.Stands(l.posting) && l.node.at(l.posting.Server) == l.job.Address
+	l.node.module.SetSchedulingDelay(l.node.lag.Lag())
+	stands := l.node.module.MaySend(l.posting) && l.node.at(l.posting.Server) == l.job.Address
 	l.node.mu.Unlock()
 	if !stands || l.ctx.Err() != nil || l.job.Overtold(time.Now()) {
 		return false
@@ -212,9 +212,9 @@
 			n.event(func() {
 				if line.State == protocol.Started {
 					began = n.clock()
-					n.module.Started(p)
+					n.module.AttemptStarted(p)
 				} else {
-					n.module.Progress(p)
+					n.module.AttemptProgressed(p)
 				}
 			})
 		}, ended)
@@ -234,7 +234,7 @@
 			n.answer(p.Request, &protocol.Answer{Status: http.StatusOK, Body: e.Result})
 		}
 		p.FreeSlots = e.Free
-		n.module.Ended(p, e.Outcome, n.clock()-sent, n.lives[p.Request] == nil)
+		n.module.AttemptEnded(p, e.Outcome, n.clock()-sent, n.lives[p.Request] == nil)
 	})
 	if n.witness != nil {
 		switch e.Outcome {
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -110,10 +110,10 @@
 			spent = a.took
 		}
 		// Danger: a step that failed sets no alarm, and nothing is asked for ever after.
-		return n.event(func() { n.module.ListFailed(a.took, spent) }) != nil, wanted, had
+		return n.event(func() { n.module.PollFailed(a.took, spent) }) != nil, wanted, had
 	// Danger: a share that ran out between the decision and the call. The module decides anew.
 	case a.held:
-		n.event(n.module.Ask)
+		n.event(n.module.PollEndpoints)
 		return false, wanted, had
 	}
 	began := time.Now()
@@ -132,7 +132,7 @@
 // on says whether the next call is made at once; where nodes hold calls together the module says when.
 func (n *Node) on() bool {
 	if n.purse != nil {
-		n.event(n.module.ListAsked)
+		n.event(n.module.PollSucceeded)
 	}
 	return n.purse == nil
 }
@@ -143,7 +143,7 @@
 		return true
 	}
 	overdue := false
-	n.event(func() { overdue = n.module.Overdue() })
+	n.event(func() { overdue = n.module.PollOverdue() })
 	return n.purse.Call(overdue)
 }
 
@@ -165,7 +165,7 @@
 		}
 		members = append(members, n.present(m))
 	}
-	n.module.List(l.Full, members)
+	n.module.UpdateEndpoints(l.Full, members)
 	// Danger: a map of thousands that is walked at each change of one of them.
 	if !l.Full {
 		for _, e := range l.Entries {
@@ -257,7 +257,7 @@
 			}
 		}
 		if len(changed) > 0 {
-			n.module.List(false, changed)
+			n.module.UpdateEndpoints(false, changed)
 		}
 	})
 }
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -111,7 +111,7 @@
 	n.module = dispatch.New(terms, seed, n, n.clock())
 	n.listed(known)
 	if !terms.PollForChanges {
-		n.module.Follow()
+		n.module.StartPolling()
 	}
 	return n
 }
@@ -124,10 +124,10 @@
 	return n.guard(func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.module.At(n.clock())
-		n.module.Behind(n.lag.Lag())
+		n.module.Advance(n.clock())
+		n.module.SetSchedulingDelay(n.lag.Lag())
 		step()
-		n.module.Settle()
+		n.module.ProcessQueue()
 	})
 }
 
@@ -155,12 +155,12 @@
 
 // Figures counts the executors of the list, and those that the draw leaves out.
 func (n *Node) Figures() (known, excluded int) {
-	n.event(func() { known, excluded = n.module.Figures() })
+	n.event(func() { known, excluded = n.module.ServerCounts() })
 	return known, excluded
 }
 
 // Own says whether this process holds the node's part of cold executors' budgets. It does from the start.
-func (n *Node) Own(yes bool) { n.event(func() { n.module.Own(yes) }) }
+func (n *Node) Own(yes bool) { n.event(func() { n.module.SetSlowStartOwner(yes) }) }
 
 // Schedule implements dispatch.Door, as do the methods after it. All are called under the lock and none blocks.
 func (n *Node) Schedule(after int64, then func()) (forget func()) {
@@ -187,7 +187,7 @@
 		if fault := n.guard(func() { load, err = n.carrier.Probe(ctx, address) }); fault != nil {
 			err = fault
 		}
-		n.event(func() { n.module.Probed(e, err == nil, load.Free, load.Memory) })
+		n.event(func() { n.module.CapacityReported(e, err == nil, load.Free, load.Memory) })
 	}()
 }
 
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -144,7 +144,7 @@
 		}
 	}()
 	if n.module != nil {
-		n.module.At(n.session.now)
+		n.module.Advance(n.session.now)
 	}
 	step()
 }
@@ -152,7 +152,7 @@
 func (s *session) commit() error {
 	for _, n := range s.touched {
 		if n.touched = false; n.module != nil && !n.dead {
-			n.guard(n.module.Settle)
+			n.guard(n.module.ProcessQueue)
 		}
 	}
 	s.touched, s.spoke, s.inRound = s.touched[:0], nil, false
@@ -176,7 +176,7 @@
 		},
 		"ABANDONED": func(n *node, f *fields) {
 			if t := n.txns[f.text("Job")]; t != nil && f.err == nil {
-				n.module.Left(t)
+				n.module.Finish(t)
 				n.tidy(t)
 			}
 		},
@@ -214,7 +214,7 @@
 	}
 	switch mode {
 	case "broken":
-		n.module.ListFailed(0, 0)
+		n.module.PollFailed(0, 0)
 	case "patch", "whole", "stale_copy":
 		l := &listing{left: int(f.whole("MembersList")), mode: mode}
 		if l.left > 0 {
@@ -259,7 +259,7 @@
 }
 
 func (n *node) listed(l *listing) {
-	n.module.List(l.mode != "patch", l.members)
+	n.module.UpdateEndpoints(l.mode != "patch", l.members)
 	for tag, e := range n.executors {
 		if e.State == dispatch.Removed {
 			delete(n.executors, tag)
@@ -300,7 +300,7 @@
 	p, o, took, over := n.posting(f), f.outcome(), f.wholeOr("TimeTaken", 0), f.wholeOr("Ended", 0) != 0
 	if p != nil && p.InFlight && f.err == nil {
 		p.FreeSlots = f.reported(n.values.Free)
-		n.module.Ended(p, o, took, over)
+		n.module.AttemptEnded(p, o, took, over)
 		n.tidy(p.Request)
 	}
 }
@@ -318,7 +318,7 @@
 	if !told {
 		free = 0
 	}
-	n.module.Probed(e, told, free, memory)
+	n.module.CapacityReported(e, told, free, memory)
 }
 
 // whisper hears what another node took. Danger: odd bytes, or an executor that this node's own list has not named; both
@@ -329,7 +329,7 @@
 		return
 	}
 	if e := n.marks[binary.BigEndian.Uint32(message[1:])]; e != nil {
-		n.module.Taken(e, float64(message[0]))
+		n.module.SlotsReserved(e, float64(message[0]))
 	}
 }
 
@@ -340,9 +340,9 @@
 	}
 	switch topic {
 	case 1:
-		n.module.Started(p)
+		n.module.AttemptStarted(p)
 	case 2:
-		n.module.Progress(p)
+		n.module.AttemptProgressed(p)
 	}
 }
 
