--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -25,7 +25,7 @@
 	Dir    string // where a seat keeps what was agreed; empty: in memory alone
 	Seats  []Seat
 	Pace   time.Duration // after which a seat that hears nothing looks for another grantor
-	Pact   budget.Pact
+	Pact   budget.Agreement
 	Gossip string            // where this node hears who is there; empty: it takes no part in that
 	Join   []string          // where others do, some of them
 	Routes map[string]string // addresses that this node reaches by another one
@@ -71,8 +71,8 @@
 	}
 	f := &Fleet{Listen: r.word("fleet.listen"), Secret: r.word("fleet.secret"), Dir: r.word("fleet.dir"),
 		Pace: time.Duration(r.whole("fleet.pace_ms", defaultPace, 20)) * time.Millisecond}
-	f.Pact = budget.Pact{Most: r.whole("fleet.most", 0, 1), Lease: r.whole("fleet.lease_ms", defaultLease, 1) * 1e6,
-		Margin: r.real("fleet.margin", defaultMargin), Budgets: map[string]budget.Terms{}}
+	f.Pact = budget.Agreement{MaxNodes: r.whole("fleet.most", 0, 1), Lease: r.whole("fleet.lease_ms", defaultLease, 1) * 1e6,
+		ClockMargin: r.real("fleet.margin", defaultMargin), Budgets: map[string]budget.Limits{}}
 	trip := time.Duration(r.whole("fleet.round_trip_ms", int64(defaultTrip/time.Millisecond), 1)) * time.Millisecond
 	f.Gossip, f.Join, f.Routes = r.word("fleet.gossip"), r.list("fleet.join"), map[string]string{}
 	for key, to := range flat {
@@ -115,7 +115,7 @@
 			return nil, fmt.Errorf("fleet.signals: without fleet.gossip nodes hear nothing of each other")
 		case f.Zone == "":
 			return nil, fmt.Errorf("fleet.signals: settings.MyZone and settings.Dcs name no zone, so that this node is no witness")
-		case int64(f.Quorum) > f.Pact.Most:
+		case int64(f.Quorum) > f.Pact.MaxNodes:
 			return nil, fmt.Errorf("fleet.signals.quorum: %d is more than all nodes, fleet.most", f.Quorum)
 		}
 	}
@@ -150,8 +150,8 @@
 		case name == BudgetTenantAttempts:
 			window = longest
 		}
-		t := budget.Terms{Whole: r.whole(at+"whole", 0, 1), Floor: r.whole(at+"floor", 0, 0), Reserve: r.whole(at+"reserve", 0, 0),
-			Step: r.whole(at+"step", 1, 1), Window: r.whole(at+"window_ms", window, 1) * 1e6, Parts: r.whole(at+"parts", 1, 1), Share: r.real(at+"share", 0)}
+		t := budget.Limits{Total: r.whole(at+"whole", 0, 1), Floor: r.whole(at+"floor", 0, 0), Reserve: r.whole(at+"reserve", 0, 0),
+			Step: r.whole(at+"step", 1, 1), Window: r.whole(at+"window_ms", window, 1) * 1e6, Partitions: r.whole(at+"parts", 1, 1), FirstAttemptRatio: r.real(at+"share", 0)}
 		if name == BudgetSlowStart && t.Window < n.Settings.OverloadWindow {
 			return nil, fmt.Errorf("%swindow_ms: %d is under the window in which a cold executor falls over, settings.Rules.Fall", at, t.Window/1e6)
 		}
@@ -160,7 +160,7 @@
 		}
 		// Danger: news that lies longer than the rules allow since no share comes. A floor is one call in a window, so the window is
 		// what a node waits at most.
-		if name == BudgetPolls && (t.Floor < 1 || float64(t.Window)*(1+f.Pact.Margin) >= float64(soon)) {
+		if name == BudgetPolls && (t.Floor < 1 || float64(t.Window)*(1+f.Pact.ClockMargin) >= float64(soon)) {
 			return nil, fmt.Errorf("%sfloor: %d in a window of %d ms; each node needs one in less than %d, by settings.Rules", at, t.Floor, t.Window/1e6, soon/1e6)
 		}
 		f.Pact.Budgets[name] = t
@@ -172,20 +172,20 @@
 		return nil, fmt.Errorf("fleet.seats: %d seats; an odd number is needed, best three or five", count)
 	case len(f.Secret) < leastSecret:
 		return nil, fmt.Errorf("fleet.secret: %d bytes; at least %d are needed", len(f.Secret), leastSecret)
-	case f.Pact.Most < int64(count) || f.Pact.Most > mostNodes:
-		return nil, fmt.Errorf("fleet.most: %d is not between the %d seats and %d", f.Pact.Most, count, mostNodes)
+	case f.Pact.MaxNodes < int64(count) || f.Pact.MaxNodes > mostNodes:
+		return nil, fmt.Errorf("fleet.most: %d is not between the %d seats and %d", f.Pact.MaxNodes, count, mostNodes)
 	case f.Pact.Lease < roundTrips*int64(trip):
 		return nil, fmt.Errorf("fleet.lease_ms: %d is shorter than %d round trips of %v", f.Pact.Lease/1e6, roundTrips, trip)
 	case !names[BudgetSlowStart]:
 		return nil, fmt.Errorf("fleet.budgets.cold: missing; nodes that hold budgets together take no turns at cold executors")
-	case slices.ContainsFunc([]string{BudgetSlowStart, BudgetConnections, BudgetTenantAttempts, BudgetPolls}, func(name string) bool { return f.Pact.Budgets[name].Share != 0 }):
+	case slices.ContainsFunc([]string{BudgetSlowStart, BudgetConnections, BudgetTenantAttempts, BudgetPolls}, func(name string) bool { return f.Pact.Budgets[name].FirstAttemptRatio != 0 }):
 		return nil, fmt.Errorf("fleet.budgets: share is for second postings alone, which are one of first ones")
-	case f.Pact.Budgets[BudgetRetries].Parts > 1:
-		return nil, fmt.Errorf("fleet.budgets.again.parts: %d; second postings are counted for all executors together", f.Pact.Budgets[BudgetRetries].Parts)
-	case f.Pact.Budgets[BudgetPolls].Parts > 1:
-		return nil, fmt.Errorf("fleet.budgets.calls.parts: %d; there is one list", f.Pact.Budgets[BudgetPolls].Parts)
+	case f.Pact.Budgets[BudgetRetries].Partitions > 1:
+		return nil, fmt.Errorf("fleet.budgets.again.parts: %d; second postings are counted for all executors together", f.Pact.Budgets[BudgetRetries].Partitions)
+	case f.Pact.Budgets[BudgetPolls].Partitions > 1:
+		return nil, fmt.Errorf("fleet.budgets.calls.parts: %d; there is one list", f.Pact.Budgets[BudgetPolls].Partitions)
 	}
-	if err := f.Pact.Check(); err != nil {
+	if err := f.Pact.Validate(); err != nil {
 		return nil, fmt.Errorf("fleet.%w", err)
 	}
 	seat := f.Seat(n.Name)
--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -35,10 +35,10 @@
 // budgets are the module's, by the scenario's words.
 var budgets = [dispatch.BudgetCount]string{dispatch.BudgetRetries: "again", dispatch.BudgetConnections: "connect", dispatch.BudgetSlowStart: "cold"}
 
-func (l *Leases) pact(nodes int) budget.Pact {
-	p := budget.Pact{Most: int64(nodes), Lease: int64(l.Lease), Margin: l.Margin, Budgets: map[string]budget.Terms{}}
+func (l *Leases) pact(nodes int) budget.Agreement {
+	p := budget.Agreement{MaxNodes: int64(nodes), Lease: int64(l.Lease), ClockMargin: l.Margin, Budgets: map[string]budget.Limits{}}
 	for name, b := range l.Budget {
-		p.Budgets[name] = budget.Terms{Whole: b.Whole, Floor: b.Floor, Reserve: b.Reserve, Step: max(b.Step, 1), Window: int64(b.Window), Parts: b.Parts}
+		p.Budgets[name] = budget.Limits{Total: b.Whole, Floor: b.Floor, Reserve: b.Reserve, Step: max(b.Step, 1), Window: int64(b.Window), Partitions: b.Parts}
 	}
 	return p
 }
@@ -62,7 +62,7 @@
 		return fmt.Errorf("leases.budget.cold: missing, or its window is under rules.fall")
 	}
 	p := l.pact(nodes)
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		return fmt.Errorf("leases.%w", err)
 	}
 	return nil
@@ -71,7 +71,7 @@
 // granter is the seats, as one actor of the world. While it is down nobody answers; what comes after it is another reign.
 type granter struct {
 	world *world
-	books *budget.Books
+	books *budget.Ledger
 	reign *budget.Reign
 	epoch uint64
 	calls int
@@ -81,7 +81,7 @@
 const inspect = int64(25e6)
 
 func (w *world) grant() {
-	g := &granter{world: w, books: budget.NewBooks()}
+	g := &granter{world: w, books: budget.NewLedger()}
 	w.granter = g
 	g.elect()
 	var look func()
@@ -144,7 +144,7 @@
 func (w *world) meters() map[string]*budget.Meter {
 	out := map[string]*budget.Meter{}
 	for b := range w.pact.Budgets {
-		for _, name := range w.pact.Names(b) {
+		for _, name := range w.pact.PartitionNames(b) {
 			out[name] = budget.NewMeter(&w.pact, name)
 		}
 	}
@@ -180,7 +180,7 @@
 func (s *share) tell() {
 	w := s.node.world
 	for _, b := range slices.Sorted(maps.Keys(w.pact.Budgets)) {
-		for _, name := range w.pact.Names(b) {
+		for _, name := range w.pact.PartitionNames(b) {
 			now := stake{s.holder.Leased(name, w.now), s.holder.Until()}
 			if was := s.told[name]; now == was || now.units == 0 && was.units == 0 {
 				continue
@@ -211,9 +211,9 @@
 func (s *share) of(b dispatch.Budget, e *dispatch.Server) (name string, m *budget.Meter, key string, whole int64) {
 	w := s.node.world
 	if name = budgets[b]; b != dispatch.BudgetRetries {
-		name, key = w.pact.Name(name, e.Hash), e.Tag
+		name, key = w.pact.PartitionName(name, e.Hash), e.Tag
 	}
-	return name, s.meters[name], key, w.pact.Budgets[budgets[b]].Whole
+	return name, s.meters[name], key, w.pact.Budgets[budgets[b]].Total
 }
 
 // Allow implements dispatch.Shares. Tenants' jobs and calls for the list are not held together here.
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -30,7 +30,7 @@
 	spoilt    float64  // share of txns that err wherever they go
 	out       func(invariants.Event)
 	granter   *granter
-	pact      budget.Pact
+	pact      budget.Agreement
 	seen      map[string]*budget.Meter // of one that sees all
 
 	marks            map[*origin]int64 // of referenced txns: when one first ran
@@ -140,8 +140,8 @@
 		p := s.Leases.pact(s.Fleet.Nodes)
 		r.Wholes = map[string]int64{}
 		for b, t := range p.Budgets {
-			for _, name := range p.Names(b) {
-				r.Wholes[name] = t.Whole - t.Floor*p.Most // nodes tell of their leases; floors are carved out
+			for _, name := range p.PartitionNames(b) {
+				r.Wholes[name] = t.Total - t.Floor*p.MaxNodes // nodes tell of their leases; floors are carved out
 			}
 		}
 	}
--- a/internal/fleet/budget/appetite.go
+++ b/internal/fleet/budget/appetite.go
@@ -17,7 +17,7 @@
 
 // Appetite is what a node could use, as its requests tell. A guess of it can waste units and never breaks a whole.
 type Appetite struct {
-	pact   *Pact
+	pact   *Agreement
 	shares map[string]*hunger
 	ranks  map[string][]string // of a budget in parts: its shares, those first that this node asks for first
 	reach  map[string]int      // how many of them it asks for beyond its due, having got none
@@ -25,15 +25,15 @@
 }
 
 type hunger struct {
-	terms Terms
+	terms Limits
 	want  float64
 }
 
 // NewAppetite of a node, by its name: who asks for which parts first is drawn from names, so that nodes differ in it.
-func NewAppetite(node string, pact *Pact) *Appetite {
+func NewAppetite(node string, pact *Agreement) *Appetite {
 	a := &Appetite{pact: pact, shares: map[string]*hunger{}, ranks: map[string][]string{}, reach: map[string]int{}, peers: 1}
 	for budget, t := range pact.Budgets {
-		names := pact.Names(budget)
+		names := pact.PartitionNames(budget)
 		for _, name := range names {
 			a.shares[name] = &hunger{terms: t}
 		}
@@ -65,7 +65,7 @@
 	want := map[string]int64{}
 	for budget, ranks := range a.ranks {
 		t := a.pact.Budgets[budget]
-		steps := (t.Whole - t.Reserve - t.Floor*a.pact.Most) / t.Step * int64(len(ranks))
+		steps := (t.Total - t.Reserve - t.Floor*a.pact.MaxNodes) / t.Step * int64(len(ranks))
 		due := min(max(int(steps)/a.peers, 1)+a.reach[budget], len(ranks))
 		hungry, fed := false, false
 		for i, name := range ranks {
@@ -75,7 +75,7 @@
 			if refused {
 				peak = max(peak, float64(2*units(name)+t.Step))
 			}
-			h.want = min(max(peak, h.want*fading), float64(t.Whole))
+			h.want = min(max(peak, h.want*fading), float64(t.Total))
 			beyond := h.want - float64(t.Floor)
 			hungry, fed = hungry || beyond > 0.5, fed || units(name) > t.Floor
 			// Danger: what was got by asking further than is due, given back at once, and resting more than it is used.
--- a/internal/fleet/budget/books.go
+++ b/internal/fleet/budget/books.go
@@ -17,45 +17,45 @@
 	"strings"
 )
 
-// Terms are what is agreed of one budget, in whole units.
-type Terms struct {
-	Whole   int64   `json:"whole"`   // what all nodes may use together, in each window
-	Floor   int64   `json:"floor"`   // of it, what each node has without a lease
-	Reserve int64   `json:"reserve"` // of it, what is kept for nodes that hold nothing yet
-	Step    int64   `json:"step"`    // by which shares move; 1 at least
-	Window  int64   `json:"window"`  // ns; what is given back is granted again only when it is past
-	Share   float64 `json:"share"`   // 0: none; else the whole is this part of all first postings that nodes tell of, Whole at most
-	Parts   int64   `json:"parts"`   // 0 or 1: one share holds for all executors; more: executors fall into so many parts, each shared apart
+// Limits are what is agreed of one budget, in whole units.
+type Limits struct {
+	Total             int64   `json:"whole"`   // what all nodes may use together, in each window
+	Floor             int64   `json:"floor"`   // of it, what each node has without a lease
+	Reserve           int64   `json:"reserve"` // of it, what is kept for nodes that hold nothing yet
+	Step              int64   `json:"step"`    // by which shares move; 1 at least
+	Window            int64   `json:"window"`  // ns; what is given back is granted again only when it is past
+	FirstAttemptRatio float64 `json:"share"`   // 0: none; else the whole is this part of all first postings that nodes tell of, Whole at most
+	Partitions        int64   `json:"parts"`   // 0 or 1: one share holds for all executors; more: executors fall into so many parts, each shared apart
 }
 
-// Pact is what all nodes of a fleet agree on before any of them starts.
-type Pact struct {
-	Most    int64            `json:"most"`   // nodes that may ever be there, each with its floors
-	Lease   int64            `json:"lease"`  // ns, by the holder's clock
-	Margin  float64          `json:"margin"` // by which the rates of any two clocks may differ, as a share
-	Budgets map[string]Terms `json:"budgets"`
+// Agreement is what all nodes of a fleet agree on before any of them starts.
+type Agreement struct {
+	MaxNodes    int64             `json:"most"`   // nodes that may ever be there, each with its floors
+	Lease       int64             `json:"lease"`  // ns, by the holder's clock
+	ClockMargin float64           `json:"margin"` // by which the rates of any two clocks may differ, as a share
+	Budgets     map[string]Limits `json:"budgets"`
 }
 
-// Check says what is wrong with a pact, by key.
-func (p *Pact) Check() error {
+// Validate says what is wrong with a pact, by key.
+func (p *Agreement) Validate() error {
 	switch {
-	case p.Most < 1:
-		return fmt.Errorf("most: %d is not a number of nodes", p.Most)
+	case p.MaxNodes < 1:
+		return fmt.Errorf("most: %d is not a number of nodes", p.MaxNodes)
 	case p.Lease <= 0:
 		return fmt.Errorf("lease: %d ns is no time", p.Lease)
-	case !(p.Margin >= 0 && p.Margin < 1):
-		return fmt.Errorf("margin: %v is not a share from 0 to under 1", p.Margin)
+	case !(p.ClockMargin >= 0 && p.ClockMargin < 1):
+		return fmt.Errorf("margin: %v is not a share from 0 to under 1", p.ClockMargin)
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Budgets)) {
 		switch t := p.Budgets[name]; {
-		case t.Parts < 0 || t.Parts > mostParts:
-			return fmt.Errorf("budgets.%s.parts: %d is not from 1 to %d", name, t.Parts, mostParts)
-		case !(t.Share >= 0 && t.Share <= 1):
-			return fmt.Errorf("budgets.%s.share: %v is no share from 0 to 1", name, t.Share)
-		case t.Floor < 0 || t.Reserve < 0 || t.Window <= 0 || t.Step < 1 || t.Whole < 1 || t.Whole > 1<<40:
-			return fmt.Errorf("budgets.%s: whole %d, floor %d, reserve %d, step %d, window %d: out of bounds", name, t.Whole, t.Floor, t.Reserve, t.Step, t.Window)
-		case t.Floor > t.Whole/p.Most || t.Floor*p.Most+t.Reserve > t.Whole:
-			return fmt.Errorf("budgets.%s.whole: %d is under the floors of %d nodes, %d each, and the reserve of %d", name, t.Whole, p.Most, t.Floor, t.Reserve)
+		case t.Partitions < 0 || t.Partitions > mostParts:
+			return fmt.Errorf("budgets.%s.parts: %d is not from 1 to %d", name, t.Partitions, mostParts)
+		case !(t.FirstAttemptRatio >= 0 && t.FirstAttemptRatio <= 1):
+			return fmt.Errorf("budgets.%s.share: %v is no share from 0 to 1", name, t.FirstAttemptRatio)
+		case t.Floor < 0 || t.Reserve < 0 || t.Window <= 0 || t.Step < 1 || t.Total < 1 || t.Total > 1<<40:
+			return fmt.Errorf("budgets.%s: whole %d, floor %d, reserve %d, step %d, window %d: out of bounds", name, t.Total, t.Floor, t.Reserve, t.Step, t.Window)
+		case t.Floor > t.Total/p.MaxNodes || t.Floor*p.MaxNodes+t.Reserve > t.Total:
+			return fmt.Errorf("budgets.%s.whole: %d is under the floors of %d nodes, %d each, and the reserve of %d", name, t.Total, p.MaxNodes, t.Floor, t.Reserve)
 		}
 	}
 	return nil
@@ -67,13 +67,13 @@
 // mostParts bounds what a request holds.
 const mostParts = 64
 
-// Names are the shares of a budget: one, or one for each part.
-func (p *Pact) Names(budget string) (names []string) {
+// PartitionNames are the shares of a budget: one, or one for each part.
+func (p *Agreement) PartitionNames(budget string) (names []string) {
 	t := p.Budgets[budget]
-	if t.Parts <= 1 {
+	if t.Partitions <= 1 {
 		return []string{budget}
 	}
-	for i := range t.Parts {
+	for i := range t.Partitions {
 		names = append(names, partOf(budget, i))
 	}
 	return names
@@ -81,22 +81,22 @@
 
 func partOf(budget string, part int64) string { return budget + "." + strconv.FormatInt(part, 10) }
 
-// Name is the share that an executor falls to, by a number that all nodes know it by.
-func (p *Pact) Name(budget string, mark uint64) string {
-	if t := p.Budgets[budget]; t.Parts > 1 {
-		return partOf(budget, int64(mark%uint64(t.Parts)))
+// PartitionName is the share that an executor falls to, by a number that all nodes know it by.
+func (p *Agreement) PartitionName(budget string, mark uint64) string {
+	if t := p.Budgets[budget]; t.Partitions > 1 {
+		return partOf(budget, int64(mark%uint64(t.Partitions)))
 	}
 	return budget
 }
 
 // terms are those of a share.
-func (p *Pact) terms(name string) Terms {
+func (p *Agreement) terms(name string) Limits {
 	budget, _, _ := strings.Cut(name, ".")
 	return p.Budgets[budget]
 }
 
 // Digest tells pacts apart.
-func (p *Pact) Digest() string {
+func (p *Agreement) Digest() string {
 	text, err := json.Marshal(p) // with the keys of maps in order
 	if err != nil {
 		panic(err) // it holds numbers and names alone
@@ -106,34 +106,34 @@
 }
 
 // stretched is a time by this node's clock after which it has passed by any other's.
-func (p *Pact) stretched(time int64) int64 { return time + int64(float64(time)*p.Margin) + 1 }
+func (p *Agreement) stretched(time int64) int64 { return time + int64(float64(time)*p.ClockMargin) + 1 }
 
-// Books are what was granted, the same at every seat. They change by Apply alone.
-type Books struct {
-	Pact    Pact                `json:"pact"`
-	Group   string              `json:"group"` // by chance, as the books were begun
-	Epoch   uint64              `json:"epoch"` // of the grantor that reigns
-	Budgets map[string]*Account `json:"budgets"`
-	Holders map[string]*Holding `json:"holders"`
+// Ledger are what was granted, the same at every seat. They change by Apply alone.
+type Ledger struct {
+	Agreement Agreement           `json:"pact"`
+	ClusterID string              `json:"group"` // by chance, as the books were begun
+	Epoch     uint64              `json:"epoch"` // of the grantor that reigns
+	Budgets   map[string]*Account `json:"budgets"`
+	Holders   map[string]*Lease   `json:"holders"`
 }
 
 // Account is one budget as it stands.
 type Account struct {
-	Most    int64           `json:"most"`    // of Whole, by the pact or operators
-	Whole   int64           `json:"whole"`   // aimed at; more may be out while it is being lowered
-	Granted int64           `json:"granted"` // in force or believed to be
-	Resting map[int64]int64 `json:"resting"` // units given back, by the number of their rest
-	Pause   int64           `json:"pause"`   // of these, all together
-	Rested  int64           `json:"rested"`  // the latest of those numbers
+	MaxTotal         int64           `json:"most"`    // of Whole, by the pact or operators
+	Total            int64           `json:"whole"`   // aimed at; more may be out while it is being lowered
+	Granted          int64           `json:"granted"` // in force or believed to be
+	CoolingDown      map[int64]int64 `json:"resting"` // units given back, by the number of their rest
+	CoolingDownTotal int64           `json:"pause"`   // of these, all together
+	ReleasedThrough  int64           `json:"rested"`  // the latest of those numbers
 }
 
-// Holding is what one process of a node has been granted.
-type Holding struct {
-	Node  string           `json:"node"`
-	Seq   uint64           `json:"seq"`   // of its latest request
-	First int64            `json:"first"` // as it told with that
-	Units map[string]int64 `json:"units"`
-	Want  map[string]int64 `json:"want"`
+// Lease is what one process of a node has been granted.
+type Lease struct {
+	Node          string           `json:"node"`
+	Seq           uint64           `json:"seq"`   // of its latest request
+	FirstAttempts int64            `json:"first"` // as it told with that
+	Units         map[string]int64 `json:"units"`
+	Demand        map[string]int64 `json:"want"`
 }
 
 // Ask is a holder's request.
@@ -172,7 +172,7 @@
 type Entry struct {
 	Epoch   uint64           `json:"epoch"`
 	Reign   bool             `json:"reign,omitempty"` // a grantor begins; its epoch is above all before it
-	Pact    *Pact            `json:"pact,omitempty"`  // with the first reign
+	Pact    *Agreement       `json:"pact,omitempty"`  // with the first reign
 	Group   string           `json:"group,omitempty"` // the same
 	Asks    []Ask            `json:"asks,omitempty"`
 	Expired []Expiry         `json:"expired,omitempty"`
@@ -183,18 +183,20 @@
 // founding is the number of the rest with which books begin; it lasts a lease longer than others.
 const founding = 0
 
-// NewBooks are empty; the first reign brings the pact.
-func NewBooks() *Books { return &Books{Budgets: map[string]*Account{}, Holders: map[string]*Holding{}} }
+// NewLedger are empty; the first reign brings the pact.
+func NewLedger() *Ledger {
+	return &Ledger{Budgets: map[string]*Account{}, Holders: map[string]*Lease{}}
+}
 
 // Apply takes a step, and gives the answer to each request in it, nil where that is not due one.
-func (b *Books) Apply(e *Entry) (answers []*Answer, err error) {
+func (b *Ledger) Apply(e *Entry) (answers []*Answer, err error) {
 	if e.Reign {
 		if e.Epoch <= b.Epoch {
 			return nil, fmt.Errorf("epoch %d has passed, %d reigns", e.Epoch, b.Epoch)
 		}
 		if b.Epoch == 0 && e.Pact != nil {
 			b.found(e.Pact)
-			b.Group = e.Group
+			b.ClusterID = e.Group
 		}
 		b.Epoch = e.Epoch
 		return nil, nil
@@ -204,18 +206,18 @@
 		return nil, fmt.Errorf("epoch %d has passed, %d reigns", e.Epoch, b.Epoch)
 	}
 	for budget, whole := range e.Whole {
-		if t, found := b.Pact.Budgets[budget]; found && whole >= t.Floor*b.Pact.Most+t.Reserve {
-			for _, name := range b.Pact.Names(budget) {
-				b.Budgets[name].Most, b.Budgets[name].Whole = whole, whole
+		if t, found := b.Agreement.Budgets[budget]; found && whole >= t.Floor*b.Agreement.MaxNodes+t.Reserve {
+			for _, name := range b.Agreement.PartitionNames(budget) {
+				b.Budgets[name].MaxTotal, b.Budgets[name].Total = whole, whole
 			}
 		}
 	}
 	for name, upTo := range e.Rested {
 		if a := b.Budgets[name]; a != nil {
-			for number, units := range a.Resting {
+			for number, units := range a.CoolingDown {
 				if number <= upTo {
-					a.Pause -= units
-					delete(a.Resting, number)
+					a.CoolingDownTotal -= units
+					delete(a.CoolingDown, number)
 				}
 			}
 		}
@@ -231,7 +233,7 @@
 	answers = make([]*Answer, len(e.Asks))
 	for i := range e.Asks {
 		if b.hear(&e.Asks[i]) {
-			answers[i] = &Answer{Group: b.Group, Epoch: b.Epoch, Seq: e.Asks[i].Seq, Lease: b.Pact.Lease, Peers: len(b.Holders), Units: map[string]int64{}, Target: map[string]int64{}, Whole: map[string]int64{}}
+			answers[i] = &Answer{Group: b.ClusterID, Epoch: b.Epoch, Seq: e.Asks[i].Seq, Lease: b.Agreement.Lease, Peers: len(b.Holders), Units: map[string]int64{}, Target: map[string]int64{}, Whole: map[string]int64{}}
 		}
 	}
 	b.follow()
@@ -242,45 +244,45 @@
 }
 
 // follow has wholes that are a share of first postings go up and down with them. A whole that falls waits for what is out.
-func (b *Books) follow() {
+func (b *Ledger) follow() {
 	first := int64(0)
 	for _, h := range b.Holders {
-		first += h.First
+		first += h.FirstAttempts
 	}
 	for name, a := range b.Budgets {
-		if t := b.Pact.terms(name); t.Share > 0 {
-			a.Whole = max(min(int64(t.Share*float64(first)), a.Most), t.Floor*b.Pact.Most+t.Reserve)
+		if t := b.Agreement.terms(name); t.FirstAttemptRatio > 0 {
+			a.Total = max(min(int64(t.FirstAttemptRatio*float64(first)), a.MaxTotal), t.Floor*b.Agreement.MaxNodes+t.Reserve)
 		}
 	}
 }
 
-func (b *Books) found(p *Pact) {
-	b.Pact = *p
+func (b *Ledger) found(p *Agreement) {
+	b.Agreement = *p
 	for budget, t := range p.Budgets {
 		// Danger: a group before this one, of which no seat remembers anything, may have granted it all a moment ago.
-		pool := t.Whole - t.Floor*p.Most
-		for _, name := range p.Names(budget) {
-			b.Budgets[name] = &Account{Most: t.Whole, Whole: t.Whole, Resting: map[int64]int64{founding: pool}, Pause: pool}
+		pool := t.Total - t.Floor*p.MaxNodes
+		for _, name := range p.PartitionNames(budget) {
+			b.Budgets[name] = &Account{MaxTotal: t.Total, Total: t.Total, CoolingDown: map[int64]int64{founding: pool}, CoolingDownTotal: pool}
 		}
 	}
 }
 
 // hear takes down what a holder says of itself; false: it was heard before.
 // Danger: a request that comes twice or late. What it gave back then is in use again by now, and would be granted twice.
-func (b *Books) hear(a *Ask) bool {
+func (b *Ledger) hear(a *Ask) bool {
 	h := b.Holders[a.Holder]
 	if h == nil {
 		// Danger: a late request of a process whose lease has run out would have it hold again, for one lease at most.
-		h = &Holding{Node: a.Node, Units: map[string]int64{}}
+		h = &Lease{Node: a.Node, Units: map[string]int64{}}
 		b.Holders[a.Holder] = h
 	} else if a.Seq <= h.Seq {
 		return false
 	}
-	h.Seq, h.First, h.Want = a.Seq, min(max(a.First, 0), mostFirst), map[string]int64{}
+	h.Seq, h.FirstAttempts, h.Demand = a.Seq, min(max(a.First, 0), mostFirst), map[string]int64{}
 	for name, account := range b.Budgets {
 		b.lower(h, name, max(a.Hold[name], 0))
-		if want := min(max(a.Want[name], 0), account.Whole); want > 0 {
-			h.Want[name] = want
+		if want := min(max(a.Want[name], 0), account.Total); want > 0 {
+			h.Demand[name] = want
 		}
 	}
 	return true
@@ -288,38 +290,38 @@
 
 // lower takes units from a holder that uses them no more, and lets them rest.
 // Danger: what was sent on them counts for a window still; granted at once, two would fill the same window.
-func (b *Books) lower(h *Holding, name string, to int64) {
+func (b *Ledger) lower(h *Lease, name string, to int64) {
 	if units := h.Units[name] - to; units > 0 {
 		a := b.Budgets[name]
 		// Danger: numbers given in the order of a map would differ from seat to seat.
-		a.Rested++
-		a.Resting[a.Rested] = units
-		a.Granted, a.Pause, h.Units[name] = a.Granted-units, a.Pause+units, to
+		a.ReleasedThrough++
+		a.CoolingDown[a.ReleasedThrough] = units
+		a.Granted, a.CoolingDownTotal, h.Units[name] = a.Granted-units, a.CoolingDownTotal+units, to
 	}
 }
 
 // grant gives those that ask what they want, as far as it is fair and free.
-func (b *Books) grant(name string, asks []Ask, answers []*Answer) {
-	a, t := b.Budgets[name], b.Pact.terms(name)
-	pool := max(a.Whole-t.Floor*b.Pact.Most, 0)
+func (b *Ledger) grant(name string, asks []Ask, answers []*Answer) {
+	a, t := b.Budgets[name], b.Agreement.terms(name)
+	pool := max(a.Total-t.Floor*b.Agreement.MaxNodes, 0)
 	level := b.level(name, max(pool-t.Reserve, 0))
 	for i := range asks {
 		if answers[i] == nil {
 			continue
 		}
 		h := b.Holders[asks[i].Holder]
-		has, free := h.Units[name], pool-a.Granted-a.Pause
+		has, free := h.Units[name], pool-a.Granted-a.CoolingDownTotal
 		if has > 0 {
 			free -= t.Reserve // is for those that come
 		}
-		target := min(h.Want[name], max(level, t.Step))
+		target := min(h.Demand[name], max(level, t.Step))
 		switch {
-		case target > has && free > 0 && (target-has >= t.Step || has == 0 || target == h.Want[name]):
+		case target > has && free > 0 && (target-has >= t.Step || has == 0 || target == h.Demand[name]):
 			more := min(target-has, free)
 			a.Granted, h.Units[name] = a.Granted+more, has+more
 			target = max(target, has+more)
 		// Danger: shares that swing with each breath of demand rest more than they are used.
-		case target < has && has-target < t.Step && h.Want[name] > 0:
+		case target < has && has-target < t.Step && h.Demand[name] > 0:
 			target = has
 		}
 		if h.Units[name] > 0 {
@@ -327,15 +329,15 @@
 		} else {
 			delete(h.Units, name)
 		}
-		answers[i].Whole[name] = a.Whole
+		answers[i].Whole[name] = a.Total
 	}
 }
 
 // level is the most that anyone gets so that the sum of all wants, cut there, fits: max-min fairness.
-func (b *Books) level(name string, pool int64) int64 {
+func (b *Ledger) level(name string, pool int64) int64 {
 	wants := make([]int64, 0, len(b.Holders))
 	for _, h := range b.Holders {
-		wants = append(wants, h.Want[name])
+		wants = append(wants, h.Demand[name])
 	}
 	slices.Sort(wants)
 	for i, want := range wants {
@@ -347,13 +349,13 @@
 	return math.MaxInt64 // all of it fits
 }
 
-// Out is what holders may have in force of a budget at most, with all floors.
-func (b *Books) Out(name string) int64 {
-	return b.Budgets[name].Granted + b.Pact.terms(name).Floor*b.Pact.Most
+// Outstanding is what holders may have in force of a budget at most, with all floors.
+func (b *Ledger) Outstanding(name string) int64 {
+	return b.Budgets[name].Granted + b.Agreement.terms(name).Floor*b.Agreement.MaxNodes
 }
 
-// Names are the holders in order.
-func (b *Books) Names() []string {
+// HolderNames are the holders in order.
+func (b *Ledger) HolderNames() []string {
 	return slices.SortedFunc(maps.Keys(b.Holders), func(x, y string) int {
 		return cmp.Or(cmp.Compare(b.Holders[x].Node, b.Holders[y].Node), cmp.Compare(x, y))
 	})
--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -12,8 +12,8 @@
 )
 
 // settle has holders with these wants ask in turn, with time for all rests between, and gives what each ends up with.
-func settle(pact *Pact, wants []int64) (units []int64) {
-	b, now := NewBooks(), int64(0)
+func settle(pact *Agreement, wants []int64) (units []int64) {
+	b, now := NewLedger(), int64(0)
 	b.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
 	r := NewReign(b, 1, now)
 	var holders []*Holder
@@ -43,7 +43,7 @@
 // TestFair: what is there is divided by max-min fairness, in steps. Danger: a node whose demand fits with all others' that is
 // taken back to what is left over; seen with processes, where shares swung between a third and a seventh of the whole.
 func TestFair(t *testing.T) {
-	pact := &Pact{Most: 4, Lease: 1000, Margin: 0.1, Budgets: map[string]Terms{"b": {Whole: 110, Floor: 1, Reserve: 6, Step: 1, Window: 100}}}
+	pact := &Agreement{MaxNodes: 4, Lease: 1000, ClockMargin: 0.1, Budgets: map[string]Limits{"b": {Total: 110, Floor: 1, Reserve: 6, Step: 1, Window: 100}}}
 	for _, c := range []struct{ wants, units []int64 }{
 		{[]int64{2, 4, 75}, []int64{2, 4, 75}},
 		{[]int64{2, 4, 500}, []int64{2, 4, 94}},
@@ -59,8 +59,8 @@
 
 // TestSteps: demand that breathes by less than a step moves nothing.
 func TestSteps(t *testing.T) {
-	pact := &Pact{Most: 2, Lease: 1000, Budgets: map[string]Terms{"b": {Whole: 100, Step: 10, Window: 100}}}
-	b := NewBooks()
+	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 100, Step: 10, Window: 100}}}
+	b := NewLedger()
 	b.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
 	b.Apply(&Entry{Epoch: 1, Rested: map[string]int64{"b": founding}})
 	h := NewHolder("n", "p", pact, 0)
@@ -75,8 +75,8 @@
 
 // TestLowered: a whole that is lowered waits for what is out, and is never lent meanwhile.
 func TestLowered(t *testing.T) {
-	pact := &Pact{Most: 2, Lease: 1000, Budgets: map[string]Terms{"b": {Whole: 100, Floor: 5, Step: 1, Window: 100}}}
-	b, now := NewBooks(), int64(0)
+	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 100, Floor: 5, Step: 1, Window: 100}}}
+	b, now := NewLedger(), int64(0)
 	b.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
 	b.Apply(&Entry{Epoch: 1, Rested: map[string]int64{"b": founding}})
 	r := NewReign(b, 1, now)
@@ -111,16 +111,16 @@
 		t.Errorf("%d and %d of a whole of 30 with floors of 10", a, c)
 	}
 	b.Apply(&Entry{Epoch: 1, Whole: map[string]int64{"b": 9, "none": 100}}) // under the floors, unknown: not taken
-	if b.Budgets["b"].Whole != 30 {
-		t.Error(b.Budgets["b"].Whole)
+	if b.Budgets["b"].Total != 30 {
+		t.Error(b.Budgets["b"].Total)
 	}
 }
 
 // TestFollows: a whole that is a share of first postings goes up and down with what nodes tell, waits for what is out as it
 // falls, and forgets a node whose lease has run out.
 func TestFollows(t *testing.T) {
-	pact := &Pact{Most: 2, Lease: 1000, Budgets: map[string]Terms{"b": {Whole: 50, Floor: 2, Step: 1, Window: 100, Share: 0.1}}}
-	b := NewBooks()
+	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 50, Floor: 2, Step: 1, Window: 100, FirstAttemptRatio: 0.1}}}
+	b := NewLedger()
 	b.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
 	b.Apply(&Entry{Epoch: 1, Rested: map[string]int64{"b": founding}})
 	for i, c := range []struct{ one, two, whole int64 }{
@@ -130,12 +130,12 @@
 			a := Ask{Node: fmt.Sprint(j), Holder: fmt.Sprint(j), Seq: uint64(i + 1), First: first}
 			b.Apply(&Entry{Epoch: 1, Asks: []Ask{a}})
 		}
-		if got := b.Budgets["b"].Whole; got != c.whole {
+		if got := b.Budgets["b"].Total; got != c.whole {
 			t.Errorf("%d and %d first postings: a whole of %d, want %d", c.one, c.two, got, c.whole)
 		}
 	}
 	b.Apply(&Entry{Epoch: 1, Expired: []Expiry{{"0", 6}}})
-	if got := b.Budgets["b"].Whole; got != 5 {
+	if got := b.Budgets["b"].Total; got != 5 {
 		t.Errorf("%d after the first node is gone", got)
 	}
 }
@@ -143,7 +143,7 @@
 // TestAnotherGroup: a holder takes answers of a group founded anew, whose epochs are low again, and none of an older epoch of
 // its own group.
 func TestAnotherGroup(t *testing.T) {
-	pact := &Pact{Most: 1, Lease: 1000, Budgets: map[string]Terms{"b": {Whole: 9, Step: 1, Window: 1}}}
+	pact := &Agreement{MaxNodes: 1, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 9, Step: 1, Window: 1}}}
 	h := NewHolder("n", "p", pact, 0)
 	for i, c := range []struct {
 		group string
@@ -159,7 +159,7 @@
 
 // TestMeter: what counts is the moment of sending, by a sliding window; what was reserved and never left gives its room back.
 func TestMeter(t *testing.T) {
-	pact := &Pact{Budgets: map[string]Terms{"b": {Window: 99}}}
+	pact := &Agreement{Budgets: map[string]Limits{"b": {Window: 99}}}
 	m := NewMeter(pact, "b")
 	first, second := m.Reserve("k", 1, 2, 0), m.Reserve("k", 1, 2, 0)
 	if m.Reserve("k", 1, 2, 0) != nil || m.Reserve("other", 1, 2, 0) == nil {
@@ -188,7 +188,7 @@
 		rate, wait float64
 		off        bool
 	}{{1, 0, false}, {1, 400, false}, {0.92, 400, false}, {1.08, 400, false}, {0.5, 0, true}, {0.5, 300, true}, {2, 300, true}} {
-		pact := &Pact{Lease: 1000, Margin: 0.1, Budgets: map[string]Terms{"b": {Whole: 1, Window: 1}}}
+		pact := &Agreement{Lease: 1000, ClockMargin: 0.1, Budgets: map[string]Limits{"b": {Total: 1, Window: 1}}}
 		h := NewHolder("n", "p", pact, 0)
 		clock := func(now float64) int64 { return int64(now * c.rate) }
 		for now, i := 0.0, uint64(1); i < 20; i++ {
@@ -207,12 +207,12 @@
 // TestSeatsAgree: the same steps lead to the same books at every seat. Danger: what is numbered in the order of a map has
 // other numbers at another seat, which then ends a rest that has just begun.
 func TestSeatsAgree(t *testing.T) {
-	pact := &Pact{Most: 4, Lease: 1000, Margin: 0.1, Budgets: map[string]Terms{}}
+	pact := &Agreement{MaxNodes: 4, Lease: 1000, ClockMargin: 0.1, Budgets: map[string]Limits{}}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		pact.Budgets[name] = Terms{Whole: 40, Floor: 1, Step: 1, Window: 100, Parts: 3}
+		pact.Budgets[name] = Limits{Total: 40, Floor: 1, Step: 1, Window: 100, Partitions: 3}
 	}
 	chance := rand.New(rand.NewPCG(1, 1))
-	seats := []*Books{NewBooks(), NewBooks(), NewBooks()}
+	seats := []*Ledger{NewLedger(), NewLedger(), NewLedger()}
 	for i := range 300 {
 		e := &Entry{Epoch: 1, Reign: i == 0, Pact: pact}
 		for h := range 3 {
@@ -245,10 +245,10 @@
 func BenchmarkGrant(b *testing.B) {
 	for _, count := range []int{9, 100, 300, 1000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			pact := &Pact{Most: int64(count), Lease: 3e9, Margin: 0.05, Budgets: map[string]Terms{
-				"again":   {Whole: 4 * int64(count), Floor: 1, Step: 1, Window: 1e9},
-				"connect": {Whole: 4 * int64(count), Floor: 1, Step: 1, Window: 1e9}, "cold": {Whole: 10000, Step: 1000, Window: 2e9, Parts: 16}}}
-			books, chance, now := NewBooks(), rand.New(rand.NewPCG(1, 1)), int64(0)
+			pact := &Agreement{MaxNodes: int64(count), Lease: 3e9, ClockMargin: 0.05, Budgets: map[string]Limits{
+				"again":   {Total: 4 * int64(count), Floor: 1, Step: 1, Window: 1e9},
+				"connect": {Total: 4 * int64(count), Floor: 1, Step: 1, Window: 1e9}, "cold": {Total: 10000, Step: 1000, Window: 2e9, Partitions: 16}}}
+			books, chance, now := NewLedger(), rand.New(rand.NewPCG(1, 1)), int64(0)
 			books.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
 			r := NewReign(books, 1, now)
 			var holders []*Holder
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -7,7 +7,7 @@
 // Holder is what one process may use. Its clock has to go on while the machine sleeps.
 type Holder struct {
 	Node, Name string
-	pact       *Pact
+	pact       *Agreement
 	born       int64 // or since when the floors are this process's
 	bare       bool  // the floors are another process's
 	refused    bool  // its pact is not the fleet's: it has nothing
@@ -26,7 +26,7 @@
 type meeting struct{ sent, over, theirs int64 }
 
 // NewHolder begins with nothing. name is the process's own, never used before.
-func NewHolder(node, name string, pact *Pact, now int64) *Holder {
+func NewHolder(node, name string, pact *Agreement, now int64) *Holder {
 	return &Holder{Node: node, Name: name, pact: pact, born: now, units: map[string]int64{}}
 }
 
@@ -119,7 +119,7 @@
 	if theirs <= 0 || least <= 0 {
 		return 1, false
 	}
-	return (least + most) / 2 / theirs, theirs > most*(1+h.pact.Margin) || theirs < least/(1+h.pact.Margin)
+	return (least + most) / 2 / theirs, theirs > most*(1+h.pact.ClockMargin) || theirs < least/(1+h.pact.ClockMargin)
 }
 
 // Rate is that of this process's clock, where it is beyond the margin; 0: it is not known to be.
--- a/internal/fleet/budget/meter.go
+++ b/internal/fleet/budget/meter.go
@@ -20,7 +20,7 @@
 }
 
 // NewMeter counts over the window of the budget, by the pact's margin longer: this node's clock may be fast.
-func NewMeter(pact *Pact, budget string) *Meter {
+func NewMeter(pact *Agreement, budget string) *Meter {
 	return &Meter{window: pact.stretched(pact.terms(budget).Window), uses: map[string][]*Use{}}
 }
 
--- a/internal/fleet/budget/model_test.go
+++ b/internal/fleet/budget/model_test.go
@@ -18,7 +18,7 @@
 type world struct {
 	wrong   string
 	now     int64
-	books   *Books
+	books   *Ledger
 	reign   *Reign
 	stale   []*Entry // decided by seats that were stopped before they wrote it down
 	holders []*Holder
@@ -47,13 +47,13 @@
 	whole  = 3
 )
 
-var modelPact = Pact{Most: 3, Lease: 8 * tick, Margin: 0.5, Budgets: map[string]Terms{"b": {Whole: whole, Step: 1, Window: window}}}
+var modelPact = Agreement{MaxNodes: 3, Lease: 8 * tick, ClockMargin: 0.5, Budgets: map[string]Limits{"b": {Total: whole, Step: 1, Window: window}}}
 
 func newWorld(wrong string) *world {
-	w := &world{wrong: wrong, books: NewBooks(), now: 10 * tick}
+	w := &world{wrong: wrong, books: NewLedger(), now: 10 * tick}
 	pact := modelPact
 	w.books.Apply(&Entry{Reign: true, Epoch: 1, Pact: &pact})
-	w.books.Budgets["b"].Resting, w.books.Budgets["b"].Pause = map[int64]int64{}, 0 // founded long ago
+	w.books.Budgets["b"].CoolingDown, w.books.Budgets["b"].CoolingDownTotal = map[int64]int64{}, 0 // founded long ago
 	w.reign = w.reigns(1)
 	for i, rate := range []int64{10, 7, 10} { // one is slow by the margin
 		w.slow = append(w.slow, rate)
@@ -68,7 +68,7 @@
 	r := NewReign(w.books, epoch, w.now)
 	if w.wrong == "no margin" {
 		pact := *r.pact
-		pact.Margin, r.pact = 0, &pact
+		pact.ClockMargin, r.pact = 0, &pact
 	}
 	if w.wrong == "a new grantor that forgets" {
 		for name, x := range r.ends {
@@ -83,7 +83,7 @@
 
 func (w *world) process(i int) *Holder {
 	w.names++
-	return NewHolder(fmt.Sprint("n", i), fmt.Sprint("p", w.names), &w.books.Pact, w.clock(i))
+	return NewHolder(fmt.Sprint("n", i), fmt.Sprint("p", w.names), &w.books.Agreement, w.clock(i))
 }
 
 // commit writes a step down.
@@ -101,7 +101,7 @@
 		}
 	}
 	if w.wrong == "granted again without a rest" {
-		defer func() { w.books.Budgets["b"].Resting, w.books.Budgets["b"].Pause = map[int64]int64{}, 0 }()
+		defer func() { w.books.Budgets["b"].CoolingDown, w.books.Budgets["b"].CoolingDownTotal = map[int64]int64{}, 0 }()
 	}
 	answers, err := w.books.Apply(e)
 	if err != nil {
@@ -248,14 +248,14 @@
 	c := *w
 	b := *w.books
 	c.books = &b
-	b.Budgets, b.Holders = map[string]*Account{}, map[string]*Holding{}
+	b.Budgets, b.Holders = map[string]*Account{}, map[string]*Lease{}
 	for name, a := range w.books.Budgets {
 		own := *a
-		own.Resting = maps.Clone(a.Resting)
+		own.CoolingDown = maps.Clone(a.CoolingDown)
 		b.Budgets[name] = &own
 	}
 	for name, h := range w.books.Holders {
-		b.Holders[name] = &Holding{Node: h.Node, Seq: h.Seq, Units: maps.Clone(h.Units), Want: h.Want}
+		b.Holders[name] = &Lease{Node: h.Node, Seq: h.Seq, Units: maps.Clone(h.Units), Demand: h.Demand}
 	}
 	r := *w.reign
 	c.reign, r.ends, r.rests = &r, maps.Clone(w.reign.ends), map[string]map[int64]int64{}
@@ -276,7 +276,7 @@
 // key tells worlds apart that can go on differently. Clocks are absolute: nothing is lost that could matter.
 func (w *world) key() string {
 	var k strings.Builder
-	fmt.Fprint(&k, w.now, w.names, w.books.Epoch, w.books.Budgets["b"].Rested, w.asks, w.answers, w.history, len(w.stale), w.reign.ends, w.reign.rests)
+	fmt.Fprint(&k, w.now, w.names, w.books.Epoch, w.books.Budgets["b"].ReleasedThrough, w.asks, w.answers, w.history, len(w.stale), w.reign.ends, w.reign.rests)
 	for _, e := range w.stale {
 		fmt.Fprint(&k, *e)
 	}
@@ -284,7 +284,7 @@
 		fmt.Fprint(&k, h.Name, h.seq, h.epoch, h.sent, h.open, h.until, h.units, h.again)
 	}
 	a := w.books.Budgets["b"]
-	fmt.Fprint(&k, a.Granted, a.Resting)
+	fmt.Fprint(&k, a.Granted, a.CoolingDown)
 	for _, name := range slices.Sorted(maps.Keys(w.books.Holders)) {
 		h := w.books.Holders[name]
 		fmt.Fprint(&k, name, h.Seq, h.Units)
--- a/internal/fleet/budget/reign.go
+++ b/internal/fleet/budget/reign.go
@@ -10,7 +10,7 @@
 // Reign is the clock of the seat that grants. It is not part of the books: no two clocks are compared.
 type Reign struct {
 	Epoch uint64
-	pact  *Pact
+	pact  *Agreement
 	ends  map[string]end             // by holder
 	rests map[string]map[int64]int64 // by budget and number of the rest: when it is over
 	began int64
@@ -25,8 +25,8 @@
 // NewReign begins a reign over the books as they are.
 // Danger: the one before may have granted a moment ago, and its clock is not ours. All that is out counts as granted now,
 // and all that rests as given back now.
-func NewReign(b *Books, epoch uint64, now int64) *Reign {
-	r := &Reign{Epoch: epoch, pact: &b.Pact, ends: map[string]end{}, rests: map[string]map[int64]int64{}, began: now, felt: map[string]int64{}}
+func NewReign(b *Ledger, epoch uint64, now int64) *Reign {
+	r := &Reign{Epoch: epoch, pact: &b.Agreement, ends: map[string]end{}, rests: map[string]map[int64]int64{}, began: now, felt: map[string]int64{}}
 	for name, h := range b.Holders {
 		r.ends[name] = end{h.Seq, now + r.pact.stretched(r.pact.Lease)}
 	}
@@ -36,7 +36,7 @@
 
 // Note takes down a step that was agreed on, once that is known: what it granted runs from now at the latest.
 // answers are those that Apply gave.
-func (r *Reign) Note(b *Books, e *Entry, answers []*Answer, now int64) {
+func (r *Reign) Note(b *Ledger, e *Entry, answers []*Answer, now int64) {
 	for i, a := range answers {
 		if a != nil {
 			r.ends[e.Asks[i].Holder] = end{a.Seq, now + r.pact.stretched(r.pact.Lease)}
@@ -49,8 +49,8 @@
 			rests = map[int64]int64{}
 			r.rests[name] = rests
 		}
-		maps.DeleteFunc(rests, func(number, _ int64) bool { _, is := a.Resting[number]; return !is })
-		for number := range a.Resting {
+		maps.DeleteFunc(rests, func(number, _ int64) bool { _, is := a.CoolingDown[number]; return !is })
+		for number := range a.CoolingDown {
 			if _, known := rests[number]; !known {
 				rests[number] = now + r.pact.stretched(r.pact.terms(name).Window)
 				if number == founding {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -59,7 +59,7 @@
 
 // share is what this node has of one budget, and what it did with it.
 type share struct {
-	terms   budget.Terms
+	terms   budget.Limits
 	meter   *budget.Meter
 	whole   int64 // as last heard
 	sent    int64 // counted at the sending
@@ -79,8 +79,8 @@
 	f.holder = budget.NewHolder(name, identity(), &plan.Pact, clock())
 	f.wants, f.firsts = budget.NewAppetite(name, &plan.Pact), budget.NewMeter(&plan.Pact, config.BudgetRetries)
 	for b, t := range plan.Pact.Budgets {
-		for _, part := range plan.Pact.Names(b) {
-			f.shares[part] = &share{terms: t, meter: budget.NewMeter(&plan.Pact, part), whole: t.Whole}
+		for _, part := range plan.Pact.PartitionNames(b) {
+			f.shares[part] = &share{terms: t, meter: budget.NewMeter(&plan.Pact, part), whole: t.Total}
 		}
 	}
 	f.calls = newCalls(plan)
@@ -317,7 +317,7 @@
 	f.wants.Heard(a)
 	f.holder.Take(a, f.clock())
 	if rate := f.holder.Rate(); rate != 0 && was == 0 {
-		f.log.Error().Float64("rate", rate).Float64("margin", f.plan.Pact.Margin).Msg("this machine's clock, or the granter's, is beyond the margin: no lease is used")
+		f.log.Error().Float64("rate", rate).Float64("margin", f.plan.Pact.ClockMargin).Msg("this machine's clock, or the granter's, is beyond the margin: no lease is used")
 	}
 	for name, whole := range a.Whole {
 		if s := f.shares[name]; s != nil {
@@ -353,19 +353,19 @@
 	if s == nil {
 		return 1
 	}
-	return float64(f.holder.Units(name, f.clock())) / float64(s.terms.Whole)
+	return float64(f.holder.Units(name, f.clock())) / float64(s.terms.Total)
 }
 
 // share is the one of a budget that a key falls to.
 func (f *Fleet) share(budget, key string) string {
-	if f.plan.Pact.Budgets[budget].Parts <= 1 {
+	if f.plan.Pact.Budgets[budget].Partitions <= 1 {
 		return budget
 	}
-	return f.plan.Pact.Name(budget, dispatch.HashName(key))
+	return f.plan.Pact.PartitionName(budget, dispatch.HashName(key))
 }
 
 // Whole is what all nodes have of a budget, by the pact.
-func (f *Fleet) Whole(name string) float64 { return float64(f.plan.Pact.Budgets[name].Whole) }
+func (f *Fleet) Whole(name string) float64 { return float64(f.plan.Pact.Budgets[name].Total) }
 
 // SetWhole has the seats agree on another whole. A lowered one waits for what is out.
 func (f *Fleet) SetWhole(name string, units int64) error {
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -81,7 +81,7 @@
 // takeSeat opens the seat's memory and its door, on a listener that the caller closes if this fails.
 func takeSeat(ctx context.Context, name string, l net.Listener, plan *config.Fleet, clock Clock, c *calls, log zerolog.Logger) (*seat, error) {
 	ctx, stop := context.WithCancel(ctx)
-	s := &seat{name: name, plan: plan, clock: clock, calls: c, log: log, books: &books{books: budget.NewBooks()}, clocks: map[string]float64{}, asks: make(chan *asked, waiting), orders: make(chan *order), stop: stop, shut: make(chan struct{}), lost: make(chan struct{})}
+	s := &seat{name: name, plan: plan, clock: clock, calls: c, log: log, books: &books{books: budget.NewLedger()}, clocks: map[string]float64{}, asks: make(chan *asked, waiting), orders: make(chan *order), stop: stop, shut: make(chan struct{}), lost: make(chan struct{})}
 	fail := func(err error) (*seat, error) {
 		stop()
 		if s.store != nil {
@@ -235,7 +235,7 @@
 // books are the replicated state; raft alone changes it.
 type books struct {
 	mu    sync.Mutex
-	books *budget.Books
+	books *budget.Ledger
 }
 
 type applied struct {
@@ -263,7 +263,7 @@
 
 func (b *books) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	fresh := budget.NewBooks()
+	fresh := budget.NewLedger()
 	if err := json.NewDecoder(r).Decode(fresh); err != nil {
 		return err
 	}
@@ -396,7 +396,7 @@
 	}
 	s.mu.Unlock()
 	if of != 0 && !was {
-		s.log.Error().Str("clock", node).Float64("rate", of).Float64("margin", s.plan.Pact.Margin).Msg("a clock is beyond the margin: its node uses no lease")
+		s.log.Error().Str("clock", node).Float64("rate", of).Float64("margin", s.plan.Pact.ClockMargin).Msg("a clock is beyond the margin: its node uses no lease")
 	}
 }
 
@@ -664,7 +664,7 @@
 func (s *seat) pact() (digest string, founded bool) {
 	s.books.mu.Lock()
 	defer s.books.mu.Unlock()
-	return s.books.books.Pact.Digest(), s.books.books.Epoch > 0
+	return s.books.books.Agreement.Digest(), s.books.books.Epoch > 0
 }
 
 func (s *seat) grantsNow() bool {
@@ -700,7 +700,7 @@
 	}
 	for name, whole := range o.whole {
 		t, is := s.plan.Pact.Budgets[name]
-		if least := t.Floor*s.plan.Pact.Most + t.Reserve; !is || whole < least || whole > t.Whole*64 {
+		if least := t.Floor*s.plan.Pact.MaxNodes + t.Reserve; !is || whole < least || whole > t.Total*64 {
 			http.Error(out, fmt.Sprintf("%.40q: no such budget, or a whole under its floors and reserve (%d)", name, least), http.StatusBadRequest)
 			return
 		}
@@ -769,12 +769,12 @@
 	b := s.books.books
 	out.Epoch = b.Epoch
 	for name, a := range b.Budgets {
-		floors := b.Out(name) - a.Granted
-		out.Budgets[name] = BudgetFigures{a.Whole, floors, a.Granted, a.Pause, a.Whole - floors - a.Granted - a.Pause}
+		floors := b.Outstanding(name) - a.Granted
+		out.Budgets[name] = BudgetFigures{a.Total, floors, a.Granted, a.CoolingDownTotal, a.Total - floors - a.Granted - a.CoolingDownTotal}
 	}
-	for _, name := range b.Names() {
+	for _, name := range b.HolderNames() {
 		h := b.Holders[name]
-		out.Holders = append(out.Holders, HolderFigures{h.Node, maps.Clone(h.Units), maps.Clone(h.Want)})
+		out.Holders = append(out.Holders, HolderFigures{h.Node, maps.Clone(h.Units), maps.Clone(h.Demand)})
 	}
 	return out
 }
