--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -99,22 +99,22 @@
 
 func (g *granter) elect() {
 	g.epoch++
-	g.books.Apply(&budget.Entry{Reign: true, Epoch: g.epoch, Pact: &g.world.pact})
+	g.books.Apply(&budget.LogEntry{NewTerm: true, Epoch: g.epoch, Agreement: &g.world.pact})
 	g.reign = budget.NewReign(g.books, g.epoch, g.world.now)
 }
 
-func (g *granter) hear(a budget.Ask, answer func(*budget.Answer)) {
+func (g *granter) hear(a budget.LeaseRequest, answer func(*budget.LeaseResponse)) {
 	if g.reign == nil {
 		return
 	}
 	g.calls++
-	e := &budget.Entry{Epoch: g.epoch, Asks: []budget.Ask{a}}
+	e := &budget.LogEntry{Epoch: g.epoch, Requests: []budget.LeaseRequest{a}}
 	answers, err := g.books.Apply(e)
 	if err != nil || answers[0] == nil {
 		return
 	}
 	g.reign.Note(g.books, e, answers, g.world.now)
-	answers[0].At = g.world.now
+	answers[0].LeaderTime = g.world.now
 	answer(answers[0])
 }
 
@@ -163,7 +163,7 @@
 	a := s.holder.Ask(s.wants.Want(func(name string) (float64, bool) { return s.meters[name].Demand(w.now) },
 		func(name string) int64 { return s.holder.Units(name, w.now) }), w.now)
 	w.send(n.zone, 0, func() {
-		w.granter.hear(a, func(answer *budget.Answer) {
+		w.granter.hear(a, func(answer *budget.LeaseResponse) {
 			w.send(0, n.zone, func() {
 				if n.up && n.lives == life && s.holder.Take(answer, w.now) {
 					s.wants.Heard(answer)
--- a/internal/fleet/budget/appetite.go
+++ b/internal/fleet/budget/appetite.go
@@ -54,7 +54,7 @@
 }
 
 // Heard notes how many ask.
-func (a *Appetite) Heard(answer *Answer) { a.peers = max(answer.Peers, 1) }
+func (a *Appetite) Heard(answer *LeaseResponse) { a.peers = max(answer.ActiveHolders, 1) }
 
 // Want is what the node asks for beyond its floors. Demand gives what was used of a share since the last call, at most, and
 // whether some was refused; units what it has.
--- a/internal/fleet/budget/books.go
+++ b/internal/fleet/budget/books.go
@@ -136,30 +136,30 @@
 	Demand        map[string]int64 `json:"want"`
 }
 
-// Ask is a holder's request.
-type Ask struct {
-	Node   string           `json:"node"`
-	Holder string           `json:"holder"` // the process
-	Seq    uint64           `json:"seq"`    // rises with each request
-	Hold   map[string]int64 `json:"hold"`   // it uses no more than that from now on, until an answer to this very request
-	Want   map[string]int64 `json:"want"`
-	First  int64            `json:"first"`          // first postings that it sent in a window
-	Leased bool             `json:"leased"`         // it has a lease, and so has had an answer within that time
-	Epoch  uint64           `json:"epoch"`          // of the latest answer that it took
-	Rate   float64          `json:"rate,omitempty"` // of its clock by the seat's, where that is beyond the margin
+// LeaseRequest is a holder's request.
+type LeaseRequest struct {
+	Node          string           `json:"node"`
+	Holder        string           `json:"holder"` // the process
+	Seq           uint64           `json:"seq"`    // rises with each request
+	MaxUnits      map[string]int64 `json:"hold"`   // it uses no more than that from now on, until an answer to this very request
+	Demand        map[string]int64 `json:"want"`
+	FirstAttempts int64            `json:"first"`          // first postings that it sent in a window
+	HasLease      bool             `json:"leased"`         // it has a lease, and so has had an answer within that time
+	Epoch         uint64           `json:"epoch"`          // of the latest answer that it took
+	ClockRate     float64          `json:"rate,omitempty"` // of its clock by the seat's, where that is beyond the margin
 }
 
-// Answer is what becomes of a request: what the holder may use until the lease has run out, counted from when it sent it.
-type Answer struct {
-	Group  string           `json:"group"` // epochs are counted in each
-	Epoch  uint64           `json:"epoch"`
-	Seq    uint64           `json:"seq"`
-	Lease  int64            `json:"lease"`
-	Units  map[string]int64 `json:"units"`
-	Target map[string]int64 `json:"target"` // what it should come down to
-	Whole  map[string]int64 `json:"whole"`
-	Peers  int              `json:"peers"` // processes that hold something or asked within a lease; a hint
-	At     int64            `json:"at"`    // by the seat's clock, between the request's coming and the answer's going
+// LeaseResponse is what becomes of a request: what the holder may use until the lease has run out, counted from when it sent it.
+type LeaseResponse struct {
+	ClusterID     string           `json:"group"` // epochs are counted in each
+	Epoch         uint64           `json:"epoch"`
+	Seq           uint64           `json:"seq"`
+	Lease         int64            `json:"lease"`
+	Units         map[string]int64 `json:"units"`
+	Target        map[string]int64 `json:"target"` // what it should come down to
+	Totals        map[string]int64 `json:"whole"`
+	ActiveHolders int              `json:"peers"` // processes that hold something or asked within a lease; a hint
+	LeaderTime    int64            `json:"at"`    // by the seat's clock, between the request's coming and the answer's going
 }
 
 // Expiry says that a holder's lease has run out, if it has not asked since.
@@ -168,16 +168,16 @@
 	Seq    uint64 `json:"seq"`
 }
 
-// Entry is one step of the books. All of it is taken, or nothing where the epoch is not the one that reigns.
-type Entry struct {
-	Epoch   uint64           `json:"epoch"`
-	Reign   bool             `json:"reign,omitempty"` // a grantor begins; its epoch is above all before it
-	Pact    *Agreement       `json:"pact,omitempty"`  // with the first reign
-	Group   string           `json:"group,omitempty"` // the same
-	Asks    []Ask            `json:"asks,omitempty"`
-	Expired []Expiry         `json:"expired,omitempty"`
-	Rested  map[string]int64 `json:"rested,omitempty"` // by budget: all rests up to that number are over
-	Whole   map[string]int64 `json:"whole,omitempty"`  // by operators
+// LogEntry is one step of the books. All of it is taken, or nothing where the epoch is not the one that reigns.
+type LogEntry struct {
+	Epoch                 uint64           `json:"epoch"`
+	NewTerm               bool             `json:"reign,omitempty"` // a grantor begins; its epoch is above all before it
+	Agreement             *Agreement       `json:"pact,omitempty"`  // with the first reign
+	ClusterID             string           `json:"group,omitempty"` // the same
+	Requests              []LeaseRequest   `json:"asks,omitempty"`
+	Expired               []Expiry         `json:"expired,omitempty"`
+	ReleasedAfterCooldown map[string]int64 `json:"rested,omitempty"` // by budget: all rests up to that number are over
+	Totals                map[string]int64 `json:"whole,omitempty"`  // by operators
 }
 
 // founding is the number of the rest with which books begin; it lasts a lease longer than others.
@@ -189,14 +189,14 @@
 }
 
 // Apply takes a step, and gives the answer to each request in it, nil where that is not due one.
-func (b *Ledger) Apply(e *Entry) (answers []*Answer, err error) {
-	if e.Reign {
+func (b *Ledger) Apply(e *LogEntry) (answers []*LeaseResponse, err error) {
+	if e.NewTerm {
 		if e.Epoch <= b.Epoch {
 			return nil, fmt.Errorf("epoch %d has passed, %d reigns", e.Epoch, b.Epoch)
 		}
-		if b.Epoch == 0 && e.Pact != nil {
-			b.found(e.Pact)
-			b.ClusterID = e.Group
+		if b.Epoch == 0 && e.Agreement != nil {
+			b.found(e.Agreement)
+			b.ClusterID = e.ClusterID
 		}
 		b.Epoch = e.Epoch
 		return nil, nil
@@ -205,14 +205,14 @@
 	if e.Epoch != b.Epoch {
 		return nil, fmt.Errorf("epoch %d has passed, %d reigns", e.Epoch, b.Epoch)
 	}
-	for budget, whole := range e.Whole {
+	for budget, whole := range e.Totals {
 		if t, found := b.Agreement.Budgets[budget]; found && whole >= t.Floor*b.Agreement.MaxNodes+t.Reserve {
 			for _, name := range b.Agreement.PartitionNames(budget) {
 				b.Budgets[name].MaxTotal, b.Budgets[name].Total = whole, whole
 			}
 		}
 	}
-	for name, upTo := range e.Rested {
+	for name, upTo := range e.ReleasedAfterCooldown {
 		if a := b.Budgets[name]; a != nil {
 			for number, units := range a.CoolingDown {
 				if number <= upTo {
@@ -230,15 +230,15 @@
 			delete(b.Holders, x.Holder)
 		}
 	}
-	answers = make([]*Answer, len(e.Asks))
-	for i := range e.Asks {
-		if b.hear(&e.Asks[i]) {
-			answers[i] = &Answer{Group: b.ClusterID, Epoch: b.Epoch, Seq: e.Asks[i].Seq, Lease: b.Agreement.Lease, Peers: len(b.Holders), Units: map[string]int64{}, Target: map[string]int64{}, Whole: map[string]int64{}}
+	answers = make([]*LeaseResponse, len(e.Requests))
+	for i := range e.Requests {
+		if b.hear(&e.Requests[i]) {
+			answers[i] = &LeaseResponse{ClusterID: b.ClusterID, Epoch: b.Epoch, Seq: e.Requests[i].Seq, Lease: b.Agreement.Lease, ActiveHolders: len(b.Holders), Units: map[string]int64{}, Target: map[string]int64{}, Totals: map[string]int64{}}
 		}
 	}
 	b.follow()
 	for _, name := range slices.Sorted(maps.Keys(b.Budgets)) {
-		b.grant(name, e.Asks, answers)
+		b.grant(name, e.Requests, answers)
 	}
 	return answers, nil
 }
@@ -269,7 +269,7 @@
 
 // hear takes down what a holder says of itself; false: it was heard before.
 // Danger: a request that comes twice or late. What it gave back then is in use again by now, and would be granted twice.
-func (b *Ledger) hear(a *Ask) bool {
+func (b *Ledger) hear(a *LeaseRequest) bool {
 	h := b.Holders[a.Holder]
 	if h == nil {
 		// Danger: a late request of a process whose lease has run out would have it hold again, for one lease at most.
@@ -278,10 +278,10 @@
 	} else if a.Seq <= h.Seq {
 		return false
 	}
-	h.Seq, h.FirstAttempts, h.Demand = a.Seq, min(max(a.First, 0), mostFirst), map[string]int64{}
+	h.Seq, h.FirstAttempts, h.Demand = a.Seq, min(max(a.FirstAttempts, 0), mostFirst), map[string]int64{}
 	for name, account := range b.Budgets {
-		b.lower(h, name, max(a.Hold[name], 0))
-		if want := min(max(a.Want[name], 0), account.Total); want > 0 {
+		b.lower(h, name, max(a.MaxUnits[name], 0))
+		if want := min(max(a.Demand[name], 0), account.Total); want > 0 {
 			h.Demand[name] = want
 		}
 	}
@@ -301,7 +301,7 @@
 }
 
 // grant gives those that ask what they want, as far as it is fair and free.
-func (b *Ledger) grant(name string, asks []Ask, answers []*Answer) {
+func (b *Ledger) grant(name string, asks []LeaseRequest, answers []*LeaseResponse) {
 	a, t := b.Budgets[name], b.Agreement.terms(name)
 	pool := max(a.Total-t.Floor*b.Agreement.MaxNodes, 0)
 	level := b.level(name, max(pool-t.Reserve, 0))
@@ -329,7 +329,7 @@
 		} else {
 			delete(h.Units, name)
 		}
-		answers[i].Whole[name] = a.Total
+		answers[i].Totals[name] = a.Total
 	}
 }
 
--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -14,7 +14,7 @@
 // settle has holders with these wants ask in turn, with time for all rests between, and gives what each ends up with.
 func settle(pact *Agreement, wants []int64) (units []int64) {
 	b, now := NewLedger(), int64(0)
-	b.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
+	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
 	r := NewReign(b, 1, now)
 	var holders []*Holder
 	for i := range wants {
@@ -27,10 +27,10 @@
 			r.Note(b, due, nil, now)
 		}
 		for i, h := range holders {
-			e := &Entry{Epoch: 1, Asks: []Ask{h.Ask(map[string]int64{"b": wants[i]}, now)}}
+			e := &LogEntry{Epoch: 1, Requests: []LeaseRequest{h.Ask(map[string]int64{"b": wants[i]}, now)}}
 			answers, _ := b.Apply(e)
 			r.Note(b, e, answers, now)
-			answers[0].At = now
+			answers[0].LeaderTime = now
 			h.Take(answers[0], now)
 		}
 	}
@@ -61,11 +61,11 @@
 func TestSteps(t *testing.T) {
 	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 100, Step: 10, Window: 100}}}
 	b := NewLedger()
-	b.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
-	b.Apply(&Entry{Epoch: 1, Rested: map[string]int64{"b": founding}})
+	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
+	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": founding}})
 	h := NewHolder("n", "p", pact, 0)
 	for i, want := range []int64{50, 45, 41, 49, 50} {
-		answers, _ := b.Apply(&Entry{Epoch: 1, Asks: []Ask{h.Ask(map[string]int64{"b": want}, int64(i))}})
+		answers, _ := b.Apply(&LogEntry{Epoch: 1, Requests: []LeaseRequest{h.Ask(map[string]int64{"b": want}, int64(i))}})
 		h.Take(answers[0], int64(i))
 		if got := h.Leased("b", int64(i)); got != 50 {
 			t.Errorf("%d units after a want of %d", got, want)
@@ -77,8 +77,8 @@
 func TestLowered(t *testing.T) {
 	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 100, Floor: 5, Step: 1, Window: 100}}}
 	b, now := NewLedger(), int64(0)
-	b.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
-	b.Apply(&Entry{Epoch: 1, Rested: map[string]int64{"b": founding}})
+	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
+	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": founding}})
 	r := NewReign(b, 1, now)
 	one, two := NewHolder("n", "p", pact, 0), NewHolder("m", "q", pact, 0)
 	round := func(h *Holder, want int64) int64 {
@@ -87,17 +87,17 @@
 			b.Apply(due)
 			r.Note(b, due, nil, now)
 		}
-		e := &Entry{Epoch: 1, Asks: []Ask{h.Ask(map[string]int64{"b": want}, now)}}
+		e := &LogEntry{Epoch: 1, Requests: []LeaseRequest{h.Ask(map[string]int64{"b": want}, now)}}
 		answers, _ := b.Apply(e)
 		r.Note(b, e, answers, now)
-		answers[0].At = now
+		answers[0].LeaderTime = now
 		h.Take(answers[0], now)
 		return h.Leased("b", now)
 	}
 	if got := round(one, 80); got != 80 {
 		t.Fatal(got)
 	}
-	b.Apply(&Entry{Epoch: 1, Whole: map[string]int64{"b": 30}})
+	b.Apply(&LogEntry{Epoch: 1, Totals: map[string]int64{"b": 30}})
 	if got := round(two, 80); got != 0 {
 		t.Errorf("%d units are lent while 80 of a whole of 30 are out", got)
 	}
@@ -110,7 +110,7 @@
 	if a, c := round(one, 80), round(two, 80); a != 10 || c != 10 {
 		t.Errorf("%d and %d of a whole of 30 with floors of 10", a, c)
 	}
-	b.Apply(&Entry{Epoch: 1, Whole: map[string]int64{"b": 9, "none": 100}}) // under the floors, unknown: not taken
+	b.Apply(&LogEntry{Epoch: 1, Totals: map[string]int64{"b": 9, "none": 100}}) // under the floors, unknown: not taken
 	if b.Budgets["b"].Total != 30 {
 		t.Error(b.Budgets["b"].Total)
 	}
@@ -121,20 +121,20 @@
 func TestFollows(t *testing.T) {
 	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 50, Floor: 2, Step: 1, Window: 100, FirstAttemptRatio: 0.1}}}
 	b := NewLedger()
-	b.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
-	b.Apply(&Entry{Epoch: 1, Rested: map[string]int64{"b": founding}})
+	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
+	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": founding}})
 	for i, c := range []struct{ one, two, whole int64 }{
 		{0, 0, 4}, {100, 0, 10}, {200, 100, 30}, {9000, -5, 50}, {1 << 60, 1 << 60, 50}, {100, 50, 15},
 	} {
 		for j, first := range []int64{c.one, c.two} {
-			a := Ask{Node: fmt.Sprint(j), Holder: fmt.Sprint(j), Seq: uint64(i + 1), First: first}
-			b.Apply(&Entry{Epoch: 1, Asks: []Ask{a}})
+			a := LeaseRequest{Node: fmt.Sprint(j), Holder: fmt.Sprint(j), Seq: uint64(i + 1), FirstAttempts: first}
+			b.Apply(&LogEntry{Epoch: 1, Requests: []LeaseRequest{a}})
 		}
 		if got := b.Budgets["b"].Total; got != c.whole {
 			t.Errorf("%d and %d first postings: a whole of %d, want %d", c.one, c.two, got, c.whole)
 		}
 	}
-	b.Apply(&Entry{Epoch: 1, Expired: []Expiry{{"0", 6}}})
+	b.Apply(&LogEntry{Epoch: 1, Expired: []Expiry{{"0", 6}}})
 	if got := b.Budgets["b"].Total; got != 5 {
 		t.Errorf("%d after the first node is gone", got)
 	}
@@ -151,7 +151,7 @@
 		taken bool
 	}{{"x", 7, true}, {"x", 6, false}, {"y", 2, true}, {"y", 1, false}, {"y", 2, true}} {
 		a := h.Ask(nil, int64(i))
-		if got := h.Take(&Answer{Group: c.group, Epoch: c.epoch, Seq: a.Seq, Lease: 1000, At: int64(i)}, int64(i)); got != c.taken {
+		if got := h.Take(&LeaseResponse{ClusterID: c.group, Epoch: c.epoch, Seq: a.Seq, Lease: 1000, LeaderTime: int64(i)}, int64(i)); got != c.taken {
 			t.Errorf("epoch %d of %s: taken %v", c.epoch, c.group, got)
 		}
 	}
@@ -195,7 +195,7 @@
 			way := c.wait * float64(i%3) / 3
 			h.Ask(nil, clock(now))
 			at := now + way*float64(i%2)
-			h.Take(&Answer{Epoch: 1, Seq: i, Lease: 1000, At: int64(at)}, clock(now+way))
+			h.Take(&LeaseResponse{Epoch: 1, Seq: i, Lease: 1000, LeaderTime: int64(at)}, clock(now+way))
 			now += way + 500
 		}
 		if (h.Rate() != 0) != c.off {
@@ -214,19 +214,19 @@
 	chance := rand.New(rand.NewPCG(1, 1))
 	seats := []*Ledger{NewLedger(), NewLedger(), NewLedger()}
 	for i := range 300 {
-		e := &Entry{Epoch: 1, Reign: i == 0, Pact: pact}
+		e := &LogEntry{Epoch: 1, NewTerm: i == 0, Agreement: pact}
 		for h := range 3 {
-			a := Ask{Node: fmt.Sprint("n", h), Holder: fmt.Sprint("p", h), Seq: uint64(i), Want: map[string]int64{}, Hold: map[string]int64{}}
+			a := LeaseRequest{Node: fmt.Sprint("n", h), Holder: fmt.Sprint("p", h), Seq: uint64(i), Demand: map[string]int64{}, MaxUnits: map[string]int64{}}
 			for name := range seats[0].Budgets {
-				a.Want[name] = chance.Int64N(20)
+				a.Demand[name] = chance.Int64N(20)
 			}
-			e.Asks = append(e.Asks, a)
+			e.Requests = append(e.Requests, a)
 		}
 		if i%7 == 0 {
 			e.Expired = []Expiry{{"p1", uint64(i - 1)}}
 		}
 		if i%5 == 0 {
-			e.Rested = map[string]int64{"a.0": int64(i), "b.1": int64(i)}
+			e.ReleasedAfterCooldown = map[string]int64{"a.0": int64(i), "b.1": int64(i)}
 		}
 		for _, b := range seats {
 			b.Apply(e)
@@ -249,7 +249,7 @@
 				"again":   {Total: 4 * int64(count), Floor: 1, Step: 1, Window: 1e9},
 				"connect": {Total: 4 * int64(count), Floor: 1, Step: 1, Window: 1e9}, "cold": {Total: 10000, Step: 1000, Window: 2e9, Partitions: 16}}}
 			books, chance, now := NewLedger(), rand.New(rand.NewPCG(1, 1)), int64(0)
-			books.Apply(&Entry{Reign: true, Epoch: 1, Pact: pact})
+			books.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
 			r := NewReign(books, 1, now)
 			var holders []*Holder
 			var wants []*Appetite
@@ -264,11 +264,11 @@
 					books.Apply(due)
 					r.Note(books, due, nil, now)
 				}
-				e := &Entry{Epoch: 1}
+				e := &LogEntry{Epoch: 1}
 				b.StopTimer()
 				for i, h := range holders {
 					want := wants[i].Want(func(string) (float64, bool) { return 8 * chance.Float64(), chance.IntN(3) == 0 }, func(name string) int64 { return h.Units(name, now) })
-					e.Asks = append(e.Asks, h.Ask(want, now))
+					e.Requests = append(e.Requests, h.Ask(want, now))
 				}
 				b.StartTimer()
 				answers, err := books.Apply(e)
@@ -278,7 +278,7 @@
 				r.Note(books, e, answers, now)
 				b.StopTimer()
 				for i, h := range holders {
-					answers[i].At = now
+					answers[i].LeaderTime = now
 					h.Take(answers[i], now)
 					wants[i].Heard(answers[i])
 				}
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -66,7 +66,7 @@
 }
 
 // Ask makes the next request; want is what the node could use of each budget, beyond its floor.
-func (h *Holder) Ask(want map[string]int64, now int64) Ask {
+func (h *Holder) Ask(want map[string]int64, now int64) LeaseRequest {
 	if now >= h.until {
 		clear(h.units)
 	}
@@ -76,24 +76,24 @@
 	h.seq++
 	// Danger: counted from the answer, a lease would end after the grantor believes that it has.
 	h.sent, h.open, h.again = now, true, false
-	return Ask{Node: h.Node, Holder: h.Name, Seq: h.seq, Hold: maps.Clone(h.units), Want: want, Leased: now < h.until, Epoch: h.epoch, Rate: h.rate}
+	return LeaseRequest{Node: h.Node, Holder: h.Name, Seq: h.seq, MaxUnits: maps.Clone(h.units), Demand: want, HasLease: now < h.until, Epoch: h.epoch, ClockRate: h.rate}
 }
 
 // Take accepts the answer to the latest request, and no other.
 // Danger: an answer that comes late or twice tells of units that a later request gave back.
-func (h *Holder) Take(a *Answer, now int64) bool {
+func (h *Holder) Take(a *LeaseResponse, now int64) bool {
 	// Danger: a group founded anew counts its epochs from the first on; a node that outlived the old one would take no
 	// answer of it for good.
-	if !h.open || a.Seq != h.seq || a.Epoch < h.epoch && a.Group == h.group {
+	if !h.open || a.Seq != h.seq || a.Epoch < h.epoch && a.ClusterID == h.group {
 		return false
 	}
-	if h.open = false; a.Epoch != h.epoch || a.Group != h.group {
-		h.base, h.rate = meeting{h.sent, now, a.At}, 0
+	if h.open = false; a.Epoch != h.epoch || a.ClusterID != h.group {
+		h.base, h.rate = meeting{h.sent, now, a.LeaderTime}, 0
 	}
-	h.epoch, h.group = a.Epoch, a.Group
+	h.epoch, h.group = a.Epoch, a.ClusterID
 	// Danger: a clock slower than was agreed has a lease used after it was granted to another. Whoever can tell that
 	// its own is, by what calls prove, uses none.
-	if rate, off := h.measure(meeting{h.sent, now, a.At}); off {
+	if rate, off := h.measure(meeting{h.sent, now, a.LeaderTime}); off {
 		h.rate = rate
 	}
 	if h.rate != 0 {
--- a/internal/fleet/budget/model_test.go
+++ b/internal/fleet/budget/model_test.go
@@ -20,10 +20,10 @@
 	now     int64
 	books   *Ledger
 	reign   *Reign
-	stale   []*Entry // decided by seats that were stopped before they wrote it down
+	stale   []*LogEntry // decided by seats that were stopped before they wrote it down
 	holders []*Holder
 	slow    []int64 // of ten, the rate of each holder's clock
-	asks    []Ask
+	asks    []LeaseRequest
 	answers []reply
 	history []moment
 	names   int
@@ -32,7 +32,7 @@
 
 type reply struct {
 	to string
-	Answer
+	LeaseResponse
 }
 
 // moment is what each holder could use then.
@@ -52,7 +52,7 @@
 func newWorld(wrong string) *world {
 	w := &world{wrong: wrong, books: NewLedger(), now: 10 * tick}
 	pact := modelPact
-	w.books.Apply(&Entry{Reign: true, Epoch: 1, Pact: &pact})
+	w.books.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: &pact})
 	w.books.Budgets["b"].CoolingDown, w.books.Budgets["b"].CoolingDownTotal = map[int64]int64{}, 0 // founded long ago
 	w.reign = w.reigns(1)
 	for i, rate := range []int64{10, 7, 10} { // one is slow by the margin
@@ -87,12 +87,12 @@
 }
 
 // commit writes a step down.
-func (w *world) commit(e *Entry, r *Reign) {
-	if w.wrong == "an epoch that is not checked" && !e.Reign {
+func (w *world) commit(e *LogEntry, r *Reign) {
+	if w.wrong == "an epoch that is not checked" && !e.NewTerm {
 		e.Epoch = w.books.Epoch
 	}
 	if w.wrong == "a return that is counted twice" {
-		for _, a := range e.Asks {
+		for _, a := range e.Requests {
 			if h := w.books.Holders[a.Holder]; h != nil && h.Seq >= a.Seq {
 				was := h.Seq
 				defer func() { h.Seq = was }()
@@ -112,8 +112,8 @@
 	}
 	for i, a := range answers {
 		if a != nil {
-			a.At = w.now
-			w.answers = append(w.answers, reply{e.Asks[i].Holder, *a})
+			a.LeaderTime = w.now
+			w.answers = append(w.answers, reply{e.Requests[i].Holder, *a})
 		}
 	}
 }
@@ -193,7 +193,7 @@
 		if what == "hear" {
 			w.asks = slices.Delete(slices.Clone(w.asks), i, i+1)
 		}
-		w.commit(&Entry{Epoch: w.reign.Epoch, Asks: []Ask{ask}}, w.reign)
+		w.commit(&LogEntry{Epoch: w.reign.Epoch, Requests: []LeaseRequest{ask}}, w.reign)
 		w.answers = w.answers[max(len(w.answers)-3, 0):]
 	case "take", "repeat":
 		a := w.answers[i]
@@ -208,7 +208,7 @@
 				if w.wrong == "any answer is taken" {
 					h.open, h.seq = true, a.Seq
 				}
-				h.Take(&a.Answer, w.clock(j))
+				h.Take(&a.LeaseResponse, w.clock(j))
 			}
 		}
 	case "due":
@@ -220,11 +220,11 @@
 			w.stale = append(w.stale, e)
 		}
 		for _, a := range w.asks {
-			w.stale = append(w.stale, &Entry{Epoch: w.reign.Epoch, Asks: []Ask{a}})
+			w.stale = append(w.stale, &LogEntry{Epoch: w.reign.Epoch, Requests: []LeaseRequest{a}})
 		}
 		w.stale = w.stale[max(len(w.stale)-2, 0):]
 		epoch := w.books.Epoch + 1
-		w.books.Apply(&Entry{Reign: true, Epoch: epoch})
+		w.books.Apply(&LogEntry{NewTerm: true, Epoch: epoch})
 		w.reign = w.reigns(epoch)
 	case "wake":
 		e := w.stale[i]
--- a/internal/fleet/budget/reign.go
+++ b/internal/fleet/budget/reign.go
@@ -36,10 +36,10 @@
 
 // Note takes down a step that was agreed on, once that is known: what it granted runs from now at the latest.
 // answers are those that Apply gave.
-func (r *Reign) Note(b *Ledger, e *Entry, answers []*Answer, now int64) {
+func (r *Reign) Note(b *Ledger, e *LogEntry, answers []*LeaseResponse, now int64) {
 	for i, a := range answers {
 		if a != nil {
-			r.ends[e.Asks[i].Holder] = end{a.Seq, now + r.pact.stretched(r.pact.Lease)}
+			r.ends[e.Requests[i].Holder] = end{a.Seq, now + r.pact.stretched(r.pact.Lease)}
 		}
 	}
 	maps.DeleteFunc(r.ends, func(name string, _ end) bool { return b.Holders[name] == nil })
@@ -62,8 +62,8 @@
 }
 
 // Due is what has run out by now, as a step for the books; nil: nothing has.
-func (r *Reign) Due(now int64) *Entry {
-	e := &Entry{Epoch: r.Epoch, Rested: map[string]int64{}}
+func (r *Reign) Due(now int64) *LogEntry {
+	e := &LogEntry{Epoch: r.Epoch, ReleasedAfterCooldown: map[string]int64{}}
 	for _, name := range slices.Sorted(maps.Keys(r.ends)) {
 		if x := r.ends[name]; now >= x.at {
 			e.Expired = append(e.Expired, Expiry{name, x.seq})
@@ -79,18 +79,18 @@
 			upTo = number
 		}
 		if upTo >= 0 {
-			e.Rested[name] = upTo
+			e.ReleasedAfterCooldown[name] = upTo
 		}
 	}
-	if len(e.Expired) == 0 && len(e.Rested) == 0 {
+	if len(e.Expired) == 0 && len(e.ReleasedAfterCooldown) == 0 {
 		return nil
 	}
 	return e
 }
 
 // Feel notes what a request shows of the way to its node and back.
-func (r *Reign) Feel(a *Ask, now int64) {
-	if a.Epoch == r.Epoch && a.Leased {
+func (r *Reign) Feel(a *LeaseRequest, now int64) {
+	if a.Epoch == r.Epoch && a.HasLease {
 		r.felt[a.Node] = now
 	}
 }
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -91,17 +91,17 @@
 }
 
 // ask calls the seat of that number, and says which to call next time.
-func (c *calls) ask(ctx context.Context, at int, a *budget.Ask) (*budget.Answer, int, error) {
+func (c *calls) ask(ctx context.Context, at int, a *budget.LeaseRequest) (*budget.LeaseResponse, int, error) {
 	var out struct {
 		redirect
-		*budget.Answer
+		*budget.LeaseResponse
 	}
 	err := c.post(ctx, c.plan.Seats[at].Address, "/ask", a, &out)
-	if err == nil && out.Answer == nil {
+	if err == nil && out.LeaseResponse == nil {
 		err = errElsewhere
 	}
 	if err == nil {
-		return out.Answer, at, nil
+		return out.LeaseResponse, at, nil
 	}
 	next := (at + 1) % len(c.plan.Seats)
 	for i, s := range c.plan.Seats {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -299,18 +299,18 @@
 }
 
 // ask makes the next request from what was used and refused since the last one.
-func (f *Fleet) ask() budget.Ask {
+func (f *Fleet) ask() budget.LeaseRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
 	want := f.wants.Want(func(name string) (float64, bool) { return f.shares[name].meter.Demand(now) },
 		func(name string) int64 { return f.holder.Units(name, now) })
 	a := f.holder.Ask(want, now)
-	a.First = int64(f.firsts.Used("", now))
+	a.FirstAttempts = int64(f.firsts.Used("", now))
 	return a
 }
 
-func (f *Fleet) take(a *budget.Answer) {
+func (f *Fleet) take(a *budget.LeaseResponse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	was := f.holder.Rate()
@@ -319,7 +319,7 @@
 	if rate := f.holder.Rate(); rate != 0 && was == 0 {
 		f.log.Error().Float64("rate", rate).Float64("margin", f.plan.Pact.ClockMargin).Msg("this machine's clock, or the granter's, is beyond the margin: no lease is used")
 	}
-	for name, whole := range a.Whole {
+	for name, whole := range a.Totals {
 		if s := f.shares[name]; s != nil {
 			s.whole = whole
 		}
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -68,8 +68,8 @@
 
 // asked is a request that waits for its answer.
 type asked struct {
-	budget.Ask
-	answer chan *budget.Answer // nil comes: not granted here
+	budget.LeaseRequest
+	answer chan *budget.LeaseResponse // nil comes: not granted here
 }
 
 // order is an operators' change of a whole.
@@ -239,12 +239,12 @@
 }
 
 type applied struct {
-	answers []*budget.Answer
+	answers []*budget.LeaseResponse
 	err     error
 }
 
 func (b *books) Apply(l *raft.Log) any {
-	var e budget.Entry
+	var e budget.LogEntry
 	if err := json.Unmarshal(l.Data, &e); err != nil {
 		return applied{err: err}
 	}
@@ -288,7 +288,7 @@
 // commit has a step agreed on by most seats, and gives what came of it.
 // Danger: a seat that was stopped and goes on believes that it is still the one that grants. Nothing is answered before
 // most seats have written the step down under its reign, and that proves that no other reign had begun when they did.
-func (s *seat) commit(e *budget.Entry) ([]*budget.Answer, error) {
+func (s *seat) commit(e *budget.LogEntry) ([]*budget.LeaseResponse, error) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		return nil, err
@@ -337,7 +337,7 @@
 		return err
 	}
 	epoch := s.raft.CurrentTerm()
-	if _, err := s.commit(&budget.Entry{Reign: true, Epoch: epoch, Pact: &s.plan.Pact, Group: identity()}); err != nil {
+	if _, err := s.commit(&budget.LogEntry{NewTerm: true, Epoch: epoch, Agreement: &s.plan.Pact, ClusterID: identity()}); err != nil {
 		return err
 	}
 	s.books.mu.Lock()
@@ -373,7 +373,7 @@
 				}
 			}
 		case o := <-s.orders:
-			_, err = s.commit(&budget.Entry{Epoch: epoch, Whole: o.whole})
+			_, err = s.commit(&budget.LogEntry{Epoch: epoch, Totals: o.whole})
 			o.done <- err
 		case first := <-s.asks:
 			err = s.answer(reign, s.together(first))
@@ -416,11 +416,11 @@
 }
 
 func (s *seat) answer(reign *budget.Reign, all []*asked) error {
-	e := &budget.Entry{Epoch: reign.Epoch}
+	e := &budget.LogEntry{Epoch: reign.Epoch}
 	for _, a := range all {
-		s.clocked(a.Node, a.Rate)
-		reign.Feel(&a.Ask, s.clock())
-		e.Asks = append(e.Asks, a.Ask)
+		s.clocked(a.Node, a.ClockRate)
+		reign.Feel(&a.LeaseRequest, s.clock())
+		e.Requests = append(e.Requests, a.LeaseRequest)
 	}
 	answers, err := s.commit(e)
 	if err == nil {
@@ -433,7 +433,7 @@
 			a.answer <- nil
 		} else {
 			if answers[i] != nil {
-				answers[i].At = s.clock()
+				answers[i].LeaderTime = s.clock()
 			}
 			a.answer <- answers[i]
 		}
@@ -625,8 +625,8 @@
 }
 
 func (s *seat) serveAsk(out http.ResponseWriter, r *http.Request) {
-	a := &asked{answer: make(chan *budget.Answer, 1)}
-	if !read(out, r, &a.Ask) {
+	a := &asked{answer: make(chan *budget.LeaseResponse, 1)}
+	if !read(out, r, &a.LeaseRequest) {
 		return
 	}
 	if pact, founded := s.pact(); founded && r.Header.Get(pactHeader) != pact {
@@ -637,7 +637,7 @@
 		http.Error(out, "no name", http.StatusBadRequest)
 		return
 	}
-	var given *budget.Answer
+	var given *budget.LeaseResponse
 	if s.grantsNow() {
 		select {
 		case s.asks <- a:
