--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -72,7 +72,7 @@
 type granter struct {
 	world *world
 	books *budget.Ledger
-	reign *budget.Reign
+	reign *budget.LeaderTerm
 	epoch uint64
 	calls int
 }
@@ -87,9 +87,9 @@
 	var look func()
 	look = func() {
 		if g.reign != nil {
-			if due := g.reign.Due(w.now); due != nil {
+			if due := g.reign.DueExpirations(w.now); due != nil {
 				g.books.Apply(due)
-				g.reign.Note(g.books, due, nil, w.now)
+				g.reign.RecordApplied(g.books, due, nil, w.now)
 			}
 		}
 		w.after(inspect, look)
@@ -100,7 +100,7 @@
 func (g *granter) elect() {
 	g.epoch++
 	g.books.Apply(&budget.LogEntry{NewTerm: true, Epoch: g.epoch, Agreement: &g.world.pact})
-	g.reign = budget.NewReign(g.books, g.epoch, g.world.now)
+	g.reign = budget.NewLeaderTerm(g.books, g.epoch, g.world.now)
 }
 
 func (g *granter) hear(a budget.LeaseRequest, answer func(*budget.LeaseResponse)) {
@@ -113,7 +113,7 @@
 	if err != nil || answers[0] == nil {
 		return
 	}
-	g.reign.Note(g.books, e, answers, g.world.now)
+	g.reign.RecordApplied(g.books, e, answers, g.world.now)
 	answers[0].LeaderTime = g.world.now
 	answer(answers[0])
 }
@@ -121,9 +121,9 @@
 // share is a node's part of what all hold together.
 type share struct {
 	node   *node
-	holder *budget.Holder // nil: it sees all, and needs no lease
-	wants  *budget.Appetite
-	meters map[string]*budget.Meter
+	holder *budget.LeaseHolder // nil: it sees all, and needs no lease
+	wants  *budget.DemandEstimator
+	meters map[string]*budget.UsageMeter
 	asked  int64
 	told   map[string]stake
 }
@@ -134,18 +134,18 @@
 	s := &share{node: n, meters: w.seen, told: map[string]stake{}}
 	if w.s.Leases.Mode == "leased" {
 		s.meters = w.meters()
-		s.holder = budget.NewHolder(n.name, fmt.Sprint(n.name, ".", n.lives), &w.pact, w.now)
-		s.wants = budget.NewAppetite(n.name, &w.pact)
+		s.holder = budget.NewLeaseHolder(n.name, fmt.Sprint(n.name, ".", n.lives), &w.pact, w.now)
+		s.wants = budget.NewDemandEstimator(n.name, &w.pact)
 		s.ask(n.lives)
 	}
 	return s
 }
 
-func (w *world) meters() map[string]*budget.Meter {
-	out := map[string]*budget.Meter{}
+func (w *world) meters() map[string]*budget.UsageMeter {
+	out := map[string]*budget.UsageMeter{}
 	for b := range w.pact.Budgets {
 		for _, name := range w.pact.PartitionNames(b) {
-			out[name] = budget.NewMeter(&w.pact, name)
+			out[name] = budget.NewUsageMeter(&w.pact, name)
 		}
 	}
 	return out
@@ -160,15 +160,15 @@
 	}
 	s.asked = w.now
 	defer s.tell()
-	a := s.holder.Ask(s.wants.Want(func(name string) (float64, bool) { return s.meters[name].Demand(w.now) },
+	a := s.holder.NextRequest(s.wants.Estimate(func(name string) (float64, bool) { return s.meters[name].PeakDemand(w.now) },
 		func(name string) int64 { return s.holder.Units(name, w.now) }), w.now)
 	w.send(n.zone, 0, func() {
 		w.granter.hear(a, func(answer *budget.LeaseResponse) {
 			w.send(0, n.zone, func() {
-				if n.up && n.lives == life && s.holder.Take(answer, w.now) {
-					s.wants.Heard(answer)
+				if n.up && n.lives == life && s.holder.ApplyResponse(answer, w.now) {
+					s.wants.ObserveResponse(answer)
 					s.tell()
-					w.after(max(s.holder.Next()-w.now, w.pact.Lease/15), func() { s.again(life, a.Seq) })
+					w.after(max(s.holder.NextRequestTime()-w.now, w.pact.Lease/15), func() { s.again(life, a.Seq) })
 				}
 			})
 		})
@@ -181,7 +181,7 @@
 	w := s.node.world
 	for _, b := range slices.Sorted(maps.Keys(w.pact.Budgets)) {
 		for _, name := range w.pact.PartitionNames(b) {
-			now := stake{s.holder.Leased(name, w.now), s.holder.Until()}
+			now := stake{s.holder.LeasedUnits(name, w.now), s.holder.LeaseExpiry()}
 			if was := s.told[name]; now == was || now.units == 0 && was.units == 0 {
 				continue
 			}
@@ -208,7 +208,7 @@
 }
 
 // of is the share that a sending to an executor falls to, its meter, key and whole.
-func (s *share) of(b dispatch.Budget, e *dispatch.Server) (name string, m *budget.Meter, key string, whole int64) {
+func (s *share) of(b dispatch.Budget, e *dispatch.Server) (name string, m *budget.UsageMeter, key string, whole int64) {
 	w := s.node.world
 	if name = budgets[b]; b != dispatch.BudgetRetries {
 		name, key = w.pact.PartitionName(name, e.Hash), e.Tag
@@ -232,7 +232,7 @@
 	if m.Used(key, now)+units <= float64(s.have(name, whole)) {
 		return true
 	}
-	m.Miss(key, units, now)
+	m.RecordRejected(key, units, now)
 	s.hurry()
 	return false
 }
@@ -280,7 +280,7 @@
 			return false
 		}
 		before := undo
-		undo = func() { before(); m.Void(u) }
+		undo = func() { before(); m.Cancel(u) }
 	}
 	return true
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -31,7 +31,7 @@
 	out       func(invariants.Event)
 	granter   *granter
 	pact      budget.Agreement
-	seen      map[string]*budget.Meter // of one that sees all
+	seen      map[string]*budget.UsageMeter // of one that sees all
 
 	marks            map[*origin]int64 // of referenced txns: when one first ran
 	taken            int
--- a/internal/fleet/budget/appetite.go
+++ b/internal/fleet/budget/appetite.go
@@ -15,8 +15,8 @@
 	headroom = 1.25
 )
 
-// Appetite is what a node could use, as its requests tell. A guess of it can waste units and never breaks a whole.
-type Appetite struct {
+// DemandEstimator is what a node could use, as its requests tell. A guess of it can waste units and never breaks a whole.
+type DemandEstimator struct {
 	pact   *Agreement
 	shares map[string]*hunger
 	ranks  map[string][]string // of a budget in parts: its shares, those first that this node asks for first
@@ -29,9 +29,9 @@
 	want  float64
 }
 
-// NewAppetite of a node, by its name: who asks for which parts first is drawn from names, so that nodes differ in it.
-func NewAppetite(node string, pact *Agreement) *Appetite {
-	a := &Appetite{pact: pact, shares: map[string]*hunger{}, ranks: map[string][]string{}, reach: map[string]int{}, peers: 1}
+// NewDemandEstimator of a node, by its name: who asks for which parts first is drawn from names, so that nodes differ in it.
+func NewDemandEstimator(node string, pact *Agreement) *DemandEstimator {
+	a := &DemandEstimator{pact: pact, shares: map[string]*hunger{}, ranks: map[string][]string{}, reach: map[string]int{}, peers: 1}
 	for budget, t := range pact.Budgets {
 		names := pact.PartitionNames(budget)
 		for _, name := range names {
@@ -53,15 +53,17 @@
 	return x ^ x>>33
 }
 
-// Heard notes how many ask.
-func (a *Appetite) Heard(answer *LeaseResponse) { a.peers = max(answer.ActiveHolders, 1) }
+// ObserveResponse notes how many ask.
+func (a *DemandEstimator) ObserveResponse(answer *LeaseResponse) {
+	a.peers = max(answer.ActiveHolders, 1)
+}
 
-// Want is what the node asks for beyond its floors. Demand gives what was used of a share since the last call, at most, and
+// Estimate is what the node asks for beyond its floors. Demand gives what was used of a share since the last call, at most, and
 // whether some was refused; units what it has.
 //
 // Danger: an even part of many is less than one sending takes, and the whole lies idle though all of it is granted. So a
 // budget in parts is asked for by steps, of as many parts as there are steps for each who asks.
-func (a *Appetite) Want(demand func(name string) (peak float64, refused bool), units func(name string) int64) map[string]int64 {
+func (a *DemandEstimator) Estimate(demand func(name string) (peak float64, refused bool), units func(name string) int64) map[string]int64 {
 	want := map[string]int64{}
 	for budget, ranks := range a.ranks {
 		t := a.pact.Budgets[budget]
@@ -92,5 +94,5 @@
 	return want
 }
 
-// Wanted is what it last wanted of a share, with its floor.
-func (a *Appetite) Wanted(name string) float64 { return a.shares[name].want }
+// LastEstimate is what it last wanted of a share, with its floor.
+func (a *DemandEstimator) LastEstimate(name string) float64 { return a.shares[name].want }
--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -15,27 +15,27 @@
 func settle(pact *Agreement, wants []int64) (units []int64) {
 	b, now := NewLedger(), int64(0)
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
-	r := NewReign(b, 1, now)
-	var holders []*Holder
+	r := NewLeaderTerm(b, 1, now)
+	var holders []*LeaseHolder
 	for i := range wants {
-		holders = append(holders, NewHolder(fmt.Sprint("n", i), fmt.Sprint("p", i), pact, now))
+		holders = append(holders, NewLeaseHolder(fmt.Sprint("n", i), fmt.Sprint("p", i), pact, now))
 	}
 	for range 40 {
 		now += pact.Lease / 4
-		if due := r.Due(now); due != nil {
+		if due := r.DueExpirations(now); due != nil {
 			b.Apply(due)
-			r.Note(b, due, nil, now)
+			r.RecordApplied(b, due, nil, now)
 		}
 		for i, h := range holders {
-			e := &LogEntry{Epoch: 1, Requests: []LeaseRequest{h.Ask(map[string]int64{"b": wants[i]}, now)}}
+			e := &LogEntry{Epoch: 1, Requests: []LeaseRequest{h.NextRequest(map[string]int64{"b": wants[i]}, now)}}
 			answers, _ := b.Apply(e)
-			r.Note(b, e, answers, now)
+			r.RecordApplied(b, e, answers, now)
 			answers[0].LeaderTime = now
-			h.Take(answers[0], now)
+			h.ApplyResponse(answers[0], now)
 		}
 	}
 	for _, h := range holders {
-		units = append(units, h.Leased("b", now))
+		units = append(units, h.LeasedUnits("b", now))
 	}
 	return units
 }
@@ -63,11 +63,11 @@
 	b := NewLedger()
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
 	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": founding}})
-	h := NewHolder("n", "p", pact, 0)
+	h := NewLeaseHolder("n", "p", pact, 0)
 	for i, want := range []int64{50, 45, 41, 49, 50} {
-		answers, _ := b.Apply(&LogEntry{Epoch: 1, Requests: []LeaseRequest{h.Ask(map[string]int64{"b": want}, int64(i))}})
-		h.Take(answers[0], int64(i))
-		if got := h.Leased("b", int64(i)); got != 50 {
+		answers, _ := b.Apply(&LogEntry{Epoch: 1, Requests: []LeaseRequest{h.NextRequest(map[string]int64{"b": want}, int64(i))}})
+		h.ApplyResponse(answers[0], int64(i))
+		if got := h.LeasedUnits("b", int64(i)); got != 50 {
 			t.Errorf("%d units after a want of %d", got, want)
 		}
 	}
@@ -79,20 +79,20 @@
 	b, now := NewLedger(), int64(0)
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
 	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": founding}})
-	r := NewReign(b, 1, now)
-	one, two := NewHolder("n", "p", pact, 0), NewHolder("m", "q", pact, 0)
-	round := func(h *Holder, want int64) int64 {
+	r := NewLeaderTerm(b, 1, now)
+	one, two := NewLeaseHolder("n", "p", pact, 0), NewLeaseHolder("m", "q", pact, 0)
+	round := func(h *LeaseHolder, want int64) int64 {
 		now += 50
-		if due := r.Due(now); due != nil {
+		if due := r.DueExpirations(now); due != nil {
 			b.Apply(due)
-			r.Note(b, due, nil, now)
+			r.RecordApplied(b, due, nil, now)
 		}
-		e := &LogEntry{Epoch: 1, Requests: []LeaseRequest{h.Ask(map[string]int64{"b": want}, now)}}
+		e := &LogEntry{Epoch: 1, Requests: []LeaseRequest{h.NextRequest(map[string]int64{"b": want}, now)}}
 		answers, _ := b.Apply(e)
-		r.Note(b, e, answers, now)
+		r.RecordApplied(b, e, answers, now)
 		answers[0].LeaderTime = now
-		h.Take(answers[0], now)
-		return h.Leased("b", now)
+		h.ApplyResponse(answers[0], now)
+		return h.LeasedUnits("b", now)
 	}
 	if got := round(one, 80); got != 80 {
 		t.Fatal(got)
@@ -144,14 +144,14 @@
 // its own group.
 func TestAnotherGroup(t *testing.T) {
 	pact := &Agreement{MaxNodes: 1, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 9, Step: 1, Window: 1}}}
-	h := NewHolder("n", "p", pact, 0)
+	h := NewLeaseHolder("n", "p", pact, 0)
 	for i, c := range []struct {
 		group string
 		epoch uint64
 		taken bool
 	}{{"x", 7, true}, {"x", 6, false}, {"y", 2, true}, {"y", 1, false}, {"y", 2, true}} {
-		a := h.Ask(nil, int64(i))
-		if got := h.Take(&LeaseResponse{ClusterID: c.group, Epoch: c.epoch, Seq: a.Seq, Lease: 1000, LeaderTime: int64(i)}, int64(i)); got != c.taken {
+		a := h.NextRequest(nil, int64(i))
+		if got := h.ApplyResponse(&LeaseResponse{ClusterID: c.group, Epoch: c.epoch, Seq: a.Seq, Lease: 1000, LeaderTime: int64(i)}, int64(i)); got != c.taken {
 			t.Errorf("epoch %d of %s: taken %v", c.epoch, c.group, got)
 		}
 	}
@@ -160,7 +160,7 @@
 // TestMeter: what counts is the moment of sending, by a sliding window; what was reserved and never left gives its room back.
 func TestMeter(t *testing.T) {
 	pact := &Agreement{Budgets: map[string]Limits{"b": {Window: 99}}}
-	m := NewMeter(pact, "b")
+	m := NewUsageMeter(pact, "b")
 	first, second := m.Reserve("k", 1, 2, 0), m.Reserve("k", 1, 2, 0)
 	if m.Reserve("k", 1, 2, 0) != nil || m.Reserve("other", 1, 2, 0) == nil {
 		t.Error("a third of two, or none for another key")
@@ -168,8 +168,8 @@
 	if !m.Send(first, 2, 50) || m.Send(second, 1, 50) {
 		t.Error("a lease that came down since still covers both")
 	}
-	m.Void(second)
-	m.Void(first) // was sent: counts on
+	m.Cancel(second)
+	m.Cancel(first) // was sent: counts on
 	if got := m.Used("k", 149); got != 1 {
 		t.Errorf("%v used within the window", got)
 	}
@@ -189,17 +189,17 @@
 		off        bool
 	}{{1, 0, false}, {1, 400, false}, {0.92, 400, false}, {1.08, 400, false}, {0.5, 0, true}, {0.5, 300, true}, {2, 300, true}} {
 		pact := &Agreement{Lease: 1000, ClockMargin: 0.1, Budgets: map[string]Limits{"b": {Total: 1, Window: 1}}}
-		h := NewHolder("n", "p", pact, 0)
+		h := NewLeaseHolder("n", "p", pact, 0)
 		clock := func(now float64) int64 { return int64(now * c.rate) }
 		for now, i := 0.0, uint64(1); i < 20; i++ {
 			way := c.wait * float64(i%3) / 3
-			h.Ask(nil, clock(now))
+			h.NextRequest(nil, clock(now))
 			at := now + way*float64(i%2)
-			h.Take(&LeaseResponse{Epoch: 1, Seq: i, Lease: 1000, LeaderTime: int64(at)}, clock(now+way))
+			h.ApplyResponse(&LeaseResponse{Epoch: 1, Seq: i, Lease: 1000, LeaderTime: int64(at)}, clock(now+way))
 			now += way + 500
 		}
-		if (h.Rate() != 0) != c.off {
-			t.Errorf("rate %v, calls of %v: taken for %v", c.rate, c.wait, h.Rate())
+		if (h.ClockRate() != 0) != c.off {
+			t.Errorf("rate %v, calls of %v: taken for %v", c.rate, c.wait, h.ClockRate())
 		}
 	}
 }
@@ -250,37 +250,37 @@
 				"connect": {Total: 4 * int64(count), Floor: 1, Step: 1, Window: 1e9}, "cold": {Total: 10000, Step: 1000, Window: 2e9, Partitions: 16}}}
 			books, chance, now := NewLedger(), rand.New(rand.NewPCG(1, 1)), int64(0)
 			books.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
-			r := NewReign(books, 1, now)
-			var holders []*Holder
-			var wants []*Appetite
+			r := NewLeaderTerm(books, 1, now)
+			var holders []*LeaseHolder
+			var wants []*DemandEstimator
 			for i := range count {
-				holders = append(holders, NewHolder(fmt.Sprint("n", i), fmt.Sprint("p", i), pact, now))
-				wants = append(wants, NewAppetite(fmt.Sprint("n", i), pact))
+				holders = append(holders, NewLeaseHolder(fmt.Sprint("n", i), fmt.Sprint("p", i), pact, now))
+				wants = append(wants, NewDemandEstimator(fmt.Sprint("n", i), pact))
 			}
 			asks := 0
 			for b.Loop() {
 				now += pact.Lease / 3
-				if due := r.Due(now); due != nil {
+				if due := r.DueExpirations(now); due != nil {
 					books.Apply(due)
-					r.Note(books, due, nil, now)
+					r.RecordApplied(books, due, nil, now)
 				}
 				e := &LogEntry{Epoch: 1}
 				b.StopTimer()
 				for i, h := range holders {
-					want := wants[i].Want(func(string) (float64, bool) { return 8 * chance.Float64(), chance.IntN(3) == 0 }, func(name string) int64 { return h.Units(name, now) })
-					e.Requests = append(e.Requests, h.Ask(want, now))
+					want := wants[i].Estimate(func(string) (float64, bool) { return 8 * chance.Float64(), chance.IntN(3) == 0 }, func(name string) int64 { return h.Units(name, now) })
+					e.Requests = append(e.Requests, h.NextRequest(want, now))
 				}
 				b.StartTimer()
 				answers, err := books.Apply(e)
 				if err != nil {
 					b.Fatal(err)
 				}
-				r.Note(books, e, answers, now)
+				r.RecordApplied(books, e, answers, now)
 				b.StopTimer()
 				for i, h := range holders {
 					answers[i].LeaderTime = now
-					h.Take(answers[i], now)
-					wants[i].Heard(answers[i])
+					h.ApplyResponse(answers[i], now)
+					wants[i].ObserveResponse(answers[i])
 				}
 				asks += count
 				b.StartTimer()
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -4,8 +4,8 @@
 
 import "maps"
 
-// Holder is what one process may use. Its clock has to go on while the machine sleeps.
-type Holder struct {
+// LeaseHolder is what one process may use. Its clock has to go on while the machine sleeps.
+type LeaseHolder struct {
 	Node, Name string
 	pact       *Agreement
 	born       int64 // or since when the floors are this process's
@@ -25,48 +25,48 @@
 // meeting is one exchange: by this clock it was begun and over, by the seat's it was at a moment between.
 type meeting struct{ sent, over, theirs int64 }
 
-// NewHolder begins with nothing. name is the process's own, never used before.
-func NewHolder(node, name string, pact *Agreement, now int64) *Holder {
-	return &Holder{Node: node, Name: name, pact: pact, born: now, units: map[string]int64{}}
+// NewLeaseHolder begins with nothing. name is the process's own, never used before.
+func NewLeaseHolder(node, name string, pact *Agreement, now int64) *LeaseHolder {
+	return &LeaseHolder{Node: node, Name: name, pact: pact, born: now, units: map[string]int64{}}
 }
 
 // Units may be used now.
 // Danger: a process before this one may have used its node's floor a moment ago. So it counts from a window on.
-func (h *Holder) Units(budget string, now int64) int64 {
+func (h *LeaseHolder) Units(budget string, now int64) int64 {
 	t, units := h.pact.terms(budget), int64(0)
 	if !h.bare && !h.refused && now-h.born >= h.pact.stretched(t.Window) {
 		units = t.Floor
 	}
-	return units + h.Leased(budget, now)
+	return units + h.LeasedUnits(budget, now)
 }
 
-// Own says whether the node's floors are this process's, which they are from its start; taken over they count from a window on.
+// SetFloorOwner says whether the node's floors are this process's, which they are from its start; taken over they count from a window on.
 // Danger: two processes of one node during an upgrade, each with all of its floors.
-func (h *Holder) Own(yes bool, now int64) {
+func (h *LeaseHolder) SetFloorOwner(yes bool, now int64) {
 	if yes && h.bare {
 		h.born = now
 	}
 	h.bare = !yes
 }
 
-// Refuse says whether seats refuse this process's pact. Taken up again its floors count from a window on.
-func (h *Holder) Refuse(yes bool, now int64) {
+// SetRejected says whether seats refuse this process's pact. Taken up again its floors count from a window on.
+func (h *LeaseHolder) SetRejected(yes bool, now int64) {
 	if h.refused && !yes {
 		h.born = now
 	}
 	h.refused = yes
 }
 
-// Leased is the part of them beyond the floor.
-func (h *Holder) Leased(budget string, now int64) int64 {
+// LeasedUnits is the part of them beyond the floor.
+func (h *LeaseHolder) LeasedUnits(budget string, now int64) int64 {
 	if now >= h.until {
 		return 0
 	}
 	return h.units[budget]
 }
 
-// Ask makes the next request; want is what the node could use of each budget, beyond its floor.
-func (h *Holder) Ask(want map[string]int64, now int64) LeaseRequest {
+// NextRequest makes the next request; want is what the node could use of each budget, beyond its floor.
+func (h *LeaseHolder) NextRequest(want map[string]int64, now int64) LeaseRequest {
 	if now >= h.until {
 		clear(h.units)
 	}
@@ -79,9 +79,9 @@
 	return LeaseRequest{Node: h.Node, Holder: h.Name, Seq: h.seq, MaxUnits: maps.Clone(h.units), Demand: want, HasLease: now < h.until, Epoch: h.epoch, ClockRate: h.rate}
 }
 
-// Take accepts the answer to the latest request, and no other.
+// ApplyResponse accepts the answer to the latest request, and no other.
 // Danger: an answer that comes late or twice tells of units that a later request gave back.
-func (h *Holder) Take(a *LeaseResponse, now int64) bool {
+func (h *LeaseHolder) ApplyResponse(a *LeaseResponse, now int64) bool {
 	// Danger: a group founded anew counts its epochs from the first on; a node that outlived the old one would take no
 	// answer of it for good.
 	if !h.open || a.Seq != h.seq || a.Epoch < h.epoch && a.ClusterID == h.group {
@@ -114,7 +114,7 @@
 }
 
 // measure says how fast this clock runs by the seat's, and whether that is beyond the margin however long calls took.
-func (h *Holder) measure(m meeting) (rate float64, off bool) {
+func (h *LeaseHolder) measure(m meeting) (rate float64, off bool) {
 	theirs, least, most := float64(m.theirs-h.base.theirs), float64(m.sent-h.base.over), float64(m.over-h.base.sent)
 	if theirs <= 0 || least <= 0 {
 		return 1, false
@@ -122,14 +122,14 @@
 	return (least + most) / 2 / theirs, theirs > most*(1+h.pact.ClockMargin) || theirs < least/(1+h.pact.ClockMargin)
 }
 
-// Rate is that of this process's clock, where it is beyond the margin; 0: it is not known to be.
-func (h *Holder) Rate() float64 { return h.rate }
+// ClockRate is that of this process's clock, where it is beyond the margin; 0: it is not known to be.
+func (h *LeaseHolder) ClockRate() float64 { return h.rate }
 
 // Epoch is the latest heard of.
-func (h *Holder) Epoch() uint64 { return h.epoch }
+func (h *LeaseHolder) Epoch() uint64 { return h.epoch }
 
-// Next is when to ask again: thrice in a lease, so that two requests may be lost; at once where units are to be given back.
-func (h *Holder) Next() int64 {
+// NextRequestTime is when to ask again: thrice in a lease, so that two requests may be lost; at once where units are to be given back.
+func (h *LeaseHolder) NextRequestTime() int64 {
 	if h.again {
 		return h.sent
 	}
@@ -137,7 +137,7 @@
 }
 
 // Seq is the number of the latest request.
-func (h *Holder) Seq() uint64 { return h.seq }
+func (h *LeaseHolder) Seq() uint64 { return h.seq }
 
-// Until is when the lease ends by this process's clock.
-func (h *Holder) Until() int64 { return h.until }
+// LeaseExpiry is when the lease ends by this process's clock.
+func (h *LeaseHolder) LeaseExpiry() int64 { return h.until }
--- a/internal/fleet/budget/model_test.go
+++ b/internal/fleet/budget/model_test.go
@@ -19,9 +19,9 @@
 	wrong   string
 	now     int64
 	books   *Ledger
-	reign   *Reign
+	reign   *LeaderTerm
 	stale   []*LogEntry // decided by seats that were stopped before they wrote it down
-	holders []*Holder
+	holders []*LeaseHolder
 	slow    []int64 // of ten, the rate of each holder's clock
 	asks    []LeaseRequest
 	answers []reply
@@ -64,8 +64,8 @@
 }
 
 // reigns has a seat begin to grant.
-func (w *world) reigns(epoch uint64) *Reign {
-	r := NewReign(w.books, epoch, w.now)
+func (w *world) reigns(epoch uint64) *LeaderTerm {
+	r := NewLeaderTerm(w.books, epoch, w.now)
 	if w.wrong == "no margin" {
 		pact := *r.pact
 		pact.ClockMargin, r.pact = 0, &pact
@@ -81,13 +81,13 @@
 // clock is what a holder's own clock says.
 func (w *world) clock(i int) int64 { return w.now * w.slow[i] / 10 }
 
-func (w *world) process(i int) *Holder {
+func (w *world) process(i int) *LeaseHolder {
 	w.names++
-	return NewHolder(fmt.Sprint("n", i), fmt.Sprint("p", w.names), &w.books.Agreement, w.clock(i))
+	return NewLeaseHolder(fmt.Sprint("n", i), fmt.Sprint("p", w.names), &w.books.Agreement, w.clock(i))
 }
 
 // commit writes a step down.
-func (w *world) commit(e *LogEntry, r *Reign) {
+func (w *world) commit(e *LogEntry, r *LeaderTerm) {
 	if w.wrong == "an epoch that is not checked" && !e.NewTerm {
 		e.Epoch = w.books.Epoch
 	}
@@ -108,7 +108,7 @@
 		return
 	}
 	if r == w.reign {
-		r.Note(w.books, e, answers, w.now)
+		r.RecordApplied(w.books, e, answers, w.now)
 	}
 	for i, a := range answers {
 		if a != nil {
@@ -149,7 +149,7 @@
 func (w *world) moves() []string {
 	moves := []string{"tick"}
 	for i, h := range w.holders {
-		if w.clock(i) >= h.Next() || !h.open {
+		if w.clock(i) >= h.NextRequestTime() || !h.open {
 			moves = append(moves, fmt.Sprint("ask ", i, " 0"), fmt.Sprint("ask ", i, " ", whole))
 		}
 		if w.names < 5 {
@@ -162,7 +162,7 @@
 	for i := range w.answers {
 		moves = append(moves, fmt.Sprint("take ", i), fmt.Sprint("repeat ", i))
 	}
-	if due := w.reign.Due(w.now); due != nil {
+	if due := w.reign.DueExpirations(w.now); due != nil {
 		moves = append(moves, "due")
 	}
 	if w.books.Epoch < 4 {
@@ -184,7 +184,7 @@
 		w.now += tick
 	case "ask":
 		h := w.holders[i]
-		w.asks = append(w.asks, h.Ask(map[string]int64{"b": int64(want)}, w.clock(i)))
+		w.asks = append(w.asks, h.NextRequest(map[string]int64{"b": int64(want)}, w.clock(i)))
 		w.asks = w.asks[max(len(w.asks)-3, 0):]
 	case "restart":
 		w.holders[i] = w.process(i)
@@ -208,15 +208,15 @@
 				if w.wrong == "any answer is taken" {
 					h.open, h.seq = true, a.Seq
 				}
-				h.Take(&a.LeaseResponse, w.clock(j))
+				h.ApplyResponse(&a.LeaseResponse, w.clock(j))
 			}
 		}
 	case "due":
-		e := w.reign.Due(w.now)
+		e := w.reign.DueExpirations(w.now)
 		w.commit(e, w.reign)
 	case "elect":
 		// The one before is stopped with what it had decided but not written down.
-		if e := w.reign.Due(w.now); e != nil {
+		if e := w.reign.DueExpirations(w.now); e != nil {
 			w.stale = append(w.stale, e)
 		}
 		for _, a := range w.asks {
--- a/internal/fleet/budget/reign.go
+++ b/internal/fleet/budget/reign.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Reign is the clock of the seat that grants. It is not part of the books: no two clocks are compared.
-type Reign struct {
+// LeaderTerm is the clock of the seat that grants. It is not part of the books: no two clocks are compared.
+type LeaderTerm struct {
 	Epoch uint64
 	pact  *Agreement
 	ends  map[string]end             // by holder
@@ -22,21 +22,21 @@
 	at  int64
 }
 
-// NewReign begins a reign over the books as they are.
+// NewLeaderTerm begins a reign over the books as they are.
 // Danger: the one before may have granted a moment ago, and its clock is not ours. All that is out counts as granted now,
 // and all that rests as given back now.
-func NewReign(b *Ledger, epoch uint64, now int64) *Reign {
-	r := &Reign{Epoch: epoch, pact: &b.Agreement, ends: map[string]end{}, rests: map[string]map[int64]int64{}, began: now, felt: map[string]int64{}}
+func NewLeaderTerm(b *Ledger, epoch uint64, now int64) *LeaderTerm {
+	r := &LeaderTerm{Epoch: epoch, pact: &b.Agreement, ends: map[string]end{}, rests: map[string]map[int64]int64{}, began: now, felt: map[string]int64{}}
 	for name, h := range b.Holders {
 		r.ends[name] = end{h.Seq, now + r.pact.stretched(r.pact.Lease)}
 	}
-	r.Note(b, nil, nil, now)
+	r.RecordApplied(b, nil, nil, now)
 	return r
 }
 
-// Note takes down a step that was agreed on, once that is known: what it granted runs from now at the latest.
+// RecordApplied takes down a step that was agreed on, once that is known: what it granted runs from now at the latest.
 // answers are those that Apply gave.
-func (r *Reign) Note(b *Ledger, e *LogEntry, answers []*LeaseResponse, now int64) {
+func (r *LeaderTerm) RecordApplied(b *Ledger, e *LogEntry, answers []*LeaseResponse, now int64) {
 	for i, a := range answers {
 		if a != nil {
 			r.ends[e.Requests[i].Holder] = end{a.Seq, now + r.pact.stretched(r.pact.Lease)}
@@ -61,8 +61,8 @@
 	}
 }
 
-// Due is what has run out by now, as a step for the books; nil: nothing has.
-func (r *Reign) Due(now int64) *LogEntry {
+// DueExpirations is what has run out by now, as a step for the books; nil: nothing has.
+func (r *LeaderTerm) DueExpirations(now int64) *LogEntry {
 	e := &LogEntry{Epoch: r.Epoch, ReleasedAfterCooldown: map[string]int64{}}
 	for _, name := range slices.Sorted(maps.Keys(r.ends)) {
 		if x := r.ends[name]; now >= x.at {
@@ -88,17 +88,17 @@
 	return e
 }
 
-// Feel notes what a request shows of the way to its node and back.
-func (r *Reign) Feel(a *LeaseRequest, now int64) {
+// ObserveRequest notes what a request shows of the way to its node and back.
+func (r *LeaderTerm) ObserveRequest(a *LeaseRequest, now int64) {
 	if a.Epoch == r.Epoch && a.HasLease {
 		r.felt[a.Node] = now
 	}
 }
 
-// Deaf says that most of these nodes show no answer of this reign, though it has had two leases to reach them.
+// Unreachable says that most of these nodes show no answer of this reign, though it has had two leases to reach them.
 // Danger: a link that lets one way through alone. The others' votes arrive and their requests do not, or its answers do
 // not: it stays elected, and nobody has a lease.
-func (r *Reign) Deaf(nodes []string, now int64) bool {
+func (r *LeaderTerm) Unreachable(nodes []string, now int64) bool {
 	reached := 0
 	for _, n := range nodes {
 		if at, is := r.felt[n]; is && now-at < r.pact.Lease {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -51,16 +51,16 @@
 	mu      sync.Mutex
 	seat    *seat    // nil: this process has none, or has none yet
 	members *members // nil: it takes no part, or not yet
-	holder  *budget.Holder
-	wants   *budget.Appetite
-	firsts  *budget.Meter // first postings, in a window of second ones
+	holder  *budget.LeaseHolder
+	wants   *budget.DemandEstimator
+	firsts  *budget.UsageMeter // first postings, in a window of second ones
 	shares  map[string]*share
 }
 
 // share is what this node has of one budget, and what it did with it.
 type share struct {
 	terms   budget.Limits
-	meter   *budget.Meter
+	meter   *budget.UsageMeter
 	whole   int64 // as last heard
 	sent    int64 // counted at the sending
 	lapsed  int64 // held back there: the lease had run out, or had come down
@@ -76,11 +76,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	f := &Fleet{plan: plan, name: name, clock: clock, log: log.With().Str("part", "fleet").Logger(), kick: make(chan struct{}, 1), news: make(chan struct{}, 1),
 		stop: stop, shares: map[string]*share{}}
-	f.holder = budget.NewHolder(name, identity(), &plan.Pact, clock())
-	f.wants, f.firsts = budget.NewAppetite(name, &plan.Pact), budget.NewMeter(&plan.Pact, config.BudgetRetries)
+	f.holder = budget.NewLeaseHolder(name, identity(), &plan.Pact, clock())
+	f.wants, f.firsts = budget.NewDemandEstimator(name, &plan.Pact), budget.NewUsageMeter(&plan.Pact, config.BudgetRetries)
 	for b, t := range plan.Pact.Budgets {
 		for _, part := range plan.Pact.PartitionNames(b) {
-			f.shares[part] = &share{terms: t, meter: budget.NewMeter(&plan.Pact, part), whole: t.Total}
+			f.shares[part] = &share{terms: t, meter: budget.NewUsageMeter(&plan.Pact, part), whole: t.Total}
 		}
 	}
 	f.calls = newCalls(plan)
@@ -217,7 +217,7 @@
 func (f *Fleet) Own(yes bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.holder.Own(yes, f.clock())
+	f.holder.SetFloorOwner(yes, f.clock())
 }
 
 // Rise leaves the seat and the gossip to another process of this node; leases go on.
@@ -281,7 +281,7 @@
 		// Danger: floors by a file of its own, beyond what was carved out for each; a seat that is not reached proves nothing.
 		if refused := errors.Is(err, errPact); refused || err == nil {
 			f.mu.Lock()
-			f.holder.Refuse(refused, f.clock())
+			f.holder.SetRejected(refused, f.clock())
 			f.mu.Unlock()
 		}
 		if ok := err == nil; ok != heard {
@@ -289,7 +289,7 @@
 			f.log.Warn().AnErr("last", err).Bool("heard", ok).Msg("leases")
 		}
 		f.mu.Lock()
-		next := time.Duration(f.holder.Next() - f.clock())
+		next := time.Duration(f.holder.NextRequestTime() - f.clock())
 		f.mu.Unlock()
 		if err != nil {
 			next = min(next, time.Duration(f.plan.Pact.Lease/10)) // another seat
@@ -303,9 +303,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	want := f.wants.Want(func(name string) (float64, bool) { return f.shares[name].meter.Demand(now) },
+	want := f.wants.Estimate(func(name string) (float64, bool) { return f.shares[name].meter.PeakDemand(now) },
 		func(name string) int64 { return f.holder.Units(name, now) })
-	a := f.holder.Ask(want, now)
+	a := f.holder.NextRequest(want, now)
 	a.FirstAttempts = int64(f.firsts.Used("", now))
 	return a
 }
@@ -313,10 +313,10 @@
 func (f *Fleet) take(a *budget.LeaseResponse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	was := f.holder.Rate()
-	f.wants.Heard(a)
-	f.holder.Take(a, f.clock())
-	if rate := f.holder.Rate(); rate != 0 && was == 0 {
+	was := f.holder.ClockRate()
+	f.wants.ObserveResponse(a)
+	f.holder.ApplyResponse(a, f.clock())
+	if rate := f.holder.ClockRate(); rate != 0 && was == 0 {
 		f.log.Error().Float64("rate", rate).Float64("margin", f.plan.Pact.ClockMargin).Msg("this machine's clock, or the granter's, is beyond the margin: no lease is used")
 	}
 	for name, whole := range a.Totals {
@@ -339,7 +339,7 @@
 	if s.meter.Used(key, now)+units <= float64(f.holder.Units(name, now)) {
 		return true
 	}
-	s.meter.Miss(key, units, now)
+	s.meter.RecordRejected(key, units, now)
 	f.hurry()
 	return false
 }
@@ -405,7 +405,7 @@
 type charged struct {
 	share *share
 	name  string
-	use   *budget.Use
+	use   *budget.Usage
 }
 
 // Add reserves units of one more budget; false: there are none left, and nothing may be sent.
@@ -450,7 +450,7 @@
 		u.share.sent++
 	}
 	if c.first {
-		f.firsts.Note("", 1, now)
+		f.firsts.Record("", 1, now)
 	}
 	return true
 }
@@ -466,7 +466,7 @@
 	defer f.mu.Unlock()
 	now := f.clock()
 	for _, u := range c.uses {
-		if u.share.meter.Used(u.use.Key(), now) > float64(f.holder.Units(u.name, now)) && now >= f.holder.Until() {
+		if u.share.meter.Used(u.use.Key(), now) > float64(f.holder.Units(u.name, now)) && now >= f.holder.LeaseExpiry() {
 			u.share.slipped++
 		}
 	}
@@ -481,8 +481,8 @@
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	for _, u := range c.uses {
-		if u.share.meter.Void(u.use); over && u.name == c.fleet.share(config.BudgetTenantAttempts, u.use.Key()) {
-			u.share.meter.Over(u.use)
+		if u.share.meter.Cancel(u.use); over && u.name == c.fleet.share(config.BudgetTenantAttempts, u.use.Key()) {
+			u.share.meter.Release(u.use)
 		}
 	}
 	c.uses = nil
@@ -493,7 +493,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.shares[f.share(name, key)]; s != nil {
-		s.meter.Note(key, units, f.clock())
+		s.meter.Record(key, units, f.clock())
 		s.slipped++
 	}
 }
@@ -534,10 +534,10 @@
 	out := &Figures{Budgets: map[string]Standing{}}
 	f.mu.Lock()
 	now := f.clock()
-	out.Epoch, out.LeaseMs = f.holder.Epoch(), max(f.holder.Until()-now, 0)/1e6
-	out.Clock = f.holder.Rate()
+	out.Epoch, out.LeaseMs = f.holder.Epoch(), max(f.holder.LeaseExpiry()-now, 0)/1e6
+	out.Clock = f.holder.ClockRate()
 	for name, s := range f.shares {
-		out.Budgets[name] = Standing{s.whole, s.terms.Floor, f.holder.Units(name, now), s.meter.Most(now), f.wants.Wanted(name), s.sent, s.lapsed, s.slipped}
+		out.Budgets[name] = Standing{s.whole, s.terms.Floor, f.holder.Units(name, now), s.meter.Peak(now), f.wants.LastEstimate(name), s.sent, s.lapsed, s.slipped}
 	}
 	seat, members := f.seat, f.members
 	f.mu.Unlock()
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -341,7 +341,7 @@
 		return err
 	}
 	s.books.mu.Lock()
-	reign := budget.NewReign(s.books.books, epoch, s.clock())
+	reign := budget.NewLeaderTerm(s.books.books, epoch, s.clock())
 	s.books.mu.Unlock()
 	s.mu.Lock()
 	s.reigns = true
@@ -359,16 +359,16 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			if reign.Deaf(names, s.clock()) {
+			if reign.Unreachable(names, s.clock()) {
 				return errors.New("most nodes with seats get no answers of this one")
 			}
 			s.books.mu.Lock()
-			due := reign.Due(s.clock())
+			due := reign.DueExpirations(s.clock())
 			s.books.mu.Unlock()
 			if due != nil {
 				if _, err = s.commit(due); err == nil {
 					s.books.mu.Lock()
-					reign.Note(s.books.books, due, nil, s.clock())
+					reign.RecordApplied(s.books.books, due, nil, s.clock())
 					s.books.mu.Unlock()
 				}
 			}
@@ -415,17 +415,17 @@
 	return all
 }
 
-func (s *seat) answer(reign *budget.Reign, all []*asked) error {
+func (s *seat) answer(reign *budget.LeaderTerm, all []*asked) error {
 	e := &budget.LogEntry{Epoch: reign.Epoch}
 	for _, a := range all {
 		s.clocked(a.Node, a.ClockRate)
-		reign.Feel(&a.LeaseRequest, s.clock())
+		reign.ObserveRequest(&a.LeaseRequest, s.clock())
 		e.Requests = append(e.Requests, a.LeaseRequest)
 	}
 	answers, err := s.commit(e)
 	if err == nil {
 		s.books.mu.Lock()
-		reign.Note(s.books.books, e, answers, s.clock())
+		reign.RecordApplied(s.books.books, e, answers, s.clock())
 		s.books.mu.Unlock()
 	}
 	for i, a := range all {
