--- a/internal/fleet/board.go
+++ b/internal/fleet/board.go
@@ -20,7 +20,7 @@
 	kick  chan struct{} // something failed
 
 	mu     sync.Mutex
-	seen   *signals.Board
+	seen   *signals.OutlierTracker
 	listed func(executor string) bool
 	bad    map[string]float64 // as it was last handed over
 }
@@ -41,13 +41,13 @@
 	}
 	return func(text []byte) {
 		b := f.board
-		var n signals.News
+		var n signals.Report
 		err := json.Unmarshal(text, &n)
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if err != nil {
-			b.seen.Dropped++
-		} else if b.seen.Hear(&n, b.listed, b.clock()) {
+			b.seen.RejectedReports++
+		} else if b.seen.MergeReport(&n, b.listed, b.clock()) {
 			// Danger: news that goes no further than its node reaches by itself.
 			f.pass(n.Node, append([]byte(nil), text...))
 		}
@@ -68,7 +68,7 @@
 func (f *Fleet) Saw(executor string, failed bool) {
 	f.board.mu.Lock()
 	defer f.board.mu.Unlock()
-	if f.board.seen.Saw(executor, failed, f.board.clock()); failed {
+	if f.board.seen.RecordOutcome(executor, failed, f.board.clock()); failed {
 		select {
 		case f.board.kick <- struct{}{}:
 		default:
@@ -94,9 +94,9 @@
 		}
 		b.mu.Lock()
 		now := b.clock()
-		b.seen.Keep(listed)
+		b.seen.RetainServers(listed)
 		text := b.news(now)
-		bad := b.seen.Verdicts(now)
+		bad := b.seen.OutlierScores(now)
 		changed := !maps.EqualFunc(bad, b.bad, func(x, y float64) bool { return math.Abs(x-y) < apart })
 		if changed {
 			b.bad = bad
@@ -117,7 +117,7 @@
 // news of this node, as much as fits; nil: there is none. Under mu.
 func (b *board) news(now int64) []byte {
 	for most := 64; most > 0; most /= 2 {
-		n := b.seen.Tell(now, most)
+		n := b.seen.NextReport(now, most)
 		if n == nil {
 			return nil
 		}
@@ -137,5 +137,5 @@
 func (b *board) read() *SignalFigures {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return &SignalFigures{maps.Clone(b.bad), b.seen.Dropped}
+	return &SignalFigures{maps.Clone(b.bad), b.seen.RejectedReports}
 }
--- a/internal/fleet/signals/signals.go
+++ b/internal/fleet/signals/signals.go
@@ -29,63 +29,63 @@
 	least = 0.05
 )
 
-// Count is what a node saw of one executor of late: jobs that were answered or failed, and those that failed.
-type Count struct {
-	Tried  float64 `json:"t"`
-	Failed float64 `json:"f"`
-	at     int64
+// OutcomeCount is what a node saw of one executor of late: jobs that were answered or failed, and those that failed.
+type OutcomeCount struct {
+	Attempts float64 `json:"t"`
+	Failures float64 `json:"f"`
+	at       int64
 }
 
-func (c *Count) fade(now int64) *Count {
+func (c *OutcomeCount) fade(now int64) *OutcomeCount {
 	f := math.Exp(-float64(max(now-c.at, 0)) / fade)
-	c.Tried, c.Failed, c.at = c.Tried*f, c.Failed*f, now
+	c.Attempts, c.Failures, c.at = c.Attempts*f, c.Failures*f, now
 	return c
 }
 
-// News is what one node tells: how its counts stand, not what changed. So it may come late, twice and in any order: the
+// Report is what one node tells: how its counts stand, not what changed. So it may come late, twice and in any order: the
 // latest of a node holds.
-type News struct {
-	Node string           `json:"n"`
-	Zone string           `json:"z"`
-	Life int64            `json:"l"` // of its process: a later one has a larger number
-	Seq  uint64           `json:"s"`
-	Seen map[string]Count `json:"e"` // by executor
+type Report struct {
+	Node        string                  `json:"n"`
+	Zone        string                  `json:"z"`
+	Incarnation int64                   `json:"l"` // of its process: a later one has a larger number
+	Seq         uint64                  `json:"s"`
+	Outcomes    map[string]OutcomeCount `json:"e"` // by executor
 }
 
-// Board is what one node knows.
-type Board struct {
-	quorum  float64
-	own     witness
-	others  map[string]*witness
-	told    map[string]bool // of these the others were told something bad
-	Dropped int64           // news, or parts of it, that were not taken
+// OutlierTracker is what one node knows.
+type OutlierTracker struct {
+	quorum          float64
+	own             witness
+	others          map[string]*witness
+	told            map[string]bool // of these the others were told something bad
+	RejectedReports int64           // news, or parts of it, that were not taken
 }
 
 type witness struct {
-	News
-	seen map[string]*Count
+	Report
+	seen map[string]*OutcomeCount
 }
 
 // New begins with nothing seen. Quorum is how many witnesses it takes to shut an executor out, two at least; where there is
 // more than one zone they are of two at least.
-func New(node, zone string, life int64, quorum int) *Board {
-	return &Board{quorum: float64(max(quorum, 2)), own: witness{News{Node: node, Zone: zone, Life: life}, map[string]*Count{}},
+func New(node, zone string, life int64, quorum int) *OutlierTracker {
+	return &OutlierTracker{quorum: float64(max(quorum, 2)), own: witness{Report{Node: node, Zone: zone, Incarnation: life}, map[string]*OutcomeCount{}},
 		others: map[string]*witness{}, told: map[string]bool{}}
 }
 
-// Saw notes how a job of this node's ended.
-func (b *Board) Saw(executor string, failed bool, now int64) {
+// RecordOutcome notes how a job of this node's ended.
+func (b *OutlierTracker) RecordOutcome(executor string, failed bool, now int64) {
 	c := b.own.seen[executor]
 	if c == nil {
 		if len(b.own.seen) >= mostKept {
 			b.own.tidy(now)
 		}
-		c = &Count{at: now}
+		c = &OutcomeCount{at: now}
 		b.own.seen[executor] = c
 	}
 	c.fade(now)
-	if c.Tried, c.Failed = c.Tried*remember+1, c.Failed*remember; failed {
-		c.Failed++
+	if c.Attempts, c.Failures = c.Attempts*remember+1, c.Failures*remember; failed {
+		c.Failures++
 	}
 }
 
@@ -93,33 +93,33 @@
 func (w *witness) tidy(now int64) {
 	names := make([]string, 0, len(w.seen))
 	for name, c := range w.seen {
-		if c.fade(now).Tried < least {
+		if c.fade(now).Attempts < least {
 			delete(w.seen, name)
 		} else {
 			names = append(names, name)
 		}
 	}
 	slices.SortFunc(names, func(x, y string) int {
-		return cmp.Or(cmp.Compare(w.seen[y].Tried, w.seen[x].Tried), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(w.seen[y].Attempts, w.seen[x].Attempts), cmp.Compare(x, y))
 	})
 	for _, name := range names[min(len(names), mostKept-1):] {
 		delete(w.seen, name)
 	}
 }
 
-// Tell gives what the others should know: executors that failed this node of late, worst first, those that another says so of and that
+// NextReport gives what the others should know: executors that failed this node of late, worst first, those that another says so of and that
 // this node saw too, and those that were told of before, so many at most; nil: nothing. Calm fleets are silent.
-func (b *Board) Tell(now int64, most int) *News {
+func (b *OutlierTracker) NextReport(now int64, most int) *Report {
 	// Danger: each executor looked up at each of some hundred witnesses, several times a second.
 	var names []string
 	doubted := map[string]bool{}
 	for _, w := range b.others {
 		for name, s := range w.seen {
-			doubted[name] = doubted[name] || s.fade(now).Failed > least
+			doubted[name] = doubted[name] || s.fade(now).Failures > least
 		}
 	}
 	for name, c := range b.own.seen {
-		if c.fade(now); c.Tried >= least && (c.Failed >= least || doubted[name] || b.told[name]) {
+		if c.fade(now); c.Attempts >= least && (c.Failures >= least || doubted[name] || b.told[name]) {
 			names = append(names, name)
 		}
 	}
@@ -128,55 +128,55 @@
 		return nil
 	}
 	slices.SortFunc(names, func(x, y string) int {
-		return cmp.Or(cmp.Compare(b.own.seen[y].Failed, b.own.seen[x].Failed), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(b.own.seen[y].Failures, b.own.seen[x].Failures), cmp.Compare(x, y))
 	})
 	b.own.Seq++
-	n := b.own.News
-	n.Seen = map[string]Count{}
+	n := b.own.Report
+	n.Outcomes = map[string]OutcomeCount{}
 	clear(b.told)
 	for _, name := range names[:min(len(names), most, mostTold)] {
 		c := b.own.seen[name]
-		n.Seen[name] = Count{Tried: math.Round(c.Tried*100) / 100, Failed: math.Round(c.Failed*100) / 100}
+		n.Outcomes[name] = OutcomeCount{Attempts: math.Round(c.Attempts*100) / 100, Failures: math.Round(c.Failures*100) / 100}
 		b.told[name] = true
 	}
 	return &n
 }
 
-// Hear takes another's news; listed says which executors there are. False: it was not taken, or told nothing new.
+// MergeReport takes another's news; listed says which executors there are. False: it was not taken, or told nothing new.
 // Danger: news of another node's past, or without bound.
-func (b *Board) Hear(n *News, listed func(string) bool, now int64) bool {
+func (b *OutlierTracker) MergeReport(n *Report, listed func(string) bool, now int64) bool {
 	if n.Node == b.own.Node {
 		return false // its own, come back
 	}
-	if n.Node == "" || len(n.Seen) > mostTold {
-		b.Dropped++
+	if n.Node == "" || len(n.Outcomes) > mostTold {
+		b.RejectedReports++
 		return false
 	}
 	w := b.others[n.Node]
-	if w != nil && (n.Life < w.Life || n.Life == w.Life && n.Seq <= w.Seq) {
+	if w != nil && (n.Incarnation < w.Incarnation || n.Incarnation == w.Incarnation && n.Seq <= w.Seq) {
 		return false
 	}
-	was := map[string]*Count{}
-	if w != nil && w.Life == n.Life {
+	was := map[string]*OutcomeCount{}
+	if w != nil && w.Incarnation == n.Incarnation {
 		was = w.seen // what it does not tell of any more fades
 	}
 	w = &witness{*n, was}
 	b.others[n.Node] = w
-	for name, c := range n.Seen {
-		if !(c.Failed >= 0 && c.Failed <= c.Tried && c.Tried <= mostJobs) || !listed(name) {
-			b.Dropped++
+	for name, c := range n.Outcomes {
+		if !(c.Failures >= 0 && c.Failures <= c.Attempts && c.Attempts <= mostJobs) || !listed(name) {
+			b.RejectedReports++
 			continue
 		}
-		w.seen[name] = &Count{c.Tried, c.Failed, now}
+		w.seen[name] = &OutcomeCount{c.Attempts, c.Failures, now}
 	}
 	w.tidy(now)
 	return true
 }
 
-// Lost forgets a witness that has gone.
-func (b *Board) Lost(node string) { delete(b.others, node) }
+// RemoveWitness forgets a witness that has gone.
+func (b *OutlierTracker) RemoveWitness(node string) { delete(b.others, node) }
 
-func (b *Board) sorted() []*witness {
+func (b *OutlierTracker) sorted() []*witness {
 	all := make([]*witness, 0, len(b.others)+1)
 	for _, w := range b.others {
 		all = append(all, w)
@@ -185,11 +185,11 @@
 	return all
 }
 
-// Bad is how bad many say that an executor is, from 0: nothing is said, or by one alone, to 1: a quorum and most of those who saw it
+// OutlierScore is how bad many say that an executor is, from 0: nothing is said, or by one alone, to 1: a quorum and most of those who saw it
 // do. Each witness has one voice, or a part of one that saw little; half of a quorum may be of one zone.
 //
 // Danger: a node whose own link is bad, or that lies, shuts an executor out for all; or by saying that it is well keeps one in.
-func (b *Board) Bad(executor string, now int64) float64 {
+func (b *OutlierTracker) OutlierScore(executor string, now int64) float64 {
 	t, zones := tally{}, map[string]bool{}
 	for _, w := range append(b.sorted(), &b.own) {
 		zones[w.Zone] = true
@@ -200,8 +200,8 @@
 	return t.verdict(b.quorum, len(zones))
 }
 
-// Verdicts gives how bad each executor is that somebody saw fail of late, but for those of which nothing is said.
-func (b *Board) Verdicts(now int64) map[string]float64 {
+// OutlierScores gives how bad each executor is that somebody saw fail of late, but for those of which nothing is said.
+func (b *OutlierTracker) OutlierScores(now int64) map[string]float64 {
 	tallies, zones := map[string]*tally{}, map[string]bool{}
 	for _, w := range append(b.sorted(), &b.own) {
 		zones[w.Zone] = true
@@ -233,13 +233,13 @@
 	bad  float64
 }
 
-func (t *tally) add(zone string, c *Count) {
-	t.doubted = t.doubted || c.Failed >= least
-	if c.Tried < least {
+func (t *tally) add(zone string, c *OutcomeCount) {
+	t.doubted = t.doubted || c.Failures >= least
+	if c.Attempts < least {
 		return
 	}
-	voice := min(c.Tried/enough, 1)
-	if t.voices += voice; c.Failed <= majority*c.Tried {
+	voice := min(c.Attempts/enough, 1)
+	if t.voices += voice; c.Failures <= majority*c.Attempts {
 		return
 	}
 	t.bad += voice
@@ -265,8 +265,8 @@
 	return min((t.bad/t.voices-majority)/(majority/5), 1) * min(max((counted-1)/(quorum-1), 0), 1)
 }
 
-// Keep forgets executors that are not listed any more.
-func (b *Board) Keep(listed func(string) bool) {
+// RetainServers forgets executors that are not listed any more.
+func (b *OutlierTracker) RetainServers(listed func(string) bool) {
 	for _, w := range append(b.sorted(), &b.own) {
 		for name := range w.seen {
 			if !listed(name) {
--- a/internal/fleet/signals/signals_test.go
+++ b/internal/fleet/signals/signals_test.go
@@ -19,15 +19,15 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		now := int64(1e9)
-		var news, latest []*News
+		var news, latest []*Report
 		for i := range 5 {
 			w := New(fmt.Sprint("w", i), fmt.Sprint("z", i%2), 1, 3)
-			var last *News
+			var last *Report
 			for range 6 {
 				for range 1 + r.IntN(4) {
-					w.Saw(fmt.Sprint("e", r.IntN(3)), r.IntN(2) == 0, now)
+					w.RecordOutcome(fmt.Sprint("e", r.IntN(3)), r.IntN(2) == 0, now)
 				}
-				if n := w.Tell(now, 24); n != nil {
+				if n := w.NextReport(now, 24); n != nil {
 					news, last = append(news, n), n
 				}
 			}
@@ -37,14 +37,14 @@
 		}
 		one, other := New("me", "z0", 1, 3), New("me", "z0", 1, 3)
 		for _, n := range latest {
-			one.Hear(n, all, now)
+			one.MergeReport(n, all, now)
 		}
 		for _, i := range append(r.Perm(len(news)), r.Perm(len(news))...) {
-			other.Hear(news[i], all, now)
+			other.MergeReport(news[i], all, now)
 		}
 		for e := range 3 {
 			name := fmt.Sprint("e", e)
-			if a, b := one.Bad(name, now), other.Bad(name, now); math.Abs(a-b) > 1e-9 {
+			if a, b := one.OutlierScore(name, now), other.OutlierScore(name, now); math.Abs(a-b) > 1e-9 {
 				t.Errorf("%s: %v and %v", name, a, b)
 			}
 		}
@@ -52,8 +52,8 @@
 }
 
 // say has a node tell that jobs at an executor ended well or not.
-func say(b *Board, node, zone, executor string, seq uint64, well, bad int, now int64) bool {
-	return b.Hear(&News{node, zone, 1, seq, map[string]Count{executor: {Tried: float64(well + bad), Failed: float64(bad)}}}, all, now)
+func say(b *OutlierTracker, node, zone, executor string, seq uint64, well, bad int, now int64) bool {
+	return b.MergeReport(&Report{node, zone, 1, seq, map[string]OutcomeCount{executor: {Attempts: float64(well + bad), Failures: float64(bad)}}}, all, now)
 }
 
 // TestQuorum: one witness shuts nobody out however much it says, nor does one zone, nor a minority; a quorum does, and one that
@@ -63,13 +63,13 @@
 	b := New("me", "east", 1, 3)
 	check := func(what string, least, most float64) {
 		t.Helper()
-		if bad := b.Bad("e", now); bad < least || bad > most {
+		if bad := b.OutlierScore("e", now); bad < least || bad > most {
 			t.Errorf("%s: %v, not %v to %v", what, bad, least, most)
 		}
 	}
 	say(b, "liar", "west", "e", 1, 0, 1e6, now)
 	check("one witness", 0, 0)
-	b.Lost("liar")
+	b.RemoveWitness("liar")
 	for i := range 5 {
 		say(b, fmt.Sprint("w", i), "west", "e", 1, 0, 10, now)
 	}
@@ -87,7 +87,7 @@
 	for i := range 3 {
 		say(only, fmt.Sprint("w", i), "", "e", 1, 0, 10, now)
 	}
-	if bad := only.Bad("e", now); bad < 0.95 {
+	if bad := only.OutlierScore("e", now); bad < 0.95 {
 		t.Errorf("one zone that is all: %v", bad)
 	}
 }
@@ -98,13 +98,13 @@
 	for i := range 5 {
 		w := New(fmt.Sprint("w", i), "a", 1, 3)
 		for range 50 {
-			w.Saw("e", false, 0)
+			w.RecordOutcome("e", false, 0)
 		}
-		w.Saw("e", true, 0)
-		w.Saw("e", true, 0)
-		b.Hear(w.Tell(0, 24), all, 0)
+		w.RecordOutcome("e", true, 0)
+		w.RecordOutcome("e", true, 0)
+		b.MergeReport(w.NextReport(0, 24), all, 0)
 	}
-	if bad := b.Bad("e", 0); bad < 0.95 {
+	if bad := b.OutlierScore("e", 0); bad < 0.95 {
 		t.Error(bad)
 	}
 }
@@ -115,13 +115,13 @@
 	for i := range 4 {
 		say(b, fmt.Sprint("w", i), "a", "e", 1, 0, 4, now)
 	}
-	last := b.Bad("e", now)
+	last := b.OutlierScore("e", now)
 	if last < 0.95 {
 		t.Fatal(last)
 	}
 	steps := 0
 	for ; last > 0 && now < 60e9; now += 5e8 {
-		bad := b.Bad("e", now)
+		bad := b.OutlierScore("e", now)
 		if bad > last || last-bad > 0.35 {
 			t.Errorf("from %v to %v in half a second", last, bad)
 		}
@@ -133,7 +133,7 @@
 	if now > 30e9 || steps < 4 {
 		t.Errorf("forgotten after %d s, in %d steps", now/1e9, steps)
 	}
-	if len(b.Verdicts(now+60e9)) != 0 {
+	if len(b.OutlierScores(now+60e9)) != 0 {
 		t.Error("doubted for ever")
 	}
 	for i := range 4 {
@@ -142,7 +142,7 @@
 	for i := range 3 {
 		say(b, fmt.Sprint("w", i), "a", "e", 3, 8, 4, now)
 	}
-	if bad := b.Bad("e", now); bad != 0 {
+	if bad := b.OutlierScore("e", now); bad != 0 {
 		t.Errorf("seen to be well again: %v", bad)
 	}
 }
@@ -151,42 +151,42 @@
 func TestBounds(t *testing.T) {
 	b := New("me", "a", 5, 3)
 	nan := math.NaN()
-	for _, c := range []Count{{Tried: -1}, {Tried: 1, Failed: 2}, {Tried: nan}, {Tried: 1, Failed: nan}, {Tried: 1e9}, {Tried: math.Inf(1)}} {
-		before := b.Dropped
-		b.Hear(&News{"w", "a", 1, uint64(before) + 1, map[string]Count{"e": c}}, all, 0)
-		if b.Dropped != before+1 || b.Bad("e", 0) != 0 {
+	for _, c := range []OutcomeCount{{Attempts: -1}, {Attempts: 1, Failures: 2}, {Attempts: nan}, {Attempts: 1, Failures: nan}, {Attempts: 1e9}, {Attempts: math.Inf(1)}} {
+		before := b.RejectedReports
+		b.MergeReport(&Report{"w", "a", 1, uint64(before) + 1, map[string]OutcomeCount{"e": c}}, all, 0)
+		if b.RejectedReports != before+1 || b.OutlierScore("e", 0) != 0 {
 			t.Errorf("%+v is taken", c)
 		}
 	}
-	if b.Hear(&News{Node: "me", Seq: 9}, all, 0) || b.Hear(&News{Seq: 9}, all, 0) {
+	if b.MergeReport(&Report{Node: "me", Seq: 9}, all, 0) || b.MergeReport(&Report{Seq: 9}, all, 0) {
 		t.Error("news of itself, or of nobody")
 	}
 	say(b, "x", "a", "e", 7, 0, 3, 0)
-	if say(b, "x", "a", "e", 7, 3, 0, 0) || say(b, "x", "a", "e", 6, 3, 0, 0) || b.Hear(&News{"x", "a", 0, 99, nil}, all, 0) {
+	if say(b, "x", "a", "e", 7, 3, 0, 0) || say(b, "x", "a", "e", 6, 3, 0, 0) || b.MergeReport(&Report{"x", "a", 0, 99, nil}, all, 0) {
 		t.Error("the past counts")
 	}
-	before := b.Dropped
-	b.Hear(&News{"x", "a", 1, 8, map[string]Count{"unlisted": {Tried: 3, Failed: 3}}}, func(string) bool { return false }, 0)
-	if b.Dropped != before+1 {
+	before := b.RejectedReports
+	b.MergeReport(&Report{"x", "a", 1, 8, map[string]OutcomeCount{"unlisted": {Attempts: 3, Failures: 3}}}, func(string) bool { return false }, 0)
+	if b.RejectedReports != before+1 {
 		t.Error("an executor that no list has")
 	}
-	large := map[string]Count{}
+	large := map[string]OutcomeCount{}
 	for i := range mostTold + 1 {
-		large[fmt.Sprint(i)] = Count{Tried: 1}
+		large[fmt.Sprint(i)] = OutcomeCount{Attempts: 1}
 	}
-	if b.Hear(&News{"z", "a", 1, 1, large}, all, 0) {
+	if b.MergeReport(&Report{"z", "a", 1, 1, large}, all, 0) {
 		t.Error("news over the bound")
 	}
 	for i := range 3000 {
-		b.Saw(fmt.Sprint("e", i), true, int64(i))
+		b.RecordOutcome(fmt.Sprint("e", i), true, int64(i))
 		say(b, "w", "a", fmt.Sprint("e", i), uint64(i)+10, 0, 3, int64(i))
 	}
-	if len(b.own.seen) > mostKept || len(b.others["w"].seen) > mostKept || len(b.Tell(3000, 99).Seen) > mostTold {
+	if len(b.own.seen) > mostKept || len(b.others["w"].seen) > mostKept || len(b.NextReport(3000, 99).Outcomes) > mostTold {
 		t.Errorf("%d and %d are kept", len(b.own.seen), len(b.others["w"].seen))
 	}
-	if quiet := New("q", "a", 1, 3); quiet.Tell(0, 24) != nil {
+	if quiet := New("q", "a", 1, 3); quiet.NextReport(0, 24) != nil {
 		t.Error("a calm node talks")
-	} else if quiet.Saw("e", false, 0); quiet.Tell(0, 24) != nil {
+	} else if quiet.RecordOutcome("e", false, 0); quiet.NextReport(0, 24) != nil {
 		t.Error("a calm node talks of what is well")
 	}
 }
--- a/internal/fleet/signals/size_test.go
+++ b/internal/fleet/signals/size_test.go
@@ -8,17 +8,17 @@
 )
 
 // crowd is a board that has heard of so many executors from so many witnesses.
-func crowd(nodes, executors int) *Board {
+func crowd(nodes, executors int) *OutlierTracker {
 	b := New("me", "z0", 1, 3)
 	for e := range executors {
-		b.Saw(fmt.Sprint("e", e), e%7 == 0, 1e9)
+		b.RecordOutcome(fmt.Sprint("e", e), e%7 == 0, 1e9)
 	}
 	for n := range nodes {
-		news := &News{fmt.Sprint("n", n), fmt.Sprint("z", n%3), 1, 1, map[string]Count{}}
+		news := &Report{fmt.Sprint("n", n), fmt.Sprint("z", n%3), 1, 1, map[string]OutcomeCount{}}
 		for i := range mostTold {
-			news.Seen[fmt.Sprint("e", (n*mostTold+i)%executors)] = Count{Tried: 1, Failed: float64(i % 2)}
+			news.Outcomes[fmt.Sprint("e", (n*mostTold+i)%executors)] = OutcomeCount{Attempts: 1, Failures: float64(i % 2)}
 		}
-		b.Hear(news, all, 1e9)
+		b.MergeReport(news, all, 1e9)
 	}
 	return b
 }
@@ -29,17 +29,17 @@
 	if len(b.own.seen) != 1024 || len(b.others) != 1024 {
 		t.Errorf("%d executors, %d witnesses", len(b.own.seen), len(b.others))
 	}
-	verdicts := b.Verdicts(1e9)
+	verdicts := b.OutlierScores(1e9)
 	if len(verdicts) == 0 {
 		t.Error("nobody is bad")
 	}
 	for e, how := range verdicts {
-		if b.Bad(e, 1e9) != how {
-			t.Errorf("%s: %v, %v alone", e, how, b.Bad(e, 1e9))
+		if b.OutlierScore(e, 1e9) != how {
+			t.Errorf("%s: %v, %v alone", e, how, b.OutlierScore(e, 1e9))
 		}
 	}
-	if n := b.Tell(1e9, mostTold); len(n.Seen) != mostTold {
-		t.Error(len(n.Seen))
+	if n := b.NextReport(1e9, mostTold); len(n.Outcomes) != mostTold {
+		t.Error(len(n.Outcomes))
 	}
 }
 
@@ -49,8 +49,8 @@
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			board := crowd(size[0], size[1])
 			for b.Loop() {
-				board.Tell(1e9, mostTold)
-				board.Verdicts(1e9)
+				board.NextReport(1e9, mostTold)
+				board.OutlierScores(1e9)
 			}
 		})
 	}
