--- a/cmd/fernrail/subset.go
+++ b/cmd/fernrail/subset.go
@@ -13,15 +13,15 @@
 func (d *desk) divide(ctx context.Context) {
 	for {
 		nodes, entries := d.share.Peers(), d.node.Entries()
-		executors := make([]subset.Executor, len(entries))
+		executors := make([]subset.Server, len(entries))
 		for i, e := range entries {
-			executors[i] = subset.Executor{Name: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell}
+			executors[i] = subset.Server{Name: e.ID, Zone: e.Zone, MachineType: e.Kind, Cell: e.Cell}
 			// Where the list tells of load its units move with that, and are no size.
 			if !d.config.Settings.LiveCapacity {
 				executors[i].Size = e.Units
 			}
 		}
-		far, near := subset.Divide(append(nodes, d.config.Name), executors, *d.config.Fleet.Subset).Far(d.config.Name), 0
+		far, near := subset.Assign(append(nodes, d.config.Name), executors, *d.config.Fleet.Subset).Distances(d.config.Name), 0
 		for _, at := range far {
 			if at == 0 {
 				near++
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -29,7 +29,7 @@
 	Gossip string            // where this node hears who is there; empty: it takes no part in that
 	Join   []string          // where others do, some of them
 	Routes map[string]string // addresses that this node reaches by another one
-	Subset *subset.Terms     // nil: each node uses all executors
+	Subset *subset.Settings  // nil: each node uses all executors
 	Quorum int               // of witnesses that shut an executor out; 0: nodes do not tell of executors
 	Zone   string            // of this node; empty: the settings name none
 }
@@ -89,7 +89,7 @@
 		return nil, fmt.Errorf("fleet.join: nothing to join by without fleet.gossip")
 	}
 	if parted {
-		f.Subset = &subset.Terms{Size: int(r.whole("fleet.subset.size", 0, 1)), Cover: int(r.whole("fleet.subset.cover", defaultCover, 1))}
+		f.Subset = &subset.Settings{Size: int(r.whole("fleet.subset.size", 0, 1)), MinNodesPerServer: int(r.whole("fleet.subset.cover", defaultCover, 1))}
 		// Danger: a zone or a kind that a node can't reach, or a part that is none.
 		least, listed := max(len(n.Names.Zones), len(n.Names.Kinds)), len(n.Known.Entries)
 		switch size := f.Subset.Size; {
--- a/internal/emulator/subset.go
+++ b/internal/emulator/subset.go
@@ -37,14 +37,14 @@
 				nodes = append(nodes, n.name)
 			}
 		}
-		executors := make([]subset.Executor, len(w.executors))
+		executors := make([]subset.Server, len(w.executors))
 		for i, e := range w.executors {
-			executors[i] = subset.Executor{Name: e.id, Zone: e.zone, Kind: w.listing[i].MachineType, Size: float64(e.kind.Slots)}
+			executors[i] = subset.Server{Name: e.id, Zone: e.zone, MachineType: w.listing[i].MachineType, Size: float64(e.kind.Slots)}
 		}
-		d := subset.Divide(nodes, executors, subset.Terms{Size: w.s.Subset.Size, Cover: w.s.Subset.Cover})
+		d := subset.Assign(nodes, executors, subset.Settings{Size: w.s.Subset.Size, MinNodesPerServer: w.s.Subset.Cover})
 		for _, n := range w.nodes {
 			if n.up {
-				far := d.Far(n.name)
+				far := d.Distances(n.name)
 				for _, e := range n.fleet {
 					e.Distance = far[e.Tag]
 				}
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -12,57 +12,57 @@
 	"slices"
 )
 
-// Terms are what nodes agree on beforehand.
-type Terms struct {
-	Size  int // executors that a node uses, of all classes together
-	Cover int // nodes by which each executor is used at least, as far as there are so many
+// Settings are what nodes agree on beforehand.
+type Settings struct {
+	Size              int // executors that a node uses, of all classes together
+	MinNodesPerServer int // nodes by which each executor is used at least, as far as there are so many
 }
 
-// Executor is one of the list. Executors of one class can stand in for each other.
-type Executor struct {
-	Name             string
-	Zone, Kind, Cell int
-	Size             float64 // by which it is used; not over nought: as the mean
+// Server is one of the list. Executors of one class can stand in for each other.
+type Server struct {
+	Name                    string
+	Zone, MachineType, Cell int
+	Size                    float64 // by which it is used; not over nought: as the mean
 }
 
 type class struct{ zone, kind, cell int }
 
-// Spread bounds by how much the number of nodes that use an executor may differ from what its size calls for, as a factor
+// BalanceFactor bounds by how much the number of nodes that use an executor may differ from what its size calls for, as a factor
 // either way, or by less than one where that is more: nodes can't be cut up.
-const Spread = 1.15
+const BalanceFactor = 1.15
 
-// Division is who uses what.
-type Division struct {
+// Assignment is who uses what.
+type Assignment struct {
 	nodes []string
 	parts []part
 }
 
 // part is the division of one class.
 type part struct {
-	members []Executor
+	members []Server
 	each    int      // executors that a node uses
 	table   [][]bool // by node and executor
 }
 
-// Divide works out who uses what. Nodes and executors may come in any order, nodes more than once.
-func Divide(nodes []string, executors []Executor, t Terms) *Division {
-	d := &Division{nodes: slices.Compact(slices.Sorted(slices.Values(nodes)))}
-	classes := map[class][]Executor{}
+// Assign works out who uses what. Nodes and executors may come in any order, nodes more than once.
+func Assign(nodes []string, executors []Server, t Settings) *Assignment {
+	d := &Assignment{nodes: slices.Compact(slices.Sorted(slices.Values(nodes)))}
+	classes := map[class][]Server{}
 	for _, e := range executors {
-		c := class{e.Zone, e.Kind, e.Cell}
+		c := class{e.Zone, e.MachineType, e.Cell}
 		classes[c] = append(classes[c], e)
 	}
 	for _, members := range classes {
-		slices.SortFunc(members, func(a, b Executor) int { return cmp.Compare(a.Name, b.Name) })
-		table, each := divide(d.nodes, members, t.each(len(d.nodes), len(members), len(executors)), t.Cover)
+		slices.SortFunc(members, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
+		table, each := divide(d.nodes, members, t.each(len(d.nodes), len(members), len(executors)), t.MinNodesPerServer)
 		d.parts = append(d.parts, part{members, each, table})
 	}
 	return d
 }
 
-// Far is how far away executors are from one of the nodes, by name: 0 for those that it is to use, 1 for as many again that it
+// Distances is how far away executors are from one of the nodes, by name: 0 for those that it is to use, 1 for as many again that it
 // turns to first when those can't serve, 2 for twice as many, and so on.
-func (d *Division) Far(node string) map[string]int {
+func (d *Assignment) Distances(node string) map[string]int {
 	far := map[string]int{}
 	at, is := slices.BinarySearch(d.nodes, node)
 	if !is {
@@ -90,9 +90,9 @@
 }
 
 // each is how many executors of a class a node uses: its part, one at least, and more where nodes are few.
-func (t Terms) each(nodes, members, all int) int {
+func (t Settings) each(nodes, members, all int) int {
 	part := int(math.Ceil(float64(t.Size*members) / float64(all)))
-	cover := (min(t.Cover, nodes)*members + nodes - 1) / nodes
+	cover := (min(t.MinNodesPerServer, nodes)*members + nodes - 1) / nodes
 	return min(max(part, cover, 1), members)
 }
 
@@ -108,7 +108,7 @@
 //
 // Danger: an order by places, or by turns, moves nearly all when one node comes. Here a pair depends on its own number, and on others
 // only as far as bounds are met.
-func divide(nodes []string, members []Executor, each, cover int) (table [][]bool, took int) {
+func divide(nodes []string, members []Server, each, cover int) (table [][]bool, took int) {
 	var pairs []pair
 	marks := make([]uint64, len(members))
 	for i, e := range members {
@@ -182,7 +182,7 @@
 }
 
 // bounds are the least and the most of nodes that are to use each executor, of so many uses in all.
-func bounds(members []Executor, marks []uint64, uses, nodes, cover int) (least, most []int) {
+func bounds(members []Server, marks []uint64, uses, nodes, cover int) (least, most []int) {
 	all, known := 0.0, 0
 	for _, e := range members {
 		if e.Size > 0 {
@@ -202,7 +202,7 @@
 		due := float64(uses) * size / all
 		// Danger: bounds that all step at one number of nodes move a pair at each executor at once.
 		chance := float64(marks[i]>>11) / (1 << 53)
-		low, high := int(due/Spread+chance), int(due*Spread+chance)
+		low, high := int(due/BalanceFactor+chance), int(due*BalanceFactor+chance)
 		// Danger: a small one that nobody uses, as the few that are to are wrong about who is there.
 		if low < cover {
 			low, high = cover, max(high, cover)
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -14,15 +14,15 @@
 type history struct {
 	*rand.Rand
 	*testing.T
-	terms     Terms
+	terms     Settings
 	nodes     []string
-	executors []Executor
+	executors []Server
 	named     int
 }
 
 func begin(t *testing.T, seed uint64) *history {
 	h := &history{Rand: rand.New(rand.NewPCG(seed, 3)), T: t}
-	h.terms = Terms{Size: 4 + h.IntN(20), Cover: 1 + h.IntN(4)}
+	h.terms = Settings{Size: 4 + h.IntN(20), MinNodesPerServer: 1 + h.IntN(4)}
 	for range 3 + h.IntN(40) {
 		h.join()
 	}
@@ -40,7 +40,7 @@
 func (h *history) list() {
 	h.named++
 	zone := h.IntN(3)
-	h.executors = append(h.executors, Executor{fmt.Sprint("x", h.named), zone, zone % 2, 0, float64(h.IntN(3)) * (0.5 + h.Float64())})
+	h.executors = append(h.executors, Server{fmt.Sprint("x", h.named), zone, zone % 2, 0, float64(h.IntN(3)) * (0.5 + h.Float64())})
 }
 
 func (h *history) step() (one float64) {
@@ -66,7 +66,7 @@
 	uses := map[string]map[string]bool{}
 	for _, n := range h.nodes {
 		uses[n] = map[string]bool{}
-		for name, far := range Divide(append(slices.Clone(view(n)), n), h.executors, h.terms).Far(n) {
+		for name, far := range Assign(append(slices.Clone(view(n)), n), h.executors, h.terms).Distances(n) {
 			if far == 0 {
 				uses[n][name] = true
 			}
@@ -78,9 +78,9 @@
 // check holds one picture against the promises.
 func (h *history) check(uses map[string]map[string]bool) {
 	h.Helper()
-	by, sizes, count := map[class][]Executor{}, map[class]float64{}, map[class]int{}
+	by, sizes, count := map[class][]Server{}, map[class]float64{}, map[class]int{}
 	for _, e := range h.executors {
-		c := class{e.Zone, e.Kind, e.Cell}
+		c := class{e.Zone, e.MachineType, e.Cell}
 		by[c] = append(by[c], e)
 	}
 	for c, members := range by {
@@ -117,7 +117,7 @@
 				}
 			}
 			due := float64(count[c]) * size / sizes[c]
-			least, most, cover := math.Floor(due/Spread), math.Ceil(due*Spread), float64(min(h.terms.Cover, len(h.nodes)))
+			least, most, cover := math.Floor(due/BalanceFactor), math.Ceil(due*BalanceFactor), float64(min(h.terms.MinNodesPerServer, len(h.nodes)))
 			if own := float64(used); own < cover || (own < least || own > max(most, cover)) && !h.odd(members, count[c], sizes[c], mean) {
 				h.Errorf("%s of size %.2f is used by %d of %d nodes, %.2f are due", e.Name, size, used, len(h.nodes), due)
 			}
@@ -126,14 +126,14 @@
 }
 
 // odd says that some executor is due more nodes than there are, or fewer than the cover: others have what is left over, or less.
-func (h *history) odd(members []Executor, uses int, sizes, mean float64) bool {
-	return slices.ContainsFunc(members, func(e Executor) bool {
+func (h *history) odd(members []Server, uses int, sizes, mean float64) bool {
+	return slices.ContainsFunc(members, func(e Server) bool {
 		size := e.Size
 		if size <= 0 {
 			size = mean
 		}
 		due := float64(uses) * size / sizes
-		return due*Spread > float64(len(h.nodes)) || due/Spread < float64(h.terms.Cover)
+		return due*BalanceFactor > float64(len(h.nodes)) || due/BalanceFactor < float64(h.terms.MinNodesPerServer)
 	})
 }
 
@@ -156,7 +156,7 @@
 			held := 0
 			for n, executors := range now {
 				for e := range executors {
-					if held++; was[n] != nil && !was[n][e] && slices.ContainsFunc(h.executors, func(x Executor) bool { return x.Name == e }) {
+					if held++; was[n] != nil && !was[n][e] && slices.ContainsFunc(h.executors, func(x Server) bool { return x.Name == e }) {
 						moved++
 					}
 				}
@@ -178,7 +178,7 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		h := begin(t, seed)
-		h.terms.Cover = 3
+		h.terms.MinNodesPerServer = 3
 		for len(h.nodes) < 8 {
 			h.join()
 		}
@@ -203,13 +203,13 @@
 
 // TestFar: what a node does not use it turns to in an order of its own, as many first as it uses, then twice as many.
 func TestFar(t *testing.T) {
-	var executors []Executor
+	var executors []Server
 	for i := range 64 {
-		executors = append(executors, Executor{Name: fmt.Sprint("x", i)})
+		executors = append(executors, Server{Name: fmt.Sprint("x", i)})
 	}
 	nodes := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	counts := func(node string) (counts [8]int, first []string) {
-		for name, far := range Divide(nodes, executors, Terms{Size: 8, Cover: 1}).Far(node) {
+		for name, far := range Assign(nodes, executors, Settings{Size: 8, MinNodesPerServer: 1}).Distances(node) {
 			if counts[far]++; far == 1 {
 				first = append(first, name)
 			}
@@ -229,16 +229,16 @@
 func BenchmarkFar(b *testing.B) {
 	for _, size := range [][2]int{{9, 30}, {300, 200}, {1000, 200}} {
 		var nodes []string
-		var executors []Executor
+		var executors []Server
 		for i := range size[0] {
 			nodes = append(nodes, fmt.Sprint("n", i))
 		}
 		for i := range size[1] {
-			executors = append(executors, Executor{Name: fmt.Sprint("x", i)})
+			executors = append(executors, Server{Name: fmt.Sprint("x", i)})
 		}
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				Divide(nodes, executors, Terms{20, 3}).Far("n1")
+				Assign(nodes, executors, Settings{20, 3}).Distances("n1")
 			}
 		})
 	}
