--- a/cmd/fernrail/desk.go
+++ b/cmd/fernrail/desk.go
@@ -65,7 +65,7 @@
 func (d *desk) own(yes bool) {
 	d.node.Own(yes)
 	if d.share != nil {
-		d.share.Own(yes)
+		d.share.SetFloorOwner(yes)
 	}
 }
 
@@ -162,7 +162,7 @@
 func (d *desk) Telemetry() ([]byte, error) {
 	f := d.counters.Read()
 	if f.ExecutorsKnown, f.ExecutorsExcluded = d.node.Figures(); d.share != nil {
-		f.Fleet = d.share.Read()
+		f.Fleet = d.share.Status()
 	}
 	return f.Line()
 }
@@ -194,7 +194,7 @@
 	if d.share == nil {
 		return nil, errAlone
 	}
-	f := d.share.Read()
+	f := d.share.Status()
 	f.Subset = d.subset.Load()
 	return json.Marshal(f)
 }
@@ -207,5 +207,5 @@
 	if err != nil {
 		return fmt.Errorf("%.20q is not a whole number", units)
 	}
-	return d.share.SetWhole(name, n)
+	return d.share.SetTotal(name, n)
 }
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -89,7 +89,7 @@
 	go desk.node.Follow(follow)
 	go desk.keepUp(follow)
 	if share != nil && c.Fleet.Quorum > 0 {
-		go share.Tell(follow, desk.node.Lists, desk.node.Doubt)
+		go share.RunOutlierGossip(follow, desk.node.Lists, desk.node.Doubt)
 	}
 	if share != nil && c.Fleet.Subset != nil {
 		go desk.divide(follow)
@@ -138,7 +138,7 @@
 	}
 	taken := desk.handOver()
 	if share != nil && taken {
-		share.Rise()
+		share.HandOver()
 	}
 	log.Info().Bool("successor", taken).Msg("node stops")
 	within := min(c.Longest, longestStop) + stopMargin
@@ -174,7 +174,7 @@
 	node := routing.New(c.Settings, c.Seed, c.Known, carrier, c.Probe, transport.NewDiscovery(c.Discovery, c.Names), held, log)
 	carrier.Behind(node.Lag)
 	if share != nil && c.Fleet.Quorum > 0 {
-		node.Witness(share.Saw)
+		node.Witness(share.RecordOutcome)
 	}
 	d := &desk{config: c, share: share, node: node, descriptors: descriptors, counters: counters, log: log,
 		server: transport.NewServer(descriptors, c.Names, node.Serve, node.Ready, counters, log)}
--- a/cmd/fernrail/purse.go
+++ b/cmd/fernrail/purse.go
@@ -23,24 +23,24 @@
 func (p *purse) May(b dispatch.Budget, key string, units float64) bool {
 	switch b {
 	case dispatch.BudgetSlowStart:
-		units *= p.share.Whole(config.BudgetSlowStart)
+		units *= p.share.Total(config.BudgetSlowStart)
 	case dispatch.BudgetConnections:
 		// One that is open and unused costs nothing.
 		if p.descriptors.Idle(key) > 0 {
 			return true
 		}
 	}
-	return p.share.May(names[b], key, units)
+	return p.share.Allow(names[b], key, units)
 }
 
-func (p *purse) Part(b dispatch.Budget, key string) float64 { return p.share.Part(names[b], key) }
+func (p *purse) Part(b dispatch.Budget, key string) float64 { return p.share.Quota(names[b], key) }
 
 func (p *purse) Charge(executor, tenant string, again bool, cold float64) routing.Charge {
-	c := &fleet.Charge{}
+	c := &fleet.Reservation{}
 	if !again {
-		c.First(p.share)
+		c.CountFirstAttempt(p.share)
 	}
-	if !c.Add(p.share, config.BudgetTenantAttempts, tenant, 1) || again && !c.Add(p.share, config.BudgetRetries, "", 1) || cold > 0 && !c.Add(p.share, config.BudgetSlowStart, executor, cold*p.share.Whole(config.BudgetSlowStart)) {
+	if !c.Reserve(p.share, config.BudgetTenantAttempts, tenant, 1) || again && !c.Reserve(p.share, config.BudgetRetries, "", 1) || cold > 0 && !c.Reserve(p.share, config.BudgetSlowStart, executor, cold*p.share.Total(config.BudgetSlowStart)) {
 		c.End(false)
 		return nil
 	}
@@ -48,18 +48,18 @@
 }
 
 func (p *purse) Call(overdue bool) bool {
-	c := &fleet.Charge{}
-	if c.Add(p.share, config.BudgetPolls, "", 1) && c.Send() {
+	c := &fleet.Reservation{}
+	if c.Reserve(p.share, config.BudgetPolls, "", 1) && c.Send() {
 		return true
 	}
 	if overdue {
-		p.share.Beyond(config.BudgetPolls, "", 1)
+		p.share.RecordOverrun(config.BudgetPolls, "", 1)
 	}
 	return overdue
 }
 
 // dial asks for one new connection, at the moment at which it would be opened.
 func (p *purse) dial(address string) bool {
-	c := &fleet.Charge{}
-	return c.Add(p.share, config.BudgetConnections, address, 1) && c.Send()
+	c := &fleet.Reservation{}
+	return c.Reserve(p.share, config.BudgetConnections, address, 1) && c.Send()
 }
--- a/cmd/fernrail/subset.go
+++ b/cmd/fernrail/subset.go
@@ -32,7 +32,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.share.News():
+		case <-d.share.MembershipChanges():
 		case <-d.node.Relisted():
 		}
 	}
--- a/internal/fleet/board.go
+++ b/internal/fleet/board.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Saw notes how a job of this node's ended.
-func (f *Fleet) Saw(executor string, failed bool) {
+// RecordOutcome notes how a job of this node's ended.
+func (f *Fleet) RecordOutcome(executor string, failed bool) {
 	f.board.mu.Lock()
 	defer f.board.mu.Unlock()
 	if f.board.seen.RecordOutcome(executor, failed, f.board.clock()); failed {
@@ -76,9 +76,9 @@
 	}
 }
 
-// Tell has this node's news go about until the end, and hands over how bad many say that executors are, all that are said to be, whenever
+// RunOutlierGossip has this node's news go about until the end, and hands over how bad many say that executors are, all that are said to be, whenever
 // that changes. listed says which executors there are.
-func (f *Fleet) Tell(ctx context.Context, listed func(executor string) bool, heard func(bad map[string]float64)) {
+func (f *Fleet) RunOutlierGossip(ctx context.Context, listed func(executor string) bool, heard func(bad map[string]float64)) {
 	b := f.board
 	b.mu.Lock()
 	b.listed = listed
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// News comes when other members are there than were when they were last looked at.
-func (f *Fleet) News() <-chan struct{} { return f.news }
+// MembershipChanges comes when other members are there than were when they were last looked at.
+func (f *Fleet) MembershipChanges() <-chan struct{} { return f.news }
 
 // Peers are the nodes that are there, as this one believes, itself among them where it takes part in gossip.
 func (f *Fleet) Peers() []string {
@@ -213,15 +213,15 @@
 	})
 }
 
-// Own says whether the node's floors are this process's, or another's.
-func (f *Fleet) Own(yes bool) {
+// SetFloorOwner says whether the node's floors are this process's, or another's.
+func (f *Fleet) SetFloorOwner(yes bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.holder.SetFloorOwner(yes, f.clock())
 }
 
-// Rise leaves the seat and the gossip to another process of this node; leases go on.
-func (f *Fleet) Rise() {
+// HandOver leaves the seat and the gossip to another process of this node; leases go on.
+func (f *Fleet) HandOver() {
 	f.leave(false)
 }
 
@@ -326,8 +326,8 @@
 	}
 }
 
-// May says whether this node may use so many units more now; it may where the budget is not held together.
-func (f *Fleet) May(name, key string, units float64) bool {
+// Allow says whether this node may use so many units more now; it may where the budget is not held together.
+func (f *Fleet) Allow(name, key string, units float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	name = f.share(name, key)
@@ -344,8 +344,8 @@
 	return false
 }
 
-// Part is what this node has of all there is now; one where the budget is not held together.
-func (f *Fleet) Part(name, key string) float64 {
+// Quota is what this node has of all there is now; one where the budget is not held together.
+func (f *Fleet) Quota(name, key string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	name = f.share(name, key)
@@ -364,11 +364,11 @@
 	return f.plan.Pact.PartitionName(budget, dispatch.HashName(key))
 }
 
-// Whole is what all nodes have of a budget, by the pact.
-func (f *Fleet) Whole(name string) float64 { return float64(f.plan.Pact.Budgets[name].Total) }
+// Total is what all nodes have of a budget, by the pact.
+func (f *Fleet) Total(name string) float64 { return float64(f.plan.Pact.Budgets[name].Total) }
 
-// SetWhole has the seats agree on another whole. A lowered one waits for what is out.
-func (f *Fleet) SetWhole(name string, units int64) error {
+// SetTotal has the seats agree on another whole. A lowered one waits for what is out.
+func (f *Fleet) SetTotal(name string, units int64) error {
 	if _, is := f.plan.Pact.Budgets[name]; !is {
 		return fmt.Errorf("no budget is called %.40q", name)
 	}
@@ -395,8 +395,8 @@
 	}
 }
 
-// Charge is what one sending takes of several budgets. The zero one is of none.
-type Charge struct {
+// Reservation is what one sending takes of several budgets. The zero one is of none.
+type Reservation struct {
 	fleet *Fleet
 	first bool
 	uses  []charged
@@ -408,8 +408,8 @@
 	use   *budget.Usage
 }
 
-// Add reserves units of one more budget; false: there are none left, and nothing may be sent.
-func (c *Charge) Add(f *Fleet, name, key string, units float64) bool {
+// Reserve reserves units of one more budget; false: there are none left, and nothing may be sent.
+func (c *Reservation) Reserve(f *Fleet, name, key string, units float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	name = f.share(name, key)
@@ -428,11 +428,11 @@
 	return true
 }
 
-// First has the sending counted as a first posting, of which second ones may be a share.
-func (c *Charge) First(f *Fleet) { c.fleet, c.first = f, true }
+// CountFirstAttempt has the sending counted as a first posting, of which second ones may be a share.
+func (c *Reservation) CountFirstAttempt(f *Fleet) { c.fleet, c.first = f, true }
 
 // Send says whether what was reserved may go out at this very moment. Sent has to be called once it has.
-func (c *Charge) Send() bool {
+func (c *Reservation) Send() bool {
 	if c.fleet == nil {
 		return true
 	}
@@ -457,7 +457,7 @@
 
 // Sent counts what slipped: sent under a lease that had run out by the time the write was over. A process can be stopped
 // between any two of its steps.
-func (c *Charge) Sent() {
+func (c *Reservation) Sent() {
 	if c.fleet == nil {
 		return
 	}
@@ -474,7 +474,7 @@
 
 // End gives back what never left; over says that what was sent is known to have ended, so that jobs in flight are given back
 // as well. What else was sent counts for its window.
-func (c *Charge) End(over bool) {
+func (c *Reservation) End(over bool) {
 	if c.fleet == nil {
 		return
 	}
@@ -488,8 +488,8 @@
 	c.uses = nil
 }
 
-// Beyond counts a sending that could not wait for its share, and that it did not.
-func (f *Fleet) Beyond(name, key string, units float64) {
+// RecordOverrun counts a sending that could not wait for its share, and that it did not.
+func (f *Fleet) RecordOverrun(name, key string, units float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := f.shares[f.share(name, key)]; s != nil {
@@ -529,8 +529,8 @@
 	Slipped int64   `json:"slipped"`
 }
 
-// Read gives the figures as they stand.
-func (f *Fleet) Read() *Figures {
+// Status gives the figures as they stand.
+func (f *Fleet) Status() *Figures {
 	out := &Figures{Budgets: map[string]Standing{}}
 	f.mu.Lock()
 	now := f.clock()
