--- a/cmd/fernrail/commands.go
+++ b/cmd/fernrail/commands.go
@@ -97,12 +97,12 @@
 		_, err = out.Write(text)
 		return err
 	}
-	var f fleet.Figures
+	var f fleet.Status
 	if err := json.Unmarshal(text, &f); err != nil {
 		return err
 	}
-	lease := fmt.Sprintf("%d ms left of its lease", f.LeaseMs)
-	if f.LeaseMs == 0 {
+	lease := fmt.Sprintf("%d ms left of its lease", f.LeaseMillis)
+	if f.LeaseMillis == 0 {
 		lease = "no lease: it lives on its floors"
 	}
 	fmt.Fprintf(out, "epoch %d, %s\n\n", f.Epoch, lease)
@@ -110,39 +110,39 @@
 	fmt.Fprintln(t, "budget\twhole\tmine\tfloor\tused\twanted\tsent\tlapsed\tslipped\t")
 	for _, name := range slices.Sorted(maps.Keys(f.Budgets)) {
 		b := f.Budgets[name]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f\t%.1f\t%d\t%d\t%d\t\n", name, b.Whole, b.Mine, b.Floor, b.Used, b.Want, b.Sent, b.Lapsed, b.Slipped)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.1f\t%.1f\t%d\t%d\t%d\t\n", name, b.Total, b.Quota, b.Floor, b.Used, b.Demand, b.Sent, b.HeldBack, b.SentAfterExpiry)
 	}
 	t.Flush()
 	if len(f.Members) > 0 {
 		fmt.Fprintln(out, "\nmembers, as this node believes:")
 		for _, m := range f.Members {
 			fmt.Fprintf(out, "  %s at %s: %s", m.Name, m.Address, m.State)
-			if m.TwiceAt != "" {
-				fmt.Fprintf(out, ", and another one at %s", m.TwiceAt)
+			if m.DuplicateAddress != "" {
+				fmt.Fprintf(out, ", and another one at %s", m.DuplicateAddress)
 			}
 			fmt.Fprintln(out)
 		}
 	}
 	if s := f.Subset; s != nil {
-		fmt.Fprintf(out, "\nuses %d of %d executors, divided among %d nodes\n", s.Near, s.Listed, s.Nodes)
+		fmt.Fprintf(out, "\nuses %d of %d executors, divided among %d nodes\n", s.Assigned, s.Listed, s.Nodes)
 	}
-	if s := f.Signals; s != nil {
+	if s := f.Outliers; s != nil {
 		fmt.Fprintln(out, "\nexecutors that many nodes say are bad, from 0 to 1:")
-		for _, e := range slices.Sorted(maps.Keys(s.Bad)) {
-			fmt.Fprintf(out, "  %s %.2f\n", e, s.Bad[e])
+		for _, e := range slices.Sorted(maps.Keys(s.Scores)) {
+			fmt.Fprintf(out, "  %s %.2f\n", e, s.Scores[e])
 		}
 	}
-	if s := f.Seat; s != nil {
-		fmt.Fprintf(out, "\nseat %s: %s; granter %s, epoch %d, seats %s %s\n\n", s.ID, s.State, s.Granter, s.Epoch, strings.Join(s.Seats, " "), s.Fault)
+	if s := f.Voter; s != nil {
+		fmt.Fprintf(out, "\nseat %s: %s; granter %s, epoch %d, seats %s %s\n\n", s.ID, s.State, s.Leader, s.Epoch, strings.Join(s.Voters, " "), s.Error)
 		fmt.Fprintln(t, "budget\twhole\tfloors\tgranted\tresting\tfree\t")
 		for _, name := range slices.Sorted(maps.Keys(s.Budgets)) {
 			b := s.Budgets[name]
-			fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t\n", name, b.Whole, b.Floors, b.Granted, b.Resting, b.Free)
+			fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t\n", name, b.Total, b.Floors, b.Granted, b.CoolingDown, b.Free)
 		}
 		for _, h := range s.Holders {
 			fmt.Fprintf(t, "%s\t", h.Node)
 			for _, name := range slices.Sorted(maps.Keys(h.Units)) {
-				fmt.Fprintf(t, "%s %d of %d\t", name, h.Units[name], h.Want[name])
+				fmt.Fprintf(t, "%s %d of %d\t", name, h.Units[name], h.Demand[name])
 			}
 			fmt.Fprintln(t)
 		}
--- a/cmd/fernrail/desk.go
+++ b/cmd/fernrail/desk.go
@@ -36,7 +36,7 @@
 	counters    *metrics.Counters
 	seat        *hotrestart.Seat
 	share       *fleet.Fleet // nil: no budget is held with other nodes
-	subset      atomic.Pointer[fleet.SubsetFigures]
+	subset      atomic.Pointer[fleet.SubsetStatus]
 	log         zerolog.Logger
 
 	mu     sync.Mutex // round what follows
--- a/cmd/fernrail/subset.go
+++ b/cmd/fernrail/subset.go
@@ -28,7 +28,7 @@
 			}
 		}
 		d.node.Place(far)
-		d.subset.Store(&fleet.SubsetFigures{Nodes: max(len(nodes), 1), Listed: len(far), Near: near})
+		d.subset.Store(&fleet.SubsetStatus{Nodes: max(len(nodes), 1), Listed: len(far), Assigned: near})
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/fleet/board.go
+++ b/internal/fleet/board.go
@@ -128,14 +128,14 @@
 	return nil
 }
 
-// SignalFigures are what many nodes say of executors, as this one heard.
-type SignalFigures struct {
-	Bad     map[string]float64 `json:"bad"`     // how bad those are of which something is said
-	Dropped int64              `json:"dropped"` // news that was not taken
+// OutlierStatus are what many nodes say of executors, as this one heard.
+type OutlierStatus struct {
+	Scores          map[string]float64 `json:"bad"`     // how bad those are of which something is said
+	RejectedReports int64              `json:"dropped"` // news that was not taken
 }
 
-func (b *board) read() *SignalFigures {
+func (b *board) read() *OutlierStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return &SignalFigures{maps.Clone(b.bad), b.seen.RejectedReports}
+	return &OutlierStatus{maps.Clone(b.bad), b.seen.RejectedReports}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -498,46 +498,46 @@
 	}
 }
 
-// Figures is what operators see of a node's part.
-type Figures struct {
-	Epoch   uint64              `json:"epoch"`
-	LeaseMs int64               `json:"lease_ms"`        // what is left of it; 0: the node lives on its floors
-	Clock   float64             `json:"clock,omitempty"` // this node's rate by the granter's, where that is beyond the margin
-	Budgets map[string]Standing `json:"budgets"`
-	Members []MemberFigures     `json:"members,omitempty"`
-	Subset  *SubsetFigures      `json:"subset,omitempty"`
-	Signals *SignalFigures      `json:"signals,omitempty"`
-	Seat    *SeatFigures        `json:"seat,omitempty"`
-}
-
-// SubsetFigures are of the executors that a node uses before the others.
-type SubsetFigures struct {
-	Nodes  int `json:"nodes"` // among which executors were divided last
-	Listed int `json:"listed"`
-	Near   int `json:"near"` // of these, those that the node is to use
-}
-
-// Standing is one budget at one node.
-type Standing struct {
-	Whole   int64   `json:"whole"`
-	Floor   int64   `json:"floor"`
-	Mine    int64   `json:"mine"` // floor and lease, now
-	Used    float64 `json:"used"` // of it, the most by any one executor
-	Want    float64 `json:"want"`
-	Sent    int64   `json:"sent"`
-	Lapsed  int64   `json:"lapsed"`
-	Slipped int64   `json:"slipped"`
+// Status is what operators see of a node's part.
+type Status struct {
+	Epoch       uint64                  `json:"epoch"`
+	LeaseMillis int64                   `json:"lease_ms"`        // what is left of it; 0: the node lives on its floors
+	ClockRate   float64                 `json:"clock,omitempty"` // this node's rate by the granter's, where that is beyond the margin
+	Budgets     map[string]BudgetStatus `json:"budgets"`
+	Members     []MemberStatus          `json:"members,omitempty"`
+	Subset      *SubsetStatus           `json:"subset,omitempty"`
+	Outliers    *OutlierStatus          `json:"signals,omitempty"`
+	Voter       *VoterStatus            `json:"seat,omitempty"`
+}
+
+// SubsetStatus are of the executors that a node uses before the others.
+type SubsetStatus struct {
+	Nodes    int `json:"nodes"` // among which executors were divided last
+	Listed   int `json:"listed"`
+	Assigned int `json:"near"` // of these, those that the node is to use
+}
+
+// BudgetStatus is one budget at one node.
+type BudgetStatus struct {
+	Total           int64   `json:"whole"`
+	Floor           int64   `json:"floor"`
+	Quota           int64   `json:"mine"` // floor and lease, now
+	Used            float64 `json:"used"` // of it, the most by any one executor
+	Demand          float64 `json:"want"`
+	Sent            int64   `json:"sent"`
+	HeldBack        int64   `json:"lapsed"`
+	SentAfterExpiry int64   `json:"slipped"`
 }
 
 // Status gives the figures as they stand.
-func (f *Fleet) Status() *Figures {
-	out := &Figures{Budgets: map[string]Standing{}}
+func (f *Fleet) Status() *Status {
+	out := &Status{Budgets: map[string]BudgetStatus{}}
 	f.mu.Lock()
 	now := f.clock()
-	out.Epoch, out.LeaseMs = f.holder.Epoch(), max(f.holder.LeaseExpiry()-now, 0)/1e6
-	out.Clock = f.holder.ClockRate()
+	out.Epoch, out.LeaseMillis = f.holder.Epoch(), max(f.holder.LeaseExpiry()-now, 0)/1e6
+	out.ClockRate = f.holder.ClockRate()
 	for name, s := range f.shares {
-		out.Budgets[name] = Standing{s.whole, s.terms.Floor, f.holder.Units(name, now), s.meter.Peak(now), f.wants.LastEstimate(name), s.sent, s.lapsed, s.slipped}
+		out.Budgets[name] = BudgetStatus{s.whole, s.terms.Floor, f.holder.Units(name, now), s.meter.Peak(now), f.wants.LastEstimate(name), s.sent, s.lapsed, s.slipped}
 	}
 	seat, members := f.seat, f.members
 	f.mu.Unlock()
@@ -545,10 +545,10 @@
 		out.Members = members.read()
 	}
 	if f.board != nil {
-		out.Signals = f.board.read()
+		out.Outliers = f.board.read()
 	}
 	if seat != nil {
-		out.Seat = seat.read()
+		out.Voter = seat.read()
 	}
 	return out
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -193,23 +193,23 @@
 	}
 }
 
-// MemberFigures is one node as this one believes.
-type MemberFigures struct {
-	Name    string `json:"name"`
-	Address string `json:"address"`
-	State   string `json:"state"`              // alive, suspect, gone
-	TwiceAt string `json:"twice_at,omitempty"` // another node of the same name
+// MemberStatus is one node as this one believes.
+type MemberStatus struct {
+	Name             string `json:"name"`
+	Address          string `json:"address"`
+	State            string `json:"state"`              // alive, suspect, gone
+	DuplicateAddress string `json:"twice_at,omitempty"` // another node of the same name
 }
 
-func (m *members) read() (out []MemberFigures) {
+func (m *members) read() (out []MemberStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for state, of := range map[string]map[string]string{"alive": m.there, "gone": m.gone} {
 		for name, address := range of {
-			out = append(out, MemberFigures{name, address, state, m.conflicts[name]})
+			out = append(out, MemberStatus{name, address, state, m.conflicts[name]})
 		}
 	}
-	slices.SortFunc(out, func(a, b MemberFigures) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -720,48 +720,48 @@
 	}
 }
 
-// SeatFigures is what operators see of a seat.
-type SeatFigures struct {
-	ID      string                   `json:"id"`
-	State   string                   `json:"state"`
-	Grants  bool                     `json:"grants"`
-	Granter string                   `json:"granter"`
-	Epoch   uint64                   `json:"epoch"`
-	Seats   []string                 `json:"seats"`
-	Budgets map[string]BudgetFigures `json:"budgets"`
-	Holders []HolderFigures          `json:"holders"`
-	Clocks  map[string]float64       `json:"clocks,omitempty"` // beyond the margin, their rates by this seat's
-	Fault   string                   `json:"fault,omitempty"`
-}
-
-// BudgetFigures is one budget in a seat's books.
-type BudgetFigures struct {
-	Whole   int64 `json:"whole"`
-	Floors  int64 `json:"floors"`
-	Granted int64 `json:"granted"`
-	Resting int64 `json:"resting"`
-	Free    int64 `json:"free"`
-}
-
-// HolderFigures is one process in a seat's books.
-type HolderFigures struct {
-	Node  string           `json:"node"`
-	Units map[string]int64 `json:"units"`
-	Want  map[string]int64 `json:"want"`
-}
-
-func (s *seat) read() *SeatFigures {
+// VoterStatus is what operators see of a seat.
+type VoterStatus struct {
+	ID         string                  `json:"id"`
+	State      string                  `json:"state"`
+	IsLeader   bool                    `json:"grants"`
+	Leader     string                  `json:"granter"`
+	Epoch      uint64                  `json:"epoch"`
+	Voters     []string                `json:"seats"`
+	Budgets    map[string]LedgerStatus `json:"budgets"`
+	Holders    []HolderStatus          `json:"holders"`
+	ClockRates map[string]float64      `json:"clocks,omitempty"` // beyond the margin, their rates by this seat's
+	Error      string                  `json:"fault,omitempty"`
+}
+
+// LedgerStatus is one budget in a seat's books.
+type LedgerStatus struct {
+	Total       int64 `json:"whole"`
+	Floors      int64 `json:"floors"`
+	Granted     int64 `json:"granted"`
+	CoolingDown int64 `json:"resting"`
+	Free        int64 `json:"free"`
+}
+
+// HolderStatus is one process in a seat's books.
+type HolderStatus struct {
+	Node   string           `json:"node"`
+	Units  map[string]int64 `json:"units"`
+	Demand map[string]int64 `json:"want"`
+}
+
+func (s *seat) read() *VoterStatus {
 	_, granter := s.raft.LeaderWithID()
-	out := &SeatFigures{ID: s.id, State: strings.ToLower(s.raft.State().String()), Granter: nameOf(string(granter)), Budgets: map[string]BudgetFigures{}}
+	out := &VoterStatus{ID: s.id, State: strings.ToLower(s.raft.State().String()), Leader: nameOf(string(granter)), Budgets: map[string]LedgerStatus{}}
 	if c := s.raft.GetConfiguration(); c.Error() == nil {
 		for _, x := range c.Configuration().Servers {
-			out.Seats = append(out.Seats, string(x.ID))
+			out.Voters = append(out.Voters, string(x.ID))
 		}
 	}
 	s.mu.Lock()
-	out.Grants, out.Fault, out.Clocks = s.reigns, s.disk, maps.Clone(s.clocks)
-	if out.Fault == "" && (out.Granter == "" || out.Granter == s.name) {
-		out.Fault = s.fault // why the last reign ended; of no interest once another one grants
+	out.IsLeader, out.Error, out.ClockRates = s.reigns, s.disk, maps.Clone(s.clocks)
+	if out.Error == "" && (out.Leader == "" || out.Leader == s.name) {
+		out.Error = s.fault // why the last reign ended; of no interest once another one grants
 	}
 	s.mu.Unlock()
 	s.books.mu.Lock()
@@ -770,11 +770,11 @@
 	out.Epoch = b.Epoch
 	for name, a := range b.Budgets {
 		floors := b.Outstanding(name) - a.Granted
-		out.Budgets[name] = BudgetFigures{a.Total, floors, a.Granted, a.CoolingDownTotal, a.Total - floors - a.Granted - a.CoolingDownTotal}
+		out.Budgets[name] = LedgerStatus{a.Total, floors, a.Granted, a.CoolingDownTotal, a.Total - floors - a.Granted - a.CoolingDownTotal}
 	}
 	for _, name := range b.HolderNames() {
 		h := b.Holders[name]
-		out.Holders = append(out.Holders, HolderFigures{h.Node, maps.Clone(h.Units), maps.Clone(h.Demand)})
+		out.Holders = append(out.Holders, HolderStatus{h.Node, maps.Clone(h.Units), maps.Clone(h.Demand)})
 	}
 	return out
 }
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -111,8 +111,8 @@
 	return most, all
 }
 
-func figures(n *testcluster.Node) *fleet.Figures {
-	var f fleet.Figures
+func figures(n *testcluster.Node) *fleet.Status {
+	var f fleet.Status
 	if n.Ask("fleet", &f) != nil {
 		return nil
 	}
@@ -122,7 +122,7 @@
 // mine is what the node may use of the connections now.
 func mine(n *testcluster.Node) int64 {
 	if f := figures(n); f != nil {
-		return f.Budgets["connect"].Mine
+		return f.Budgets["connect"].Quota
 	}
 	return 0
 }
@@ -140,7 +140,7 @@
 		if !n.Running() {
 			continue
 		}
-		if f := figures(n); f != nil && f.Seat != nil && f.Seat.Grants {
+		if f := figures(n); f != nil && f.Voter != nil && f.Voter.IsLeader {
 			return n
 		}
 	}
@@ -416,7 +416,7 @@
 		n.Upgrade()
 		b.Until(n.Name+" has its seat again", soon, func() bool {
 			f := figures(n)
-			return f != nil && f.Seat != nil && f.Seat.Granter != "" && f.LeaseMs > 0
+			return f != nil && f.Voter != nil && f.Voter.Leader != "" && f.LeaseMillis > 0
 		})
 	}
 	b.Until("the whole is in use", 2*soon, func() bool { return sum(b.Nodes) >= shared(3)-3 })
@@ -429,13 +429,13 @@
 	beside(t)
 	b := begin(t, fleetPlan(3, 3, 2), 3)
 	lost := but(b.Nodes, granter(b.Rig))[0]
-	was := figures(lost).Seat.ID
+	was := figures(lost).Voter.ID
 	lost.Kill()
 	lost.Forget()
 	lost.Start()
 	b.Until("it is let in", soon, func() bool {
 		f := figures(lost)
-		return f != nil && f.Seat.ID != was && len(f.Seat.Seats) == 3 && strings.Contains(strings.Join(f.Seat.Seats, " "), f.Seat.ID)
+		return f != nil && f.Voter.ID != was && len(f.Voter.Voters) == 3 && strings.Contains(strings.Join(f.Voter.Voters, " "), f.Voter.ID)
 	})
 	b.Until("it has a share", soon, func() bool { return mine(lost) > floorConnect })
 	dead := granter(b.Rig)
@@ -533,7 +533,7 @@
 	b.Until("it is named", soon, func() bool {
 		f := figures(slow)
 		g := granter(b.Rig)
-		return f != nil && f.Clock > 0.4 && f.Clock < 0.6 && g != nil && figures(g).Seat.Clocks[slow.Name] > 0
+		return f != nil && f.ClockRate > 0.4 && f.ClockRate < 0.6 && g != nil && figures(g).Voter.ClockRates[slow.Name] > 0
 	})
 	b.Until("it is on its floors", soon, func() bool { return mine(slow) <= floorConnect })
 	b.over(t, wholeConnect)
@@ -563,14 +563,14 @@
 	// found out, and nothing is broken.
 	b.ends = append(b.ends, slow.Load("job", "/look?close=1", 12, 8*time.Millisecond, 400*time.Millisecond))
 	// Danger: on a busy machine a lease is renewed late; what is left of it at the cut is over before others have its share.
-	b.Until("a lease just renewed", soon, func() bool { f := figures(slow); return f != nil && f.LeaseMs > 9*leaseTime.Milliseconds()/10 })
+	b.Until("a lease just renewed", soon, func() bool { f := figures(slow); return f != nil && f.LeaseMillis > 9*leaseTime.Milliseconds()/10 })
 	cut([]*testcluster.Node{slow}, r.Nodes[:3], testcluster.There, testcluster.Back)
 	slow.Signal(syscall.SIGUSR1)
 	b.Until("the whole is broken", soon, func() bool { most, _ := crowd(r); return most > wholeConnect })
 	for seat := range 3 {
 		slow.Relay(seat).Heal()
 	}
-	b.Until("it is named", 2*soon, func() bool { f := figures(slow); return f != nil && f.Clock > 0.1 && f.Clock < 0.9 })
+	b.Until("it is named", 2*soon, func() bool { f := figures(slow); return f != nil && f.ClockRate > 0.1 && f.ClockRate < 0.9 })
 	most, _ := crowd(r)
 	t.Logf("%d in a window before, %d after", before, most)
 	if before > wholeConnect {
@@ -705,7 +705,7 @@
 		if kind != "alone" {
 			r.Until("a lease for each", 20*time.Second, func() bool {
 				for _, n := range r.Nodes {
-					if f := figures(n); f == nil || f.LeaseMs == 0 {
+					if f := figures(n); f == nil || f.LeaseMillis == 0 {
 						return false
 					}
 				}
@@ -840,10 +840,10 @@
 	if granter(r) != small {
 		dead := granter(r)
 		dead.Kill()
-		b.Until("it says so", 2*soon, func() bool { f := figures(small); return f != nil && f.Seat != nil && f.Seat.Fault != "" })
+		b.Until("it says so", 2*soon, func() bool { f := figures(small); return f != nil && f.Voter != nil && f.Voter.Error != "" })
 		dead.Start()
 	} else {
-		b.Until("it says so", 2*soon, func() bool { f := figures(small); return f != nil && f.Seat != nil && f.Seat.Fault != "" })
+		b.Until("it says so", 2*soon, func() bool { f := figures(small); return f != nil && f.Voter != nil && f.Voter.Error != "" })
 	}
 	b.Until("another one grants, and all of it is in use", 2*soon, func() bool {
 		g := granter(r)
@@ -859,7 +859,7 @@
 	}
 	b.Until("its seat goes on", 2*soon, func() bool {
 		f := figures(small)
-		return f != nil && f.Seat != nil && f.Seat.Fault == "" && f.Seat.Granter != ""
+		return f != nil && f.Voter != nil && f.Voter.Error == "" && f.Voter.Leader != ""
 	})
 	b.over(t, wholeConnect)
 }
@@ -980,7 +980,7 @@
 	}
 	greedy := `{"node":"thief","holder":"h","seq":1,"hold":{"connect":40},"want":{"connect":40}}`
 	right := token(1, "only for tests")
-	id := figures(b.Nodes[0]).Seat.ID
+	id := figures(b.Nodes[0]).Voter.ID
 	strangers := []string{
 		"\x00\xff\xfe garbage that is no protocol\r\n\r\n",
 		"\x01" + strings.Repeat("a", 200),
@@ -1017,10 +1017,10 @@
 	b.Until("shares go on", soon, func() bool { return sum(b.Nodes) >= shared(3)-3 })
 	for _, n := range b.Nodes {
 		f := figures(n)
-		if !n.Running() || f == nil || f.Seat == nil {
+		if !n.Running() || f == nil || f.Voter == nil {
 			t.Fatalf("%s is gone: %.2000s", n.Name, n.Log())
 		}
-		for _, h := range f.Seat.Holders {
+		for _, h := range f.Voter.Holders {
 			if h.Node == "thief" {
 				t.Errorf("%s has %+v in its books", n.Name, h)
 			}
--- a/internal/testcluster/shares_test.go
+++ b/internal/testcluster/shares_test.go
@@ -14,7 +14,7 @@
 func leased(r *testcluster.Rig, nodes []*testcluster.Node) {
 	r.Until("a lease for each", 20*time.Second, func() bool {
 		for _, n := range nodes {
-			if f := figures(n); f == nil || f.LeaseMs == 0 {
+			if f := figures(n); f == nil || f.LeaseMillis == 0 {
 				return false
 			}
 		}
--- a/internal/testcluster/signals_test.go
+++ b/internal/testcluster/signals_test.go
@@ -94,8 +94,8 @@
 	if mean := all / len(b.Executors); least < mean/2 {
 		t.Errorf("an executor had %d jobs of the others, the mean is %d", least, mean)
 	}
-	if f := figures(b.Nodes[0]); f == nil || f.Signals == nil || len(f.Signals.Bad) > 0 {
-		t.Errorf("the others are told: %+v", f.Signals)
+	if f := figures(b.Nodes[0]); f == nil || f.Outliers == nil || len(f.Outliers.Scores) > 0 {
+		t.Errorf("the others are told: %+v", f.Outliers)
 	}
 	b.end()
 }
--- a/internal/testcluster/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -106,8 +106,8 @@
 		return b.From(hurt, since), b.From(other, since)
 	}
 	near, theirs := look()
-	if len(near) != figures(hurt).Subset.Near || len(near) > 8 || len(theirs) > 8 {
-		t.Fatalf("%d and %d executors are used, %d are to be", len(near), len(theirs), figures(hurt).Subset.Near)
+	if len(near) != figures(hurt).Subset.Assigned || len(near) > 8 || len(theirs) > 8 {
+		t.Fatalf("%d and %d executors are used, %d are to be", len(near), len(theirs), figures(hurt).Subset.Assigned)
 	}
 	same := func(a, b map[*testcluster.Executor]bool) bool {
 		for e := range a {
