--- a/cmd/fernrail/commands.go
+++ b/cmd/fernrail/commands.go
@@ -53,16 +53,16 @@
 	}
 	fmt.Fprintf(out, "%s: node %s, clients at %s\n", c.File, node.Name, node.Listen)
 	switch {
-	case node.Silenced:
+	case node.FleetDisabled:
 		fmt.Fprintln(out, "fleet: off, settings.Limits.MayTell does not let nodes talk")
 	case node.Fleet == nil:
 		fmt.Fprintln(out, "fleet: no section, nothing is held together with other nodes")
 	default:
 		role := "no seat"
-		if node.Fleet.Seat(node.Name) != nil {
+		if node.Fleet.Voter(node.Name) != nil {
 			role = "a seat at " + node.Fleet.Listen
 		}
-		fmt.Fprintf(out, "fleet: %s, %d seats, budgets %s\n", role, len(node.Fleet.Seats), strings.Join(slices.Sorted(maps.Keys(node.Fleet.Pact.Budgets)), ", "))
+		fmt.Fprintf(out, "fleet: %s, %d seats, budgets %s\n", role, len(node.Fleet.Voters), strings.Join(slices.Sorted(maps.Keys(node.Fleet.Agreement.Budgets)), ", "))
 	}
 	return nil
 }
--- a/cmd/fernrail/desk.go
+++ b/cmd/fernrail/desk.go
@@ -96,7 +96,7 @@
 	} else if d.grows = false; part != d.part {
 		d.part = part
 		sockets := int(part * float64(d.config.Sockets))
-		if d.config.Admin != "" {
+		if d.config.AdminAddress != "" {
 			sockets -= places(d.config.Sockets) + 1
 		}
 		d.descriptors.Resize(sockets)
--- a/cmd/fernrail/desk_test.go
+++ b/cmd/fernrail/desk_test.go
@@ -16,8 +16,8 @@
 // at once.
 func TestParts(t *testing.T) {
 	dir := t.TempDir()
-	c := &config.Node{Name: "n", Sockets: 200, Memory: 1 << 30, Names: &protocol.Names{}, Known: &protocol.List{}}
-	terms, err := config.Decode(func(key string) (string, bool) {
+	c := &config.Node{Name: "n", Sockets: 200, Memory: 1 << 30, Names: &protocol.Names{}, InitialEndpoints: &protocol.List{}}
+	terms, err := config.DecodeSettings(func(key string) (string, bool) {
 		if key == "Schemes.count" {
 			return "0", true
 		}
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -67,14 +67,14 @@
 	}
 	// Danger: a node in trouble that spends its core on telling so.
 	few := &zerolog.BurstSampler{Burst: 20, Period: time.Second}
-	log = log.With().Str("node", c.Name).Logger().Level(c.Log).Sample(&zerolog.LevelSampler{DebugSampler: few, WarnSampler: few})
+	log = log.With().Str("node", c.Name).Logger().Level(c.LogLevel).Sample(&zerolog.LevelSampler{DebugSampler: few, WarnSampler: few})
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
 	var share *fleet.Fleet
-	if c.Silenced {
+	if c.FleetDisabled {
 		log.Warn().Str("key", "fleet").Msg("settings.Limits.MayTell does not let nodes talk: no budget is held together")
 	}
 	if c.Fleet != nil {
-		if share, err = fleet.Start(c.Name, c.Fleet, c.Inherited != 0, clock, log); err != nil {
+		if share, err = fleet.Start(c.Name, c.Fleet, c.ListenFD != 0, clock, log); err != nil {
 			return err
 		}
 		defer share.Close()
@@ -88,7 +88,7 @@
 	defer cancel()
 	go desk.node.Follow(follow)
 	go desk.keepUp(follow)
-	if share != nil && c.Fleet.Quorum > 0 {
+	if share != nil && c.Fleet.WitnessQuorum > 0 {
 		go share.RunOutlierGossip(follow, desk.node.Lists, desk.node.Doubt)
 	}
 	if share != nil && c.Fleet.Subset != nil {
@@ -100,8 +100,8 @@
 		}
 	}()
 
-	if c.Admin != "" {
-		l, err := net.Listen("tcp", c.Admin)
+	if c.AdminAddress != "" {
+		l, err := net.Listen("tcp", c.AdminAddress)
 		if err != nil {
 			return err
 		}
@@ -116,7 +116,7 @@
 			log.Warn().Msg("discovery is silent: the node serves on the list in its configuration")
 		case <-stopped.Done():
 			log.Info().Msg("node ends before it served")
-			desk.outlast(min(c.Longest, longestStop) + 2*stopMargin)
+			desk.outlast(min(c.MaxDeadline, longestStop) + 2*stopMargin)
 			return nil
 		}
 	}
@@ -127,10 +127,10 @@
 	// Danger: an old process that is told to end at this one's yes, and does not see yet that it has a successor.
 	desk.seat.Serve(true)
 	ended := desk.server.Open(l)
-	if c.Unheard && c.Fleet == nil {
+	if c.PeerMessagesUnsupported && c.Fleet == nil {
 		log.Warn().Str("key", "settings.Limits.MayTell").Msg("messages between nodes have no protocol here: none are sent")
 	}
-	log.Info().Str("listen", c.Listen).Int("executors", len(c.Known.Entries)).Int("beside", desk.seat.Others()).Msg("node serves")
+	log.Info().Str("listen", c.Listen).Int("executors", len(c.InitialEndpoints.Entries)).Int("beside", desk.seat.Others()).Msg("node serves")
 	select {
 	case err := <-ended:
 		return err
@@ -141,7 +141,7 @@
 		share.HandOver()
 	}
 	log.Info().Bool("successor", taken).Msg("node stops")
-	within := min(c.Longest, longestStop) + stopMargin
+	within := min(c.MaxDeadline, longestStop) + stopMargin
 	desk.node.End(within)
 	if err := desk.server.Stop(within+stopMargin, taken); err != nil {
 		log.Warn().Err(err).Msg("ends with clients connected")
@@ -151,10 +151,10 @@
 
 // listen opens the clients' address, or takes over the socket that was inherited.
 func listen(c *config.Node) (net.Listener, error) {
-	if c.Inherited == 0 {
+	if c.ListenFD == 0 {
 		return net.Listen("tcp", c.Listen)
 	}
-	return transport.Inherit(c.Inherited)
+	return transport.Inherit(c.ListenFD)
 }
 
 // places is how many operators' calls are held at a time: a part of the descriptors that takes little from clients.
@@ -164,23 +164,23 @@
 func wire(c *config.Node, share *fleet.Fleet, log zerolog.Logger) *desk {
 	descriptors, counters := transport.NewDescriptors(c.Sockets), metrics.New(c.Names.Schemes)
 	descriptors.Log(log)
-	carrier := transport.NewExecutors(descriptors, c.Dial, c.Idle, c.Values, counters.Attempted)
+	carrier := transport.NewExecutors(descriptors, c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, counters.Attempted)
 	var held routing.Purse
 	if share != nil {
 		p := &purse{share, descriptors}
 		held = p
 		carrier.Dials(p.dial)
 	}
-	node := routing.New(c.Settings, c.Seed, c.Known, carrier, c.Probe, transport.NewDiscovery(c.Discovery, c.Names), held, log)
+	node := routing.New(c.Settings, c.Seed, c.InitialEndpoints, carrier, c.ProbeTimeout, transport.NewDiscovery(c.Discovery, c.Names), held, log)
 	carrier.Behind(node.Lag)
-	if share != nil && c.Fleet.Quorum > 0 {
+	if share != nil && c.Fleet.WitnessQuorum > 0 {
 		node.Witness(share.RecordOutcome)
 	}
 	d := &desk{config: c, share: share, node: node, descriptors: descriptors, counters: counters, log: log,
 		server: transport.NewServer(descriptors, c.Names, node.Serve, node.Ready, counters, log)}
 	// Danger: looks at files many times a second, at a node that has no operators and no second process.
 	dir := ""
-	if c.Admin != "" || c.Inherited != 0 {
+	if c.AdminAddress != "" || c.ListenFD != 0 {
 		dir = os.Getenv("TMPDIR")
 	}
 	d.join(dir)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,24 +24,24 @@
 // Node is what one node is told at start.
 type Node struct {
 	Name, Listen, Discovery string
-	Admin                   string // where operators call; empty: nowhere
-	Inherited               int    // the descriptor of the clients' listening socket, where it is handed over; 0: it is not
+	AdminAddress            string // where operators call; empty: nowhere
+	ListenFD                int    // the descriptor of the clients' listening socket, where it is handed over; 0: it is not
 	Seed                    uint64
 	Cores                   float64
 	Memory                  int64 // bytes
 	Sockets                 int
-	Known                   *protocol.List
+	InitialEndpoints        *protocol.List
 	Names                   *protocol.Names
 	Settings                *dispatch.Settings
-	Dial                    time.Duration // for a connection to an executor to come up
-	Idle                    time.Duration // after which an executor closes an unused connection
-	Values                  protocol.Values
-	Probe                   time.Duration // how long the answer to a probe is waited for
-	Silenced                bool          // a fleet section is there, and the settings do not let nodes talk
-	Unheard                 bool          // the settings allow messages between nodes, for which sockets have no protocol
-	Longest                 time.Duration // expiry of the scheme that has the longest
+	DialTimeout             time.Duration // for a connection to an executor to come up
+	IdleTimeout             time.Duration // after which an executor closes an unused connection
+	LoadReportKeys          protocol.Values
+	ProbeTimeout            time.Duration // how long the answer to a probe is waited for
+	FleetDisabled           bool          // a fleet section is there, and the settings do not let nodes talk
+	PeerMessagesUnsupported bool          // the settings allow messages between nodes, for which sockets have no protocol
+	MaxDeadline             time.Duration // expiry of the scheme that has the longest
 	Fleet                   *Fleet        // budgets held with other nodes; nil: none, nothing is told to other nodes
-	Log                     zerolog.Level // the least that is logged; trace tells of each posting
+	LogLevel                zerolog.Level // the least that is logged; trace tells of each posting
 
 	said map[string]string // the file's values by dotted name, but for those that concern a start alone
 }
@@ -140,31 +140,31 @@
 		n.said["settings."+key] = value
 	}
 	var err error
-	if n.Settings, err = Decode(find); err != nil {
+	if n.Settings, err = DecodeSettings(find); err != nil {
 		return nil, err
 	}
 	r := &reader{find: find}
 	// Danger: what looks again after a tick would look again at once, and take the core.
 	r.whole("Tick", 1e6, 1)
-	n.Values = LoadValues(find)
+	n.LoadReportKeys = DecodeLoadReportKeys(find)
 	// Messages have no page for sockets, and none is guessed: the module is told that there are none.
-	n.Unheard, n.Settings.PeerMessages = n.Settings.PeerMessages, false
-	n.Dial = time.Duration(r.whole("Limits.DialTimeout", 1e9, 1))
+	n.PeerMessagesUnsupported, n.Settings.PeerMessages = n.Settings.PeerMessages, false
+	n.DialTimeout = time.Duration(r.whole("Limits.DialTimeout", 1e9, 1))
 	// Danger: a posting that waits for its connection when its executor begins to drain, and sends after the grace.
 	// Danger: on sockets what the agent on this machine has counts a while after it can be asked, whatever failed before, and
 	// where a grace for drains is told, at once, asked for or not.
 	n.Settings.MaxPollInterval = int64(protocol.Again)
 	n.Settings.UnpolledEventAge = min(n.Settings.UnpolledEventAge, n.Settings.MaxPollInterval)
 	if grace := time.Duration(n.Settings.DrainGrace); grace > 0 {
-		n.Dial = min(n.Dial, max(grace/2, 1))
-		n.Settings.UnpolledEventAge, n.Settings.DrainGrace = 0, min(n.Settings.DrainGrace-int64(n.Dial), 2*n.Settings.MaxPollInterval)
+		n.DialTimeout = min(n.DialTimeout, max(grace/2, 1))
+		n.Settings.UnpolledEventAge, n.Settings.DrainGrace = 0, min(n.Settings.DrainGrace-int64(n.DialTimeout), 2*n.Settings.MaxPollInterval)
 	}
-	n.Idle = time.Duration(r.whole("Limits.IdleClose", 10e9, 0))
+	n.IdleTimeout = time.Duration(r.whole("Limits.IdleClose", 10e9, 0))
 	n.Names = &protocol.Names{Zones: r.list("Dcs"), Kinds: r.list("Skus")}
 	for i := range n.Settings.Classes {
 		at := "Schemes." + strconv.Itoa(i) + "."
 		n.Names.Schemes = append(n.Names.Schemes, r.word(at+"Name"))
-		n.Longest = max(n.Longest, time.Duration(r.whole(at+"Expiry", 60e9, 1)))
+		n.MaxDeadline = max(n.MaxDeadline, time.Duration(r.whole(at+"Expiry", 60e9, 1)))
 	}
 	for i := range n.Settings.Tenants {
 		n.Names.Tenants = append(n.Names.Tenants, r.word("Tenants."+strconv.Itoa(i)+".Name"))
@@ -190,10 +190,10 @@
 		}
 		return v
 	}
-	n.Log = zerolog.DebugLevel
+	n.LogLevel = zerolog.DebugLevel
 	if level := env("EDGE_LOG"); level != "" {
 		var err error
-		if n.Log, err = zerolog.ParseLevel(level); err != nil {
+		if n.LogLevel, err = zerolog.ParseLevel(level); err != nil {
 			return fmt.Errorf("EDGE_LOG: %q is not a level, such as trace, debug, info or warn", level)
 		}
 	}
@@ -203,22 +203,22 @@
 	n.Listen, n.Discovery = address("EDGE_LISTEN", "listen"), address("EDGE_DISCOVERY", "discovery")
 	if r.word("admin_addr") != "" || env("EDGE_ADMIN_ADDR") != "" {
 		// Danger: the clients' own address, written twice; one of the two would not come up, or hear the other's calls.
-		if n.Admin = address("EDGE_ADMIN_ADDR", "admin_addr"); n.Admin == n.Listen && r.err == nil {
-			r.err = fmt.Errorf("admin_addr: %q is where clients connect", n.Admin)
+		if n.AdminAddress = address("EDGE_ADMIN_ADDR", "admin_addr"); n.AdminAddress == n.Listen && r.err == nil {
+			r.err = fmt.Errorf("admin_addr: %q is where clients connect", n.AdminAddress)
 		}
 	}
 	if fd := env("EDGE_LISTEN_FD"); fd != "" {
 		var err error
-		if n.Inherited, err = strconv.Atoi(fd); err != nil || n.Inherited < 3 {
+		if n.ListenFD, err = strconv.Atoi(fd); err != nil || n.ListenFD < 3 {
 			return fmt.Errorf("EDGE_LISTEN_FD: %q is not the number of an inherited descriptor", fd)
 		}
-		if on, err := unix.GetsockoptInt(n.Inherited, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
-			return fmt.Errorf("EDGE_LISTEN_FD: descriptor %d is not an open listening socket", n.Inherited)
+		if on, err := unix.GetsockoptInt(n.ListenFD, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
+			return fmt.Errorf("EDGE_LISTEN_FD: descriptor %d is not an open listening socket", n.ListenFD)
 		}
 	}
 	n.Cores = r.real("limits.cores", defaultCores)
 	n.Memory = r.whole("limits.memory_mb", defaultMemory, leastMemory) << 20
-	n.Probe = time.Duration(r.whole("limits.probe_ms", defaultProbe, 1)) * time.Millisecond
+	n.ProbeTimeout = time.Duration(r.whole("limits.probe_ms", defaultProbe, 1)) * time.Millisecond
 	n.Sockets = int(r.whole("limits.sockets", defaultSockets, leastSockets))
 	if r.err != nil {
 		return r.err
@@ -227,8 +227,8 @@
 	if n.Seed, err = strconv.ParseUint(r.word("seed"), 16, 64); err != nil {
 		return fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", r.word("seed"))
 	}
-	if n.Known = (&protocol.List{}); known != nil && string(known) != "null" {
-		if n.Known, err = protocol.ReadList(known, n.Names); err != nil {
+	if n.InitialEndpoints = (&protocol.List{}); known != nil && string(known) != "null" {
+		if n.InitialEndpoints, err = protocol.ReadList(known, n.Names); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
@@ -236,8 +236,8 @@
 		return err
 	}
 	// Danger: a site that forbids nodes to talk, on which a section meant for another site makes them.
-	if n.Fleet != nil && !n.Unheard {
-		n.Fleet, n.Silenced = nil, true
+	if n.Fleet != nil && !n.PeerMessagesUnsupported {
+		n.Fleet, n.FleetDisabled = nil, true
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	if n.Name != "n1" || n.Seed != 0x8c1f || n.Cores != 0.5 || n.Memory != 192<<20 || n.Sockets != 1024 ||
-		n.Dial != 120*time.Millisecond || n.Idle != time.Minute || n.Longest != 5*time.Second || n.Values.Free != "x1" || n.Probe != 500*time.Millisecond {
+		n.DialTimeout != 120*time.Millisecond || n.IdleTimeout != time.Minute || n.MaxDeadline != 5*time.Second || n.LoadReportKeys.Free != "x1" || n.ProbeTimeout != 500*time.Millisecond {
 		t.Errorf("%+v", n)
 	}
-	if e := n.Known.Entries[0]; e.ID != "s-1" || e.Zone != 1 || e.Kind != 1 || e.Started != 12e6 {
+	if e := n.InitialEndpoints.Entries[0]; e.ID != "s-1" || e.Zone != 1 || e.Kind != 1 || e.Started != 12e6 {
 		t.Errorf("%+v", e)
 	}
 	pay, tick := n.Settings.Classes[1], n.Settings.Tick
@@ -110,7 +110,7 @@
 		n, err := parse([]byte("{"+c.file+whole[1:]), func(v string) string {
 			return map[string]string{"EDGE_ADMIN_ADDR": c.variable, "EDGE_LISTEN": "10.0.0.4:7070"}[v]
 		})
-		if c.fault == "" && (err != nil || n.Admin != c.want) || c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)) {
+		if c.fault == "" && (err != nil || n.AdminAddress != c.want) || c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)) {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
@@ -136,7 +136,7 @@
 	read := func(fd string) (*Node, error) {
 		return parse([]byte(whole), func(v string) string { return map[string]string{"EDGE_LISTEN_FD": fd}[v] })
 	}
-	if n, err := read(fmt.Sprint(door.Fd())); err != nil || n.Inherited != int(door.Fd()) {
+	if n, err := read(fmt.Sprint(door.Fd())); err != nil || n.ListenFD != int(door.Fd()) {
 		t.Error(err)
 	}
 	for _, fd := range []string{"five", "-1", "0", "1", "99999", fmt.Sprint(other.Fd())} {
@@ -144,7 +144,7 @@
 			t.Errorf("%s: %v", fd, err)
 		}
 	}
-	if n, err := read(""); err != nil || n.Inherited != 0 {
+	if n, err := read(""); err != nil || n.ListenFD != 0 {
 		t.Error(err)
 	}
 }
@@ -153,11 +153,11 @@
 func TestSlowConnections(t *testing.T) {
 	text := strings.Replace(whole, `"Odd":true`, `"Rules":{"DrainGrace":100000000}`, 1)
 	n, err := parse([]byte(text), nothing)
-	if err != nil || n.Dial > 50*time.Millisecond {
-		t.Errorf("%v %v", n.Dial, err)
+	if err != nil || n.DialTimeout > 50*time.Millisecond {
+		t.Errorf("%v %v", n.DialTimeout, err)
 	}
 	// What discovery's agent has counts as told without a call, and what waits for a connection goes out later still.
-	if n.Settings.UnpolledEventAge != 0 || n.Settings.MaxPollInterval != int64(protocol.Again) || n.Settings.DrainGrace+int64(n.Dial) > 100e6 {
+	if n.Settings.UnpolledEventAge != 0 || n.Settings.MaxPollInterval != int64(protocol.Again) || n.Settings.DrainGrace+int64(n.DialTimeout) > 100e6 {
 		t.Errorf("%d ns may pass without a call, %d ns after news", n.Settings.UnpolledEventAge, n.Settings.DrainGrace)
 	}
 }
@@ -173,11 +173,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if x := n.Settings; !x.PollForChanges || !x.LiveCapacity || !x.CapacityProbes || x.LoadReports || x.PeerMessages || x.AllowHedging || !n.Unheard ||
-		n.Values.Free != "x0" || n.Values.Memory != "x1" || n.Probe != 80*time.Millisecond {
+	if x := n.Settings; !x.PollForChanges || !x.LiveCapacity || !x.CapacityProbes || x.LoadReports || x.PeerMessages || x.AllowHedging || !n.PeerMessagesUnsupported ||
+		n.LoadReportKeys.Free != "x0" || n.LoadReportKeys.Memory != "x1" || n.ProbeTimeout != 80*time.Millisecond {
 		t.Errorf("%+v %+v", n, x)
 	}
-	if n, err = parse([]byte(whole), nothing); err != nil || n.Settings.LiveCapacity || n.Settings.CapacityProbes || n.Settings.PeerMessages || n.Unheard || n.Settings.PollForChanges {
+	if n, err = parse([]byte(whole), nothing); err != nil || n.Settings.LiveCapacity || n.Settings.CapacityProbes || n.Settings.PeerMessages || n.PeerMessagesUnsupported || n.Settings.PollForChanges {
 		t.Errorf("%+v %v", n.Settings, err)
 	}
 }
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	write(strings.NewReplacer("127.0.0.2:85", "127.0.0.3:85", `"addr":"10.0.0.1:7"`, `"addr":"nowhere"`).Replace(whole))
-	if now, left, err := n.Reload(env); err != nil || len(left) > 0 || now.Discovery != "127.0.0.3:85" || len(now.Known.Entries) > 0 {
+	if now, left, err := n.Reload(env); err != nil || len(left) > 0 || now.Discovery != "127.0.0.3:85" || len(now.InitialEndpoints.Entries) > 0 {
 		t.Errorf("%v, %v, %+v", err, left, now)
 	}
 	if _, err := Load(env); err == nil {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -15,23 +15,23 @@
 	"fernrail/internal/fleet/subset"
 )
 
-// Seat is a node that takes part in granting.
-type Seat struct{ Name, Address string }
+// Voter is a node that takes part in granting.
+type Voter struct{ Name, Address string }
 
 // Fleet is how a node holds budgets together with others.
 type Fleet struct {
-	Listen string // of a seat
-	Secret string // what all nodes of a fleet know
-	Dir    string // where a seat keeps what was agreed; empty: in memory alone
-	Seats  []Seat
-	Pace   time.Duration // after which a seat that hears nothing looks for another grantor
-	Pact   budget.Agreement
-	Gossip string            // where this node hears who is there; empty: it takes no part in that
-	Join   []string          // where others do, some of them
-	Routes map[string]string // addresses that this node reaches by another one
-	Subset *subset.Settings  // nil: each node uses all executors
-	Quorum int               // of witnesses that shut an executor out; 0: nodes do not tell of executors
-	Zone   string            // of this node; empty: the settings name none
+	Listen          string // of a seat
+	Secret          string // what all nodes of a fleet know
+	DataDir         string // where a seat keeps what was agreed; empty: in memory alone
+	Voters          []Voter
+	ElectionTimeout time.Duration // after which a seat that hears nothing looks for another grantor
+	Agreement       budget.Agreement
+	Gossip          string            // where this node hears who is there; empty: it takes no part in that
+	Join            []string          // where others do, some of them
+	Routes          map[string]string // addresses that this node reaches by another one
+	Subset          *subset.Settings  // nil: each node uses all executors
+	WitnessQuorum   int               // of witnesses that shut an executor out; 0: nodes do not tell of executors
+	Zone            string            // of this node; empty: the settings name none
 }
 
 // Budgets that can be held together, by the names that the file gives them.
@@ -69,9 +69,9 @@
 	if !some {
 		return nil, nil
 	}
-	f := &Fleet{Listen: r.word("fleet.listen"), Secret: r.word("fleet.secret"), Dir: r.word("fleet.dir"),
-		Pace: time.Duration(r.whole("fleet.pace_ms", defaultPace, 20)) * time.Millisecond}
-	f.Pact = budget.Agreement{MaxNodes: r.whole("fleet.most", 0, 1), Lease: r.whole("fleet.lease_ms", defaultLease, 1) * 1e6,
+	f := &Fleet{Listen: r.word("fleet.listen"), Secret: r.word("fleet.secret"), DataDir: r.word("fleet.dir"),
+		ElectionTimeout: time.Duration(r.whole("fleet.pace_ms", defaultPace, 20)) * time.Millisecond}
+	f.Agreement = budget.Agreement{MaxNodes: r.whole("fleet.most", 0, 1), Lease: r.whole("fleet.lease_ms", defaultLease, 1) * 1e6,
 		ClockMargin: r.real("fleet.margin", defaultMargin), Budgets: map[string]budget.Limits{}}
 	trip := time.Duration(r.whole("fleet.round_trip_ms", int64(defaultTrip/time.Millisecond), 1)) * time.Millisecond
 	f.Gossip, f.Join, f.Routes = r.word("fleet.gossip"), r.list("fleet.join"), map[string]string{}
@@ -91,7 +91,7 @@
 	if parted {
 		f.Subset = &subset.Settings{Size: int(r.whole("fleet.subset.size", 0, 1)), MinNodesPerServer: int(r.whole("fleet.subset.cover", defaultCover, 1))}
 		// Danger: a zone or a kind that a node can't reach, or a part that is none.
-		least, listed := max(len(n.Names.Zones), len(n.Names.Kinds)), len(n.Known.Entries)
+		least, listed := max(len(n.Names.Zones), len(n.Names.Kinds)), len(n.InitialEndpoints.Entries)
 		switch size := f.Subset.Size; {
 		case r.err != nil:
 			return nil, r.err
@@ -107,7 +107,7 @@
 		f.Zone = n.Names.Zones[z]
 	}
 	if _, told := flat["fleet.signals.quorum"]; told {
-		f.Quorum = int(r.whole("fleet.signals.quorum", 0, 2))
+		f.WitnessQuorum = int(r.whole("fleet.signals.quorum", 0, 2))
 		switch {
 		case r.err != nil:
 			return nil, r.err
@@ -115,21 +115,21 @@
 			return nil, fmt.Errorf("fleet.signals: without fleet.gossip nodes hear nothing of each other")
 		case f.Zone == "":
 			return nil, fmt.Errorf("fleet.signals: settings.MyZone and settings.Dcs name no zone, so that this node is no witness")
-		case int64(f.Quorum) > f.Pact.MaxNodes:
-			return nil, fmt.Errorf("fleet.signals.quorum: %d is more than all nodes, fleet.most", f.Quorum)
+		case int64(f.WitnessQuorum) > f.Agreement.MaxNodes:
+			return nil, fmt.Errorf("fleet.signals.quorum: %d is more than all nodes, fleet.most", f.WitnessQuorum)
 		}
 	}
 	count := int(r.whole("fleet.seats.count", 0, 0))
 	for i := range count {
 		at := "fleet.seats." + strconv.Itoa(i)
-		s := Seat{r.word(at + ".name"), r.word(at + ".address")}
+		s := Voter{r.word(at + ".name"), r.word(at + ".address")}
 		if s.Name == "" || strings.ContainsAny(s.Name, "/ ") {
 			return nil, fmt.Errorf("%s.name: %q is no name of a node", at, s.Name)
 		}
 		if _, _, err := net.SplitHostPort(s.Address); err != nil {
 			return nil, fmt.Errorf("%s.address: %q is not host:port", at, s.Address)
 		}
-		for j, other := range f.Seats {
+		for j, other := range f.Voters {
 			if other.Name == s.Name {
 				return nil, fmt.Errorf("%s.name: %q is the name of seat %d as well", at, s.Name, j)
 			}
@@ -137,11 +137,11 @@
 				return nil, fmt.Errorf("%s.address: %q is the address of seat %d as well", at, s.Address, j)
 			}
 		}
-		f.Seats = append(f.Seats, s)
+		f.Voters = append(f.Voters, s)
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		at := "fleet.budgets." + name + "."
-		window, longest, soon := int64(1000), n.Longest.Milliseconds(), n.Settings.MaxPollWait()
+		window, longest, soon := int64(1000), n.MaxDeadline.Milliseconds(), n.Settings.MaxPollWait()
 		switch fall := n.Settings.OverloadWindow / 1e6; {
 		case !slices.Contains([]string{BudgetRetries, BudgetConnections, BudgetSlowStart, BudgetTenantAttempts, BudgetPolls}, name):
 			return nil, fmt.Errorf("fleet.budgets.%s: no such budget; there are %s, %s, %s, %s and %s", name, BudgetRetries, BudgetConnections, BudgetSlowStart, BudgetTenantAttempts, BudgetPolls)
@@ -155,15 +155,15 @@
 		if name == BudgetSlowStart && t.Window < n.Settings.OverloadWindow {
 			return nil, fmt.Errorf("%swindow_ms: %d is under the window in which a cold executor falls over, settings.Rules.Fall", at, t.Window/1e6)
 		}
-		if name == BudgetTenantAttempts && t.Window < int64(n.Longest) {
+		if name == BudgetTenantAttempts && t.Window < int64(n.MaxDeadline) {
 			return nil, fmt.Errorf("%swindow_ms: %d is under the longest expiry of a scheme, %d, for which a job may run that nothing is heard of", at, t.Window/1e6, longest)
 		}
 		// Danger: news that lies longer than the rules allow since no share comes. A floor is one call in a window, so the window is
 		// what a node waits at most.
-		if name == BudgetPolls && (t.Floor < 1 || float64(t.Window)*(1+f.Pact.ClockMargin) >= float64(soon)) {
+		if name == BudgetPolls && (t.Floor < 1 || float64(t.Window)*(1+f.Agreement.ClockMargin) >= float64(soon)) {
 			return nil, fmt.Errorf("%sfloor: %d in a window of %d ms; each node needs one in less than %d, by settings.Rules", at, t.Floor, t.Window/1e6, soon/1e6)
 		}
-		f.Pact.Budgets[name] = t
+		f.Agreement.Budgets[name] = t
 	}
 	switch {
 	case r.err != nil:
@@ -172,23 +172,23 @@
 		return nil, fmt.Errorf("fleet.seats: %d seats; an odd number is needed, best three or five", count)
 	case len(f.Secret) < leastSecret:
 		return nil, fmt.Errorf("fleet.secret: %d bytes; at least %d are needed", len(f.Secret), leastSecret)
-	case f.Pact.MaxNodes < int64(count) || f.Pact.MaxNodes > mostNodes:
-		return nil, fmt.Errorf("fleet.most: %d is not between the %d seats and %d", f.Pact.MaxNodes, count, mostNodes)
-	case f.Pact.Lease < roundTrips*int64(trip):
-		return nil, fmt.Errorf("fleet.lease_ms: %d is shorter than %d round trips of %v", f.Pact.Lease/1e6, roundTrips, trip)
+	case f.Agreement.MaxNodes < int64(count) || f.Agreement.MaxNodes > mostNodes:
+		return nil, fmt.Errorf("fleet.most: %d is not between the %d seats and %d", f.Agreement.MaxNodes, count, mostNodes)
+	case f.Agreement.Lease < roundTrips*int64(trip):
+		return nil, fmt.Errorf("fleet.lease_ms: %d is shorter than %d round trips of %v", f.Agreement.Lease/1e6, roundTrips, trip)
 	case !names[BudgetSlowStart]:
 		return nil, fmt.Errorf("fleet.budgets.cold: missing; nodes that hold budgets together take no turns at cold executors")
-	case slices.ContainsFunc([]string{BudgetSlowStart, BudgetConnections, BudgetTenantAttempts, BudgetPolls}, func(name string) bool { return f.Pact.Budgets[name].FirstAttemptRatio != 0 }):
+	case slices.ContainsFunc([]string{BudgetSlowStart, BudgetConnections, BudgetTenantAttempts, BudgetPolls}, func(name string) bool { return f.Agreement.Budgets[name].FirstAttemptRatio != 0 }):
 		return nil, fmt.Errorf("fleet.budgets: share is for second postings alone, which are one of first ones")
-	case f.Pact.Budgets[BudgetRetries].Partitions > 1:
-		return nil, fmt.Errorf("fleet.budgets.again.parts: %d; second postings are counted for all executors together", f.Pact.Budgets[BudgetRetries].Partitions)
-	case f.Pact.Budgets[BudgetPolls].Partitions > 1:
-		return nil, fmt.Errorf("fleet.budgets.calls.parts: %d; there is one list", f.Pact.Budgets[BudgetPolls].Partitions)
+	case f.Agreement.Budgets[BudgetRetries].Partitions > 1:
+		return nil, fmt.Errorf("fleet.budgets.again.parts: %d; second postings are counted for all executors together", f.Agreement.Budgets[BudgetRetries].Partitions)
+	case f.Agreement.Budgets[BudgetPolls].Partitions > 1:
+		return nil, fmt.Errorf("fleet.budgets.calls.parts: %d; there is one list", f.Agreement.Budgets[BudgetPolls].Partitions)
 	}
-	if err := f.Pact.Validate(); err != nil {
+	if err := f.Agreement.Validate(); err != nil {
 		return nil, fmt.Errorf("fleet.%w", err)
 	}
-	seat := f.Seat(n.Name)
+	seat := f.Voter(n.Name)
 	if seat != nil && f.Listen == "" {
 		f.Listen = seat.Address
 	}
@@ -196,17 +196,17 @@
 		if _, _, err := net.SplitHostPort(f.Listen); err != nil {
 			return nil, fmt.Errorf("fleet.listen: %q is not host:port", f.Listen)
 		}
-		if f.Listen == n.Listen || f.Listen == n.Admin {
+		if f.Listen == n.Listen || f.Listen == n.AdminAddress {
 			return nil, fmt.Errorf("fleet.listen: %q is where clients or operators connect", f.Listen)
 		}
 	}
 	return f, nil
 }
 
-// Seat is the seat of that name; nil: the node has none.
-func (f *Fleet) Seat(name string) *Seat {
-	if i := slices.IndexFunc(f.Seats, func(s Seat) bool { return s.Name == name }); i >= 0 {
-		return &f.Seats[i]
+// Voter is the seat of that name; nil: the node has none.
+func (f *Fleet) Voter(name string) *Voter {
+	if i := slices.IndexFunc(f.Voters, func(s Voter) bool { return s.Name == name }); i >= 0 {
+		return &f.Voters[i]
 	}
 	return nil
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -90,7 +90,7 @@
 	} {
 		n, err := Load(fleetFile(t, change))
 		if want == "" {
-			if err != nil || n.Fleet == nil || n.Fleet.Seat("n1") == nil || n.Fleet.Listen != "127.0.0.1:7201" || n.Silenced {
+			if err != nil || n.Fleet == nil || n.Fleet.Voter("n1") == nil || n.Fleet.Listen != "127.0.0.1:7201" || n.FleetDisabled {
 				t.Errorf("%v, %+v", err, n)
 			}
 		} else if err == nil || !strings.Contains(strings.TrimPrefix(err.Error(), "settings: "), want) {
@@ -105,7 +105,7 @@
 	n, err := Load(fleetFile(t, func(file, _ map[string]any) {
 		file["settings"].(map[string]any)["Limits"].(map[string]any)["MayTell"] = false
 	}))
-	if err != nil || n.Fleet != nil || !n.Silenced {
+	if err != nil || n.Fleet != nil || !n.FleetDisabled {
 		t.Errorf("%v, %+v", err, n)
 	}
 	silenced := n.Settings
@@ -113,7 +113,7 @@
 		file["settings"].(map[string]any)["Limits"].(map[string]any)["MayTell"] = false
 		delete(file, "fleet")
 	}))
-	if err != nil || n.Fleet != nil || n.Silenced {
+	if err != nil || n.Fleet != nil || n.FleetDisabled {
 		t.Errorf("%v, %+v", err, n)
 	}
 	// The module sees its terms, its seed and what happens; with the same terms its decisions are the same.
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -15,12 +15,12 @@
 	"fernrail/internal/protocol"
 )
 
-// Find looks up a setting by its dotted name, such as Limits.IdleClose or Schemes.0.SlaTime.
-type Find func(name string) (string, bool)
+// Lookup looks up a setting by its dotted name, such as Limits.IdleClose or Schemes.0.SlaTime.
+type Lookup func(name string) (string, bool)
 
 // reader reads settings. The first fault is kept and names its key; later reads give what stands for absent.
 type reader struct {
-	find Find
+	find Lookup
 	err  error
 }
 
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// LoadValues names the values of load reports that tell free slots and, where jobs count memory, free memory.
-func LoadValues(find Find) (v protocol.Values) {
+// DecodeLoadReportKeys names the values of load reports that tell free slots and, where jobs count memory, free memory.
+func DecodeLoadReportKeys(find Lookup) (v protocol.Values) {
 	fields, _ := find("Report.Fields")
 	for _, name := range strings.Split(cmp.Or(fields, "x0,x1"), ",") {
 		meaning, _ := find("Extra.Report" + strings.ToUpper(name))
@@ -101,9 +101,9 @@
 	return v
 }
 
-// Decode reads the settings that the module uses; what it does not know is skipped, what is absent gets the value
+// DecodeSettings reads the settings that the module uses; what it does not know is skipped, what is absent gets the value
 // that permits least.
-func Decode(find Find) (*dispatch.Settings, error) {
+func DecodeSettings(find Lookup) (*dispatch.Settings, error) {
 	r := &reader{find: find}
 	whole := max(r.real("ScoreParts.Whole", 1), 0.01)
 	t := &dispatch.Settings{
@@ -113,7 +113,7 @@
 		LiveCapacity:   r.choice("Weights", "silent", "nominal", "rough", "live") == "live",
 		LoadReports:    r.choice("Report.Source", "silent", "piggyback", "pull") == "piggyback",
 		PeerMessages:   r.flag("Limits.MayTell"),
-		CapacityProbes: r.flag("Limits.MayProbe") && r.word("Report.Source") == "pull" && LoadValues(find).Free != "",
+		CapacityProbes: r.flag("Limits.MayProbe") && r.word("Report.Source") == "pull" && DecodeLoadReportKeys(find).Free != "",
 		StartNotices:   r.flag("Extra.TellsStart"), ProgressInterval: r.whole("Extra.Progress", 0, 0),
 		MaxAttempts: int(r.whole("Limits.MostPostings", 1, 0)),
 		AllowCancel: r.flag("Limits.MayCancel"), AllowHedging: r.flag("Limits.MayDuplicate"),
--- a/internal/fleet/board.go
+++ b/internal/fleet/board.go
@@ -30,7 +30,7 @@
 
 func newBoard(name string, plan *config.Fleet, clock Clock) *board {
 	// A later process of the node has a larger number, unless the machine's clock was set back meanwhile; it is heard then once its number is.
-	return &board{clock: clock, kick: make(chan struct{}, 1), seen: signals.New(name, plan.Zone, time.Now().UnixNano(), plan.Quorum),
+	return &board{clock: clock, kick: make(chan struct{}, 1), seen: signals.New(name, plan.Zone, time.Now().UnixNano(), plan.WitnessQuorum),
 		listed: func(string) bool { return false }, bad: map[string]float64{}}
 }
 
@@ -83,7 +83,7 @@
 	b.mu.Lock()
 	b.listed = listed
 	b.mu.Unlock()
-	tick := time.NewTicker(f.plan.Pace / 2)
+	tick := time.NewTicker(f.plan.ElectionTimeout / 2)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -65,7 +65,7 @@
 	}
 	r.ContentLength = int64(len(text))
 	r.Header.Set(tokenHeader, c.token)
-	r.Header.Set(pactHeader, c.plan.Pact.Digest())
+	r.Header.Set(pactHeader, c.plan.Agreement.Digest())
 	answer, err := c.client.Do(r)
 	if err != nil {
 		return err
@@ -96,15 +96,15 @@
 		redirect
 		*budget.LeaseResponse
 	}
-	err := c.post(ctx, c.plan.Seats[at].Address, "/ask", a, &out)
+	err := c.post(ctx, c.plan.Voters[at].Address, "/ask", a, &out)
 	if err == nil && out.LeaseResponse == nil {
 		err = errElsewhere
 	}
 	if err == nil {
 		return out.LeaseResponse, at, nil
 	}
-	next := (at + 1) % len(c.plan.Seats)
-	for i, s := range c.plan.Seats {
+	next := (at + 1) % len(c.plan.Voters)
+	for i, s := range c.plan.Voters {
 		if s.Name == out.Granter {
 			next = i
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -76,18 +76,18 @@
 	ctx, stop := context.WithCancel(context.Background())
 	f := &Fleet{plan: plan, name: name, clock: clock, log: log.With().Str("part", "fleet").Logger(), kick: make(chan struct{}, 1), news: make(chan struct{}, 1),
 		stop: stop, shares: map[string]*share{}}
-	f.holder = budget.NewLeaseHolder(name, identity(), &plan.Pact, clock())
-	f.wants, f.firsts = budget.NewDemandEstimator(name, &plan.Pact), budget.NewUsageMeter(&plan.Pact, config.BudgetRetries)
-	for b, t := range plan.Pact.Budgets {
-		for _, part := range plan.Pact.PartitionNames(b) {
-			f.shares[part] = &share{terms: t, meter: budget.NewUsageMeter(&plan.Pact, part), whole: t.Total}
+	f.holder = budget.NewLeaseHolder(name, identity(), &plan.Agreement, clock())
+	f.wants, f.firsts = budget.NewDemandEstimator(name, &plan.Agreement), budget.NewUsageMeter(&plan.Agreement, config.BudgetRetries)
+	for b, t := range plan.Agreement.Budgets {
+		for _, part := range plan.Agreement.PartitionNames(b) {
+			f.shares[part] = &share{terms: t, meter: budget.NewUsageMeter(&plan.Agreement, part), whole: t.Total}
 		}
 	}
 	f.calls = newCalls(plan)
-	if plan.Quorum > 0 {
+	if plan.WitnessQuorum > 0 {
 		f.board = newBoard(name, plan, clock)
 	}
-	if own := plan.Seat(name); own != nil {
+	if own := plan.Voter(name); own != nil {
 		l, err := net.Listen("tcp", plan.Listen)
 		// Danger: another process of this node has the seat, as in an upgrade; this one takes it once that one has left.
 		if errors.Is(err, syscall.EADDRINUSE) && beside {
@@ -256,7 +256,7 @@
 func (f *Fleet) keep(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	kicked, at, heard, hurry := false, 0, true, time.Duration(f.plan.Pact.Lease/hurries)
+	kicked, at, heard, hurry := false, 0, true, time.Duration(f.plan.Agreement.Lease/hurries)
 	for {
 		select {
 		case <-ctx.Done():
@@ -271,7 +271,7 @@
 		}
 		kicked = false
 		ask := f.ask()
-		call, cancel := context.WithTimeout(ctx, time.Duration(f.plan.Pact.Lease/3))
+		call, cancel := context.WithTimeout(ctx, time.Duration(f.plan.Agreement.Lease/3))
 		answer, to, err := f.calls.ask(call, at, &ask)
 		cancel()
 		at = to
@@ -292,7 +292,7 @@
 		next := time.Duration(f.holder.NextRequestTime() - f.clock())
 		f.mu.Unlock()
 		if err != nil {
-			next = min(next, time.Duration(f.plan.Pact.Lease/10)) // another seat
+			next = min(next, time.Duration(f.plan.Agreement.Lease/10)) // another seat
 		}
 		timer.Reset(max(next, hurry/8))
 	}
@@ -317,7 +317,7 @@
 	f.wants.ObserveResponse(a)
 	f.holder.ApplyResponse(a, f.clock())
 	if rate := f.holder.ClockRate(); rate != 0 && was == 0 {
-		f.log.Error().Float64("rate", rate).Float64("margin", f.plan.Pact.ClockMargin).Msg("this machine's clock, or the granter's, is beyond the margin: no lease is used")
+		f.log.Error().Float64("rate", rate).Float64("margin", f.plan.Agreement.ClockMargin).Msg("this machine's clock, or the granter's, is beyond the margin: no lease is used")
 	}
 	for name, whole := range a.Totals {
 		if s := f.shares[name]; s != nil {
@@ -358,24 +358,24 @@
 
 // share is the one of a budget that a key falls to.
 func (f *Fleet) share(budget, key string) string {
-	if f.plan.Pact.Budgets[budget].Partitions <= 1 {
+	if f.plan.Agreement.Budgets[budget].Partitions <= 1 {
 		return budget
 	}
-	return f.plan.Pact.PartitionName(budget, dispatch.HashName(key))
+	return f.plan.Agreement.PartitionName(budget, dispatch.HashName(key))
 }
 
 // Total is what all nodes have of a budget, by the pact.
-func (f *Fleet) Total(name string) float64 { return float64(f.plan.Pact.Budgets[name].Total) }
+func (f *Fleet) Total(name string) float64 { return float64(f.plan.Agreement.Budgets[name].Total) }
 
 // SetTotal has the seats agree on another whole. A lowered one waits for what is out.
 func (f *Fleet) SetTotal(name string, units int64) error {
-	if _, is := f.plan.Pact.Budgets[name]; !is {
+	if _, is := f.plan.Agreement.Budgets[name]; !is {
 		return fmt.Errorf("no budget is called %.40q", name)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	err := errElsewhere
-	for _, s := range f.plan.Seats {
+	for _, s := range f.plan.Voters {
 		var done map[string]int64
 		switch fault := f.calls.post(ctx, s.Address, "/whole", map[string]int64{name: units}, &done); {
 		case fault == nil:
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -61,14 +61,14 @@
 	c.AdvertisePort = c.BindPort
 	key := sha256.Sum256(fmt.Appendf(nil, "fernrail gossip %d %s", version, plan.Secret))
 	c.SecretKey = key[:]
-	c.ProbeInterval, c.ProbeTimeout = 2*plan.Pace, plan.Pace
+	c.ProbeInterval, c.ProbeTimeout = 2*plan.ElectionTimeout, plan.ElectionTimeout
 	c.AwarenessMaxMultiplier = 2 // a node that is cut off looks at the others as often, or nearly
-	c.GossipInterval, c.PushPullInterval = plan.Pace, rejoin*plan.Pace
-	c.TCPTimeout = 4 * plan.Pace
+	c.GossipInterval, c.PushPullInterval = plan.ElectionTimeout, rejoin*plan.ElectionTimeout
+	c.TCPTimeout = 4 * plan.ElectionTimeout
 	c.LogOutput = &logged{log, "gossip", rate.NewLimiter(1, 2)}
 	c.Events, c.Conflict = m, m
 	if hear != nil {
-		c.Delegate, c.GossipInterval = m, plan.Pace/3 // news of failures goes two or three nodes far, each in its turn
+		c.Delegate, c.GossipInterval = m, plan.ElectionTimeout/3 // news of failures goes two or three nodes far, each in its turn
 	}
 	m.says.RetransmitMult, m.says.NumNodes = 2, func() int {
 		m.mu.Lock()
@@ -92,7 +92,7 @@
 
 // seek calls those that are not there: the ones to join at, and those that were there before.
 func (m *members) seek(ctx context.Context) {
-	tick := time.NewTicker(rejoin * m.plan.Pace)
+	tick := time.NewTicker(rejoin * m.plan.ElectionTimeout)
 	defer tick.Stop()
 	for {
 		there := map[string]bool{}
@@ -122,7 +122,7 @@
 func (m *members) leave(told bool) {
 	m.stop()
 	if told {
-		m.list.Leave(m.plan.Pace)
+		m.list.Leave(m.plan.ElectionTimeout)
 	}
 	m.list.Shutdown()
 	m.all.Wait()
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -96,11 +96,11 @@
 	s.wire = newWire(netutil.LimitListener(l, places), s.id, plan, c, log)
 	c0 := raft.DefaultConfig()
 	c0.LocalID = raft.ServerID(s.id)
-	c0.HeartbeatTimeout, c0.ElectionTimeout, c0.LeaderLeaseTimeout = plan.Pace, plan.Pace, plan.Pace/2
-	c0.CommitTimeout = max(plan.Pace/10, time.Millisecond)
+	c0.HeartbeatTimeout, c0.ElectionTimeout, c0.LeaderLeaseTimeout = plan.ElectionTimeout, plan.ElectionTimeout, plan.ElectionTimeout/2
+	c0.CommitTimeout = max(plan.ElectionTimeout/10, time.Millisecond)
 	c0.SnapshotThreshold, c0.TrailingLogs = snapshot, keepLogs
 	c0.Logger = hclog.New(&hclog.LoggerOptions{Output: &logged{log, "raft", rate.NewLimiter(1, 5)}, Level: hclog.Warn, DisableTime: true})
-	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.wire, MaxPool: 3, Timeout: 4 * plan.Pace, Logger: c0.Logger})
+	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.wire, MaxPool: 3, Timeout: 4 * plan.ElectionTimeout, Logger: c0.Logger})
 	if s.raft, err = raft.NewRaft(c0, s.books, logs, stable, snaps, transport); err != nil {
 		return fail(fmt.Errorf("fleet.dir: %w", err))
 	}
@@ -109,7 +109,7 @@
 	mux.HandleFunc("POST /who", s.serveWho)
 	mux.HandleFunc("POST /admit", s.serveAdmit)
 	mux.HandleFunc("POST /whole", s.serveWhole)
-	s.server = &http.Server{Handler: s.guard(mux), ReadTimeout: greeting, WriteTimeout: greeting + time.Duration(plan.Pact.Lease), IdleTimeout: time.Minute,
+	s.server = &http.Server{Handler: s.guard(mux), ReadTimeout: greeting, WriteTimeout: greeting + time.Duration(plan.Agreement.Lease), IdleTimeout: time.Minute,
 		MaxHeaderBytes: 4096, ErrorLog: nil}
 	s.all.Go(func() { s.server.Serve(s.wire.plain) })
 	s.all.Go(s.wire.accept)
@@ -135,15 +135,15 @@
 // Danger: a seat that has lost its memory and answers as before would vote twice in one election, and forget what it had
 // agreed to have granted. The id is lost with the memory, and whoever has another id is not part of the group.
 func (s *seat) remember() (logs raft.LogStore, stable raft.StableStore, snaps raft.SnapshotStore, err error) {
-	if s.plan.Dir == "" {
+	if s.plan.DataDir == "" {
 		s.id = s.name + "/" + identity()
 		store := raft.NewInmemStore()
 		return store, store, raft.NewInmemSnapshotStore(), nil
 	}
-	if err := os.MkdirAll(s.plan.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(s.plan.DataDir, 0o700); err != nil {
 		return nil, nil, nil, err
 	}
-	store, err := raftboltdb.NewBoltStore(filepath.Join(s.plan.Dir, "seat.db"))
+	store, err := raftboltdb.NewBoltStore(filepath.Join(s.plan.DataDir, "seat.db"))
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -160,9 +160,9 @@
 	}
 	// Danger: a directory that was another seat's.
 	if s.id = string(id); nameOf(s.id) != s.name {
-		return nil, nil, nil, fmt.Errorf("%s is the memory of %s", s.plan.Dir, nameOf(s.id))
+		return nil, nil, nil, fmt.Errorf("%s is the memory of %s", s.plan.DataDir, nameOf(s.id))
 	}
-	snaps, err = raft.NewFileSnapshotStoreWithLogger(s.plan.Dir, 2, hclog.NewNullLogger())
+	snaps, err = raft.NewFileSnapshotStoreWithLogger(s.plan.DataDir, 2, hclog.NewNullLogger())
 	own := &steady{store, s}
 	return own, own, snaps, err
 }
@@ -293,7 +293,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := s.raft.Apply(text, time.Duration(s.plan.Pact.Lease))
+	f := s.raft.Apply(text, time.Duration(s.plan.Agreement.Lease))
 	if err := f.Error(); err != nil {
 		return nil, err
 	}
@@ -333,11 +333,11 @@
 
 // grants is one reign, up to its end.
 func (s *seat) grants(ctx context.Context) error {
-	if err := s.raft.Barrier(time.Duration(s.plan.Pact.Lease)).Error(); err != nil {
+	if err := s.raft.Barrier(time.Duration(s.plan.Agreement.Lease)).Error(); err != nil {
 		return err
 	}
 	epoch := s.raft.CurrentTerm()
-	if _, err := s.commit(&budget.LogEntry{NewTerm: true, Epoch: epoch, Agreement: &s.plan.Pact, ClusterID: identity()}); err != nil {
+	if _, err := s.commit(&budget.LogEntry{NewTerm: true, Epoch: epoch, Agreement: &s.plan.Agreement, ClusterID: identity()}); err != nil {
 		return err
 	}
 	s.books.mu.Lock()
@@ -348,7 +348,7 @@
 	s.mu.Unlock()
 	s.log.Info().Uint64("epoch", epoch).Msg("this seat grants")
 	var names []string
-	for _, x := range s.plan.Seats {
+	for _, x := range s.plan.Voters {
 		names = append(names, x.Name)
 	}
 	tick := time.NewTicker(inspect)
@@ -396,7 +396,7 @@
 	}
 	s.mu.Unlock()
 	if of != 0 && !was {
-		s.log.Error().Str("clock", node).Float64("rate", of).Float64("margin", s.plan.Pact.ClockMargin).Msg("a clock is beyond the margin: its node uses no lease")
+		s.log.Error().Str("clock", node).Float64("rate", of).Float64("margin", s.plan.Agreement.ClockMargin).Msg("a clock is beyond the margin: its node uses no lease")
 	}
 }
 
@@ -456,14 +456,14 @@
 // find sees to it that the seat is part of the group. A group is founded once, when all seats are there and none has any
 // memory; after that whoever has lost its memory is let in by the others, under its new id.
 func (s *seat) find(ctx context.Context) {
-	tick := time.NewTicker(max(s.plan.Pace, 50*time.Millisecond))
+	tick := time.NewTicker(max(s.plan.ElectionTimeout, 50*time.Millisecond))
 	defer tick.Stop()
 	since := s.clock()
 	for {
 		if !s.blank() && s.member() {
 			if !s.beyond(ctx) {
 				since = s.clock()
-			} else if s.clock()-since > s.plan.Pact.Lease {
+			} else if s.clock()-since > s.plan.Agreement.Lease {
 				s.log.Error().Msg("most seats have lost their memory: this one forgets as well, and the group is founded anew")
 				close(s.lost)
 				return
@@ -483,11 +483,11 @@
 // was theirs. Only where seats have no directory, for what is on a disk may come back.
 // Danger: two of three that start anew while the third goes on; nobody can let them in, and all live on floors for good.
 func (s *seat) beyond(ctx context.Context) bool {
-	if _, id := s.raft.LeaderWithID(); s.plan.Dir != "" || id != "" {
+	if _, id := s.raft.LeaderWithID(); s.plan.DataDir != "" || id != "" {
 		return false
 	}
 	blanks := 0
-	for _, x := range s.plan.Seats {
+	for _, x := range s.plan.Voters {
 		if x.Name == s.name {
 			continue
 		}
@@ -498,7 +498,7 @@
 		}
 		cancel()
 	}
-	return 2*blanks > len(s.plan.Seats)
+	return 2*blanks > len(s.plan.Voters)
 }
 
 // blank says whether the seat remembers no group.
@@ -531,7 +531,7 @@
 func (s *seat) found(ctx context.Context) bool {
 	var servers []raft.Server
 	first := s.name
-	for _, x := range s.plan.Seats {
+	for _, x := range s.plan.Voters {
 		w := who{s.name, s.id, s.blank()}
 		if x.Name != s.name {
 			call, cancel := context.WithTimeout(ctx, time.Second)
@@ -557,7 +557,7 @@
 
 // enter asks the others to let this seat in.
 func (s *seat) enter(ctx context.Context) {
-	for _, x := range s.plan.Seats {
+	for _, x := range s.plan.Voters {
 		if x.Name == s.name {
 			continue
 		}
@@ -574,7 +574,7 @@
 
 // admit puts a seat's new id in the place of the one that it had.
 func (s *seat) admit(w *who) error {
-	if s.plan.Seat(w.Name) == nil || nameOf(w.ID) != w.Name {
+	if s.plan.Voter(w.Name) == nil || nameOf(w.ID) != w.Name {
 		return fmt.Errorf("%.60q has no seat", w.Name)
 	}
 	c := s.raft.GetConfiguration()
@@ -699,8 +699,8 @@
 		return
 	}
 	for name, whole := range o.whole {
-		t, is := s.plan.Pact.Budgets[name]
-		if least := t.Floor*s.plan.Pact.MaxNodes + t.Reserve; !is || whole < least || whole > t.Total*64 {
+		t, is := s.plan.Agreement.Budgets[name]
+		if least := t.Floor*s.plan.Agreement.MaxNodes + t.Reserve; !is || whole < least || whole > t.Total*64 {
 			http.Error(out, fmt.Sprintf("%.40q: no such budget, or a whole under its floors and reserve (%d)", name, least), http.StatusBadRequest)
 			return
 		}
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -121,11 +121,11 @@
 
 // Dial is raft's: addresses in the group are ids.
 func (w *wire) Dial(id raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	seat := w.plan.Seat(nameOf(string(id)))
+	seat := w.plan.Voter(nameOf(string(id)))
 	if seat == nil || len(id) > 255 {
 		return nil, fmt.Errorf("%q has no seat", id)
 	}
-	c, err := net.DialTimeout("tcp", seat.Address, min(timeout, w.plan.Pace))
+	c, err := net.DialTimeout("tcp", seat.Address, min(timeout, w.plan.ElectionTimeout))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -196,14 +196,14 @@
 
 func (n *node) start(f *fields) {
 	seed := f.whole("InitSeed")
-	terms, err := config.Decode(f.find)
+	terms, err := config.DecodeSettings(f.find)
 	if f.err != nil || err != nil {
 		f.err = cmp.Or(f.err, err)
 		return
 	}
 	n.executors, n.txns, n.alarms = map[string]*dispatch.Server{}, map[string]*dispatch.Request{}, map[int64]func(){}
 	n.marks = map[uint32]*dispatch.Server{}
-	n.terms, n.values = terms, config.LoadValues(f.find)
+	n.terms, n.values = terms, config.DecodeLoadReportKeys(f.find)
 	n.module = dispatch.New(terms, uint64(seed), n, n.session.now)
 }
 
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -448,13 +448,13 @@
 	w.at.turn(time.Now())
 	w.mu.Unlock()
 	p.ctx, p.kill = context.WithCancel(w.t.Context())
-	x := NewExecutors(NewDescriptors(256), c.Dial, c.Idle, c.Values, func() {})
+	x := NewExecutors(NewDescriptors(256), c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, func() {})
 	x.connect = p.dial
 	list, err := protocol.ReadList([]byte(known), c.Names)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	p.node = routing.New(c.Settings, w.rand.Uint64(), list, x, c.Probe, p.discovery("one:1"), nil, zerolog.Nop())
+	p.node = routing.New(c.Settings, w.rand.Uint64(), list, x, c.ProbeTimeout, p.discovery("one:1"), nil, zerolog.Nop())
 	go p.node.Follow(p.ctx)
 	return p
 }
