--- a/cmd/fernrail/desk.go
+++ b/cmd/fernrail/desk.go
@@ -34,7 +34,7 @@
 	server      *transport.Server
 	descriptors *transport.Descriptors
 	counters    *metrics.Counters
-	seat        *hotrestart.Seat
+	seat        *hotrestart.Process
 	share       *fleet.Fleet // nil: no budget is held with other nodes
 	subset      atomic.Pointer[fleet.SubsetStatus]
 	log         zerolog.Logger
@@ -55,7 +55,7 @@
 	if d.seat, err = hotrestart.Join(dir, d.config.Name); err != nil {
 		d.log.Warn().Err(err).Str("key", "TMPDIR").Msg("nothing is shared with other processes of this node")
 	}
-	if d.owner = d.seat.Own(); !d.owner {
+	if d.owner = d.seat.AcquireOwnership(); !d.owner {
 		d.own(false)
 	}
 	d.look()
@@ -71,7 +71,7 @@
 
 // keepUp looks at the other processes until the context ends, where any may be seen.
 func (d *desk) keepUp(ctx context.Context) {
-	if !d.seat.Shared() {
+	if !d.seat.Coordinated() {
 		return
 	}
 	tick := time.NewTicker(look)
@@ -91,7 +91,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	// Danger: a part that grows before another process has seen that its own is smaller now; both together hold too much.
-	if part := d.seat.Part(); part > d.part && d.part > 0 && !d.grows {
+	if part := d.seat.LimitShare(); part > d.part && d.part > 0 && !d.grows {
 		d.grows = true
 	} else if d.grows = false; part != d.part {
 		d.part = part
@@ -102,11 +102,11 @@
 		d.descriptors.Resize(sockets)
 		debug.SetMemoryLimit(int64(memoryPart * part * float64(d.config.Memory)))
 	}
-	if !d.owner && !d.leaves && d.seat.Own() {
+	if !d.owner && !d.leaves && d.seat.AcquireOwnership() {
 		d.owner = true
 		d.own(true)
 	}
-	if fresh := d.node.Ever(d.noted); len(fresh) > 0 && d.seat.Note(fresh) == nil {
+	if fresh := d.node.Ever(d.noted); len(fresh) > 0 && d.seat.RecordListed(fresh) == nil {
 		d.noted += len(fresh)
 	}
 	d.apply()
@@ -114,7 +114,7 @@
 
 // apply has the node keep the bans that hold now. Under mu.
 func (d *desk) apply() {
-	bans, err := d.seat.Bans()
+	bans, err := d.seat.Exclusions()
 	fault := ""
 	if err != nil {
 		fault = err.Error()
@@ -134,10 +134,10 @@
 func (d *desk) handOver() (taken bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seat.Serve(false)
-	if d.leaves = d.seat.Successor(); d.leaves {
+	d.seat.SetServing(false)
+	if d.leaves = d.seat.HasSuccessor(); d.leaves {
 		d.own(false)
-		d.seat.Disown()
+		d.seat.ReleaseOwnership()
 	}
 	return d.leaves
 }
@@ -148,7 +148,7 @@
 func (d *desk) outlast(within time.Duration) {
 	tick := time.NewTicker(look)
 	defer tick.Stop()
-	for enough := time.After(within); d.seat.Others() > 0; {
+	for enough := time.After(within); d.seat.OtherProcesses() > 0; {
 		select {
 		case <-enough:
 			return
@@ -174,10 +174,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.apply()
-	if !slices.Contains(d.bans, id) && !d.node.Listed(id) && !d.seat.Listed(id) {
+	if !slices.Contains(d.bans, id) && !d.node.Listed(id) && !d.seat.WasListed(id) {
 		return fmt.Errorf("no executor %.60q was ever listed", id)
 	}
-	if err := d.seat.Ban(id, yes); err != nil {
+	if err := d.seat.SetExcluded(id, yes); err != nil {
 		return fmt.Errorf("the ban can't be kept: %w", err)
 	}
 	d.apply()
--- a/cmd/fernrail/desk_test.go
+++ b/cmd/fernrail/desk_test.go
@@ -40,9 +40,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.Serve(true)
+	other.SetServing(true)
 	check("beside one that serves", 0.2)
-	d.seat.Serve(true)
+	d.seat.SetServing(true)
 	check("serves, first look", 0.2)
 	check("serves, second look", 0.5)
 	other.Leave()
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -81,7 +81,7 @@
 	}
 	desk := wire(c, share, log)
 	defer desk.seat.Leave()
-	log.Info().Int("beside", desk.seat.Others()).Msg("node starts")
+	log.Info().Int("beside", desk.seat.OtherProcesses()).Msg("node starts")
 	stopped, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	follow, cancel := context.WithCancel(context.Background())
@@ -109,7 +109,7 @@
 		go admin.New(desk, places(c.Sockets), log).Serve(l)
 	}
 	// Danger: a new process on an old list draws clients from one that knows the present one.
-	if desk.seat.Others() > 0 {
+	if desk.seat.OtherProcesses() > 0 {
 		select {
 		case <-desk.node.News():
 		case <-time.After(catchUp):
@@ -125,12 +125,12 @@
 		return err
 	}
 	// Danger: an old process that is told to end at this one's yes, and does not see yet that it has a successor.
-	desk.seat.Serve(true)
+	desk.seat.SetServing(true)
 	ended := desk.server.Open(l)
 	if c.PeerMessagesUnsupported && c.Fleet == nil {
 		log.Warn().Str("key", "settings.Limits.MayTell").Msg("messages between nodes have no protocol here: none are sent")
 	}
-	log.Info().Str("listen", c.Listen).Int("executors", len(c.InitialEndpoints.Entries)).Int("beside", desk.seat.Others()).Msg("node serves")
+	log.Info().Str("listen", c.Listen).Int("executors", len(c.InitialEndpoints.Entries)).Int("beside", desk.seat.OtherProcesses()).Msg("node serves")
 	select {
 	case err := <-ended:
 		return err
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -40,8 +40,8 @@
 // version of the file of bans.
 const version = 1
 
-// Seat is one process's place among those of its node.
-type Seat struct {
+// Process is one process's place among those of its node.
+type Process struct {
 	dir   string // empty: nothing is shared
 	file  string // of bans
 	locks *os.File
@@ -57,8 +57,8 @@
 
 // Join takes a seat in a directory. Processes of one node have one name. With no directory, or one that can't be used,
 // the seat is a single one: the error says why, and the node can serve on it.
-func Join(dir, name string) (*Seat, error) {
-	s := &Seat{young: true}
+func Join(dir, name string) (*Process, error) {
+	s := &Process{young: true}
 	if dir == "" {
 		return s, nil
 	}
@@ -71,7 +71,7 @@
 		if err = lock(locks, unix.F_OFD_SETLK, unix.F_WRLCK, living+s.seat); err == nil {
 			lock(locks, unix.F_OFD_SETLK, unix.F_WRLCK, starting+s.seat)
 			s.dir, s.file, s.locks = dir, base+".bans", locks
-			_, err = s.Bans()
+			_, err = s.Exclusions()
 			return s, err
 		}
 	}
@@ -79,8 +79,8 @@
 	return s, fmt.Errorf("%s: %w", locks.Name(), err)
 }
 
-// Shared says whether other processes of this node could be seen.
-func (s *Seat) Shared() (yes bool) {
+// Coordinated says whether other processes of this node could be seen.
+func (s *Process) Coordinated() (yes bool) {
 	s.with(func(*os.File) { yes = true })
 	return yes
 }
@@ -91,7 +91,7 @@
 }
 
 // with does something with the locks, if there are any.
-func (s *Seat) with(do func(locks *os.File)) {
+func (s *Process) with(do func(locks *os.File)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.locks != nil {
@@ -100,7 +100,7 @@
 }
 
 // held is how many other processes hold a byte from the first one on, where each seat has its own.
-func (s *Seat) held(first int64) (count int) {
+func (s *Process) held(first int64) (count int) {
 	s.with(func(locks *os.File) {
 		for seat := range int64(seats) {
 			ask := unix.Flock_t{Type: unix.F_WRLCK, Start: first + seat, Len: 1}
@@ -112,14 +112,14 @@
 	return count
 }
 
-// Others is how many other processes of this node live.
-func (s *Seat) Others() int { return s.held(living) }
+// OtherProcesses is how many other processes of this node live.
+func (s *Process) OtherProcesses() int { return s.held(living) }
 
-// Part is this process's part of what the node may hold. One that takes no clients yet leaves the most to the others.
+// LimitShare is this process's part of what the node may hold. One that takes no clients yet leaves the most to the others.
 // Danger: an even part, too soon, has the old process decline at the door what the new one does not take yet.
-func (s *Seat) Part() float64 {
+func (s *Process) LimitShare() float64 {
 	starting := s.held(starting)
-	all := float64(s.Others()-starting) + small*float64(starting)
+	all := float64(s.OtherProcesses()-starting) + small*float64(starting)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	own := 1.0
@@ -129,11 +129,11 @@
 	return own / (own + all)
 }
 
-// Successor says whether another process of this node takes clients.
-func (s *Seat) Successor() bool { return s.held(serving) > 0 }
+// HasSuccessor says whether another process of this node takes clients.
+func (s *Process) HasSuccessor() bool { return s.held(serving) > 0 }
 
-// Serve tells the others that this process takes clients, or no longer.
-func (s *Seat) Serve(yes bool) {
+// SetServing tells the others that this process takes clients, or no longer.
+func (s *Process) SetServing(yes bool) {
 	kind := int16(unix.F_UNLCK)
 	if yes {
 		kind = unix.F_WRLCK
@@ -145,15 +145,15 @@
 	})
 }
 
-// Own takes this node's part of cold executors' budgets, which one process holds at a time; false: another one does.
-func (s *Seat) Own() bool {
+// AcquireOwnership takes this node's part of cold executors' budgets, which one process holds at a time; false: another one does.
+func (s *Process) AcquireOwnership() bool {
 	owns := true
 	s.with(func(locks *os.File) { owns = lock(locks, unix.F_OFD_SETLK, unix.F_WRLCK, budget) == nil })
 	return owns
 }
 
-// Disown leaves it to another process.
-func (s *Seat) Disown() {
+// ReleaseOwnership leaves it to another process.
+func (s *Process) ReleaseOwnership() {
 	s.with(func(locks *os.File) { lock(locks, unix.F_OFD_SETLK, unix.F_UNLCK, budget) })
 }
 
@@ -168,7 +168,7 @@
 const most = 2000
 
 // read brings the bans up to date. A file that is not there yet holds no news. Under mu.
-func (s *Seat) read() error {
+func (s *Process) read() error {
 	if s.dir == "" {
 		return nil
 	}
@@ -207,24 +207,24 @@
 }
 
 // unseen forgets the file as last read. Under mu.
-func (s *Seat) unseen() {
+func (s *Process) unseen() {
 	if s.now != nil {
 		s.now.Close()
 	}
 	s.now, s.seen = nil, nil
 }
 
-// Bans gives the ids of banned executors, sorted. Where they can't be read, they are what they last were.
-func (s *Seat) Bans() ([]string, error) {
+// Exclusions gives the ids of banned executors, sorted. Where they can't be read, they are what they last were.
+func (s *Process) Exclusions() ([]string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	err := s.read()
 	return slices.Clone(s.bans), err
 }
 
-// Ban adds an executor to the banned or takes it out. With an error nothing has changed.
+// SetExcluded adds an executor to the banned or takes it out. With an error nothing has changed.
 // Danger: a ban that is not kept ends with the process while the operators' staff work on the machine.
-func (s *Seat) Ban(id string, yes bool) error {
+func (s *Process) SetExcluded(id string, yes bool) error {
 	return s.change(func() bool {
 		at, banned := slices.BinarySearch(s.bans, id)
 		switch {
@@ -237,8 +237,8 @@
 	})
 }
 
-// Note remembers executors that were listed, for processes that come after they have gone.
-func (s *Seat) Note(ids []string) error {
+// RecordListed remembers executors that were listed, for processes that come after they have gone.
+func (s *Process) RecordListed(ids []string) error {
 	return s.change(func() bool {
 		before := len(s.listed)
 		known := make(map[string]bool, before+len(ids))
@@ -256,8 +256,8 @@
 	})
 }
 
-// Listed says whether a process of this node has noted an executor.
-func (s *Seat) Listed(id string) bool {
+// WasListed says whether a process of this node has noted an executor.
+func (s *Process) WasListed(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.read()
@@ -266,7 +266,7 @@
 
 // change brings what is shared up to date, changes it and writes it if that made a difference.
 // Danger: two processes that change it at once; one would write over what the other has just kept.
-func (s *Seat) change(do func() bool) error {
+func (s *Process) change(do func() bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.dir == "" {
@@ -292,7 +292,7 @@
 }
 
 // write puts a whole new file in the old one's place.
-func (s *Seat) write() error {
+func (s *Process) write() error {
 	text, err := json.Marshal(list{version, s.bans, s.listed})
 	if err != nil {
 		return err
@@ -308,7 +308,7 @@
 }
 
 // Leave gives the seat up, and whatever goes with it; the kernel would do as much when the process ends.
-func (s *Seat) Leave() {
+func (s *Process) Leave() {
 	s.with(func(locks *os.File) {
 		locks.Close()
 		s.unseen()
--- a/internal/hotrestart/process_test.go
+++ b/internal/hotrestart/process_test.go
@@ -15,7 +15,7 @@
 
 // join takes a seat that is left with the test. Two in one process are two descriptions of the file, which is what the
 // kernel tells locks apart by.
-func join(t *testing.T, dir string) *Seat {
+func join(t *testing.T, dir string) *Process {
 	t.Helper()
 	s, err := Join(dir, "n/1")
 	if err != nil {
@@ -29,36 +29,36 @@
 func TestTwoSeats(t *testing.T) {
 	dir := t.TempDir()
 	old := join(t, dir)
-	if old.Others() != 0 || old.Successor() || !old.Own() || old.Part() != 1 {
+	if old.OtherProcesses() != 0 || old.HasSuccessor() || !old.AcquireOwnership() || old.LimitShare() != 1 {
 		t.Error("alone")
 	}
-	old.Serve(true)
+	old.SetServing(true)
 	fresh := join(t, dir)
-	if old.Others() != 1 || fresh.Others() != 1 || old.Successor() || !fresh.Successor() {
+	if old.OtherProcesses() != 1 || fresh.OtherProcesses() != 1 || old.HasSuccessor() || !fresh.HasSuccessor() {
 		t.Error("the other was not seen")
 	}
-	if old.Part() != 0.8 || fresh.Part() != 0.2 {
-		t.Error("parts", old.Part(), fresh.Part())
+	if old.LimitShare() != 0.8 || fresh.LimitShare() != 0.2 {
+		t.Error("parts", old.LimitShare(), fresh.LimitShare())
 	}
-	if fresh.Own() || !old.Own() {
+	if fresh.AcquireOwnership() || !old.AcquireOwnership() {
 		t.Error("two own one budget")
 	}
-	fresh.Serve(true)
-	old.Serve(false)
-	if !old.Successor() || fresh.Successor() {
+	fresh.SetServing(true)
+	old.SetServing(false)
+	if !old.HasSuccessor() || fresh.HasSuccessor() {
 		t.Error("who serves was not seen")
 	}
-	if old.Disown(); !fresh.Own() || old.Own() {
+	if old.ReleaseOwnership(); !fresh.AcquireOwnership() || old.AcquireOwnership() {
 		t.Error("the budget was not handed over")
 	}
-	if old.Part() != 0.5 || fresh.Part() != 0.5 {
-		t.Error("parts", old.Part(), fresh.Part())
+	if old.LimitShare() != 0.5 || fresh.LimitShare() != 0.5 {
+		t.Error("parts", old.LimitShare(), fresh.LimitShare())
 	}
 	fresh.Leave()
-	if old.Part() != 1 {
+	if old.LimitShare() != 1 {
 		t.Error("the whole is not its own again")
 	}
-	if old.Others() != 0 || old.Successor() || !old.Own() {
+	if old.OtherProcesses() != 0 || old.HasSuccessor() || !old.AcquireOwnership() {
 		t.Error("one that has ended is taken for living")
 	}
 }
@@ -68,33 +68,33 @@
 	dir := t.TempDir()
 	a, b := join(t, dir), join(t, dir)
 	var both sync.WaitGroup
-	for i, s := range []*Seat{a, b} {
+	for i, s := range []*Process{a, b} {
 		both.Go(func() {
 			for n := range 50 {
 				id := fmt.Sprintf("%c-%02d", 'a'+i, n)
-				if err := s.Ban(id, true); err != nil {
+				if err := s.SetExcluded(id, true); err != nil {
 					t.Error(err)
 				}
 				if n%2 == 0 {
-					s.Ban(id, false)
+					s.SetExcluded(id, false)
 				}
 			}
 		})
 	}
 	both.Wait()
-	seenA, _ := a.Bans()
-	seenB, err := b.Bans()
+	seenA, _ := a.Exclusions()
+	seenB, err := b.Exclusions()
 	if len(seenA) != 50 || !slices.Equal(seenA, seenB) || err != nil {
 		t.Errorf("%q, %q, %v", seenA, seenB, err)
 	}
 	for range 2 {
-		if err := a.Ban("a-01", true); err != nil {
+		if err := a.SetExcluded("a-01", true); err != nil {
 			t.Error(err)
 		}
 	}
 	a.Leave()
 	b.Leave()
-	if kept, err := join(t, dir).Bans(); !slices.Equal(kept, seenA) || err != nil {
+	if kept, err := join(t, dir).Exclusions(); !slices.Equal(kept, seenA) || err != nil {
 		t.Errorf("%q, %v", kept, err)
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*"))
@@ -108,25 +108,25 @@
 func TestFaultyFile(t *testing.T) {
 	for name, text := range map[string]string{"torn": `{"version":1,"ba`, "foreign": "hello", "newer": `{"version":2,"bans":[]}`, "empty": ""} {
 		s := join(t, t.TempDir())
-		if err := s.Ban("s-1", true); err != nil {
+		if err := s.SetExcluded("s-1", true); err != nil {
 			t.Fatal(err)
 		}
 		os.WriteFile(s.file, []byte(text), 0o600)
-		bans, err := s.Bans()
+		bans, err := s.Exclusions()
 		if !slices.Equal(bans, []string{"s-1"}) || err == nil || !strings.Contains(err.Error(), s.file) {
 			t.Errorf("%s: %q, %v", name, bans, err)
 		}
-		if err := s.Ban("s-2", true); err == nil || !strings.Contains(err.Error(), s.file) {
+		if err := s.SetExcluded("s-2", true); err == nil || !strings.Contains(err.Error(), s.file) {
 			t.Errorf("%s: %v", name, err)
 		}
 		if after, _ := os.ReadFile(s.file); string(after) != text {
 			t.Errorf("%s: was written over by %q", name, after)
 		}
 		os.Remove(s.file)
-		if err := s.Ban("s-2", true); err != nil {
+		if err := s.SetExcluded("s-2", true); err != nil {
 			t.Error(err)
 		}
-		if bans, err := s.Bans(); !slices.Equal(bans, []string{"s-1", "s-2"}) || err != nil {
+		if bans, err := s.Exclusions(); !slices.Equal(bans, []string{"s-1", "s-2"}) || err != nil {
 			t.Errorf("%s: %q, %v", name, bans, err)
 		}
 	}
@@ -138,13 +138,13 @@
 	dir := t.TempDir()
 	a, b := join(t, dir), join(t, dir)
 	var both sync.WaitGroup
-	for i, s := range []*Seat{a, b} {
+	for i, s := range []*Process{a, b} {
 		both.Go(func() {
 			for n := range 30 {
-				if err := s.Note([]string{fmt.Sprint("s-", n), fmt.Sprint("s-", i, "-", n)}); err != nil {
+				if err := s.RecordListed([]string{fmt.Sprint("s-", n), fmt.Sprint("s-", i, "-", n)}); err != nil {
 					t.Error(err)
 				}
-				s.Ban(fmt.Sprint("b-", i, "-", n), true)
+				s.SetExcluded(fmt.Sprint("b-", i, "-", n), true)
 			}
 		})
 	}
@@ -152,17 +152,17 @@
 	a.Leave()
 	b.Leave()
 	c := join(t, dir)
-	if bans, _ := c.Bans(); len(bans) != 60 || len(c.listed) != 90 {
+	if bans, _ := c.Exclusions(); len(bans) != 60 || len(c.listed) != 90 {
 		t.Errorf("%d bans, %d listed", len(bans), len(c.listed))
 	}
-	if !c.Listed("s-0") || !c.Listed("s-1-29") || c.Listed("never") {
+	if !c.WasListed("s-0") || !c.WasListed("s-1-29") || c.WasListed("never") {
 		t.Error("who was listed")
 	}
 	var many []string
 	for n := range most {
 		many = append(many, fmt.Sprint("m-", n))
 	}
-	if err := c.Note(many); err != nil || len(c.listed) != most || c.Listed("s-0") || !c.Listed("m-0") {
+	if err := c.RecordListed(many); err != nil || len(c.listed) != most || c.WasListed("s-0") || !c.WasListed("m-0") {
 		t.Errorf("%v, %d listed", err, len(c.listed))
 	}
 }
@@ -174,11 +174,11 @@
 	if err == nil || !strings.Contains(err.Error(), dir) {
 		t.Error(err)
 	}
-	if s.Others() != 0 || s.Successor() || !s.Own() || s.Ban("s-1", true) != nil {
+	if s.OtherProcesses() != 0 || s.HasSuccessor() || !s.AcquireOwnership() || s.SetExcluded("s-1", true) != nil {
 		t.Error("a single seat")
 	}
-	s.Serve(true)
-	s.Disown()
+	s.SetServing(true)
+	s.ReleaseOwnership()
 	s.Leave()
 	if s, err := Join("", "n"); s == nil || err != nil {
 		t.Error(err)
@@ -189,10 +189,10 @@
 func TestKilled(t *testing.T) {
 	if dir := os.Getenv("HANDOVER_TEST_DIR"); dir != "" {
 		s, err := Join(dir, "n/1")
-		if err != nil || !s.Own() {
+		if err != nil || !s.AcquireOwnership() {
 			os.Exit(1)
 		}
-		s.Serve(true)
+		s.SetServing(true)
 		fmt.Println("seated")
 		select {}
 	}
@@ -210,12 +210,12 @@
 		t.Fatal(err)
 	}
 	s := join(t, dir)
-	if s.Others() != 1 || !s.Successor() || s.Own() {
+	if s.OtherProcesses() != 1 || !s.HasSuccessor() || s.AcquireOwnership() {
 		t.Error("a living process was not seen")
 	}
 	other.Process.Kill()
 	other.Wait()
-	if s.Others() != 0 || s.Successor() || !s.Own() {
+	if s.OtherProcesses() != 0 || s.HasSuccessor() || !s.AcquireOwnership() {
 		t.Error("a dead process is taken for living")
 	}
 }
@@ -232,16 +232,16 @@
 	for i := range most {
 		names = append(names, fmt.Sprint("s-", i))
 	}
-	if err := one.Note(names); err != nil {
+	if err := one.RecordListed(names); err != nil {
 		t.Fatal(err)
 	}
-	two.Bans()
-	if allocations := testing.AllocsPerRun(10, func() { two.Bans() }); allocations > 20 {
+	two.Exclusions()
+	if allocations := testing.AllocsPerRun(10, func() { two.Exclusions() }); allocations > 20 {
 		t.Errorf("%v allocations a look", allocations)
 	}
 	for i := range 100 {
-		one.Ban("s-1", i%2 == 0)
-		if bans, err := two.Bans(); err != nil || (len(bans) == 1) != (i%2 == 0) {
+		one.SetExcluded("s-1", i%2 == 0)
+		if bans, err := two.Exclusions(); err != nil || (len(bans) == 1) != (i%2 == 0) {
 			t.Fatalf("change %d: %v, %v", i, bans, err)
 		}
 	}
