--- a/cmd/fernrail/desk.go
+++ b/cmd/fernrail/desk.go
@@ -159,12 +159,12 @@
 
 func (d *desk) Ready() bool { return d.server.Ready() }
 
-func (d *desk) Telemetry() ([]byte, error) {
-	f := d.counters.Read()
-	if f.ExecutorsKnown, f.ExecutorsExcluded = d.node.Figures(); d.share != nil {
+func (d *desk) Metrics() ([]byte, error) {
+	f := d.counters.Snapshot()
+	if f.ServersKnown, f.ServersExcluded = d.node.Figures(); d.share != nil {
 		f.Fleet = d.share.Status()
 	}
-	return f.Line()
+	return f.JSON()
 }
 
 func (d *desk) Exclude(id string) error { return d.ban(id, true) }
@@ -190,7 +190,7 @@
 // errAlone is said where there is no fleet.
 var errAlone = errors.New("this node holds no budgets with others: its configuration has no fleet section that is in force")
 
-func (d *desk) Fleet() ([]byte, error) {
+func (d *desk) FleetStatus() ([]byte, error) {
 	if d.share == nil {
 		return nil, errAlone
 	}
@@ -199,7 +199,7 @@
 	return json.Marshal(f)
 }
 
-func (d *desk) Whole(name, units string) error {
+func (d *desk) SetTotal(name, units string) error {
 	if d.share == nil {
 		return errAlone
 	}
--- a/cmd/fernrail/figures_test.go
+++ b/cmd/fernrail/figures_test.go
@@ -30,9 +30,9 @@
 	})
 	address := f.start(0, oldShape, "", strings.TrimPrefix(discovery.URL, "http://"))
 	d := f.desks[0]
-	figures := func() (f metrics.Figures) {
+	figures := func() (f metrics.Snapshot) {
 		t.Helper()
-		line, err := d.Telemetry()
+		line, err := d.Metrics()
 		if err == nil {
 			err = json.Unmarshal(line, &f)
 		}
@@ -42,7 +42,7 @@
 		return f
 	}
 	var mu sync.Mutex
-	whole, left, want := 0, 0, map[string]metrics.Ends{"look": {}, "save": {}, "book": {}}
+	whole, left, want := 0, 0, map[string]metrics.ClassCounts{"look": {}, "save": {}, "book": {}}
 	var clients sync.WaitGroup
 	for c := range uint64(24) {
 		clients.Go(func() {
@@ -77,7 +77,7 @@
 				case 200:
 					e.Served++
 				case 503:
-					e.Refused++
+					e.Rejected++
 				case 0:
 					left++
 				default:
@@ -90,9 +90,9 @@
 	}
 	done := make(chan struct{})
 	go func() { clients.Wait(); close(done) }()
-	taken := func(f metrics.Figures) (sum int64) {
+	taken := func(f metrics.Snapshot) (sum int64) {
 		for _, e := range f.Requests {
-			sum += e.Served + e.Refused + e.Failed
+			sum += e.Served + e.Rejected + e.Failed
 		}
 		return sum + f.InFlight
 	}
@@ -108,7 +108,7 @@
 		}
 		before = now
 	}
-	var got metrics.Figures
+	var got metrics.Snapshot
 	for start := time.Now(); time.Since(start) < 5*time.Second; time.Sleep(5 * time.Millisecond) {
 		if got = figures(); got.InFlight == 0 {
 			break
@@ -120,10 +120,10 @@
 	surplus := int64(0)
 	for class, e := range want {
 		is := got.Requests[class]
-		if is.Served < e.Served || is.Refused < e.Refused || is.Failed < e.Failed {
+		if is.Served < e.Served || is.Rejected < e.Rejected || is.Failed < e.Failed {
 			t.Errorf("%s: %+v, clients saw %+v", class, is, e)
 		}
-		surplus += is.Served + is.Refused + is.Failed - e.Served - e.Refused - e.Failed
+		surplus += is.Served + is.Rejected + is.Failed - e.Served - e.Rejected - e.Failed
 	}
 	if surplus > int64(left) || taken(got) > int64(whole) || taken(got) < int64(whole-left) || got.InFlight != 0 {
 		t.Errorf("%+v; %d whole requests, %d clients left", got, whole, left)
@@ -131,7 +131,7 @@
 	if int(got.Attempts) != ran || ran == 0 {
 		t.Errorf("%d attempts, executors saw %d", got.Attempts, ran)
 	}
-	if got.ExecutorsKnown != 3 || got.ExecutorsExcluded > 2 {
+	if got.ServersKnown != 3 || got.ServersExcluded > 2 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/cmd/fernrail/full_test.go
+++ b/cmd/fernrail/full_test.go
@@ -156,7 +156,7 @@
 	}
 	back.Store(true)
 	returned := time.Now()
-	for p.figures().ExecutorsKnown != 100 {
+	for p.figures().ServersKnown != 100 {
 		if time.Since(returned) > 6*time.Second {
 			t.Fatal("the list is not known 6 s after discovery's return")
 		}
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -164,7 +164,7 @@
 func wire(c *config.Node, share *fleet.Fleet, log zerolog.Logger) *desk {
 	descriptors, counters := transport.NewDescriptors(c.Sockets), metrics.New(c.Names.Schemes)
 	descriptors.Log(log)
-	carrier := transport.NewExecutors(descriptors, c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, counters.Attempted)
+	carrier := transport.NewExecutors(descriptors, c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, counters.AttemptSent)
 	var held routing.Purse
 	if share != nil {
 		p := &purse{share, descriptors}
--- a/cmd/fernrail/upgrade_test.go
+++ b/cmd/fernrail/upgrade_test.go
@@ -81,7 +81,7 @@
 		p.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	for start := time.Now(); p.figures().ExecutorsKnown == 0 && time.Since(start) < 5*time.Second; {
+	for start := time.Now(); p.figures().ServersKnown == 0 && time.Since(start) < 5*time.Second; {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-func (p *process) figures() (f metrics.Figures) {
+func (p *process) figures() (f metrics.Snapshot) {
 	p.Helper()
 	text, whole := strings.CutSuffix(p.say("telemetry"), "\nEND\n")
 	if err := json.Unmarshal([]byte(text), &f); err != nil || !whole {
@@ -291,13 +291,13 @@
 		s.hold(80, fmt.Sprint("both", round))
 		fresh.must("exclude "+crossed.name, "OK")
 		s.ban(crossed, time.Now())
-		for start := time.Now(); old.figures().ExecutorsExcluded < 2; time.Sleep(10 * time.Millisecond) {
+		for start := time.Now(); old.figures().ServersExcluded < 2; time.Sleep(10 * time.Millisecond) {
 			if time.Since(start) > time.Second {
 				t.Error("a ban given to the new process does not hold in the old")
 				break
 			}
 		}
-		if got := fresh.figures(); got.ExecutorsExcluded != 2 || got.ExecutorsKnown != 8 {
+		if got := fresh.figures(); got.ServersExcluded != 2 || got.ServersKnown != 8 {
 			t.Errorf("the new process has %+v", got)
 		}
 		if both := old.descriptors() + fresh.descriptors(); both > sockets {
@@ -318,7 +318,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			s.part()
-			for start := time.Now(); old.figures().ExecutorsKnown != 8 && time.Since(start) < 3*time.Second; {
+			for start := time.Now(); old.figures().ServersKnown != 8 && time.Since(start) < 3*time.Second; {
 				time.Sleep(10 * time.Millisecond)
 			}
 		}
@@ -340,7 +340,7 @@
 	}
 	s.mu.Unlock()
 	f := old.figures()
-	if f.InFlight != 0 || f.Attempts == 0 || f.ExecutorsExcluded != 0 {
+	if f.InFlight != 0 || f.Attempts == 0 || f.ServersExcluded != 0 {
 		t.Errorf("at rest: %+v", f)
 	}
 	old.Process.Signal(syscall.SIGTERM)
@@ -430,7 +430,7 @@
 	if slowest > time.Second {
 		t.Errorf("operators waited for %v", slowest)
 	}
-	if f := node.figures(); f.ExecutorsExcluded != 0 {
+	if f := node.figures(); f.ServersExcluded != 0 {
 		t.Errorf("half a line was carried out: %+v", f)
 	}
 	if answered, turnedBack := end(); turnedBack > 0 || answered < 100 {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -19,16 +19,16 @@
 	"golang.org/x/time/rate"
 )
 
-// Desk is what operators may ask of a node. Each call answers at once.
-type Desk interface {
+// Handler is what operators may ask of a node. Each call answers at once.
+type Handler interface {
 	Ready() bool
-	Telemetry() (line []byte, err error)
+	Metrics() (line []byte, err error)
 	Exclude(id string) error
 	Include(id string) error
 	Evacuate() error
 	Activate() error
-	Fleet() (line []byte, err error)
-	Whole(budget, units string) error
+	FleetStatus() (line []byte, err error)
+	SetTotal(budget, units string) error
 }
 
 const (
@@ -44,7 +44,7 @@
 
 // Server answers operators. It holds a fixed number of connections, beside those of clients.
 type Server struct {
-	desk   Desk
+	desk   Handler
 	places int
 	log    zerolog.Logger
 	pace   *rate.Limiter
@@ -56,7 +56,7 @@
 }
 
 // New makes a server that holds so many connections at most.
-func New(desk Desk, places int, log zerolog.Logger) *Server {
+func New(desk Handler, places int, log zerolog.Logger) *Server {
 	s := &Server{desk: desk, places: places, log: log, pace: rate.NewLimiter(calls, burst)}
 	s.changed.L = &s.mu
 	return s
@@ -195,7 +195,7 @@
 			return nil, nil
 		},
 		"telemetry": func(string) ([]byte, error) {
-			line, err := s.desk.Telemetry()
+			line, err := s.desk.Metrics()
 			return append(line, "\nEND\n"...), err
 		},
 		"exclude":  func(id string) ([]byte, error) { return nil, s.desk.Exclude(id) },
@@ -203,10 +203,10 @@
 		"evacuate": func(string) ([]byte, error) { return nil, s.desk.Evacuate() },
 		"activate": func(string) ([]byte, error) { return nil, s.desk.Activate() },
 		"fleet": func(string) ([]byte, error) {
-			line, err := s.desk.Fleet()
+			line, err := s.desk.FleetStatus()
 			return append(line, "\nEND\n"...), err
 		},
-		"whole": func(string) ([]byte, error) { return nil, s.desk.Whole(words[1], words[2]) },
+		"whole": func(string) ([]byte, error) { return nil, s.desk.SetTotal(words[1], words[2]) },
 	}[words[0]]
 	takes := map[string]int{"exclude": 1, "include": 1, "whole": 2}[words[0]]
 	switch {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -35,14 +35,14 @@
 	return nil
 }
 
-func (s *stand) Ready() bool                { return s.ready }
-func (s *stand) Telemetry() ([]byte, error) { return []byte(`{"in_flight":0}`), s.note("telemetry") }
-func (s *stand) Exclude(id string) error    { return s.note("exclude " + id) }
-func (s *stand) Include(id string) error    { return s.note("include " + id) }
-func (s *stand) Evacuate() error            { return s.note("evacuate") }
-func (s *stand) Activate() error            { return s.note("activate") }
-func (s *stand) Fleet() ([]byte, error)     { return []byte(`{"epoch":1}`), s.note("fleet") }
-func (s *stand) Whole(name, units string) error {
+func (s *stand) Ready() bool                  { return s.ready }
+func (s *stand) Metrics() ([]byte, error)     { return []byte(`{"in_flight":0}`), s.note("telemetry") }
+func (s *stand) Exclude(id string) error      { return s.note("exclude " + id) }
+func (s *stand) Include(id string) error      { return s.note("include " + id) }
+func (s *stand) Evacuate() error              { return s.note("evacuate") }
+func (s *stand) Activate() error              { return s.note("activate") }
+func (s *stand) FleetStatus() ([]byte, error) { return []byte(`{"epoch":1}`), s.note("fleet") }
+func (s *stand) SetTotal(name, units string) error {
 	return s.note("whole " + units + " " + name)
 }
 
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -275,7 +275,7 @@
 		return
 	}
 	// One place counts every end. What is neither answered nor known to be left, a fault say, has failed.
-	status, ended := 0, s.counters.Taken(q.Scheme)
+	status, ended := 0, s.counters.RequestStarted(q.Scheme)
 	defer func() { ended(status) }()
 	// Danger: a handler that returns without an answer has given one, to the library: 200, with a result that no executor made. A
 	// client that shut its sending side alone reads it.
