--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -162,7 +162,7 @@
 
 // wire puts a node together. share is nil where it holds no budgets with others.
 func wire(c *config.Node, share *fleet.Fleet, log zerolog.Logger) *desk {
-	descriptors, counters := transport.NewDescriptors(c.Sockets), metrics.New(c.Names.Schemes)
+	descriptors, counters := transport.NewDescriptors(c.Sockets), metrics.New(c.Names.Classes)
 	descriptors.Log(log)
 	carrier := transport.NewExecutors(descriptors, c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, counters.AttemptSent)
 	var held routing.Purse
--- a/cmd/fernrail/purse.go
+++ b/cmd/fernrail/purse.go
@@ -49,7 +49,7 @@
 
 func (p *purse) Call(overdue bool) bool {
 	c := &fleet.Reservation{}
-	if c.Reserve(p.share, config.BudgetPolls, "", 1) && c.Send() {
+	if c.Reserve(p.share, config.BudgetPolls, "", 1) && c.MaySend() {
 		return true
 	}
 	if overdue {
@@ -61,5 +61,5 @@
 // dial asks for one new connection, at the moment at which it would be opened.
 func (p *purse) dial(address string) bool {
 	c := &fleet.Reservation{}
-	return c.Reserve(p.share, config.BudgetConnections, address, 1) && c.Send()
+	return c.Reserve(p.share, config.BudgetConnections, address, 1) && c.MaySend()
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -160,10 +160,10 @@
 		n.Settings.UnpolledEventAge, n.Settings.DrainGrace = 0, min(n.Settings.DrainGrace-int64(n.DialTimeout), 2*n.Settings.MaxPollInterval)
 	}
 	n.IdleTimeout = time.Duration(r.whole("Limits.IdleClose", 10e9, 0))
-	n.Names = &protocol.Names{Zones: r.list("Dcs"), Kinds: r.list("Skus")}
+	n.Names = &protocol.Names{Zones: r.list("Dcs"), MachineTypes: r.list("Skus")}
 	for i := range n.Settings.Classes {
 		at := "Schemes." + strconv.Itoa(i) + "."
-		n.Names.Schemes = append(n.Names.Schemes, r.word(at+"Name"))
+		n.Names.Classes = append(n.Names.Classes, r.word(at+"Name"))
 		n.MaxDeadline = max(n.MaxDeadline, time.Duration(r.whole(at+"Expiry", 60e9, 1)))
 	}
 	for i := range n.Settings.Tenants {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -431,8 +431,8 @@
 // CountFirstAttempt has the sending counted as a first posting, of which second ones may be a share.
 func (c *Reservation) CountFirstAttempt(f *Fleet) { c.fleet, c.first = f, true }
 
-// Send says whether what was reserved may go out at this very moment. Sent has to be called once it has.
-func (c *Reservation) Send() bool {
+// MaySend says whether what was reserved may go out at this very moment. Sent has to be called once it has.
+func (c *Reservation) MaySend() bool {
 	if c.fleet == nil {
 		return true
 	}
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -143,7 +143,7 @@
 func (s *server) entry(names *Names) (Entry, error) {
 	state, known := listed[s.State]
 	e := Entry{ID: s.ID, Address: s.Addr, State: state, Zone: slices.Index(names.Zones, s.Zone),
-		Kind: slices.Index(names.Kinds, s.Kind), Cell: s.Cell, Started: s.Started * 1e6, Units: 1}
+		Kind: slices.Index(names.MachineTypes, s.Kind), Cell: s.Cell, Started: s.Started * 1e6, Units: 1}
 	if s.Weight != nil {
 		e.Units = *s.Weight
 	}
--- a/internal/protocol/executor.go
+++ b/internal/protocol/executor.go
@@ -46,7 +46,7 @@
 func (l Line) Last() bool { return l.State >= Done }
 
 // maxLine leaves room for a result of the largest size with every byte escaped.
-const maxLine = 6*MaxBody + 4096
+const maxLine = 6*MaxBodyBytes + 4096
 
 // maxStream bounds what one job may say over its life.
 const maxStream = 4 * maxLine
@@ -157,26 +157,26 @@
 	return l, nil
 }
 
-// End is how a posting ended.
-type End struct {
-	Outcome dispatch.Outcome
-	Result  string  // Settled
-	Free    float64 // free slots that the executor reported with it; 0: none, or not told
-	Cause   error
+// AttemptResult is how a posting ended.
+type AttemptResult struct {
+	Outcome   dispatch.Outcome
+	Result    string  // Settled
+	FreeSlots float64 // free slots that the executor reported with it; 0: none, or not told
+	Cause     error
 }
 
-// TurnedAway says whether an answer's head proves that the job was never run.
-func TurnedAway(r *http.Response) bool {
+// IsRejection says whether an answer's head proves that the job was never run.
+func IsRejection(r *http.Response) bool {
 	return (r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout) &&
 		r.Header.Get("X-Rejected") == "1"
 }
 
-// Job is one posting as it goes out.
-type Job struct {
+// Attempt is one posting as it goes out.
+type Attempt struct {
 	Address  string
 	Request  *Request
 	Deadline time.Time   // when the node stops to wait, by the monotonic clock
-	Admit    Admission   // nil: none is needed
+	Gate     SendGate    // nil: none is needed
 	told     time.Time   // when Deadline was last told as a span
 	header   http.Header // of the request as it goes out
 }
@@ -185,21 +185,23 @@
 // platform allows 0.15 s; the rest is for the write.
 const overtold = 100 * time.Millisecond
 
-// Tell writes how long the node will wait into the request's header, as of the moment at which its first byte is expected to go out.
+// SetTimeout writes how long the node will wait into the request's header, as of the moment at which its first byte is expected to go out.
 // It is called before the request is written.
 // Danger: a span that was worked out before a connection came up, or before the process stood still, is longer than what is left.
-func (j *Job) Tell(now time.Time) {
+func (j *Attempt) SetTimeout(now time.Time) {
 	j.told = now
 	j.header.Set("X-Budget-Ms", strconv.FormatInt(max(j.Deadline.Sub(now).Milliseconds(), 1), 10))
 }
 
-// Overtold says whether too much time has passed since Tell for the request to go out as it is.
-func (j *Job) Overtold(now time.Time) bool { return !j.told.IsZero() && now.Sub(j.told) > overtold }
+// TimeoutOverstated says whether too much time has passed since Tell for the request to go out as it is.
+func (j *Attempt) TimeoutOverstated(now time.Time) bool {
+	return !j.told.IsZero() && now.Sub(j.told) > overtold
+}
 
-// Admission is asked at the very moment at which a job's first byte would go out, and told when it has. It may be asked again
+// SendGate is asked at the very moment at which a job's first byte would go out, and told when it has. It may be asked again
 // where what it held back goes to another connection.
-type Admission interface {
-	Send() bool
+type SendGate interface {
+	MaySend() bool
 	Sent()
 }
 
@@ -210,10 +212,10 @@
 func (once) Close() error { return nil }
 
 // Encode makes the request to the executor.
-func (j *Job) Encode() *http.Request {
+func (j *Attempt) Encode() *http.Request {
 	target := &url.URL{Scheme: "http", Host: j.Address, Opaque: j.Request.Target} // goes on byte for byte
 	j.header = j.Request.Header.Clone()
-	j.Tell(time.Now())
+	j.SetTimeout(time.Now())
 	if j.header["User-Agent"] == nil {
 		j.header["User-Agent"] = nil // or the library would put its own
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -16,21 +16,21 @@
 	"fernrail/dispatch"
 )
 
-var names = &Names{Zones: []string{"a", "b"}, Kinds: []string{"m1"}, Schemes: []string{"render", "pay"},
+var names = &Names{Zones: []string{"a", "b"}, MachineTypes: []string{"m1"}, Classes: []string{"render", "pay"},
 	Tenants: []string{"acme", "globex"}}
 
 const request = "POST /pay/x%2f<?obj=7f HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b1f\r\nX-Call-Class: pay\r\nX-Caller: globex\r\n" +
 	"X-Budget-Ms: 480\r\nX-Call-Info: slots=2.5,new=1\r\nX-Call-Cost: 1500\r\nIdempotency-Key: k\r\nConnection: X-Odd\r\n" +
 	"X-Odd: 1\r\nContent-Length: 4\r\n\r\nbody"
 
-func read(t *testing.T, text string) (*Request, *Fault) {
+func read(t *testing.T, text string) (*Request, *RequestError) {
 	t.Helper()
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Body = http.MaxBytesReader(httptest.NewRecorder(), r.Body, MaxBody)
-	return ReadRequest(r, names, false)
+	r.Body = http.MaxBytesReader(httptest.NewRecorder(), r.Body, MaxBodyBytes)
+	return DecodeRequest(r, names, false)
 }
 
 func TestRequest(t *testing.T) {
@@ -38,20 +38,20 @@
 	if fault != nil {
 		t.Fatal(fault)
 	}
-	if q.ID != "9b1f" || q.Target != "/pay/x%2f<?obj=7f" || q.Scheme != 1 || q.Tenant != 1 || q.Slots != 2.5 ||
-		q.Hint != 1.5e6 || q.Budget != 480*time.Millisecond || string(q.Body) != "body" {
+	if q.ID != "9b1f" || q.Target != "/pay/x%2f<?obj=7f" || q.Class != 1 || q.Tenant != 1 || q.Slots != 2.5 ||
+		q.ExpectedWork != 1.5e6 || q.Timeout != 480*time.Millisecond || string(q.Body) != "body" {
 		t.Errorf("%+v", q)
 	}
 	// Danger: a mark against repeats that stays behind, or a header of the client's connection that goes on.
 	var text strings.Builder
 	synctest.Test(t, func(t *testing.T) {
-		job := &Job{Address: "10.0.0.1:7", Request: q, Deadline: time.Now().Add(500 * time.Millisecond)}
+		job := &Attempt{Address: "10.0.0.1:7", Request: q, Deadline: time.Now().Add(500 * time.Millisecond)}
 		out := job.Encode()
 		time.Sleep(200 * time.Millisecond) // its connection comes up; what is told is what is left then
-		if !job.Overtold(time.Now()) {
+		if !job.TimeoutOverstated(time.Now()) {
 			t.Error("it would go out as it was told before")
 		}
-		if job.Tell(time.Now()); job.Overtold(time.Now()) {
+		if job.SetTimeout(time.Now()); job.TimeoutOverstated(time.Now()) {
 			t.Error("it would not go out")
 		}
 		out.Write(&text)
@@ -96,7 +96,7 @@
 		{"Length: 4", "Length: 4\r\nTransfer-Encoding: chunked", 411},
 		{"Content-Length: 4", "X-Length: 4", 411},
 		{"HTTP/1.1", "HTTP/1.0", 411},
-		{"Length: 4\r\n\r\nbody", "Length: 65537\r\n\r\n" + strings.Repeat("x", MaxBody+1), 413},
+		{"Length: 4\r\n\r\nbody", "Length: 65537\r\n\r\n" + strings.Repeat("x", MaxBodyBytes+1), 413},
 	} {
 		if _, fault := read(t, strings.Replace(request, c.from, c.to, 1)); fault == nil || fault.Status != c.status {
 			t.Errorf("%.40s: %+v, want %d", c.to, fault, c.status)
@@ -106,7 +106,7 @@
 
 func TestAnswer(t *testing.T) {
 	w := httptest.NewRecorder()
-	(&Answer{Status: 503, ReturnIn: 1500 * time.Millisecond}).Write(w)
+	(&Response{Status: 503, RetryAfter: 1500 * time.Millisecond}).Write(w)
 	if w.Code != 503 || w.Header().Get("Retry-After") != "1.5" {
 		t.Error(w)
 	}
@@ -194,7 +194,7 @@
 		want   bool
 	}{{503, "1", true}, {504, "1", true}, {503, "", false}, {500, "1", false}, {429, "1", false}, {200, "1", false}} {
 		r := &http.Response{StatusCode: c.status, Header: http.Header{"X-Rejected": {c.mark}}}
-		if TurnedAway(r) != c.want {
+		if IsRejection(r) != c.want {
 			t.Errorf("%+v", c)
 		}
 	}
@@ -203,7 +203,7 @@
 // TestBodyGoesOutOnce: a library that can wind a body back, or sees that there is none, sends again by itself.
 func TestBodyGoesOutOnce(t *testing.T) {
 	for _, body := range []string{"", "x"} {
-		out := (&Job{Request: &Request{Target: "/p", Body: []byte(body), Header: http.Header{}}}).Encode()
+		out := (&Attempt{Request: &Request{Target: "/p", Body: []byte(body), Header: http.Header{}}}).Encode()
 		if out.GetBody != nil || out.Body == nil || out.Body == http.NoBody {
 			t.Fatalf("%+v", out)
 		}
@@ -259,20 +259,20 @@
 
 // TestWhatATxnIsAbout comes from the query alone, the same at every node; memory is refused where it is no number.
 func TestWhatATxnIsAbout(t *testing.T) {
-	read := func(target, info string) (*Request, *Fault) {
+	read := func(target, info string) (*Request, *RequestError) {
 		r := httptest.NewRequest("POST", target, strings.NewReader("b"))
-		for name, value := range map[string]string{"X-Call-Id": "1", "X-Call-Class": names.Schemes[0], "X-Caller": names.Tenants[0],
+		for name, value := range map[string]string{"X-Call-Id": "1", "X-Call-Class": names.Classes[0], "X-Caller": names.Tenants[0],
 			"X-Budget-Ms": "100", "Content-Length": "1", "X-Call-Info": info} {
 			r.Header.Set(name, value)
 		}
-		return ReadRequest(r, names, false)
+		return DecodeRequest(r, names, false)
 	}
-	about := "/" + names.Schemes[0] + "?obj=7f3a"
+	about := "/" + names.Classes[0] + "?obj=7f3a"
 	one, fault := read(about, "mem=0.5,slots=2")
 	same, _ := read(about, "")
 	other, _ := read(about+"1", "")
-	none, _ := read("/"+names.Schemes[0], "")
-	if fault != nil || one.Key == 0 || one.Key >= 1<<53 || one.Key != same.Key || one.Key == other.Key || none.Key != 0 || one.Memory != 0.5 {
+	none, _ := read("/"+names.Classes[0], "")
+	if fault != nil || one.AffinityKey == 0 || one.AffinityKey >= 1<<53 || one.AffinityKey != same.AffinityKey || one.AffinityKey == other.AffinityKey || none.AffinityKey != 0 || one.Memory != 0.5 {
 		t.Errorf("%+v %+v %+v %+v %+v", one, same, other, none, fault)
 	}
 	for _, info := range []string{"mem=", "mem=-1", "mem=NaN", "mem=much"} {
--- a/internal/routing/leave_test.go
+++ b/internal/routing/leave_test.go
@@ -81,7 +81,7 @@
 			})
 			n := New(terms(), 1, &protocol.List{Full: true, Entries: []protocol.Entry{b}}, x, time.Second, &lister{}, nil, zerolog.Nop())
 			for _, scheme := range []int{0, 1} {
-				answer := make(chan *protocol.Answer, 1)
+				answer := make(chan *protocol.Response, 1)
 				go func() {
 					q := ask(fmt.Sprint(name, scheme), scheme, time.Minute)
 					q.Target, q.Header = "/j", http.Header{"X-Call-Id": {q.ID}}
@@ -109,25 +109,25 @@
 type slow struct {
 	*carrier
 	chance *rand.Rand
-	left   func(address string, job *protocol.Job)
+	left   func(address string, job *protocol.Attempt)
 }
 
-func (s *slow) Do(ctx context.Context, job *protocol.Job, heard func(protocol.Line), ended func(protocol.End)) {
+func (s *slow) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.Line), ended func(protocol.AttemptResult)) {
 	s.mu.Lock()
 	late := time.Duration(s.chance.Int64N(1e9))
 	s.mu.Unlock()
 	if o, _ := wait(ctx, late, dispatch.Succeeded); o != dispatch.Succeeded {
-		ended(protocol.End{Outcome: o})
+		ended(protocol.AttemptResult{Outcome: o})
 		return
 	}
-	if !job.Admit.Send() {
-		ended(protocol.End{Outcome: dispatch.NotSent})
+	if !job.Gate.MaySend() {
+		ended(protocol.AttemptResult{Outcome: dispatch.NotSent})
 		return
 	}
 	s.left(job.Address, job)
-	job.Admit.Sent()
+	job.Gate.Sent()
 	o, result := wait(ctx, 50*time.Millisecond, dispatch.Succeeded)
-	ended(protocol.End{Outcome: o, Result: result})
+	ended(protocol.AttemptResult{Outcome: o, Result: result})
 }
 
 // TestNothingLeavesLate: random histories of drains, returns, whole lists and bans while postings wait for up to a second: what
@@ -141,7 +141,7 @@
 			n := New(terms(), seed, known(ids...), s, time.Second, &lister{}, nil, zerolog.Nop())
 			up, answered, left := map[string]bool{"a": true, "b": true, "c": true, "d": true}, map[string]bool{}, 0
 			var mu sync.Mutex
-			s.left = func(address string, job *protocol.Job) {
+			s.left = func(address string, job *protocol.Attempt) {
 				mu.Lock()
 				defer mu.Unlock()
 				if left++; !up[address[:1]] || answered[job.Request.ID] {
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -50,7 +50,7 @@
 	l := n.lives[t]
 	if l != nil {
 		delete(n.lives, t)
-		n.ids[0][l.request.ID] = n.clock() + n.window(l.request.Scheme)
+		n.ids[0][l.request.ID] = n.clock() + n.window(l.request.Class)
 		delete(n.ids[1], l.request.ID)
 	}
 	return l
@@ -60,27 +60,27 @@
 type life struct {
 	number  int // in the order of arrival
 	request *protocol.Request
-	began   int64                 // by the node's clock, ns
-	gone    bool                  // its client has closed
-	answer  chan *protocol.Answer // holds the one final answer; nil: its client has gone
+	began   int64                   // by the node's clock, ns
+	gone    bool                    // its client has closed
+	answer  chan *protocol.Response // holds the one final answer; nil: its client has gone
 }
 
 // Serve is the life of one txn, from the request read whole to its one final answer; nil: the module failed, and none is known.
-func (n *Node) Serve(ctx context.Context, q *protocol.Request) *protocol.Answer {
+func (n *Node) Serve(ctx context.Context, q *protocol.Request) *protocol.Response {
 	// Danger: a full node that works for clients which closed while their requests waited in the socket.
-	if ctx.Err() != nil || q.Gone() {
-		return &protocol.Answer{Status: http.StatusServiceUnavailable, Gone: true}
+	if ctx.Err() != nil || q.ClientGone() {
+		return &protocol.Response{Status: http.StatusServiceUnavailable, ClientClosed: true}
 	}
 	if !n.fresh(q.ID) {
-		return &protocol.Answer{Status: http.StatusConflict}
+		return &protocol.Response{Status: http.StatusConflict}
 	}
 	// Danger: a client counts its time from when it sent, and a node that is behind reads late what lay in the socket meanwhile.
 	waited := n.lag.Lag()
-	l := &life{request: q, answer: make(chan *protocol.Answer, 1)}
-	t := &dispatch.Request{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, AffinityKey: q.Key, ExpectedWork: q.Hint, UnreadTime: waited,
-		Class: n.terms.Classes[q.Scheme]}
+	l := &life{request: q, answer: make(chan *protocol.Response, 1)}
+	t := &dispatch.Request{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, AffinityKey: q.AffinityKey, ExpectedWork: q.ExpectedWork, UnreadTime: waited,
+		Class: n.terms.Classes[q.Class]}
 	err := n.event(func() {
-		t.Deadline = n.clock() + int64(q.Budget)
+		t.Deadline = n.clock() + int64(q.Timeout)
 		n.taken++
 		l.number, l.began = n.taken, n.clock()
 		n.lives[t] = l
@@ -93,7 +93,7 @@
 	// Danger: a txn that the module lost in a fault; it is owed an answer all the same.
 	if err != nil {
 		n.event(func() { n.drop(t) })
-		return &protocol.Answer{Status: http.StatusInternalServerError}
+		return &protocol.Response{Status: http.StatusInternalServerError}
 	}
 	select {
 	case a := <-l.answer:
@@ -118,8 +118,8 @@
 }
 
 // unserved tells of a request that ends with no result: why, after how long, with how many attempts, and how far the process is behind.
-func (n *Node) unserved(t *dispatch.Request, l *life, a *protocol.Answer) {
-	if a != nil && a.Status != http.StatusOK && !a.Gone {
+func (n *Node) unserved(t *dispatch.Request, l *life, a *protocol.Response) {
+	if a != nil && a.Status != http.StatusOK && !a.ClientClosed {
 		n.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
 			Int64("age_ms", (n.clock()-l.began)/1e6).Int64("lag_ms", n.lag.Lag()/1e6).Msg("not served")
 	}
@@ -147,9 +147,9 @@
 }
 
 // answer gives a txn its final answer, the first one that comes.
-func (n *Node) answer(t *dispatch.Request, a *protocol.Answer) {
+func (n *Node) answer(t *dispatch.Request, a *protocol.Response) {
 	if l := n.end(t); l != nil {
-		a.Gone = l.gone
+		a.ClientClosed = l.gone
 		l.answer <- a
 	}
 }
@@ -160,26 +160,26 @@
 type leave struct {
 	node    *Node
 	posting *dispatch.Attempt
-	job     *protocol.Job
+	job     *protocol.Attempt
 	ctx     context.Context
 	charge  Charge       // nil: it takes nothing
 	at      atomic.Int64 // when it was let go; 0: it has not been
 }
 
-func (l *leave) Send() bool {
+func (l *leave) MaySend() bool {
 	l.node.mu.Lock()
 	l.node.module.SetSchedulingDelay(l.node.lag.Lag())
 	stands := l.node.module.MaySend(l.posting) && l.node.at(l.posting.Server) == l.job.Address
 	l.node.mu.Unlock()
-	if !stands || l.ctx.Err() != nil || l.job.Overtold(time.Now()) {
+	if !stands || l.ctx.Err() != nil || l.job.TimeoutOverstated(time.Now()) {
 		return false
 	}
 	// Danger: word that a client has closed waits behind work at a full node, and its job is begun for nobody.
-	if l.job.Request.Gone() {
+	if l.job.Request.ClientGone() {
 		l.node.event(func() { l.node.clientGone(l.posting.Request) })
 		return false
 	}
-	if l.charge != nil && !l.charge.Send() {
+	if l.charge != nil && !l.charge.MaySend() {
 		return false
 	}
 	l.at.Store(l.node.clock())
@@ -193,12 +193,12 @@
 }
 
 // carry takes one posting to its executor and tells the module of its one outcome.
-func (n *Node) carry(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Job, charge Charge) {
+func (n *Node) carry(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Charge) {
 	sent, gate := n.clock(), &leave{node: n, posting: p, job: job, ctx: ctx, charge: charge}
-	job.Admit = gate
+	job.Gate = gate
 	defer withdraw()
 	began := int64(0) // when it told of its start
-	ended := func(e protocol.End) {
+	ended := func(e protocol.AttemptResult) {
 		n.log.Trace().Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
 			Int64("sent_us", sent/1e3).Int64("left_us", gate.at.Load()/1e3).Int64("began_us", began/1e3).Int64("ended_us", n.clock()/1e3).Msg("posting")
 		if charge != nil {
@@ -219,21 +219,21 @@
 			})
 		}, ended)
 	}); err != nil {
-		ended(protocol.End{Outcome: dispatch.ConnectionLost, Cause: err})
+		ended(protocol.AttemptResult{Outcome: dispatch.ConnectionLost, Cause: err})
 	}
 }
 
 // ended tells the module of a posting's one outcome.
-func (n *Node) ended(p *dispatch.Attempt, e protocol.End, sent int64) {
+func (n *Node) ended(p *dispatch.Attempt, e protocol.AttemptResult, sent int64) {
 	n.event(func() {
 		if n.out[p] == nil {
 			return
 		}
 		delete(n.out, p)
 		if e.Outcome == dispatch.Succeeded {
-			n.answer(p.Request, &protocol.Answer{Status: http.StatusOK, Body: e.Result})
+			n.answer(p.Request, &protocol.Response{Status: http.StatusOK, Body: e.Result})
 		}
-		p.FreeSlots = e.Free
+		p.FreeSlots = e.FreeSlots
 		n.module.AttemptEnded(p, e.Outcome, n.clock()-sent, n.lives[p.Request] == nil)
 	})
 	if n.witness != nil {
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -21,7 +21,7 @@
 
 // Carrier takes postings to executors.
 type Carrier interface {
-	Do(ctx context.Context, job *protocol.Job, heard func(protocol.Line), ended func(protocol.End))
+	Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.Line), ended func(protocol.AttemptResult))
 	Probe(ctx context.Context, address string) (protocol.Load, error)
 }
 
@@ -46,7 +46,7 @@
 // Charge is what one posting takes. End gives it back if it never left, and where its executor said that it is over, what is
 // taken only as long as a job may run.
 type Charge interface {
-	protocol.Admission
+	protocol.SendGate
 	End(over bool)
 }
 
@@ -211,12 +211,12 @@
 	deadline := time.Now().Add(time.Duration(till - n.clock()))
 	ctx, withdraw := context.WithDeadline(context.Background(), deadline)
 	n.out[p] = withdraw
-	job := &protocol.Job{Request: n.lives[p.Request].request, Deadline: deadline, Address: n.at(p.Server)}
+	job := &protocol.Attempt{Request: n.lives[p.Request].request, Deadline: deadline, Address: n.at(p.Server)}
 	var charge Charge
 	if n.purse != nil {
 		if charge = n.purse.Charge(p.Server.Tag, n.tenant(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
 			defer withdraw()
-			go n.ended(p, protocol.End{Outcome: dispatch.NotSent}, n.clock())
+			go n.ended(p, protocol.AttemptResult{Outcome: dispatch.NotSent}, n.clock())
 			return
 		}
 	}
@@ -261,9 +261,9 @@
 }
 
 func (n *Node) Shed(t *dispatch.Request, returnIn int64) {
-	n.answer(t, &protocol.Answer{Status: http.StatusServiceUnavailable, ReturnIn: time.Duration(returnIn)})
+	n.answer(t, &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Duration(returnIn)})
 }
 
 func (n *Node) Compensate(t *dispatch.Request) {
-	n.answer(t, &protocol.Answer{Status: http.StatusInternalServerError})
+	n.answer(t, &protocol.Response{Status: http.StatusInternalServerError})
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -28,20 +28,20 @@
 // carrier stands in for the executors: a script says what comes of each posting. Time is that of a synctest bubble.
 type carrier struct {
 	mu     sync.Mutex
-	jobs   []*protocol.Job
+	jobs   []*protocol.Attempt
 	probed []string
 	load   func(ctx context.Context, address string) (protocol.Load, error)
-	script func(ctx context.Context, nth int, job *protocol.Job, heard func(protocol.Line)) (dispatch.Outcome, string)
+	script func(ctx context.Context, nth int, job *protocol.Attempt, heard func(protocol.Line)) (dispatch.Outcome, string)
 }
 
-func (c *carrier) Do(ctx context.Context, job *protocol.Job, heard func(protocol.Line),
-	ended func(protocol.End)) {
+func (c *carrier) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.Line),
+	ended func(protocol.AttemptResult)) {
 	c.mu.Lock()
 	c.jobs = append(c.jobs, job)
 	n := len(c.jobs)
 	c.mu.Unlock()
 	o, result := c.script(ctx, n, job, heard)
-	ended(protocol.End{Outcome: o, Result: result})
+	ended(protocol.AttemptResult{Outcome: o, Result: result})
 }
 
 // Probe is answered by load, after its delay.
@@ -71,8 +71,8 @@
 	return dispatch.TimedOut, ""
 }
 
-func serves(span time.Duration) func(context.Context, int, *protocol.Job, func(protocol.Line)) (dispatch.Outcome, string) {
-	return func(ctx context.Context, _ int, _ *protocol.Job, heard func(protocol.Line)) (dispatch.Outcome, string) {
+func serves(span time.Duration) func(context.Context, int, *protocol.Attempt, func(protocol.Line)) (dispatch.Outcome, string) {
+	return func(ctx context.Context, _ int, _ *protocol.Attempt, heard func(protocol.Line)) (dispatch.Outcome, string) {
 		heard(protocol.Line{State: protocol.Started})
 		return wait(ctx, span, dispatch.Succeeded)
 	}
@@ -119,7 +119,7 @@
 }
 
 func ask(id string, scheme int, budget time.Duration) *protocol.Request {
-	return &protocol.Request{ID: id, Scheme: scheme, Slots: 1, Budget: budget}
+	return &protocol.Request{ID: id, Class: scheme, Slots: 1, Timeout: budget}
 }
 
 // TestIdIsTakenOnce: an id is refused while it is open, and after that for as long as its scheme's repeats are dropped, or 10 s
@@ -219,10 +219,10 @@
 		for scheme, status := range []int{503, 500} {
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
-			if a := n.Serve(ctx, ask(fmt.Sprint(scheme), scheme, 5*time.Second)); a == nil || !a.Gone || a.Status != status {
+			if a := n.Serve(ctx, ask(fmt.Sprint(scheme), scheme, 5*time.Second)); a == nil || !a.ClientClosed || a.Status != status {
 				t.Errorf("%+v", a)
 			}
-			if a := n.Serve(ctx, ask(fmt.Sprint("late", scheme), scheme, 5*time.Second)); a == nil || !a.Gone || a.Status != 503 {
+			if a := n.Serve(ctx, ask(fmt.Sprint("late", scheme), scheme, 5*time.Second)); a == nil || !a.ClientClosed || a.Status != 503 {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -240,7 +240,7 @@
 func TestEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(terms(), 1, known("a", "b", "c"), &carrier{script: serves(time.Hour)}, time.Second, &lister{}, nil, zerolog.Nop())
-		start, done := time.Now(), make(chan *protocol.Answer, 2)
+		start, done := time.Now(), make(chan *protocol.Response, 2)
 		go func() { done <- n.Serve(t.Context(), ask("j", 1, time.Minute)) }()
 		time.Sleep(100 * time.Millisecond)
 		n.End(time.Second)
@@ -278,7 +278,7 @@
 // TestPanicInAPosting: what a fault on the way to an executor leaves open may have run.
 func TestPanicInAPosting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &carrier{script: func(context.Context, int, *protocol.Job, func(protocol.Line)) (dispatch.Outcome, string) {
+		c := &carrier{script: func(context.Context, int, *protocol.Attempt, func(protocol.Line)) (dispatch.Outcome, string) {
 			panic("odd")
 		}}
 		n := New(terms(), 1, known("a"), c, time.Second, &lister{}, nil, zerolog.Nop())
@@ -531,7 +531,7 @@
 	dice := func(n int) int { mu.Lock(); defer mu.Unlock(); return r.IntN(n) }
 	stopped, answered, mayRun := map[string]time.Time{}, map[string]bool{}, map[string]bool{}
 	c := &carrier{}
-	c.script = func(ctx context.Context, _ int, job *protocol.Job, heard func(protocol.Line)) (dispatch.Outcome, string) {
+	c.script = func(ctx context.Context, _ int, job *protocol.Attempt, heard func(protocol.Line)) (dispatch.Outcome, string) {
 		id := job.Request.ID
 		mu.Lock()
 		if at, is := stopped[job.Address]; is && time.Since(at) > 0 {
@@ -540,7 +540,7 @@
 		if answered[id] && ctx.Err() == nil {
 			t.Error("rule 1: posting after the final answer")
 		}
-		if mayRun[id] && job.Request.Scheme == 1 {
+		if mayRun[id] && job.Request.Class == 1 {
 			t.Error("rule 2: a once-only txn goes again")
 		}
 		mayRun[id] = true
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -52,7 +52,7 @@
 	evictions = 8
 	// ahead is how many bytes behind its request are kept of a client while that is at work: a whole next request. What
 	// comes beyond that is thrown away, since the client's close is behind it, and the connection ends with the answer.
-	ahead = protocol.MaxBody + 32<<10
+	ahead = protocol.MaxBodyBytes + 32<<10
 	// gulp is how much is read at a time.
 	gulp = 64 << 10
 	// flood is how much may come without pause; then there are glances between two gulps, and the core is not taken.
@@ -404,7 +404,7 @@
 	begun   bool         // a write since the request was given this connection
 	cut     bool         // a write did not take all its bytes
 	held    bool         // a write was not made: the share that it needed was gone
-	admit   protocol.Admission
+	admit   protocol.SendGate
 }
 
 // A request's turn on a connection to an executor. What is read before the last of these belongs to an earlier one.
@@ -673,7 +673,7 @@
 	defer c.writing.Unlock()
 	// Danger: a process that was stopped since it decided, and sends on a lease that ran out meanwhile.
 	if admit := c.admit; admit != nil && !c.begun {
-		if c.held = !admit.Send(); c.held {
+		if c.held = !admit.MaySend(); c.held {
 			return 0, errHeld
 		}
 		defer admit.Sent()
@@ -686,7 +686,7 @@
 }
 
 // start opens the account of a new request.
-func (c *conn) start(admit protocol.Admission) {
+func (c *conn) start(admit protocol.SendGate) {
 	c.writing.Lock()
 	c.begun, c.cut, c.held, c.admit = false, false, false, admit
 	c.turn.Store(granted)
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -38,12 +38,12 @@
 func TestDrain(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
 	d := NewDescriptors(1024)
-	s, address := node(t, d, func(_ context.Context, q *protocol.Request) *protocol.Answer {
+	s, address := node(t, d, func(_ context.Context, q *protocol.Request) *protocol.Response {
 		if string(q.Body) == "l" {
 			taken <- struct{}{}
 			<-hold
 		}
-		return &protocol.Answer{Status: 200, Body: "r"}
+		return &protocol.Response{Status: 200, Body: "r"}
 	})
 	for round := range 5 {
 		var kept []net.Conn
--- a/internal/transport/executors.go
+++ b/internal/transport/executors.go
@@ -114,7 +114,7 @@
 type hold struct {
 	conn *conn
 	use  int
-	job  *protocol.Job // nil: it is a probe
+	job  *protocol.Attempt // nil: it is a probe
 	lag  func() int64
 	// stray: the answer had come before the request's first byte was written, a second one to an earlier request.
 	// Danger: it says that the earlier one never ran, the library takes it for this one's, and what runs is sent again.
@@ -130,8 +130,8 @@
 				h.conn.start(nil)
 				return
 			}
-			h.job.Tell(time.Now().Add(time.Duration(h.lag())))
-			h.conn.start(h.job.Admit)
+			h.job.SetTimeout(time.Now().Add(time.Duration(h.lag())))
+			h.conn.start(h.job.Gate)
 		},
 		GotFirstResponseByte: func() { h.stray = h.conn.turn.Load() != heard },
 		PutIdleConn: func(err error) {
@@ -144,8 +144,8 @@
 
 // Do carries one posting to its end. It tells of starts and progress by heard, and of the end by ended, once, before
 // it looks after the connection.
-func (x *Executors) Do(ctx context.Context, job *protocol.Job, heard func(protocol.Line),
-	ended func(protocol.End)) {
+func (x *Executors) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.Line),
+	ended func(protocol.AttemptResult)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h := hold{job: job, lag: x.lag}
@@ -161,17 +161,17 @@
 		err = errStray
 	}
 	if err != nil {
-		ended(protocol.End{Outcome: failed(ctx, &h, err), Cause: err})
+		ended(protocol.AttemptResult{Outcome: failed(ctx, &h, err), Cause: err})
 		return
 	}
 	defer response.Body.Close()
 	switch {
-	case protocol.TurnedAway(response):
-		ended(protocol.End{Outcome: dispatch.Rejected})
+	case protocol.IsRejection(response):
+		ended(protocol.AttemptResult{Outcome: dispatch.Rejected})
 		finish(response.Body, cancel)
 		return
 	case response.StatusCode != http.StatusOK:
-		ended(protocol.End{Outcome: dispatch.Failed})
+		ended(protocol.AttemptResult{Outcome: dispatch.Failed})
 		finish(response.Body, cancel)
 		return
 	}
@@ -187,19 +187,19 @@
 			if o == dispatch.Succeeded {
 				o = dispatch.ConnectionLost
 			}
-			ended(protocol.End{Outcome: o, Cause: err})
+			ended(protocol.AttemptResult{Outcome: o, Cause: err})
 			return
 		case !line.Last():
 			heard(line)
 			continue
 		case line.State == protocol.Done:
-			ended(protocol.End{Outcome: dispatch.Succeeded, Result: line.Result, Free: line.Free})
+			ended(protocol.AttemptResult{Outcome: dispatch.Succeeded, Result: line.Result, FreeSlots: line.Free})
 		case line.State == protocol.Returned:
-			ended(protocol.End{Outcome: dispatch.Rejected})
+			ended(protocol.AttemptResult{Outcome: dispatch.Rejected})
 		case line.State == protocol.Lost:
-			ended(protocol.End{Outcome: dispatch.ConnectionLost})
+			ended(protocol.AttemptResult{Outcome: dispatch.ConnectionLost})
 		default:
-			ended(protocol.End{Outcome: dispatch.Failed})
+			ended(protocol.AttemptResult{Outcome: dispatch.Failed})
 		}
 		finish(response.Body, cancel)
 		return
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -52,13 +52,13 @@
 	follow, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	go n.Follow(follow)
-	s, address := node(t, d, func(ctx context.Context, q *protocol.Request) *protocol.Answer {
+	s, address := node(t, d, func(ctx context.Context, q *protocol.Request) *protocol.Response {
 		defer context.AfterFunc(ctx, func() { gone <- struct{}{} })() // no answer of the node's own ends it
 		if deaf {                                                     // word of the close never comes, as if it waited behind work
 			ctx = context.WithoutCancel(ctx)
 		}
 		a := n.Serve(ctx, q)
-		if a == nil || a.Gone {
+		if a == nil || a.ClientClosed {
 			gone <- struct{}{}
 		}
 		return a
@@ -228,10 +228,10 @@
 func TestBytesBehindARequestAreTheNext(t *testing.T) {
 	hold := make(chan struct{})
 	var bodies []string
-	_, address := node(t, NewDescriptors(64), func(_ context.Context, q *protocol.Request) *protocol.Answer {
+	_, address := node(t, NewDescriptors(64), func(_ context.Context, q *protocol.Request) *protocol.Response {
 		<-hold
 		bodies = append(bodies, string(q.Body))
-		return &protocol.Answer{Status: 200, Body: string(q.Body)}
+		return &protocol.Response{Status: 200, Body: string(q.Body)}
 	})
 	second := strings.Replace(ask, "Length: 1", "Length: 60000", 1) + strings.Repeat("y", 60000)
 	c := call(t, address, ask+"x"+second[:10])
@@ -298,7 +298,7 @@
 // TestNothingIsTakenAfterTheEnd: a stranger's second half comes when the server has ended. It is not served, and nothing is made up.
 func TestNothingIsTakenAfterTheEnd(t *testing.T) {
 	d := NewDescriptors(64)
-	s, address := node(t, d, func(context.Context, *protocol.Request) *protocol.Answer {
+	s, address := node(t, d, func(context.Context, *protocol.Request) *protocol.Response {
 		t.Error("served")
 		return nil
 	})
--- a/internal/transport/heading_test.go
+++ b/internal/transport/heading_test.go
@@ -46,9 +46,9 @@
 	} {
 		for seed := range uint64(4) {
 			bodies := make(chan string, 10)
-			_, address := node(t, NewDescriptors(1024), func(_ context.Context, q *protocol.Request) *protocol.Answer {
+			_, address := node(t, NewDescriptors(1024), func(_ context.Context, q *protocol.Request) *protocol.Response {
 				bodies <- string(q.Body)
-				return &protocol.Answer{Status: 200}
+				return &protocol.Response{Status: 200}
 			})
 			client := call(t, address, "")
 			in, answers := bufio.NewReader(client), 0
--- a/internal/transport/machine_errors_test.go
+++ b/internal/transport/machine_errors_test.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	names := &protocol.Names{Schemes: []string{"pay"}}
-	s := NewServer(NewDescriptors(1024), names, settled, func() bool { return true }, metrics.New(names.Schemes), zerolog.Nop())
+	names := &protocol.Names{Classes: []string{"pay"}}
+	s := NewServer(NewDescriptors(1024), names, settled, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
 	defer s.http.Close()
 	ended := s.Open(&failingListener{Listener: inner, errors: []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.EPERM}})
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -59,7 +59,7 @@
 )
 
 // Serve is the life of one request: it gives the one final answer, or nil if the client has left.
-type Serve func(ctx context.Context, q *protocol.Request) *protocol.Answer
+type Serve func(ctx context.Context, q *protocol.Request) *protocol.Response
 
 // Server is the side that clients reach.
 type Server struct {
@@ -258,24 +258,24 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/-/ready" {
 		w.Header().Set("Connection", "close") // Danger: who asks this and stays takes a client's place
-		answer := &protocol.Answer{Status: http.StatusOK, Body: "ready\n"}
+		answer := &protocol.Response{Status: http.StatusOK, Body: "ready\n"}
 		if !s.Ready() {
-			answer = &protocol.Answer{Status: http.StatusServiceUnavailable, Body: "not ready\n"}
+			answer = &protocol.Response{Status: http.StatusServiceUnavailable, Body: "not ready\n"}
 		}
 		answer.Write(w)
 		return
 	}
 	c := r.Context().Value(connKey{}).(*conn)
-	r.Body = http.MaxBytesReader(w, r.Body, protocol.MaxBody)
-	q, fault := protocol.ReadRequest(r, s.names, !c.head.sized())
+	r.Body = http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes)
+	q, fault := protocol.DecodeRequest(r, s.names, !c.head.sized())
 	if fault != nil {
 		s.log.Warn().Int("status", fault.Status).Str("fault", fault.Text).Msg("request not taken")
 		w.Header().Set("Connection", "close")
-		(&protocol.Answer{Status: fault.Status, Body: fault.Text + "\n"}).Write(w)
+		(&protocol.Response{Status: fault.Status, Body: fault.Text + "\n"}).Write(w)
 		return
 	}
 	// One place counts every end. What is neither answered nor known to be left, a fault say, has failed.
-	status, ended := 0, s.counters.RequestStarted(q.Scheme)
+	status, ended := 0, s.counters.RequestStarted(q.Class)
 	defer func() { ended(status) }()
 	// Danger: a handler that returns without an answer has given one, to the library: 200, with a result that no executor made. A
 	// client that shut its sending side alone reads it.
@@ -283,8 +283,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	c.attend()
-	q.Left = c.left
-	answer := &protocol.Answer{Status: http.StatusServiceUnavailable}
+	q.ClientClosed = c.left
+	answer := &protocol.Response{Status: http.StatusServiceUnavailable}
 	if c.spare {
 		s.log.Warn().Msg("descriptors are short: declined at the door")
 	} else if answer = s.serve(r.Context(), q); answer == nil {
@@ -292,12 +292,12 @@
 	}
 	// What follows chunks has no start that is known here.
 	chunks := r.TransferEncoding != nil
-	if c.spare || s.closing.Load() || answer.Gone || answer.Status == http.StatusConflict || chunks {
+	if c.spare || s.closing.Load() || answer.ClientClosed || answer.Status == http.StatusConflict || chunks {
 		w.Header().Set("Connection", "close")
 	}
 	c.head.next(r.ContentLength)
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(reading))
-	if !answer.Gone {
+	if !answer.ClientClosed {
 		status = answer.Status
 	}
 	answer.Write(w)
--- a/internal/transport/told_span_test.go
+++ b/internal/transport/told_span_test.go
@@ -39,9 +39,9 @@
 			return connect(ctx, network, address)
 		}
 		deadline := time.Now().Add(time.Second)
-		job := &protocol.Job{Address: strings.TrimPrefix(executor.URL, "http://"), Deadline: deadline,
+		job := &protocol.Attempt{Address: strings.TrimPrefix(executor.URL, "http://"), Deadline: deadline,
 			Request: &protocol.Request{ID: "j", Target: "/p", Header: http.Header{"X-Call-Id": {"j"}}, Body: []byte("b")}}
-		x.Do(t.Context(), job, func(protocol.Line) {}, func(e protocol.End) {
+		x.Do(t.Context(), job, func(protocol.Line) {}, func(e protocol.AttemptResult) {
 			if e.Outcome != dispatch.Succeeded {
 				t.Errorf("%v: %v", e.Outcome, e.Cause)
 			}
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -512,11 +512,11 @@
 		ctx, done := context.WithCancel(t.Context())
 		serve := func() {
 			txns++
-			q := &protocol.Request{ID: "t" + strconv.Itoa(txns), Target: "/a", Scheme: txns % 2, Slots: 1, Budget: 3 * time.Second,
+			q := &protocol.Request{ID: "t" + strconv.Itoa(txns), Target: "/a", Class: txns % 2, Slots: 1, Timeout: 3 * time.Second,
 				Header: http.Header{"X-Call-Id": {"t" + strconv.Itoa(txns)}}}
 			w.mu.Lock()
 			now, mine, node := time.Now(), p, w.alive
-			w.event(now, invariants.Event{Kind: invariants.Taken, Txn: q.ID, Scheme: strconv.Itoa(q.Scheme), Expiry: int64(now.Add(q.Budget).Sub(w.zero))})
+			w.event(now, invariants.Event{Kind: invariants.Taken, Txn: q.ID, Scheme: strconv.Itoa(q.Class), Expiry: int64(now.Add(q.Timeout).Sub(w.zero))})
 			w.mu.Unlock()
 			go func() {
 				a := mine.node.Serve(ctx, q)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -106,11 +106,11 @@
 }
 
 func do(ctx context.Context, x *Executors, address string, then ...func()) (e ending) {
-	job := &protocol.Job{Address: address, Deadline: time.Now().Add(time.Second), Request: &protocol.Request{ID: "j", Target: "/p",
+	job := &protocol.Attempt{Address: address, Deadline: time.Now().Add(time.Second), Request: &protocol.Request{ID: "j", Target: "/p",
 		Header: http.Header{"X-Call-Id": {"j"}, "Idempotency-Key": {"k"}}, Body: []byte("b")}}
 	ends := 0
 	x.Do(ctx, job, func(l protocol.Line) { e.heard = append(e.heard, l.State) },
-		func(end protocol.End) {
+		func(end protocol.AttemptResult) {
 			e.outcome, e.result, ends = end.Outcome, end.Result, ends+1
 			for _, f := range then {
 				f()
@@ -370,8 +370,8 @@
 
 // node is the clients' side on a loopback address.
 func node(t *testing.T, d *Descriptors, serve Serve, adjust ...func(*http.Server)) (*Server, string) {
-	names := &protocol.Names{Schemes: []string{"pay"}}
-	s := NewServer(d, names, serve, func() bool { return true }, metrics.New(names.Schemes), zerolog.Nop())
+	names := &protocol.Names{Classes: []string{"pay"}}
+	s := NewServer(d, names, serve, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
 	for _, a := range adjust {
 		a(s.http)
 	}
@@ -406,8 +406,8 @@
 	return r
 }
 
-func settled(context.Context, *protocol.Request) *protocol.Answer {
-	return &protocol.Answer{Status: 200, Body: "r"}
+func settled(context.Context, *protocol.Request) *protocol.Response {
+	return &protocol.Response{Status: 200, Body: "r"}
 }
 
 func TestServer(t *testing.T) {
@@ -429,7 +429,7 @@
 
 // TestHalfARequest: one that is broken off is never served; one that never ends or begins is ended within 3 s.
 func TestHalfARequest(t *testing.T) {
-	_, address := node(t, NewDescriptors(1024), func(context.Context, *protocol.Request) *protocol.Answer {
+	_, address := node(t, NewDescriptors(1024), func(context.Context, *protocol.Request) *protocol.Response {
 		t.Error("served")
 		return nil
 	})
@@ -567,7 +567,7 @@
 // TestClientLeaves: the wait for an answer ends when the client goes, and not when the time to hand in is over.
 func TestClientLeaves(t *testing.T) {
 	taken, left := make(chan struct{}), make(chan struct{})
-	_, address := node(t, NewDescriptors(1024), func(ctx context.Context, _ *protocol.Request) *protocol.Answer {
+	_, address := node(t, NewDescriptors(1024), func(ctx context.Context, _ *protocol.Request) *protocol.Response {
 		select {
 		case taken <- struct{}{}:
 			<-ctx.Done()
@@ -577,7 +577,7 @@
 				t.Error("seen as left")
 			}
 		}
-		return &protocol.Answer{Status: 200}
+		return &protocol.Response{Status: 200}
 	}, func(h *http.Server) { h.ReadTimeout = 50 * time.Millisecond })
 	if got := answer(t, call(t, address, ask+"b")); got.StatusCode != 200 {
 		t.Error(got)
@@ -593,10 +593,10 @@
 	taken, hold := make(chan struct{}), make(chan struct{})
 	d := NewDescriptors(1024)
 	d.most[clients], d.spare = 2, 1
-	_, address := node(t, d, func(context.Context, *protocol.Request) *protocol.Answer {
+	_, address := node(t, d, func(context.Context, *protocol.Request) *protocol.Response {
 		taken <- struct{}{}
 		<-hold
-		return &protocol.Answer{Status: 200}
+		return &protocol.Response{Status: 200}
 	})
 	first := call(t, address, ask+"b")
 	<-taken
@@ -675,10 +675,10 @@
 // between requests.
 func TestStop(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
-	s, address := node(t, NewDescriptors(1024), func(context.Context, *protocol.Request) *protocol.Answer {
+	s, address := node(t, NewDescriptors(1024), func(context.Context, *protocol.Request) *protocol.Response {
 		taken <- struct{}{}
 		<-hold
-		return &protocol.Answer{Status: 200}
+		return &protocol.Response{Status: 200}
 	})
 	first := call(t, address, ask+"b")
 	<-taken
