--- a/cmd/fernrail/desk_test.go
+++ b/cmd/fernrail/desk_test.go
@@ -16,7 +16,7 @@
 // at once.
 func TestParts(t *testing.T) {
 	dir := t.TempDir()
-	c := &config.Node{Name: "n", Sockets: 200, Memory: 1 << 30, Names: &protocol.Names{}, InitialEndpoints: &protocol.List{}}
+	c := &config.Node{Name: "n", Sockets: 200, Memory: 1 << 30, Names: &protocol.Names{}, InitialEndpoints: &protocol.EndpointList{}}
 	terms, err := config.DecodeSettings(func(key string) (string, bool) {
 		if key == "Schemes.count" {
 			return "0", true
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -130,7 +130,7 @@
 	if c.PeerMessagesUnsupported && c.Fleet == nil {
 		log.Warn().Str("key", "settings.Limits.MayTell").Msg("messages between nodes have no protocol here: none are sent")
 	}
-	log.Info().Str("listen", c.Listen).Int("executors", len(c.InitialEndpoints.Entries)).Int("beside", desk.seat.OtherProcesses()).Msg("node serves")
+	log.Info().Str("listen", c.Listen).Int("executors", len(c.InitialEndpoints.Endpoints)).Int("beside", desk.seat.OtherProcesses()).Msg("node serves")
 	select {
 	case err := <-ended:
 		return err
--- a/cmd/fernrail/subset.go
+++ b/cmd/fernrail/subset.go
@@ -15,10 +15,10 @@
 		nodes, entries := d.share.Peers(), d.node.Entries()
 		executors := make([]subset.Server, len(entries))
 		for i, e := range entries {
-			executors[i] = subset.Server{Name: e.ID, Zone: e.Zone, MachineType: e.Kind, Cell: e.Cell}
+			executors[i] = subset.Server{Name: e.ID, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell}
 			// Where the list tells of load its units move with that, and are no size.
 			if !d.config.Settings.LiveCapacity {
-				executors[i].Size = e.Units
+				executors[i].Size = e.Capacity
 			}
 		}
 		far, near := subset.Assign(append(nodes, d.config.Name), executors, *d.config.Fleet.Subset).Distances(d.config.Name), 0
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,12 +30,12 @@
 	Cores                   float64
 	Memory                  int64 // bytes
 	Sockets                 int
-	InitialEndpoints        *protocol.List
+	InitialEndpoints        *protocol.EndpointList
 	Names                   *protocol.Names
 	Settings                *dispatch.Settings
 	DialTimeout             time.Duration // for a connection to an executor to come up
 	IdleTimeout             time.Duration // after which an executor closes an unused connection
-	LoadReportKeys          protocol.Values
+	LoadReportKeys          protocol.LoadReportKeys
 	ProbeTimeout            time.Duration // how long the answer to a probe is waited for
 	FleetDisabled           bool          // a fleet section is there, and the settings do not let nodes talk
 	PeerMessagesUnsupported bool          // the settings allow messages between nodes, for which sockets have no protocol
@@ -153,7 +153,7 @@
 	// Danger: a posting that waits for its connection when its executor begins to drain, and sends after the grace.
 	// Danger: on sockets what the agent on this machine has counts a while after it can be asked, whatever failed before, and
 	// where a grace for drains is told, at once, asked for or not.
-	n.Settings.MaxPollInterval = int64(protocol.Again)
+	n.Settings.MaxPollInterval = int64(protocol.PollRetryInterval)
 	n.Settings.UnpolledEventAge = min(n.Settings.UnpolledEventAge, n.Settings.MaxPollInterval)
 	if grace := time.Duration(n.Settings.DrainGrace); grace > 0 {
 		n.DialTimeout = min(n.DialTimeout, max(grace/2, 1))
@@ -227,8 +227,8 @@
 	if n.Seed, err = strconv.ParseUint(r.word("seed"), 16, 64); err != nil {
 		return fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", r.word("seed"))
 	}
-	if n.InitialEndpoints = (&protocol.List{}); known != nil && string(known) != "null" {
-		if n.InitialEndpoints, err = protocol.ReadList(known, n.Names); err != nil {
+	if n.InitialEndpoints = (&protocol.EndpointList{}); known != nil && string(known) != "null" {
+		if n.InitialEndpoints, err = protocol.DecodeEndpointList(known, n.Names); err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	if n.Name != "n1" || n.Seed != 0x8c1f || n.Cores != 0.5 || n.Memory != 192<<20 || n.Sockets != 1024 ||
-		n.DialTimeout != 120*time.Millisecond || n.IdleTimeout != time.Minute || n.MaxDeadline != 5*time.Second || n.LoadReportKeys.Free != "x1" || n.ProbeTimeout != 500*time.Millisecond {
+		n.DialTimeout != 120*time.Millisecond || n.IdleTimeout != time.Minute || n.MaxDeadline != 5*time.Second || n.LoadReportKeys.FreeSlots != "x1" || n.ProbeTimeout != 500*time.Millisecond {
 		t.Errorf("%+v", n)
 	}
-	if e := n.InitialEndpoints.Entries[0]; e.ID != "s-1" || e.Zone != 1 || e.Kind != 1 || e.Started != 12e6 {
+	if e := n.InitialEndpoints.Endpoints[0]; e.ID != "s-1" || e.Zone != 1 || e.MachineType != 1 || e.Started != 12e6 {
 		t.Errorf("%+v", e)
 	}
 	pay, tick := n.Settings.Classes[1], n.Settings.Tick
@@ -157,7 +157,7 @@
 		t.Errorf("%v %v", n.DialTimeout, err)
 	}
 	// What discovery's agent has counts as told without a call, and what waits for a connection goes out later still.
-	if n.Settings.UnpolledEventAge != 0 || n.Settings.MaxPollInterval != int64(protocol.Again) || n.Settings.DrainGrace+int64(n.DialTimeout) > 100e6 {
+	if n.Settings.UnpolledEventAge != 0 || n.Settings.MaxPollInterval != int64(protocol.PollRetryInterval) || n.Settings.DrainGrace+int64(n.DialTimeout) > 100e6 {
 		t.Errorf("%d ns may pass without a call, %d ns after news", n.Settings.UnpolledEventAge, n.Settings.DrainGrace)
 	}
 }
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	if x := n.Settings; !x.PollForChanges || !x.LiveCapacity || !x.CapacityProbes || x.LoadReports || x.PeerMessages || x.AllowHedging || !n.PeerMessagesUnsupported ||
-		n.LoadReportKeys.Free != "x0" || n.LoadReportKeys.Memory != "x1" || n.ProbeTimeout != 80*time.Millisecond {
+		n.LoadReportKeys.FreeSlots != "x0" || n.LoadReportKeys.FreeMemory != "x1" || n.ProbeTimeout != 80*time.Millisecond {
 		t.Errorf("%+v %+v", n, x)
 	}
 	if n, err = parse([]byte(whole), nothing); err != nil || n.Settings.LiveCapacity || n.Settings.CapacityProbes || n.Settings.PeerMessages || n.PeerMessagesUnsupported || n.Settings.PollForChanges {
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	write(strings.NewReplacer("127.0.0.2:85", "127.0.0.3:85", `"addr":"10.0.0.1:7"`, `"addr":"nowhere"`).Replace(whole))
-	if now, left, err := n.Reload(env); err != nil || len(left) > 0 || now.Discovery != "127.0.0.3:85" || len(now.InitialEndpoints.Entries) > 0 {
+	if now, left, err := n.Reload(env); err != nil || len(left) > 0 || now.Discovery != "127.0.0.3:85" || len(now.InitialEndpoints.Endpoints) > 0 {
 		t.Errorf("%v, %v, %+v", err, left, now)
 	}
 	if _, err := Load(env); err == nil {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -91,7 +91,7 @@
 	if parted {
 		f.Subset = &subset.Settings{Size: int(r.whole("fleet.subset.size", 0, 1)), MinNodesPerServer: int(r.whole("fleet.subset.cover", defaultCover, 1))}
 		// Danger: a zone or a kind that a node can't reach, or a part that is none.
-		least, listed := max(len(n.Names.Zones), len(n.Names.MachineTypes)), len(n.InitialEndpoints.Entries)
+		least, listed := max(len(n.Names.Zones), len(n.Names.MachineTypes)), len(n.InitialEndpoints.Endpoints)
 		switch size := f.Subset.Size; {
 		case r.err != nil:
 			return nil, r.err
--- a/internal/config/terms.go
+++ b/internal/config/terms.go
@@ -85,16 +85,16 @@
 }
 
 // DecodeLoadReportKeys names the values of load reports that tell free slots and, where jobs count memory, free memory.
-func DecodeLoadReportKeys(find Lookup) (v protocol.Values) {
+func DecodeLoadReportKeys(find Lookup) (v protocol.LoadReportKeys) {
 	fields, _ := find("Report.Fields")
 	for _, name := range strings.Split(cmp.Or(fields, "x0,x1"), ",") {
 		meaning, _ := find("Extra.Report" + strings.ToUpper(name))
 		switch strings.ReplaceAll(meaning, "_", " ") {
 		case "free slots":
-			v.Free = name
+			v.FreeSlots = name
 		case "free memory":
 			if _, counted := find("Extra.MemoryUnit"); counted {
-				v.Memory = name
+				v.FreeMemory = name
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 		LiveCapacity:   r.choice("Weights", "silent", "nominal", "rough", "live") == "live",
 		LoadReports:    r.choice("Report.Source", "silent", "piggyback", "pull") == "piggyback",
 		PeerMessages:   r.flag("Limits.MayTell"),
-		CapacityProbes: r.flag("Limits.MayProbe") && r.word("Report.Source") == "pull" && DecodeLoadReportKeys(find).Free != "",
+		CapacityProbes: r.flag("Limits.MayProbe") && r.word("Report.Source") == "pull" && DecodeLoadReportKeys(find).FreeSlots != "",
 		StartNotices:   r.flag("Extra.TellsStart"), ProgressInterval: r.whole("Extra.Progress", 0, 0),
 		MaxAttempts: int(r.whole("Limits.MostPostings", 1, 0)),
 		AllowCancel: r.flag("Limits.MayCancel"), AllowHedging: r.flag("Limits.MayDuplicate"),
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -16,37 +16,37 @@
 	"fernrail/dispatch"
 )
 
-// ErrBusy says that discovery answered and told nothing. Whoever works on calls in vain is not to be called again at once;
+// ErrNoNews says that discovery answered and told nothing. Whoever works on calls in vain is not to be called again at once;
 // nobody worked on what got no answer, or what can't be read.
-var ErrBusy = errors.New("nothing told")
+var ErrNoNews = errors.New("nothing told")
 
-// List is the list of executors, or what changed in it.
-type List struct {
-	Version int64
-	Full    bool
-	Entries []Entry
+// EndpointList is the list of executors, or what changed in it.
+type EndpointList struct {
+	Version   int64
+	Complete  bool
+	Endpoints []Endpoint
 }
 
-// Entry is one executor as the list tells of it.
-type Entry struct {
-	ID, Address      string
-	State            dispatch.EndpointState
-	Zone, Kind, Cell int
-	Started          int64   // Unix time, ns; 0: long ago
-	Units            float64 // the list's weight; what it means is in the settings
+// Endpoint is one executor as the list tells of it.
+type Endpoint struct {
+	ID, Address             string
+	State                   dispatch.EndpointState
+	Zone, MachineType, Cell int
+	Started                 int64   // Unix time, ns; 0: long ago
+	Capacity                float64 // the list's weight; what it means is in the settings
 }
 
 // A change of the list counts as told a while after discovery had it and could be reached, whatever failed before. Whoever asks may
 // have a call out at that moment which comes to nothing; all that may pass until the next one's answer is derived here.
 const (
-	Told    = 6 * time.Second    // the while, by the platform's pages
-	Wait    = Told / 2           // a watch lets discovery wait for news
-	Silence = Told / 6           // how much longer an answer is waited for
-	Again   = Told - 2*Silence/4 // from a failed call's start to the next one; the rest is for its answer
+	NotificationDeadline = 6 * time.Second                         // the while, by the platform's pages
+	WatchWait            = NotificationDeadline / 2                // a watch lets discovery wait for news
+	WatchSilence         = NotificationDeadline / 6                // how much longer an answer is waited for
+	PollRetryInterval    = NotificationDeadline - 2*WatchSilence/4 // from a failed call's start to the next one; the rest is for its answer
 )
 
-// MaxList bounds the bytes of a list; some thousands of executors fit.
-const MaxList = 4 << 20
+// MaxEndpointListBytes bounds the bytes of a list; some thousands of executors fit.
+const MaxEndpointListBytes = 4 << 20
 
 var listed = map[string]dispatch.EndpointState{"Ready": dispatch.Up, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
 
@@ -66,10 +66,10 @@
 	Started int64    `json:"started_ms"`
 }
 
-// ReadList decodes a list, entry by entry. A fault in one entry spoils the whole: half a list would hide executors that drain.
-func ReadList(text []byte, names *Names) (*List, error) {
+// DecodeEndpointList decodes a list, entry by entry. A fault in one entry spoils the whole: half a list would hide executors that drain.
+func DecodeEndpointList(text []byte, names *Names) (*EndpointList, error) {
 	in := json.NewDecoder(bytes.NewReader(text))
-	l := &List{}
+	l := &EndpointList{}
 	var version *int64
 	var full *bool
 	told := false // which servers
@@ -88,7 +88,7 @@
 			err = in.Decode(&full)
 		case "servers":
 			told = true
-			l.Entries, err = readEntries(in, names)
+			l.Endpoints, err = readEntries(in, names)
 		default:
 			var skipped json.RawMessage
 			err = in.Decode(&skipped)
@@ -106,7 +106,7 @@
 	if version == nil || full == nil || !told {
 		return nil, errors.New("version, full or servers is missing")
 	}
-	l.Version, l.Full = *version, *full
+	l.Version, l.Complete = *version, *full
 	return l, nil
 }
 
@@ -118,7 +118,7 @@
 	return err
 }
 
-func readEntries(in *json.Decoder, names *Names) (entries []Entry, err error) {
+func readEntries(in *json.Decoder, names *Names) (entries []Endpoint, err error) {
 	if err := expect(in, '['); err != nil {
 		return nil, err
 	}
@@ -140,12 +140,12 @@
 }
 
 // entry checks what discovery tells of a server.
-func (s *server) entry(names *Names) (Entry, error) {
+func (s *server) entry(names *Names) (Endpoint, error) {
 	state, known := listed[s.State]
-	e := Entry{ID: s.ID, Address: s.Addr, State: state, Zone: slices.Index(names.Zones, s.Zone),
-		Kind: slices.Index(names.MachineTypes, s.Kind), Cell: s.Cell, Started: s.Started * 1e6, Units: 1}
+	e := Endpoint{ID: s.ID, Address: s.Addr, State: state, Zone: slices.Index(names.Zones, s.Zone),
+		MachineType: slices.Index(names.MachineTypes, s.Kind), Cell: s.Cell, Started: s.Started * 1e6, Capacity: 1}
 	if s.Weight != nil {
-		e.Units = *s.Weight
+		e.Capacity = *s.Weight
 	}
 	switch _, _, err := net.SplitHostPort(s.Addr); {
 	case s.ID == "":
@@ -154,8 +154,8 @@
 		return e, fmt.Errorf("unknown state %q", s.State)
 	case err != nil && state != dispatch.Removed:
 		return e, fmt.Errorf("addr %q is not host:port", s.Addr)
-	case !(e.Units >= 0 && e.Units < mostSlots):
-		return e, fmt.Errorf("weight %v is no size", e.Units)
+	case !(e.Capacity >= 0 && e.Capacity < mostSlots):
+		return e, fmt.Errorf("weight %v is no size", e.Capacity)
 	case s.Started < 0 || s.Started > 1<<43:
 		return e, fmt.Errorf("started_ms %d is no time", s.Started)
 	}
--- a/internal/protocol/executor.go
+++ b/internal/protocol/executor.go
@@ -19,31 +19,31 @@
 	"fernrail/dispatch"
 )
 
-// State is what a line of an executor tells of a job.
-type State int
+// JobState is what a line of an executor tells of a job.
+type JobState int
 
 const (
-	Started State = iota
+	Started JobState = iota
 	Running
 	Done
 	Failed
 	Returned // handed back unstarted
-	Lost     // killed
+	Killed   // killed
 )
 
-var states = map[string]State{"started": Started, "running": Running, "done": Done, "failed": Failed,
-	"returned": Returned, "lost": Lost}
+var states = map[string]JobState{"started": Started, "running": Running, "done": Done, "failed": Failed,
+	"returned": Returned, "lost": Killed}
 
-// Line is one line of an executor about one job.
-type Line struct {
-	State  State
-	Share  float64 // Running: the part done
-	Result string  // Done
-	Free   float64 // free slots that the executor reports with it; 0: none, or not told
+// JobUpdate is one line of an executor about one job.
+type JobUpdate struct {
+	State     JobState
+	Progress  float64 // Running: the part done
+	Result    string  // Done
+	FreeSlots float64 // free slots that the executor reports with it; 0: none, or not told
 }
 
-// Last says whether the line ends its job.
-func (l Line) Last() bool { return l.State >= Done }
+// Final says whether the line ends its job.
+func (l JobUpdate) Final() bool { return l.State >= Done }
 
 // maxLine leaves room for a result of the largest size with every byte escaped.
 const maxLine = 6*MaxBodyBytes + 4096
@@ -54,30 +54,30 @@
 // mostSlots is more than any machine has; a report of more is none.
 const mostSlots = 1 << 16
 
-// Lines reads an executor's answer about the job with the given id.
-type Lines struct {
+// UpdateReader reads an executor's answer about the job with the given id.
+type UpdateReader struct {
 	id, free string
 	in       *bufio.Scanner
 }
 
-// NewLines: free names the value of a load report that tells free slots, if one does.
-func NewLines(id, free string, body io.Reader) *Lines {
+// NewUpdateReader: free names the value of a load report that tells free slots, if one does.
+func NewUpdateReader(id, free string, body io.Reader) *UpdateReader {
 	in := bufio.NewScanner(io.LimitReader(body, maxStream))
 	in.Buffer(nil, maxLine)
-	return &Lines{id, free, in}
+	return &UpdateReader{id, free, in}
 }
 
 // Next gives the next line. An answer that ends before its last line is an error, as is a line cut short.
-func (l *Lines) Next() (Line, error) {
+func (l *UpdateReader) Next() (JobUpdate, error) {
 	for l.in.Scan() {
 		if text := bytes.TrimSpace(l.in.Bytes()); len(text) > 0 {
 			return readLine(text, l.id, l.free)
 		}
 	}
-	return Line{}, errors.Join(l.in.Err(), io.ErrUnexpectedEOF)
+	return JobUpdate{}, errors.Join(l.in.Err(), io.ErrUnexpectedEOF)
 }
 
-func readLine(text []byte, id, free string) (Line, error) {
+func readLine(text []byte, id, free string) (JobUpdate, error) {
 	var m struct {
 		ID     string          `json:"id"`
 		State  string          `json:"state"`
@@ -86,53 +86,53 @@
 		Load   json.RawMessage `json:"load"`
 	}
 	if err := json.Unmarshal(text, &m); err != nil {
-		return Line{}, fmt.Errorf("unreadable line: %w", err)
+		return JobUpdate{}, fmt.Errorf("unreadable line: %w", err)
 	}
 	state, known := states[m.State]
 	switch {
 	// Danger: an answer that belongs to another job, passed on as this one's.
 	case m.ID != id:
-		return Line{}, fmt.Errorf("a line about %.40q instead", m.ID)
+		return JobUpdate{}, fmt.Errorf("a line about %.40q instead", m.ID)
 	case !known:
-		return Line{}, fmt.Errorf("unknown state %.40q", m.State)
+		return JobUpdate{}, fmt.Errorf("unknown state %.40q", m.State)
 	case state == Done && m.Result == nil:
-		return Line{}, errors.New("done without a result")
+		return JobUpdate{}, errors.New("done without a result")
 	case state == Running && (m.Share == nil || !(*m.Share >= 0 && *m.Share <= 1)):
-		return Line{}, errors.New("running without a share between 0 and 1")
+		return JobUpdate{}, errors.New("running without a share between 0 and 1")
 	}
-	l := Line{State: state}
+	l := JobUpdate{State: state}
 	// Danger: a report that this node can't read is no reason to lose the answer that it came with.
 	var load map[string]any
 	if free != "" && json.Unmarshal(m.Load, &load) == nil {
 		if slots, isNumber := load[free].(float64); isNumber && slots > 0 && slots < mostSlots {
-			l.Free = slots
+			l.FreeSlots = slots
 		}
 	}
 	if state == Done {
 		l.Result = *m.Result
 	}
 	if state == Running {
-		l.Share = *m.Share
+		l.Progress = *m.Share
 	}
 	return l, nil
 }
 
-// Values names the values of load reports that the module asks for; empty: none tells it.
-type Values struct {
-	Free, Memory string
+// LoadReportKeys names the values of load reports that the module asks for; empty: none tells it.
+type LoadReportKeys struct {
+	FreeSlots, FreeMemory string
 }
 
-// Load is what an executor told of its room when it was probed.
-type Load struct {
-	Free, Memory float64
+// LoadReport is what an executor told of its room when it was probed.
+type LoadReport struct {
+	FreeSlots, FreeMemory float64
 }
 
-// MaxLoad bounds the bytes of a load report.
-const MaxLoad = 4 << 10
+// MaxLoadReportBytes bounds the bytes of a load report.
+const MaxLoadReportBytes = 4 << 10
 
-// ReadLoad decodes a load report, an object or name=value pairs. One without free slots, or with an absurd number, is a
+// DecodeLoadReport decodes a load report, an object or name=value pairs. One without free slots, or with an absurd number, is a
 // fault; noise may tell of a little less than nothing, which is nothing. Memory that is not reported is no limit.
-func ReadLoad(text []byte, names Values) (Load, error) {
+func DecodeLoadReport(text []byte, names LoadReportKeys) (LoadReport, error) {
 	values := map[string]float64{}
 	if err := json.Unmarshal(text, &values); err != nil {
 		clear(values)
@@ -143,14 +143,14 @@
 			}
 		}
 	}
-	l := Load{Memory: math.MaxFloat64}
-	for name, into := range map[string]*float64{names.Free: &l.Free, names.Memory: &l.Memory} {
+	l := LoadReport{FreeMemory: math.MaxFloat64}
+	for name, into := range map[string]*float64{names.FreeSlots: &l.FreeSlots, names.FreeMemory: &l.FreeMemory} {
 		if name == "" {
 			continue
 		}
 		x, told := values[name]
 		if !told || !(x > -mostSlots && x < mostSlots) {
-			return Load{}, fmt.Errorf("a load report without a usable %s", name)
+			return LoadReport{}, fmt.Errorf("a load report without a usable %s", name)
 		}
 		*into = max(x, 0)
 	}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -116,18 +116,18 @@
 func TestReports(t *testing.T) {
 	for load, want := range map[string]float64{`{"util":0.2,"x0":3.9}`: 3.9, `{"x0":-1}`: 0, `{"x0":1e9}`: 0, `{"x0":"4"}`: 0, `{}`: 0,
 		`null`: 0, `[4]`: 0, `"x0"`: 0, `{"x1":4}`: 0} {
-		l, err := NewLines("j", "x0", strings.NewReader(`{"id":"j","state":"done","result":"a","load":`+load+"}")).Next()
-		if err != nil || l.Result != "a" || l.Free != want {
+		l, err := NewUpdateReader("j", "x0", strings.NewReader(`{"id":"j","state":"done","result":"a","load":`+load+"}")).Next()
+		if err != nil || l.Result != "a" || l.FreeSlots != want {
 			t.Errorf("%s: %+v %v, want %v", load, l, err, want)
 		}
 	}
 }
 
 func TestLines(t *testing.T) {
-	l := NewLines("j", "x0", strings.NewReader(`{"id":"j","from":"s","state":"started"}`+"\n\n"+
+	l := NewUpdateReader("j", "x0", strings.NewReader(`{"id":"j","from":"s","state":"started"}`+"\n\n"+
 		`{"id":"j","state":"running","share":0.4}`+"\n"+`{"id":"j","state":"done","result":"a\nb","load":{"util":"odd"}}`+"\n"))
-	for _, want := range []Line{{State: Started}, {State: Running, Share: 0.4}, {State: Done, Result: "a\nb"}} {
-		if got, err := l.Next(); err != nil || got != want || got.Last() != (want.State == Done) {
+	for _, want := range []JobUpdate{{State: Started}, {State: Running, Progress: 0.4}, {State: Done, Result: "a\nb"}} {
+		if got, err := l.Next(); err != nil || got != want || got.Final() != (want.State == Done) {
 			t.Errorf("%+v %v, want %+v", got, err, want)
 		}
 	}
@@ -138,15 +138,15 @@
 		`{"id":"j","state":"odd"}`, `{"id":"j","state":"done"}`, `{"id":"j","state":"done","result":7}`,
 		`{"id":"j","state":"running"}`, `{"id":"j","state":"running","share":-1}`, `[]`, `null`,
 		`{"state":"done","result":"x"}`} {
-		if got, err := NewLines("j", "x0", strings.NewReader(text)).Next(); err == nil {
+		if got, err := NewUpdateReader("j", "x0", strings.NewReader(text)).Next(); err == nil {
 			t.Errorf("%s gave %+v", text, got)
 		}
 	}
 	// Danger: an executor that never ends a line, or never stops talking, takes the node's memory.
-	if _, err := NewLines("j", "x0", endless("x")).Next(); err == nil {
+	if _, err := NewUpdateReader("j", "x0", endless("x")).Next(); err == nil {
 		t.Error("an endless line was read")
 	}
-	l = NewLines("j", "x0", endless(`{"id":"j","state":"started"}`+"\n"))
+	l = NewUpdateReader("j", "x0", endless(`{"id":"j","state":"started"}`+"\n"))
 	for n := 0; ; n++ {
 		if _, err := l.Next(); err != nil {
 			break
@@ -171,7 +171,7 @@
 	f.Add(`{"id":"j","state":"running","share":1e999}`)
 	f.Add("{\"id\":\"j\",\"state\":\"done\",\"result\":\"\xff\"}\x00")
 	f.Fuzz(func(t *testing.T, text string) {
-		l, err := NewLines("j", "x0", strings.NewReader(text)).Next()
+		l, err := NewUpdateReader("j", "x0", strings.NewReader(text)).Next()
 		if err != nil || l.State != Done {
 			return
 		}
@@ -218,19 +218,19 @@
 {"id":"s-2","addr":"10.0.0.2:7","zone":"odd","kind":"odd","state":"Terminating"},{"id":"s-3","state":"Gone"}]}`
 
 func TestList(t *testing.T) {
-	l, err := ReadList([]byte(list), names)
-	if err != nil || l.Version != 41 || !l.Full || len(l.Entries) != 3 {
+	l, err := DecodeEndpointList([]byte(list), names)
+	if err != nil || l.Version != 41 || !l.Complete || len(l.Endpoints) != 3 {
 		t.Fatal(l, err)
 	}
-	first := Entry{ID: "s-1", Address: "10.0.0.1:7", Zone: 1, Cell: 3, Started: 17e17, Units: 1.5}
-	if l.Entries[0] != first || l.Entries[1].State != dispatch.Draining || l.Entries[1].Zone != -1 ||
-		l.Entries[2].State != dispatch.Removed {
-		t.Errorf("%+v", l.Entries)
+	first := Endpoint{ID: "s-1", Address: "10.0.0.1:7", Zone: 1, Cell: 3, Started: 17e17, Capacity: 1.5}
+	if l.Endpoints[0] != first || l.Endpoints[1].State != dispatch.Draining || l.Endpoints[1].Zone != -1 ||
+		l.Endpoints[2].State != dispatch.Removed {
+		t.Errorf("%+v", l.Endpoints)
 	}
 	for _, c := range [][2]string{{`"version":41,`, ""}, {`"full":true,`, ""}, {`"servers":[`, `"server":[`},
 		{"Ready", "ready"}, {`"weight":1.5`, `"weight":-1`}, {`"weight":1.5`, `"weight":1e9`}, {`"id":"s-1",`, ""}, {"10.0.0.1:7", "nowhere"}, {"1700000000000", "-5"},
 		{"1700000000000", "9223372036854775807"}, {"]}", "]"}, {`"cell":3`, `"cell":"x"`}} {
-		if l, err := ReadList([]byte(strings.Replace(list, c[0], c[1], 1)), names); err == nil {
+		if l, err := DecodeEndpointList([]byte(strings.Replace(list, c[0], c[1], 1)), names); err == nil {
 			t.Errorf("%s for %s: %+v", c[1], c[0], l)
 		}
 	}
@@ -239,20 +239,20 @@
 // TestLoad: an executor's room as probes bring it. Danger: noise tells of a little less than nothing, and what is absent or
 // absurd must not look like room.
 func TestLoad(t *testing.T) {
-	both := Values{Free: "x0", Memory: "x1"}
-	for text, want := range map[string]Load{
+	both := LoadReportKeys{FreeSlots: "x0", FreeMemory: "x1"}
+	for text, want := range map[string]LoadReport{
 		`{"x0":2,"x1":1.5,"util":0.5}`: {2, 1.5}, `{"x0":-0.01,"x1":0}`: {0, 0}, "x0=3, x1=4,util=0.2": {3, 4},
 	} {
-		if l, err := ReadLoad([]byte(text), both); err != nil || l != want {
+		if l, err := DecodeLoadReport([]byte(text), both); err != nil || l != want {
 			t.Errorf("%s: %+v %v", text, l, err)
 		}
 	}
 	for _, text := range []string{"", "{}", `{"x0":2}`, `{"x0":1e99,"x1":1}`, `{"x0":"many","x1":1}`, "x0=NaN,x1=1", "<html>"} {
-		if l, err := ReadLoad([]byte(text), both); err == nil {
+		if l, err := DecodeLoadReport([]byte(text), both); err == nil {
 			t.Errorf("%s: %+v", text, l)
 		}
 	}
-	if l, err := ReadLoad([]byte(`{"x0":2}`), Values{Free: "x0"}); err != nil || l.Memory < 1e9 {
+	if l, err := DecodeLoadReport([]byte(`{"x0":2}`), LoadReportKeys{FreeSlots: "x0"}); err != nil || l.FreeMemory < 1e9 {
 		t.Errorf("memory that is not counted: %+v %v", l, err)
 	}
 }
--- a/internal/routing/leave_test.go
+++ b/internal/routing/leave_test.go
@@ -40,28 +40,28 @@
 		t.Cleanup(func() { s.Close() })
 		return l.Addr().String()
 	}
-	a := protocol.Entry{ID: "a", Address: executor("a")}
-	b := protocol.Entry{ID: "b", Address: executor("b")}
+	a := protocol.Endpoint{ID: "a", Address: executor("a")}
+	b := protocol.Endpoint{ID: "b", Address: executor("b")}
 	for name, change := range map[string]func(n *Node){
 		"drains": func(n *Node) {
 			b.State = dispatch.Draining
-			n.event(func() { n.listed(&protocol.List{Entries: []protocol.Entry{a, b}}) })
+			n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
 		"is left out of a whole list": func(n *Node) {
-			n.event(func() { n.listed(&protocol.List{Full: true, Entries: []protocol.Entry{a}}) })
+			n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
 		},
 		"is banned": func(n *Node) {
-			n.event(func() { n.listed(&protocol.List{Entries: []protocol.Entry{a}}) })
+			n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a}}) })
 			n.Ban([]string{"b"})
 		},
 		"is listed elsewhere": func(n *Node) {
 			b.Address = a.Address
-			n.event(func() { n.listed(&protocol.List{Entries: []protocol.Entry{a, b}}) })
+			n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
 		"goes and comes back as another": func(n *Node) {
-			n.event(func() { n.listed(&protocol.List{Full: true, Entries: []protocol.Entry{a}}) })
+			n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
 			b.Address = a.Address
-			n.event(func() { n.listed(&protocol.List{Full: true, Entries: []protocol.Entry{a, b}}) })
+			n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a, b}}) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 			mu.Lock()
 			arrived = map[string]int{}
 			mu.Unlock()
-			x := transport.NewExecutors(transport.NewDescriptors(256), time.Minute, time.Minute, protocol.Values{}, func() {})
+			x := transport.NewExecutors(transport.NewDescriptors(256), time.Minute, time.Minute, protocol.LoadReportKeys{}, func() {})
 			dialing, told := make(chan struct{}, 9), make(chan struct{})
 			x.Dials(func(address string) bool {
 				if address == stood.Address {
@@ -79,7 +79,7 @@
 				}
 				return true
 			})
-			n := New(terms(), 1, &protocol.List{Full: true, Entries: []protocol.Entry{b}}, x, time.Second, &lister{}, nil, zerolog.Nop())
+			n := New(terms(), 1, &protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{b}}, x, time.Second, &lister{}, nil, zerolog.Nop())
 			for _, scheme := range []int{0, 1} {
 				answer := make(chan *protocol.Response, 1)
 				go func() {
@@ -112,7 +112,7 @@
 	left   func(address string, job *protocol.Attempt)
 }
 
-func (s *slow) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.Line), ended func(protocol.AttemptResult)) {
+func (s *slow) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate), ended func(protocol.AttemptResult)) {
 	s.mu.Lock()
 	late := time.Duration(s.chance.Int64N(1e9))
 	s.mu.Unlock()
@@ -166,13 +166,13 @@
 					mu.Lock()
 					id := ids[1+chance.IntN(3)]
 					up[id] = !up[id]
-					e, all := entry(id, dispatch.Up), []protocol.Entry{}
+					e, all := entry(id, dispatch.Up), []protocol.Endpoint{}
 					if !up[id] {
 						e.State = dispatch.Draining
 					}
 					switch chance.IntN(3) {
 					case 0:
-						n.event(func() { n.listed(&protocol.List{Entries: []protocol.Entry{e}}) })
+						n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}) })
 					default:
 						banned := []string{}
 						for _, id := range ids {
@@ -184,7 +184,7 @@
 							}
 						}
 						n.Ban(banned)
-						n.event(func() { n.listed(&protocol.List{Full: true, Entries: all}) })
+						n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: all}) })
 					}
 					mu.Unlock()
 				}
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -208,7 +208,7 @@
 	}
 	// Danger: a fault in one posting's goroutine takes the node down; it may have run by then.
 	if err := n.guard(func() {
-		n.carrier.Do(ctx, job, func(line protocol.Line) {
+		n.carrier.Do(ctx, job, func(line protocol.JobUpdate) {
 			n.event(func() {
 				if line.State == protocol.Started {
 					began = n.clock()
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -27,7 +27,7 @@
 
 // told is what a call for the list brought.
 type told struct {
-	list *protocol.List
+	list *protocol.EndpointList
 	err  error
 	held bool  // it was not made, for want of a share
 	took int64 // ns
@@ -39,7 +39,7 @@
 	// Danger: a fleet that starts together asks for so many whole lists that none is told of anything. What this node was
 	// handed at the start is a list like any other, and changes to it cost little.
 	go n.lag.run(ctx, n.log)
-	on, whole, version := false, !n.known.Full, n.known.Version
+	on, whole, version := false, !n.known.Complete, n.known.Version
 	var answer chan told // of the call that is out
 	leave := func() {}
 	for {
@@ -83,7 +83,7 @@
 	}
 	a.took = int64(time.Since(start))
 	// Danger: a place that answers a watch at once, with a fault, nothing or nothing newer, takes the core.
-	if a.err != nil || len(a.list.Entries) == 0 || a.list.Version <= since && !whole {
+	if a.err != nil || len(a.list.Endpoints) == 0 || a.list.Version <= since && !whole {
 		select {
 		case <-time.After(spacing - time.Since(start)):
 		case <-ctx.Done():
@@ -96,7 +96,7 @@
 func (n *Node) hear(a told, had int64, wanted bool) (on, whole bool, version int64) {
 	switch {
 	case a.err != nil || a.held:
-	case wanted && !a.list.Full:
+	case wanted && !a.list.Complete:
 		a.err = errors.New("asked for the whole list, got changes")
 	// Danger: a place that lost its memory tells of executors as they were. It is asked for the whole, which counts.
 	case !wanted && a.list.Version < had:
@@ -106,7 +106,7 @@
 	case a.err != nil:
 		n.log.Warn().Err(a.err).Int64("took_us", a.took/1e3).Msg("discovery: list kept as it is")
 		spent := int64(0)
-		if errors.Is(a.err, protocol.ErrBusy) {
+		if errors.Is(a.err, protocol.ErrNoNews) {
 			spent = a.took
 		}
 		// Danger: a step that failed sets no alarm, and nothing is asked for ever after.
@@ -118,8 +118,8 @@
 	}
 	began := time.Now()
 	n.event(func() { n.listed(a.list) })
-	if a.list.Full || len(a.list.Entries) > 0 {
-		n.log.Info().Int64("version", a.list.Version).Bool("whole", a.list.Full).Int("entries", len(a.list.Entries)).
+	if a.list.Complete || len(a.list.Endpoints) > 0 {
+		n.log.Info().Int64("version", a.list.Version).Bool("whole", a.list.Complete).Int("entries", len(a.list.Endpoints)).
 			Int64("applied_us", time.Since(began).Microseconds()).Int64("lag_ms", n.lag.Lag()/1e6).Msg("list")
 	}
 	if n.news != nil {
@@ -148,9 +148,9 @@
 }
 
 // listed hands the list to the module and keeps the addresses.
-func (n *Node) listed(l *protocol.List) {
+func (n *Node) listed(l *protocol.EndpointList) {
 	var members []dispatch.Endpoint
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		m := n.members[e.ID]
 		if m == nil {
 			m = &member{executor: &dispatch.Server{Tag: e.ID, Hash: dispatch.HashName(e.ID), Distance: n.beyond, OutlierScore: n.doubted[e.ID]}}
@@ -165,10 +165,10 @@
 		}
 		members = append(members, n.present(m))
 	}
-	n.module.UpdateEndpoints(l.Full, members)
+	n.module.UpdateEndpoints(l.Complete, members)
 	// Danger: a map of thousands that is walked at each change of one of them.
-	if !l.Full {
-		for _, e := range l.Entries {
+	if !l.Complete {
+		for _, e := range l.Endpoints {
 			n.forget(e.ID)
 		}
 		return
@@ -197,7 +197,7 @@
 func (n *Node) Relisted() <-chan struct{} { return n.relisted }
 
 // Entries are the executors that are listed, as discovery told them last.
-func (n *Node) Entries() (entries []protocol.Entry) {
+func (n *Node) Entries() (entries []protocol.Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(n.members)) {
@@ -239,7 +239,7 @@
 	if state == dispatch.Up && n.banned[e.ID] {
 		state = dispatch.Draining
 	}
-	return dispatch.Endpoint{Server: m.executor, State: state, Zone: e.Zone, MachineType: e.Kind, Cell: e.Cell, StartedAt: e.Started, Capacity: e.Units}
+	return dispatch.Endpoint{Server: m.executor, State: state, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, StartedAt: e.Started, Capacity: e.Capacity}
 }
 
 // Ban has these executors drain, and no others but those that discovery says do.
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -21,13 +21,13 @@
 
 // Carrier takes postings to executors.
 type Carrier interface {
-	Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.Line), ended func(protocol.AttemptResult))
-	Probe(ctx context.Context, address string) (protocol.Load, error)
+	Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate), ended func(protocol.AttemptResult))
+	Probe(ctx context.Context, address string) (protocol.LoadReport, error)
 }
 
 // Lister asks discovery.
 type Lister interface {
-	Ask(ctx context.Context, since int64, whole bool) (*protocol.List, error)
+	Ask(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error)
 }
 
 // Purse is this node's share of what all nodes hold together. It is asked under the module's lock and never calls back.
@@ -56,7 +56,7 @@
 	carrier Carrier
 	probe   time.Duration // how long the answer to a probe is waited for
 	lister  Lister        // Follow alone uses it
-	known   *protocol.List
+	known   *protocol.EndpointList
 	news    chan struct{}   // closed and nil when discovery has first answered; Follow alone uses it
 	heard   <-chan struct{} // the same, for others
 	turn    chan Lister     // the latest new place to ask, at most one
@@ -89,12 +89,12 @@
 // member is an executor of the list with its present address.
 type member struct {
 	executor *dispatch.Server
-	entry    protocol.Entry // what discovery said last
+	entry    protocol.Endpoint // what discovery said last
 	address  string
 }
 
 // New starts the module on the list as it was last known. purse is nil where nodes share nothing.
-func New(terms *dispatch.Settings, seed uint64, known *protocol.List, c Carrier, probe time.Duration, l Lister, purse Purse, log zerolog.Logger) *Node {
+func New(terms *dispatch.Settings, seed uint64, known *protocol.EndpointList, c Carrier, probe time.Duration, l Lister, purse Purse, log zerolog.Logger) *Node {
 	n := &Node{terms: terms, carrier: c, probe: probe, lister: l, known: known, log: log, start: time.Now(), lag: newLagMeter(), till: math.MaxInt64, members: map[string]*member{}, listedOnce: map[string]bool{},
 		news: make(chan struct{}), ids: [2]map[string]int64{{}, {}}, lives: map[*dispatch.Request]*life{}, out: map[*dispatch.Attempt]context.CancelFunc{}, watch: make(chan bool, 1), turn: make(chan Lister, 1), relisted: make(chan struct{}, 1)}
 	n.heard = n.news
@@ -182,12 +182,12 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), n.probe)
 		defer cancel()
-		var load protocol.Load
+		var load protocol.LoadReport
 		var err error
 		if fault := n.guard(func() { load, err = n.carrier.Probe(ctx, address) }); fault != nil {
 			err = fault
 		}
-		n.event(func() { n.module.CapacityReported(e, err == nil, load.Free, load.Memory) })
+		n.event(func() { n.module.CapacityReported(e, err == nil, load.FreeSlots, load.FreeMemory) })
 	}()
 }
 
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -30,11 +30,11 @@
 	mu     sync.Mutex
 	jobs   []*protocol.Attempt
 	probed []string
-	load   func(ctx context.Context, address string) (protocol.Load, error)
-	script func(ctx context.Context, nth int, job *protocol.Attempt, heard func(protocol.Line)) (dispatch.Outcome, string)
+	load   func(ctx context.Context, address string) (protocol.LoadReport, error)
+	script func(ctx context.Context, nth int, job *protocol.Attempt, heard func(protocol.JobUpdate)) (dispatch.Outcome, string)
 }
 
-func (c *carrier) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.Line),
+func (c *carrier) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
 	ended func(protocol.AttemptResult)) {
 	c.mu.Lock()
 	c.jobs = append(c.jobs, job)
@@ -45,7 +45,7 @@
 }
 
 // Probe is answered by load, after its delay.
-func (c *carrier) Probe(ctx context.Context, address string) (protocol.Load, error) {
+func (c *carrier) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
 	c.mu.Lock()
 	c.probed = append(c.probed, address)
 	c.mu.Unlock()
@@ -71,9 +71,9 @@
 	return dispatch.TimedOut, ""
 }
 
-func serves(span time.Duration) func(context.Context, int, *protocol.Attempt, func(protocol.Line)) (dispatch.Outcome, string) {
-	return func(ctx context.Context, _ int, _ *protocol.Attempt, heard func(protocol.Line)) (dispatch.Outcome, string) {
-		heard(protocol.Line{State: protocol.Started})
+func serves(span time.Duration) func(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
+	return func(ctx context.Context, _ int, _ *protocol.Attempt, heard func(protocol.JobUpdate)) (dispatch.Outcome, string) {
+		heard(protocol.JobUpdate{State: protocol.Started})
 		return wait(ctx, span, dispatch.Succeeded)
 	}
 }
@@ -85,7 +85,7 @@
 	at      []time.Time
 }
 
-func (l *lister) Ask(ctx context.Context, since int64, whole bool) (*protocol.List, error) {
+func (l *lister) Ask(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
 	l.asked, l.at = append(l.asked, fmt.Sprint(since, whole)), append(l.at, time.Now())
 	if len(l.answers) == 0 {
 		<-ctx.Done()
@@ -96,7 +96,7 @@
 	if err, isFault := a.(error); isFault {
 		return nil, err
 	}
-	return a.(*protocol.List), nil
+	return a.(*protocol.EndpointList), nil
 }
 
 func terms() *dispatch.Settings {
@@ -106,14 +106,14 @@
 			{Index: 1, LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1, Idempotency: dispatch.NonIdempotent}}}
 }
 
-func entry(id string, state dispatch.EndpointState) protocol.Entry {
-	return protocol.Entry{ID: id, Address: id + ":7", State: state}
+func entry(id string, state dispatch.EndpointState) protocol.Endpoint {
+	return protocol.Endpoint{ID: id, Address: id + ":7", State: state}
 }
 
-func known(ids ...string) *protocol.List {
-	l := &protocol.List{Full: true}
+func known(ids ...string) *protocol.EndpointList {
+	l := &protocol.EndpointList{Complete: true}
 	for _, id := range ids {
-		l.Entries = append(l.Entries, entry(id, dispatch.Up))
+		l.Endpoints = append(l.Endpoints, entry(id, dispatch.Up))
 	}
 	return l
 }
@@ -278,7 +278,7 @@
 // TestPanicInAPosting: what a fault on the way to an executor leaves open may have run.
 func TestPanicInAPosting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &carrier{script: func(context.Context, int, *protocol.Attempt, func(protocol.Line)) (dispatch.Outcome, string) {
+		c := &carrier{script: func(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
 			panic("odd")
 		}}
 		n := New(terms(), 1, known("a"), c, time.Second, &lister{}, nil, zerolog.Nop())
@@ -293,13 +293,13 @@
 func TestList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &carrier{script: serves(time.Millisecond)}
-		moved := protocol.Entry{ID: "b", Address: "elsewhere:7"}
+		moved := protocol.Endpoint{ID: "b", Address: "elsewhere:7"}
 		l := &lister{answers: []any{
-			&protocol.List{Version: 5, Full: true, Entries: []protocol.Entry{entry("a", dispatch.Up), entry("b", dispatch.Up)}},
-			&protocol.List{Version: 6, Entries: []protocol.Entry{entry("a", dispatch.Draining), moved}},
+			&protocol.EndpointList{Version: 5, Complete: true, Endpoints: []protocol.Endpoint{entry("a", dispatch.Up), entry("b", dispatch.Up)}},
+			&protocol.EndpointList{Version: 6, Endpoints: []protocol.Endpoint{entry("a", dispatch.Draining), moved}},
 			errors.New("reset"),
-			&protocol.List{Version: 3, Entries: []protocol.Entry{entry("a", dispatch.Up)}},
-			&protocol.List{Version: 2, Full: true, Entries: []protocol.Entry{moved}},
+			&protocol.EndpointList{Version: 3, Endpoints: []protocol.Endpoint{entry("a", dispatch.Up)}},
+			&protocol.EndpointList{Version: 2, Complete: true, Endpoints: []protocol.Endpoint{moved}},
 		}}
 		n := New(terms(), 1, known("old"), c, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
@@ -336,12 +336,12 @@
 	mends            bool         // calls that are out in the silence are answered when it is over
 	stuck            atomic.Int64 // when the last call began that is never answered, ns from zero
 	zero, from, till time.Time
-	news             map[int64]*protocol.List // by version
-	since            map[int64]time.Duration  // when the agent has it, from zero
-	cost             error                    // what it answers while down; nil: nothing
+	news             map[int64]*protocol.EndpointList // by version
+	since            map[int64]time.Duration          // when the agent has it, from zero
+	cost             error                            // what it answers while down; nil: nothing
 }
 
-func (a *agent) Ask(ctx context.Context, since int64, _ bool) (*protocol.List, error) {
+func (a *agent) Ask(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
 	silent, start := false, time.Now()
@@ -381,10 +381,10 @@
 			a.till = a.from.Add(4500*time.Millisecond + span(12*time.Second))
 			told := a.till.Add(span(2 * time.Second))
 			a.since[1], a.since[2] = 0, told.Sub(now)
-			a.news = map[int64]*protocol.List{1: {Version: 1, Full: true, Entries: known("a", "b").Entries},
-				2: {Version: 2, Entries: []protocol.Entry{entry("b", dispatch.Draining)}}}
+			a.news = map[int64]*protocol.EndpointList{1: {Version: 1, Complete: true, Endpoints: known("a", "b").Endpoints},
+				2: {Version: 2, Endpoints: []protocol.Endpoint{entry("b", dispatch.Draining)}}}
 			settings := terms()
-			settings.DrainGrace, settings.MaxPollInterval = 2e9, int64(protocol.Again)
+			settings.DrainGrace, settings.MaxPollInterval = 2e9, int64(protocol.PollRetryInterval)
 			n := New(settings, seed, known("a", "b"), c, time.Second, a, nil, zerolog.Nop())
 			ctx, stop := context.WithCancel(t.Context())
 			go n.Follow(ctx)
@@ -413,14 +413,14 @@
 // where versions went back, and nothing is asked without end. What is told whole when asked for counts, whatever its version.
 func TestAgentsThatTellNonsense(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		old := &protocol.List{Version: 3, Full: true, Entries: known("gone").Entries}
-		stale := &protocol.List{Version: 7, Entries: known("a").Entries}
-		l := &lister{answers: []any{&protocol.List{Version: 7, Full: true, Entries: known("a").Entries}, old, errors.New("half a list"), old, old}}
+		old := &protocol.EndpointList{Version: 3, Complete: true, Endpoints: known("gone").Endpoints}
+		stale := &protocol.EndpointList{Version: 7, Endpoints: known("a").Endpoints}
+		l := &lister{answers: []any{&protocol.EndpointList{Version: 7, Complete: true, Endpoints: known("a").Endpoints}, old, errors.New("half a list"), old, old}}
 		for range 100 {
-			l.answers = append(l.answers, &protocol.List{Version: 3, Entries: known("gone").Entries})
+			l.answers = append(l.answers, &protocol.EndpointList{Version: 3, Endpoints: known("gone").Endpoints})
 		}
 		l.answers = append(l.answers, stale)
-		n := New(terms(), 1, &protocol.List{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
+		n := New(terms(), 1, &protocol.EndpointList{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Follow(ctx)
 		time.Sleep(time.Millisecond)
@@ -444,9 +444,9 @@
 // Danger: many nodes that start together and ask for whole lists are told nothing for as long as they go on.
 func TestKnownListIsWatched(t *testing.T) {
 	for _, c := range []struct {
-		known *protocol.List
+		known *protocol.EndpointList
 		want  string
-	}{{&protocol.List{Version: 41, Full: true, Entries: known("a").Entries}, "41 false"}, {&protocol.List{}, "0 true"}} {
+	}{{&protocol.EndpointList{Version: 41, Complete: true, Endpoints: known("a").Endpoints}, "41 false"}, {&protocol.EndpointList{}, "0 true"}} {
 		synctest.Test(t, func(t *testing.T) {
 			l := &lister{}
 			n := New(terms(), 1, c.known, &carrier{}, time.Second, l, nil, zerolog.Nop())
@@ -465,7 +465,7 @@
 // TestEmptyAnswersAreSpaced: a place that answers at once, with nothing or a fault, is not asked without end, whatever the
 // settings say of pauses.
 func TestEmptyAnswersAreSpaced(t *testing.T) {
-	for _, answer := range []any{&protocol.List{}, errors.New("refused")} {
+	for _, answer := range []any{&protocol.EndpointList{}, errors.New("refused")} {
 		spaced(t, answer)
 	}
 }
@@ -478,7 +478,7 @@
 		}
 		hasty := terms()
 		hasty.MaxPollInterval = 0
-		n := New(hasty, 1, &protocol.List{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
+		n := New(hasty, 1, &protocol.EndpointList{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Follow(ctx)
 		time.Sleep(time.Second + time.Millisecond)
@@ -494,9 +494,9 @@
 // however low its version. Executors that both name are the same.
 func TestTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		old := &lister{answers: []any{&protocol.List{Version: 50, Full: true, Entries: known("a", "b").Entries}}}
+		old := &lister{answers: []any{&protocol.EndpointList{Version: 50, Complete: true, Endpoints: known("a", "b").Endpoints}}}
 		down := &lister{answers: []any{errors.New("refused")}}
-		fresh := &lister{answers: []any{&protocol.List{Version: 3, Full: true, Entries: known("b", "c").Entries}}}
+		fresh := &lister{answers: []any{&protocol.EndpointList{Version: 3, Complete: true, Endpoints: known("b", "c").Endpoints}}}
 		n := New(terms(), 1, known("a"), &carrier{script: serves(time.Millisecond)}, time.Second, old, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
 		go n.Follow(ctx)
@@ -531,7 +531,7 @@
 	dice := func(n int) int { mu.Lock(); defer mu.Unlock(); return r.IntN(n) }
 	stopped, answered, mayRun := map[string]time.Time{}, map[string]bool{}, map[string]bool{}
 	c := &carrier{}
-	c.script = func(ctx context.Context, _ int, job *protocol.Attempt, heard func(protocol.Line)) (dispatch.Outcome, string) {
+	c.script = func(ctx context.Context, _ int, job *protocol.Attempt, heard func(protocol.JobUpdate)) (dispatch.Outcome, string) {
 		id := job.Request.ID
 		mu.Lock()
 		if at, is := stopped[job.Address]; is && time.Since(at) > 0 {
@@ -546,7 +546,7 @@
 		mayRun[id] = true
 		mu.Unlock()
 		if dice(3) > 0 {
-			heard(protocol.Line{State: protocol.Started})
+			heard(protocol.JobUpdate{State: protocol.Started})
 		}
 		o, result := wait(ctx, time.Duration(dice(1500))*time.Millisecond, dispatch.Outcome(dice(int(dispatch.StaleConnection)+1)))
 		if o == dispatch.Rejected || o == dispatch.ConnectFailed || o == dispatch.NotSent {
@@ -580,12 +580,12 @@
 				defer mu.Unlock()
 				states[e.ID] = e.State
 				mark()
-				l := &protocol.List{Full: whole, Entries: []protocol.Entry{e}}
+				l := &protocol.EndpointList{Complete: whole, Endpoints: []protocol.Endpoint{e}}
 				if whole {
-					l.Entries = nil
+					l.Endpoints = nil
 					for _, id := range ids {
 						if states[id] != dispatch.Removed {
-							l.Entries = append(l.Entries, entry(id, states[id]))
+							l.Endpoints = append(l.Endpoints, entry(id, states[id]))
 						}
 					}
 				}
@@ -663,17 +663,17 @@
 		if known, excluded := n.Figures(); known != 2 || excluded != 1 {
 			t.Errorf("%d known, %d excluded", known, excluded)
 		}
-		restarted := protocol.Entry{ID: "a", Address: "elsewhere:7", Started: time.Now().UnixNano()}
-		for name, l := range map[string]*protocol.List{
-			"nothing": {}, "whole": known("a", "b"), "change": {Entries: []protocol.Entry{entry("a", dispatch.Up)}},
-			"away": known("b"), "back": known("a", "b"), "restarted": {Entries: []protocol.Entry{restarted}},
+		restarted := protocol.Endpoint{ID: "a", Address: "elsewhere:7", Started: time.Now().UnixNano()}
+		for name, l := range map[string]*protocol.EndpointList{
+			"nothing": {}, "whole": known("a", "b"), "change": {Endpoints: []protocol.Endpoint{entry("a", dispatch.Up)}},
+			"away": known("b"), "back": known("a", "b"), "restarted": {Endpoints: []protocol.Endpoint{restarted}},
 		} {
 			n.event(func() { n.listed(l) })
 			if got := to("a:7") + to("elsewhere:7"); got > 0 {
 				t.Errorf("%s: %d went to a banned executor", name, got)
 			}
 		}
-		n.event(func() { n.listed(&protocol.List{Entries: []protocol.Entry{restarted}}) })
+		n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{restarted}}) })
 		n.Ban(nil)
 		if to("elsewhere:7") == 0 {
 			t.Error("not in use after")
@@ -682,7 +682,9 @@
 			t.Error("who was ever listed")
 		}
 		n.Ban([]string{"b"})
-		n.event(func() { n.listed(&protocol.List{Entries: []protocol.Entry{entry("b", dispatch.Draining)}}) })
+		n.event(func() {
+			n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{entry("b", dispatch.Draining)}})
+		})
 		if n.Ban(nil); to("b:7") > 0 {
 			t.Error("one that drains by discovery's word is in use")
 		}
@@ -695,12 +697,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		asking := terms()
 		asking.CapacityProbes = true
-		c := &carrier{script: serves(50 * time.Millisecond), load: func(ctx context.Context, address string) (protocol.Load, error) {
+		c := &carrier{script: serves(50 * time.Millisecond), load: func(ctx context.Context, address string) (protocol.LoadReport, error) {
 			if address == "b:7" {
-				return protocol.Load{Free: 2, Memory: 1}, nil
+				return protocol.LoadReport{FreeSlots: 2, FreeMemory: 1}, nil
 			}
 			<-ctx.Done()
-			return protocol.Load{}, ctx.Err()
+			return protocol.LoadReport{}, ctx.Err()
 		}}
 		n := New(asking, 1, known("a", "b", "c"), c, 300*time.Millisecond, &lister{}, nil, zerolog.Nop())
 		a := n.Serve(t.Context(), ask("j", 0, 5*time.Second))
@@ -710,7 +712,9 @@
 			t.Errorf("%+v %v", a, c.probed)
 		}
 		c.mu.Unlock()
-		n.event(func() { n.listed(&protocol.List{Full: true, Entries: []protocol.Entry{entry("b", dispatch.Up)}}) })
+		n.event(func() {
+			n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{entry("b", dispatch.Up)}})
+		})
 		time.Sleep(time.Second)
 		if a := n.Serve(t.Context(), ask("k", 0, 5*time.Second)); a == nil || a.Status != 200 {
 			t.Errorf("%+v", a)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -72,7 +72,7 @@
 	session   *session
 	module    *dispatch.Dispatcher // nil: not started, killed or crashed
 	terms     *dispatch.Settings
-	values    protocol.Values // of load reports
+	values    protocol.LoadReportKeys // of load reports
 	executors map[string]*dispatch.Server
 	marks     map[uint32]*dispatch.Server // the same, as nodes name them to one another
 	txns      map[string]*dispatch.Request
@@ -299,7 +299,7 @@
 func (n *node) reportBack(f *fields) {
 	p, o, took, over := n.posting(f), f.outcome(), f.wholeOr("TimeTaken", 0), f.wholeOr("Ended", 0) != 0
 	if p != nil && p.InFlight && f.err == nil {
-		p.FreeSlots = f.reported(n.values.Free)
+		p.FreeSlots = f.reported(n.values.FreeSlots)
 		n.module.AttemptEnded(p, o, took, over)
 		n.tidy(p.Request)
 	}
@@ -307,9 +307,9 @@
 
 // probed hands on what an executor told of its room; none, where the probe failed or its report lacks the value.
 func (n *node) probed(f *fields) {
-	e, status, free, memory := n.executors[f.text("Executor")], f.text("Status"), f.reported(n.values.Free), math.MaxFloat64
-	if n.values.Memory != "" {
-		memory = f.reported(n.values.Memory)
+	e, status, free, memory := n.executors[f.text("Executor")], f.text("Status"), f.reported(n.values.FreeSlots), math.MaxFloat64
+	if n.values.FreeMemory != "" {
+		memory = f.reported(n.values.FreeMemory)
 	}
 	if e == nil || f.err != nil {
 		return
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -26,17 +26,17 @@
 
 func NewDiscovery(address string, names *protocol.Names) *Discovery {
 	return &Discovery{address: address, names: names, transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1,
-		IdleConnTimeout:        protocol.Wait, // calls follow at once; an agent that was left keeps no descriptor
+		IdleConnTimeout:        protocol.WatchWait, // calls follow at once; an agent that was left keeps no descriptor
 		MaxResponseHeaderBytes: 16 << 10}}
 }
 
 // Ask gets the whole list, or waits for changes since a version. The first such call does not wait: it tells what has
 // changed by now, or that nothing has. Calls are made one at a time.
 // Danger: a process that takes over serves on a list of which it does not know whether it is the present one.
-func (d *Discovery) Ask(ctx context.Context, since int64, whole bool) (*protocol.List, error) {
-	limit, target := protocol.Silence, "http://"+d.address+"/api/targets"
+func (d *Discovery) Ask(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
+	limit, target := protocol.WatchSilence, "http://"+d.address+"/api/targets"
 	if !whole {
-		wait := protocol.Wait
+		wait := protocol.WatchWait
 		if !d.asked {
 			wait = time.Millisecond
 		}
@@ -48,7 +48,7 @@
 	// Danger: a whole list of thousands that takes its time to come is given up, asked for again, and never there.
 	silent := time.AfterFunc(limit, func() { cancel(errSilent) })
 	defer silent.Stop()
-	last := time.Now().Add(max(limit, protocol.Wait))
+	last := time.Now().Add(max(limit, protocol.WatchWait))
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return nil, err
@@ -59,21 +59,21 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery answered %s: %w", response.Status, protocol.ErrBusy)
+		return nil, fmt.Errorf("discovery answered %s: %w", response.Status, protocol.ErrNoNews)
 	}
 	body := &progressReader{response.Body, func() {
 		if whole {
-			silent.Reset(min(protocol.Silence, time.Until(last)))
+			silent.Reset(min(protocol.WatchSilence, time.Until(last)))
 		}
 	}}
-	text, err := io.ReadAll(io.LimitReader(body, protocol.MaxList+1))
+	text, err := io.ReadAll(io.LimitReader(body, protocol.MaxEndpointListBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > protocol.MaxList {
-		return nil, fmt.Errorf("a list of over %d bytes", protocol.MaxList)
+	if len(text) > protocol.MaxEndpointListBytes {
+		return nil, fmt.Errorf("a list of over %d bytes", protocol.MaxEndpointListBytes)
 	}
-	return protocol.ReadList(text, d.names)
+	return protocol.DecodeEndpointList(text, d.names)
 }
 
 // progressReader tells each time something has been read.
--- a/internal/transport/executors.go
+++ b/internal/transport/executors.go
@@ -35,8 +35,8 @@
 // Executors holds the connections to executors.
 type Executors struct {
 	transport *http.Transport
-	values    protocol.Values // of load reports
-	wrote     func()          // told of each posting whose last byte was written
+	values    protocol.LoadReportKeys // of load reports
+	wrote     func()                  // told of each posting whose last byte was written
 	dials     func(address string) bool
 	lag       func() int64                                                         // how long work of this process waits until it runs, in ns
 	connect   func(ctx context.Context, network, address string) (net.Conn, error) // tests alone put another one here
@@ -44,7 +44,7 @@
 
 // NewExecutors: dial is how long a connection may take to come up, idle how long executors keep an unused one, values
 // what their load reports tell by which name, wrote is told of each posting whose last byte was written.
-func NewExecutors(d *Descriptors, dial, idle time.Duration, values protocol.Values, wrote func()) *Executors {
+func NewExecutors(d *Descriptors, dial, idle time.Duration, values protocol.LoadReportKeys, wrote func()) *Executors {
 	dialer := &net.Dialer{KeepAlive: -1}
 	x := &Executors{values: values, wrote: wrote, dials: func(string) bool { return true }, lag: func() int64 { return 0 }, connect: dialer.DialContext}
 	x.transport = &http.Transport{
@@ -144,7 +144,7 @@
 
 // Do carries one posting to its end. It tells of starts and progress by heard, and of the end by ended, once, before
 // it looks after the connection.
-func (x *Executors) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.Line),
+func (x *Executors) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
 	ended func(protocol.AttemptResult)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -175,7 +175,7 @@
 		finish(response.Body, cancel)
 		return
 	}
-	lines := protocol.NewLines(job.Request.ID, x.values.Free, response.Body)
+	lines := protocol.NewUpdateReader(job.Request.ID, x.values.FreeSlots, response.Body)
 	for {
 		line, err := lines.Next()
 		switch {
@@ -189,14 +189,14 @@
 			}
 			ended(protocol.AttemptResult{Outcome: o, Cause: err})
 			return
-		case !line.Last():
+		case !line.Final():
 			heard(line)
 			continue
 		case line.State == protocol.Done:
-			ended(protocol.AttemptResult{Outcome: dispatch.Succeeded, Result: line.Result, FreeSlots: line.Free})
+			ended(protocol.AttemptResult{Outcome: dispatch.Succeeded, Result: line.Result, FreeSlots: line.FreeSlots})
 		case line.State == protocol.Returned:
 			ended(protocol.AttemptResult{Outcome: dispatch.Rejected})
-		case line.State == protocol.Lost:
+		case line.State == protocol.Killed:
 			ended(protocol.AttemptResult{Outcome: dispatch.ConnectionLost})
 		default:
 			ended(protocol.AttemptResult{Outcome: dispatch.Failed})
@@ -207,32 +207,32 @@
 }
 
 // Probe asks an executor for its load.
-func (x *Executors) Probe(ctx context.Context, address string) (protocol.Load, error) {
+func (x *Executors) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var h hold
 	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, h.trace()), http.MethodGet, "http://"+address+"/-/load", nil)
 	if err != nil {
-		return protocol.Load{}, err
+		return protocol.LoadReport{}, err
 	}
 	request.Header["User-Agent"] = nil
 	response, err := x.transport.RoundTrip(request)
 	if err != nil {
-		return protocol.Load{}, err
+		return protocol.LoadReport{}, err
 	}
 	defer response.Body.Close()
 	if h.stray {
 		h.conn.Close()
-		return protocol.Load{}, errStray
+		return protocol.LoadReport{}, errStray
 	}
-	text, err := io.ReadAll(io.LimitReader(response.Body, protocol.MaxLoad))
+	text, err := io.ReadAll(io.LimitReader(response.Body, protocol.MaxLoadReportBytes))
 	if err != nil {
-		return protocol.Load{}, err
+		return protocol.LoadReport{}, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return protocol.Load{}, errors.New("a probe was answered " + response.Status)
+		return protocol.LoadReport{}, errors.New("a probe was answered " + response.Status)
 	}
-	return protocol.ReadLoad(text, x.values)
+	return protocol.DecodeLoadReport(text, x.values)
 }
 
 // finish reads an answer to its end, which gives its connection back.
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -25,9 +25,9 @@
 )
 
 // lister gives one list after the other, and then none.
-type lister chan *protocol.List
+type lister chan *protocol.EndpointList
 
-func (l lister) Ask(ctx context.Context, _ int64, _ bool) (*protocol.List, error) {
+func (l lister) Ask(ctx context.Context, _ int64, _ bool) (*protocol.EndpointList, error) {
 	select {
 	case list := <-l:
 		return list, nil
@@ -67,10 +67,10 @@
 	return address, d, x, news, gone
 }
 
-func listing(version int64, addresses ...string) *protocol.List {
-	l := &protocol.List{Version: version, Full: true}
+func listing(version int64, addresses ...string) *protocol.EndpointList {
+	l := &protocol.EndpointList{Version: version, Complete: true}
 	for _, a := range addresses {
-		l.Entries = append(l.Entries, protocol.Entry{ID: a, Address: a, State: dispatch.Up})
+		l.Endpoints = append(l.Endpoints, protocol.Endpoint{ID: a, Address: a, State: dispatch.Up})
 	}
 	return l
 }
--- a/internal/transport/known_test.go
+++ b/internal/transport/known_test.go
@@ -67,7 +67,7 @@
 	{"half an answer", after(3900*time.Millisecond, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":", false), 2},
 	{"an answer without end", trickle, 1},
 	{"an answer over the limit", func(c net.Conn, _ <-chan struct{}) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat(" ", protocol.MaxList+1))
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat(" ", protocol.MaxEndpointListBytes+1))
 		return false
 	}, 3},
 	{"another kind of answer", after(0, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n<html>", true), 3},
@@ -172,7 +172,7 @@
 					}
 					_, x := fresh()
 					known := listing(1, "h:1")
-					known.Entries[0].ID = "e"
+					known.Endpoints[0].ID = "e"
 					n := routing.New(c.Settings, 1, known, x, time.Second, NewDiscovery(first.Addr().String(), c.Names), nil, zerolog.Nop())
 					ctx, stop := context.WithCancel(t.Context())
 					defer stop()
@@ -187,7 +187,7 @@
 						t.Fatal("too few calls")
 					}
 					for n.Entries()[0].State != dispatch.Draining {
-						if late := time.Since(p.since); late > protocol.Told {
+						if late := time.Since(p.since); late > protocol.NotificationDeadline {
 							t.Fatalf("not known after %s", late)
 						}
 						time.Sleep(time.Millisecond)
--- a/internal/transport/slow_list_test.go
+++ b/internal/transport/slow_list_test.go
@@ -28,7 +28,7 @@
 			for i := range come {
 				w.Write([]byte(list[len(list)*i/pieces : len(list)*(i+1)/pieces]))
 				http.NewResponseController(w).Flush()
-				time.Sleep(protocol.Silence * 2 / pieces)
+				time.Sleep(protocol.WatchSilence * 2 / pieces)
 			}
 			if come < pieces {
 				<-r.Context().Done()
@@ -38,9 +38,9 @@
 		start := time.Now()
 		l, err := d.Ask(t.Context(), 0, true)
 		switch took := time.Since(start); {
-		case come == pieces && (err != nil || len(l.Entries) != len(entries)):
+		case come == pieces && (err != nil || len(l.Endpoints) != len(entries)):
 			t.Errorf("a list that comes slowly, after %v: %v", took, err)
-		case come < pieces && (!errors.Is(err, errSilent) || took > protocol.Wait):
+		case come < pieces && (!errors.Is(err, errSilent) || took > protocol.WatchWait):
 			t.Errorf("a list that stops on its way, after %v: %v", took, err)
 		}
 		agent.CloseClientConnections()
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -450,7 +450,7 @@
 	p.ctx, p.kill = context.WithCancel(w.t.Context())
 	x := NewExecutors(NewDescriptors(256), c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, func() {})
 	x.connect = p.dial
-	list, err := protocol.ReadList([]byte(known), c.Names)
+	list, err := protocol.DecodeEndpointList([]byte(known), c.Names)
 	if err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -102,14 +102,14 @@
 type ending struct {
 	outcome dispatch.Outcome
 	result  string
-	heard   []protocol.State
+	heard   []protocol.JobState
 }
 
 func do(ctx context.Context, x *Executors, address string, then ...func()) (e ending) {
 	job := &protocol.Attempt{Address: address, Deadline: time.Now().Add(time.Second), Request: &protocol.Request{ID: "j", Target: "/p",
 		Header: http.Header{"X-Call-Id": {"j"}, "Idempotency-Key": {"k"}}, Body: []byte("b")}}
 	ends := 0
-	x.Do(ctx, job, func(l protocol.Line) { e.heard = append(e.heard, l.State) },
+	x.Do(ctx, job, func(l protocol.JobUpdate) { e.heard = append(e.heard, l.State) },
 		func(end protocol.AttemptResult) {
 			e.outcome, e.result, ends = end.Outcome, end.Result, ends+1
 			for _, f := range then {
@@ -124,7 +124,7 @@
 
 func fresh() (*Descriptors, *Executors) {
 	d := NewDescriptors(1024)
-	return d, NewExecutors(d, time.Second, time.Minute, protocol.Values{Free: "x0"}, func() {})
+	return d, NewExecutors(d, time.Second, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
 }
 
 func TestOutcomesByWhatIsProved(t *testing.T) {
@@ -195,7 +195,7 @@
 		defer c.Close()
 	}
 	d := NewDescriptors(1024)
-	x, before, start := NewExecutors(d, 50*time.Millisecond, time.Minute, protocol.Values{Free: "x0"}, func() {}), d.held, time.Now()
+	x, before, start := NewExecutors(d, 50*time.Millisecond, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {}), d.held, time.Now()
 	got := do(t.Context(), x, address)
 	if took := time.Since(start); got.outcome != dispatch.ConnectFailed || took > time.Second || d.held != before {
 		t.Errorf("%+v after %s", got, took)
@@ -745,7 +745,7 @@
 	go s.Serve(l)
 	defer s.Close()
 	d := NewDiscovery(l.Addr().String(), &protocol.Names{})
-	if list, err := d.Ask(t.Context(), 0, true); err != nil || list.Version != 4 || !list.Full {
+	if list, err := d.Ask(t.Context(), 0, true); err != nil || list.Version != 4 || !list.Complete {
 		t.Error(list, err)
 	}
 	if list, err := d.Ask(t.Context(), 4, false); err != nil || list.Version != 5 {
@@ -769,7 +769,7 @@
 	}
 	good := play(t, says(answer("200 OK", `{"x0":3}`), true))
 	for range 2 {
-		if l, err := x.Probe(t.Context(), good.Addr().String()); err != nil || l.Free != 3 {
+		if l, err := x.Probe(t.Context(), good.Addr().String()); err != nil || l.FreeSlots != 3 {
 			t.Errorf("%+v %v", l, err)
 		}
 	}
