--- a/cmd/fernrail/desk.go
+++ b/cmd/fernrail/desk.go
@@ -30,7 +30,7 @@
 // desk is what operators may ask of this process, and its part in the node beside others.
 type desk struct {
 	config      *config.Node
-	node        *routing.Node
+	node        *routing.Router
 	server      *transport.Server
 	descriptors *transport.Descriptors
 	counters    *metrics.Counters
@@ -63,7 +63,7 @@
 
 // own tells whether what one process of a node may hold alone is this one's.
 func (d *desk) own(yes bool) {
-	d.node.Own(yes)
+	d.node.SetSlowStartOwner(yes)
 	if d.share != nil {
 		d.share.SetFloorOwner(yes)
 	}
@@ -106,7 +106,7 @@
 		d.owner = true
 		d.own(true)
 	}
-	if fresh := d.node.Ever(d.noted); len(fresh) > 0 && d.seat.RecordListed(fresh) == nil {
+	if fresh := d.node.EverListed(d.noted); len(fresh) > 0 && d.seat.RecordListed(fresh) == nil {
 		d.noted += len(fresh)
 	}
 	d.apply()
@@ -124,7 +124,7 @@
 	}
 	if d.fault = fault; !slices.Equal(bans, d.bans) {
 		d.bans = bans
-		d.node.Ban(bans)
+		d.node.SetExcluded(bans)
 		d.log.Info().Strs("executors", bans).Msg("bans")
 	}
 }
@@ -161,7 +161,7 @@
 
 func (d *desk) Metrics() ([]byte, error) {
 	f := d.counters.Snapshot()
-	if f.ServersKnown, f.ServersExcluded = d.node.Figures(); d.share != nil {
+	if f.ServersKnown, f.ServersExcluded = d.node.ServerCounts(); d.share != nil {
 		f.Fleet = d.share.Status()
 	}
 	return f.JSON()
@@ -174,7 +174,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.apply()
-	if !slices.Contains(d.bans, id) && !d.node.Listed(id) && !d.seat.WasListed(id) {
+	if !slices.Contains(d.bans, id) && !d.node.WasListed(id) && !d.seat.WasListed(id) {
 		return fmt.Errorf("no executor %.60q was ever listed", id)
 	}
 	if err := d.seat.SetExcluded(id, yes); err != nil {
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -86,10 +86,10 @@
 	defer stop()
 	follow, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go desk.node.Follow(follow)
+	go desk.node.WatchEndpoints(follow)
 	go desk.keepUp(follow)
 	if share != nil && c.Fleet.WitnessQuorum > 0 {
-		go share.RunOutlierGossip(follow, desk.node.Lists, desk.node.Doubt)
+		go share.RunOutlierGossip(follow, desk.node.IsListed, desk.node.SetOutlierScores)
 	}
 	if share != nil && c.Fleet.Subset != nil {
 		go desk.divide(follow)
@@ -111,7 +111,7 @@
 	// Danger: a new process on an old list draws clients from one that knows the present one.
 	if desk.seat.OtherProcesses() > 0 {
 		select {
-		case <-desk.node.News():
+		case <-desk.node.FirstUpdate():
 		case <-time.After(catchUp):
 			log.Warn().Msg("discovery is silent: the node serves on the list in its configuration")
 		case <-stopped.Done():
@@ -142,7 +142,7 @@
 	}
 	log.Info().Bool("successor", taken).Msg("node stops")
 	within := min(c.MaxDeadline, longestStop) + stopMargin
-	desk.node.End(within)
+	desk.node.Shutdown(within)
 	if err := desk.server.Stop(within+stopMargin, taken); err != nil {
 		log.Warn().Err(err).Msg("ends with clients connected")
 	}
@@ -165,16 +165,16 @@
 	descriptors, counters := transport.NewDescriptors(c.Sockets), metrics.New(c.Names.Classes)
 	descriptors.Log(log)
 	carrier := transport.NewExecutors(descriptors, c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, counters.AttemptSent)
-	var held routing.Purse
+	var held routing.QuotaSource
 	if share != nil {
 		p := &purse{share, descriptors}
 		held = p
 		carrier.Dials(p.dial)
 	}
 	node := routing.New(c.Settings, c.Seed, c.InitialEndpoints, carrier, c.ProbeTimeout, transport.NewDiscovery(c.Discovery, c.Names), held, log)
-	carrier.Behind(node.Lag)
+	carrier.Behind(node.SchedulingDelay)
 	if share != nil && c.Fleet.WitnessQuorum > 0 {
-		node.Witness(share.RecordOutcome)
+		node.OnOutcome(share.RecordOutcome)
 	}
 	d := &desk{config: c, share: share, node: node, descriptors: descriptors, counters: counters, log: log,
 		server: transport.NewServer(descriptors, c.Names, node.Serve, node.Ready, counters, log)}
@@ -188,7 +188,7 @@
 }
 
 // reload reads the file again and turns to the discovery that it names. All else goes on as it is.
-func reload(c *config.Node, node *routing.Node, log zerolog.Logger) {
+func reload(c *config.Node, node *routing.Router, log zerolog.Logger) {
 	now, left, err := c.Reload(os.Getenv)
 	if err != nil {
 		log.Error().Err(err).Msg("new configuration not taken")
@@ -200,6 +200,6 @@
 	log.Info().Str("discovery", now.Discovery).Msg("new configuration")
 	if now.Discovery != c.Discovery {
 		c.Discovery = now.Discovery
-		node.Turn(transport.NewDiscovery(now.Discovery, c.Names))
+		node.SetEndpointSource(transport.NewDiscovery(now.Discovery, c.Names))
 	}
 }
--- a/cmd/fernrail/move_test.go
+++ b/cmd/fernrail/move_test.go
@@ -231,9 +231,9 @@
 	}
 	server.Open(l)
 	ctx, cancel := context.WithCancel(context.Background())
-	go node.Follow(ctx)
+	go node.WatchEndpoints(ctx)
 	f.Cleanup(func() {
-		node.End(100 * time.Millisecond)
+		node.Shutdown(100 * time.Millisecond)
 		server.Stop(200*time.Millisecond, false)
 		cancel()
 	})
--- a/cmd/fernrail/purse.go
+++ b/cmd/fernrail/purse.go
@@ -20,7 +20,7 @@
 var names = [dispatch.BudgetCount]string{dispatch.BudgetRetries: config.BudgetRetries, dispatch.BudgetConnections: config.BudgetConnections, dispatch.BudgetSlowStart: config.BudgetSlowStart,
 	dispatch.BudgetTenantAttempts: config.BudgetTenantAttempts, dispatch.BudgetPolls: config.BudgetPolls}
 
-func (p *purse) May(b dispatch.Budget, key string, units float64) bool {
+func (p *purse) Allow(b dispatch.Budget, key string, units float64) bool {
 	switch b {
 	case dispatch.BudgetSlowStart:
 		units *= p.share.Total(config.BudgetSlowStart)
@@ -33,21 +33,21 @@
 	return p.share.Allow(names[b], key, units)
 }
 
-func (p *purse) Part(b dispatch.Budget, key string) float64 { return p.share.Quota(names[b], key) }
+func (p *purse) Quota(b dispatch.Budget, key string) float64 { return p.share.Quota(names[b], key) }
 
-func (p *purse) Charge(executor, tenant string, again bool, cold float64) routing.Charge {
+func (p *purse) Reserve(executor, tenant string, again bool, cold float64) routing.Reservation {
 	c := &fleet.Reservation{}
 	if !again {
 		c.CountFirstAttempt(p.share)
 	}
 	if !c.Reserve(p.share, config.BudgetTenantAttempts, tenant, 1) || again && !c.Reserve(p.share, config.BudgetRetries, "", 1) || cold > 0 && !c.Reserve(p.share, config.BudgetSlowStart, executor, cold*p.share.Total(config.BudgetSlowStart)) {
-		c.End(false)
+		c.Release(false)
 		return nil
 	}
 	return c
 }
 
-func (p *purse) Call(overdue bool) bool {
+func (p *purse) AllowPoll(overdue bool) bool {
 	c := &fleet.Reservation{}
 	if c.Reserve(p.share, config.BudgetPolls, "", 1) && c.MaySend() {
 		return true
--- a/cmd/fernrail/subset.go
+++ b/cmd/fernrail/subset.go
@@ -12,7 +12,7 @@
 // divide keeps executors divided among the nodes that are there, as far as this one knows of either.
 func (d *desk) divide(ctx context.Context) {
 	for {
-		nodes, entries := d.share.Peers(), d.node.Entries()
+		nodes, entries := d.share.Peers(), d.node.Endpoints()
 		executors := make([]subset.Server, len(entries))
 		for i, e := range entries {
 			executors[i] = subset.Server{Name: e.ID, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell}
@@ -27,13 +27,13 @@
 				near++
 			}
 		}
-		d.node.Place(far)
+		d.node.SetDistances(far)
 		d.subset.Store(&fleet.SubsetStatus{Nodes: max(len(nodes), 1), Listed: len(far), Assigned: near})
 		select {
 		case <-ctx.Done():
 			return
 		case <-d.share.MembershipChanges():
-		case <-d.node.Relisted():
+		case <-d.node.EndpointsChanged():
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -472,9 +472,9 @@
 	}
 }
 
-// End gives back what never left; over says that what was sent is known to have ended, so that jobs in flight are given back
+// Release gives back what never left; over says that what was sent is known to have ended, so that jobs in flight are given back
 // as well. What else was sent counts for its window.
-func (c *Reservation) End(over bool) {
+func (c *Reservation) Release(over bool) {
 	if c.fleet == nil {
 		return
 	}
--- a/internal/routing/leave_test.go
+++ b/internal/routing/leave_test.go
@@ -42,23 +42,23 @@
 	}
 	a := protocol.Endpoint{ID: "a", Address: executor("a")}
 	b := protocol.Endpoint{ID: "b", Address: executor("b")}
-	for name, change := range map[string]func(n *Node){
-		"drains": func(n *Node) {
+	for name, change := range map[string]func(n *Router){
+		"drains": func(n *Router) {
 			b.State = dispatch.Draining
 			n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
-		"is left out of a whole list": func(n *Node) {
+		"is left out of a whole list": func(n *Router) {
 			n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
 		},
-		"is banned": func(n *Node) {
+		"is banned": func(n *Router) {
 			n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a}}) })
-			n.Ban([]string{"b"})
+			n.SetExcluded([]string{"b"})
 		},
-		"is listed elsewhere": func(n *Node) {
+		"is listed elsewhere": func(n *Router) {
 			b.Address = a.Address
 			n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
-		"goes and comes back as another": func(n *Node) {
+		"goes and comes back as another": func(n *Router) {
 			n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
 			b.Address = a.Address
 			n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a, b}}) })
@@ -112,7 +112,7 @@
 	left   func(address string, job *protocol.Attempt)
 }
 
-func (s *slow) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate), ended func(protocol.AttemptResult)) {
+func (s *slow) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate), ended func(protocol.AttemptResult)) {
 	s.mu.Lock()
 	late := time.Duration(s.chance.Int64N(1e9))
 	s.mu.Unlock()
@@ -183,7 +183,7 @@
 								all, banned = append(all, entry(id, dispatch.Up)), append(banned, id)
 							}
 						}
-						n.Ban(banned)
+						n.SetExcluded(banned)
 						n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: all}) })
 					}
 					mu.Unlock()
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -21,14 +21,14 @@
 const remembered = 10 * time.Second
 
 // window is the same for one scheme.
-func (n *Node) window(scheme int) int64 {
+func (n *Router) window(scheme int) int64 {
 	return cmp.Or(n.terms.Classes[scheme].DedupWindow, int64(remembered))
 }
 
 // fresh says whether a txn's id is new to this node, and keeps it.
 // Danger: an id that is another client's, taken a second time; the two would run under one name, and the wrong one might
 // get the answer.
-func (n *Node) fresh(id string) bool {
+func (n *Router) fresh(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock()
@@ -46,7 +46,7 @@
 }
 
 // end takes a txn out that has its final answer or lost its client; nil: there is none. Under mu.
-func (n *Node) end(t *dispatch.Request) *life {
+func (n *Router) end(t *dispatch.Request) *life {
 	l := n.lives[t]
 	if l != nil {
 		delete(n.lives, t)
@@ -66,7 +66,7 @@
 }
 
 // Serve is the life of one txn, from the request read whole to its one final answer; nil: the module failed, and none is known.
-func (n *Node) Serve(ctx context.Context, q *protocol.Request) *protocol.Response {
+func (n *Router) Serve(ctx context.Context, q *protocol.Request) *protocol.Response {
 	// Danger: a full node that works for clients which closed while their requests waited in the socket.
 	if ctx.Err() != nil || q.ClientGone() {
 		return &protocol.Response{Status: http.StatusServiceUnavailable, ClientClosed: true}
@@ -110,7 +110,7 @@
 
 // clientGone ends a txn whose client has closed. Danger: one that shut its sending side alone still reads, and what was read from it and
 // ends with no answer is lost.
-func (n *Node) clientGone(t *dispatch.Request) {
+func (n *Router) clientGone(t *dispatch.Request) {
 	if l := n.lives[t]; l != nil {
 		l.gone = true
 		n.module.ClientClosed(t)
@@ -118,15 +118,15 @@
 }
 
 // unserved tells of a request that ends with no result: why, after how long, with how many attempts, and how far the process is behind.
-func (n *Node) unserved(t *dispatch.Request, l *life, a *protocol.Response) {
+func (n *Router) unserved(t *dispatch.Request, l *life, a *protocol.Response) {
 	if a != nil && a.Status != http.StatusOK && !a.ClientClosed {
 		n.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
 			Int64("age_ms", (n.clock()-l.began)/1e6).Int64("lag_ms", n.lag.Lag()/1e6).Msg("not served")
 	}
 }
 
-// End brings forward what is out: the node has been told to end, and all is answered within that time.
-func (n *Node) End(within time.Duration) {
+// Shutdown brings forward what is out: the node has been told to end, and all is answered within that time.
+func (n *Router) Shutdown(within time.Duration) {
 	n.event(func() {
 		n.till = n.clock() + int64(within)
 		inOrder := slices.SortedFunc(maps.Keys(n.lives), func(a, b *dispatch.Request) int {
@@ -139,7 +139,7 @@
 }
 
 // drop ends a txn whose client takes no answer any more.
-func (n *Node) drop(t *dispatch.Request) {
+func (n *Router) drop(t *dispatch.Request) {
 	if l := n.end(t); l != nil {
 		n.module.Finish(t)
 		l.answer <- nil
@@ -147,7 +147,7 @@
 }
 
 // answer gives a txn its final answer, the first one that comes.
-func (n *Node) answer(t *dispatch.Request, a *protocol.Response) {
+func (n *Router) answer(t *dispatch.Request, a *protocol.Response) {
 	if l := n.end(t); l != nil {
 		a.ClientClosed = l.gone
 		l.answer <- a
@@ -158,11 +158,11 @@
 // Danger: a posting that was decided before its executor was told of as leaving, or its txn was answered, and waited since
 // for a connection, the processor or a descriptor. Nothing of it has left, so it is proved not run.
 type leave struct {
-	node    *Node
+	node    *Router
 	posting *dispatch.Attempt
 	job     *protocol.Attempt
 	ctx     context.Context
-	charge  Charge       // nil: it takes nothing
+	charge  Reservation  // nil: it takes nothing
 	at      atomic.Int64 // when it was let go; 0: it has not been
 }
 
@@ -193,7 +193,7 @@
 }
 
 // carry takes one posting to its executor and tells the module of its one outcome.
-func (n *Node) carry(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Charge) {
+func (n *Router) carry(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Reservation) {
 	sent, gate := n.clock(), &leave{node: n, posting: p, job: job, ctx: ctx, charge: charge}
 	job.Gate = gate
 	defer withdraw()
@@ -202,13 +202,13 @@
 		n.log.Trace().Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
 			Int64("sent_us", sent/1e3).Int64("left_us", gate.at.Load()/1e3).Int64("began_us", began/1e3).Int64("ended_us", n.clock()/1e3).Msg("posting")
 		if charge != nil {
-			charge.End(e.Outcome == dispatch.Succeeded || e.Outcome == dispatch.Failed || e.Outcome == dispatch.Rejected)
+			charge.Release(e.Outcome == dispatch.Succeeded || e.Outcome == dispatch.Failed || e.Outcome == dispatch.Rejected)
 		}
 		n.ended(p, e, sent)
 	}
 	// Danger: a fault in one posting's goroutine takes the node down; it may have run by then.
 	if err := n.guard(func() {
-		n.carrier.Do(ctx, job, func(line protocol.JobUpdate) {
+		n.carrier.Forward(ctx, job, func(line protocol.JobUpdate) {
 			n.event(func() {
 				if line.State == protocol.Started {
 					began = n.clock()
@@ -224,7 +224,7 @@
 }
 
 // ended tells the module of a posting's one outcome.
-func (n *Node) ended(p *dispatch.Attempt, e protocol.AttemptResult, sent int64) {
+func (n *Router) ended(p *dispatch.Attempt, e protocol.AttemptResult, sent int64) {
 	n.event(func() {
 		if n.out[p] == nil {
 			return
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -14,8 +14,8 @@
 	"fernrail/internal/protocol"
 )
 
-// Turn has the list asked for elsewhere from now on. Of several new places the last one counts.
-func (n *Node) Turn(to Lister) {
+// SetEndpointSource has the list asked for elsewhere from now on. Of several new places the last one counts.
+func (n *Router) SetEndpointSource(to EndpointSource) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
@@ -33,9 +33,9 @@
 	took int64 // ns
 }
 
-// Follow keeps the list up to date while the module wants that. A call that fails ends the watch; the module says
+// WatchEndpoints keeps the list up to date while the module wants that. A call that fails ends the watch; the module says
 // when to ask again.
-func (n *Node) Follow(ctx context.Context) {
+func (n *Router) WatchEndpoints(ctx context.Context) {
 	// Danger: a fleet that starts together asks for so many whole lists that none is told of anything. What this node was
 	// handed at the start is a list like any other, and changes to it cost little.
 	go n.lag.run(ctx, n.log)
@@ -70,7 +70,7 @@
 // spacing is the least time between two calls that bring nothing, well within the 200 ms after which a watch has ended.
 const spacing = 50 * time.Millisecond
 
-func (n *Node) ask(ctx context.Context, l Lister, since int64, whole bool, answer chan<- told) {
+func (n *Router) ask(ctx context.Context, l EndpointSource, since int64, whole bool, answer chan<- told) {
 	var a told
 	start := time.Now()
 	if a.held = !n.may(); a.held {
@@ -78,7 +78,7 @@
 		return
 	}
 	n.log.Debug().Int64("since", since).Bool("whole", whole).Msg("list asked for")
-	if fault := n.guard(func() { a.list, a.err = l.Ask(ctx, since, whole) }); fault != nil {
+	if fault := n.guard(func() { a.list, a.err = l.Poll(ctx, since, whole) }); fault != nil {
 		a.err = fault
 	}
 	a.took = int64(time.Since(start))
@@ -93,7 +93,7 @@
 }
 
 // hear takes what a call brought, and says whether to ask on, and for what.
-func (n *Node) hear(a told, had int64, wanted bool) (on, whole bool, version int64) {
+func (n *Router) hear(a told, had int64, wanted bool) (on, whole bool, version int64) {
 	switch {
 	case a.err != nil || a.held:
 	case wanted && !a.list.Complete:
@@ -130,7 +130,7 @@
 }
 
 // on says whether the next call is made at once; where nodes hold calls together the module says when.
-func (n *Node) on() bool {
+func (n *Router) on() bool {
 	if n.purse != nil {
 		n.event(n.module.PollSucceeded)
 	}
@@ -138,17 +138,17 @@
 }
 
 // may says whether a call may go out at this moment.
-func (n *Node) may() bool {
+func (n *Router) may() bool {
 	if n.purse == nil {
 		return true
 	}
 	overdue := false
 	n.event(func() { overdue = n.module.PollOverdue() })
-	return n.purse.Call(overdue)
+	return n.purse.AllowPoll(overdue)
 }
 
 // listed hands the list to the module and keeps the addresses.
-func (n *Node) listed(l *protocol.EndpointList) {
+func (n *Router) listed(l *protocol.EndpointList) {
 	var members []dispatch.Endpoint
 	for _, e := range l.Endpoints {
 		m := n.members[e.ID]
@@ -179,25 +179,25 @@
 }
 
 // forget drops a server that is gone.
-func (n *Node) forget(id string) {
+func (n *Router) forget(id string) {
 	if m := n.members[id]; m != nil && m.executor.State == dispatch.Removed {
 		delete(n.members, id)
 		n.other()
 	}
 }
 
-func (n *Node) other() {
+func (n *Router) other() {
 	select {
 	case n.relisted <- struct{}{}:
 	default:
 	}
 }
 
-// Relisted comes when other executors are listed than were when it came last.
-func (n *Node) Relisted() <-chan struct{} { return n.relisted }
+// EndpointsChanged comes when other executors are listed than were when it came last.
+func (n *Router) EndpointsChanged() <-chan struct{} { return n.relisted }
 
-// Entries are the executors that are listed, as discovery told them last.
-func (n *Node) Entries() (entries []protocol.Endpoint) {
+// Endpoints are the executors that are listed, as discovery told them last.
+func (n *Router) Endpoints() (entries []protocol.Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(n.members)) {
@@ -206,9 +206,9 @@
 	return entries
 }
 
-// Place has the module use executors by how far they are from this node; those listed later come after the near ones until they are
+// SetDistances has the module use executors by how far they are from this node; those listed later come after the near ones until they are
 // placed. Danger: a new executor that all nodes use at once.
-func (n *Node) Place(far map[string]int) {
+func (n *Router) SetDistances(far map[string]int) {
 	n.event(func() {
 		n.beyond = 1
 		for id, m := range n.members {
@@ -219,11 +219,11 @@
 	})
 }
 
-// Witness has each job's end told: whether its executor failed it. It is called before the node serves.
-func (n *Node) Witness(tell func(executor string, failed bool)) { n.witness = tell }
+// OnOutcome has each job's end told: whether its executor failed it. It is called before the node serves.
+func (n *Router) OnOutcome(tell func(executor string, failed bool)) { n.witness = tell }
 
-// Doubt has the module know how bad many nodes say that executors are; nothing is said of the rest.
-func (n *Node) Doubt(bad map[string]float64) {
+// SetOutlierScores has the module know how bad many nodes say that executors are; nothing is said of the rest.
+func (n *Router) SetOutlierScores(bad map[string]float64) {
 	n.event(func() {
 		n.doubted = bad
 		for id, m := range n.members {
@@ -233,7 +233,7 @@
 }
 
 // present is an executor as the module is told of it: a banned one drains, whatever discovery says.
-func (n *Node) present(m *member) dispatch.Endpoint {
+func (n *Router) present(m *member) dispatch.Endpoint {
 	e := &m.entry
 	state := e.State
 	if state == dispatch.Up && n.banned[e.ID] {
@@ -242,8 +242,8 @@
 	return dispatch.Endpoint{Server: m.executor, State: state, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, StartedAt: e.Started, Capacity: e.Capacity}
 }
 
-// Ban has these executors drain, and no others but those that discovery says do.
-func (n *Node) Ban(ids []string) {
+// SetExcluded has these executors drain, and no others but those that discovery says do.
+func (n *Router) SetExcluded(ids []string) {
 	n.event(func() {
 		was := n.banned
 		n.banned = map[string]bool{}
@@ -262,26 +262,26 @@
 	})
 }
 
-// Lists says whether an executor is in the list now.
-func (n *Node) Lists(id string) bool {
+// IsListed says whether an executor is in the list now.
+func (n *Router) IsListed(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.members[id] != nil
 }
 
-// Listed says whether an executor is in the list or ever was.
-func (n *Node) Listed(id string) bool {
+// WasListed says whether an executor is in the list or ever was.
+func (n *Router) WasListed(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.listedOnce[id]
 }
 
-// Ever gives the executors that were ever listed, but for the first so many.
-func (n *Node) Ever(but int) []string {
+// EverListed gives the executors that were ever listed, but for the first so many.
+func (n *Router) EverListed(but int) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.ever[but:])
 }
 
-// News is closed when discovery has first answered.
-func (n *Node) News() <-chan struct{} { return n.heard }
+// FirstUpdate is closed when discovery has first answered.
+func (n *Router) FirstUpdate() <-chan struct{} { return n.heard }
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -19,50 +19,50 @@
 	"fernrail/internal/protocol"
 )
 
-// Carrier takes postings to executors.
-type Carrier interface {
-	Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate), ended func(protocol.AttemptResult))
+// Forwarder takes postings to executors.
+type Forwarder interface {
+	Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate), ended func(protocol.AttemptResult))
 	Probe(ctx context.Context, address string) (protocol.LoadReport, error)
 }
 
-// Lister asks discovery.
-type Lister interface {
-	Ask(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error)
+// EndpointSource asks discovery.
+type EndpointSource interface {
+	Poll(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error)
 }
 
-// Purse is this node's share of what all nodes hold together. It is asked under the module's lock and never calls back.
-type Purse interface {
-	// May says whether so many units more may be used now; key is an executor's address for connections, a tenant's name for its
+// QuotaSource is this node's share of what all nodes hold together. It is asked under the module's lock and never calls back.
+type QuotaSource interface {
+	// Allow says whether so many units more may be used now; key is an executor's address for connections, a tenant's name for its
 	// jobs, an executor's name for the rest, and empty for what there is one share of.
-	May(b dispatch.Budget, key string, units float64) bool
-	// Part is what this node has of all there is, by the same key.
-	Part(b dispatch.Budget, key string) float64
-	// Charge reserves what a posting takes; nil: there is none left, and it may not go out.
-	Charge(executor, tenant string, again bool, cold float64) Charge
-	// Call takes one call for the list at the moment at which it would be sent; one that is overdue goes in any case.
-	Call(overdue bool) bool
+	Allow(b dispatch.Budget, key string, units float64) bool
+	// Quota is what this node has of all there is, by the same key.
+	Quota(b dispatch.Budget, key string) float64
+	// Reserve reserves what a posting takes; nil: there is none left, and it may not go out.
+	Reserve(executor, tenant string, again bool, cold float64) Reservation
+	// AllowPoll takes one call for the list at the moment at which it would be sent; one that is overdue goes in any case.
+	AllowPoll(overdue bool) bool
 }
 
-// Charge is what one posting takes. End gives it back if it never left, and where its executor said that it is over, what is
+// Reservation is what one posting takes. End gives it back if it never left, and where its executor said that it is over, what is
 // taken only as long as a job may run.
-type Charge interface {
+type Reservation interface {
 	protocol.SendGate
-	End(over bool)
+	Release(over bool)
 }
 
-// Node is the module with all that it acts through. It is the module's Door.
-type Node struct {
+// Router is the module with all that it acts through. It is the module's Door.
+type Router struct {
 	terms   *dispatch.Settings
-	carrier Carrier
-	probe   time.Duration // how long the answer to a probe is waited for
-	lister  Lister        // Follow alone uses it
+	carrier Forwarder
+	probe   time.Duration  // how long the answer to a probe is waited for
+	lister  EndpointSource // Follow alone uses it
 	known   *protocol.EndpointList
-	news    chan struct{}   // closed and nil when discovery has first answered; Follow alone uses it
-	heard   <-chan struct{} // the same, for others
-	turn    chan Lister     // the latest new place to ask, at most one
+	news    chan struct{}       // closed and nil when discovery has first answered; Follow alone uses it
+	heard   <-chan struct{}     // the same, for others
+	turn    chan EndpointSource // the latest new place to ask, at most one
 	log     zerolog.Logger
 	start   time.Time
-	purse   Purse // nil: nodes share nothing
+	purse   QuotaSource // nil: nodes share nothing
 	lag     *lagMeter
 
 	mu      sync.Mutex // round the module and all below; never held over a write, a dial or a log line
@@ -94,9 +94,9 @@
 }
 
 // New starts the module on the list as it was last known. purse is nil where nodes share nothing.
-func New(terms *dispatch.Settings, seed uint64, known *protocol.EndpointList, c Carrier, probe time.Duration, l Lister, purse Purse, log zerolog.Logger) *Node {
-	n := &Node{terms: terms, carrier: c, probe: probe, lister: l, known: known, log: log, start: time.Now(), lag: newLagMeter(), till: math.MaxInt64, members: map[string]*member{}, listedOnce: map[string]bool{},
-		news: make(chan struct{}), ids: [2]map[string]int64{{}, {}}, lives: map[*dispatch.Request]*life{}, out: map[*dispatch.Attempt]context.CancelFunc{}, watch: make(chan bool, 1), turn: make(chan Lister, 1), relisted: make(chan struct{}, 1)}
+func New(terms *dispatch.Settings, seed uint64, known *protocol.EndpointList, c Forwarder, probe time.Duration, l EndpointSource, purse QuotaSource, log zerolog.Logger) *Router {
+	n := &Router{terms: terms, carrier: c, probe: probe, lister: l, known: known, log: log, start: time.Now(), lag: newLagMeter(), till: math.MaxInt64, members: map[string]*member{}, listedOnce: map[string]bool{},
+		news: make(chan struct{}), ids: [2]map[string]int64{{}, {}}, lives: map[*dispatch.Request]*life{}, out: map[*dispatch.Attempt]context.CancelFunc{}, watch: make(chan bool, 1), turn: make(chan EndpointSource, 1), relisted: make(chan struct{}, 1)}
 	n.heard = n.news
 	for i := range terms.Classes {
 		n.span = max(n.span, n.window(i))
@@ -117,10 +117,10 @@
 }
 
 // clock is Unix time that never goes back, the clock that discovery tells starts by.
-func (n *Node) clock() int64 { return n.start.UnixNano() + int64(time.Since(n.start)) }
+func (n *Router) clock() int64 { return n.start.UnixNano() + int64(time.Since(n.start)) }
 
 // event tells the module one thing.
-func (n *Node) event(step func()) error {
+func (n *Router) event(step func()) error {
 	return n.guard(func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -132,7 +132,7 @@
 }
 
 // guard ends a panic with the step it came from, and tells of it with its stack.
-func (n *Node) guard(step func()) (err error) {
+func (n *Router) guard(step func()) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("panic: %v", r)
@@ -144,31 +144,31 @@
 }
 
 // Ready says whether the node can serve.
-func (n *Node) Ready() bool {
+func (n *Router) Ready() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.members) > 0
 }
 
-// Lag is how long work of this process waits until it runs, in ns.
-func (n *Node) Lag() int64 { return n.lag.Lag() }
+// SchedulingDelay is how long work of this process waits until it runs, in ns.
+func (n *Router) SchedulingDelay() int64 { return n.lag.Lag() }
 
-// Figures counts the executors of the list, and those that the draw leaves out.
-func (n *Node) Figures() (known, excluded int) {
+// ServerCounts counts the executors of the list, and those that the draw leaves out.
+func (n *Router) ServerCounts() (known, excluded int) {
 	n.event(func() { known, excluded = n.module.ServerCounts() })
 	return known, excluded
 }
 
-// Own says whether this process holds the node's part of cold executors' budgets. It does from the start.
-func (n *Node) Own(yes bool) { n.event(func() { n.module.SetSlowStartOwner(yes) }) }
+// SetSlowStartOwner says whether this process holds the node's part of cold executors' budgets. It does from the start.
+func (n *Router) SetSlowStartOwner(yes bool) { n.event(func() { n.module.SetSlowStartOwner(yes) }) }
 
 // Schedule implements dispatch.Door, as do the methods after it. All are called under the lock and none blocks.
-func (n *Node) Schedule(after int64, then func()) (forget func()) {
+func (n *Router) Schedule(after int64, then func()) (forget func()) {
 	alarm := time.AfterFunc(time.Duration(after), func() { n.event(then) })
 	return func() { alarm.Stop() }
 }
 
-func (n *Node) PollEndpoints(on bool) {
+func (n *Router) PollEndpoints(on bool) {
 	select {
 	case <-n.watch:
 	default:
@@ -177,7 +177,7 @@
 }
 
 // ProbeCapacity asks an executor for its load. What does not come while the longest probe may last tells of no room.
-func (n *Node) ProbeCapacity(e *dispatch.Server) {
+func (n *Router) ProbeCapacity(e *dispatch.Server) {
 	address := n.at(e)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), n.probe)
@@ -192,18 +192,18 @@
 }
 
 // NotifyPeers implements dispatch.Door. The protocol has no messages between nodes, so the module is told that there are none.
-func (n *Node) NotifyPeers(*dispatch.Server, float64) {}
+func (n *Router) NotifyPeers(*dispatch.Server, float64) {}
 
 // at is an executor's present address. Under mu.
 // Danger: one that came back elsewhere while a connection to where it was is still under way.
-func (n *Node) at(e *dispatch.Server) string {
+func (n *Router) at(e *dispatch.Server) string {
 	if m := n.members[e.Tag]; m != nil {
 		return m.address
 	}
 	return ""
 }
 
-func (n *Node) StartAttempt(p *dispatch.Attempt) {
+func (n *Router) StartAttempt(p *dispatch.Attempt) {
 	till := p.Request.Deadline
 	if p.Timeout > 0 {
 		till = min(till, n.clock()+p.Timeout)
@@ -212,9 +212,9 @@
 	ctx, withdraw := context.WithDeadline(context.Background(), deadline)
 	n.out[p] = withdraw
 	job := &protocol.Attempt{Request: n.lives[p.Request].request, Deadline: deadline, Address: n.at(p.Server)}
-	var charge Charge
+	var charge Reservation
 	if n.purse != nil {
-		if charge = n.purse.Charge(p.Server.Tag, n.tenant(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
+		if charge = n.purse.Reserve(p.Server.Tag, n.tenant(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
 			defer withdraw()
 			go n.ended(p, protocol.AttemptResult{Outcome: dispatch.NotSent}, n.clock())
 			return
@@ -224,18 +224,18 @@
 }
 
 // Allow implements dispatch.Shares, under the lock as well.
-func (n *Node) Allow(b dispatch.Budget, e *dispatch.Server, t *dispatch.Request, units float64) bool {
+func (n *Router) Allow(b dispatch.Budget, e *dispatch.Server, t *dispatch.Request, units float64) bool {
 	switch b {
 	case dispatch.BudgetTenantAttempts:
-		return n.purse.May(b, n.tenant(t), units)
+		return n.purse.Allow(b, n.tenant(t), units)
 	case dispatch.BudgetRetries, dispatch.BudgetPolls:
-		return n.purse.May(b, "", units)
+		return n.purse.Allow(b, "", units)
 	}
-	return n.purse.May(b, n.key(b, e), units)
+	return n.purse.Allow(b, n.key(b, e), units)
 }
 
 // tenant is the name of a txn's; empty where there are none.
-func (n *Node) tenant(t *dispatch.Request) string {
+func (n *Router) tenant(t *dispatch.Request) string {
 	if t.Tenant >= len(n.terms.Tenants) {
 		return ""
 	}
@@ -243,27 +243,27 @@
 }
 
 // Quota implements dispatch.Shares, under the lock as well.
-func (n *Node) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
-	return n.purse.Part(b, n.key(b, e))
+func (n *Router) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
+	return n.purse.Quota(b, n.key(b, e))
 }
 
-func (n *Node) key(b dispatch.Budget, e *dispatch.Server) string {
+func (n *Router) key(b dispatch.Budget, e *dispatch.Server) string {
 	if m := n.members[e.Tag]; b == dispatch.BudgetConnections && m != nil {
 		return m.address
 	}
 	return e.Tag
 }
 
-func (n *Node) CancelAttempt(p *dispatch.Attempt) {
+func (n *Router) CancelAttempt(p *dispatch.Attempt) {
 	if withdraw := n.out[p]; withdraw != nil {
 		withdraw()
 	}
 }
 
-func (n *Node) Shed(t *dispatch.Request, returnIn int64) {
+func (n *Router) Shed(t *dispatch.Request, returnIn int64) {
 	n.answer(t, &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Duration(returnIn)})
 }
 
-func (n *Node) Compensate(t *dispatch.Request) {
+func (n *Router) Compensate(t *dispatch.Request) {
 	n.answer(t, &protocol.Response{Status: http.StatusInternalServerError})
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -34,7 +34,7 @@
 	script func(ctx context.Context, nth int, job *protocol.Attempt, heard func(protocol.JobUpdate)) (dispatch.Outcome, string)
 }
 
-func (c *carrier) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
+func (c *carrier) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
 	ended func(protocol.AttemptResult)) {
 	c.mu.Lock()
 	c.jobs = append(c.jobs, job)
@@ -85,7 +85,7 @@
 	at      []time.Time
 }
 
-func (l *lister) Ask(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
+func (l *lister) Poll(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
 	l.asked, l.at = append(l.asked, fmt.Sprint(since, whole)), append(l.at, time.Now())
 	if len(l.answers) == 0 {
 		<-ctx.Done()
@@ -243,7 +243,7 @@
 		start, done := time.Now(), make(chan *protocol.Response, 2)
 		go func() { done <- n.Serve(t.Context(), ask("j", 1, time.Minute)) }()
 		time.Sleep(100 * time.Millisecond)
-		n.End(time.Second)
+		n.Shutdown(time.Second)
 		go func() { done <- n.Serve(t.Context(), ask("k", 1, time.Minute)) }()
 		for range 2 {
 			if a := <-done; a == nil || time.Since(start) >= 1100*time.Millisecond {
@@ -304,7 +304,7 @@
 		n := New(terms(), 1, known("old"), c, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		go n.Follow(ctx)
+		go n.WatchEndpoints(ctx)
 		time.Sleep(2 * time.Second) // the first call for news comes by chance within that
 		synctest.Wait()
 		for i := range 20 {
@@ -341,7 +341,7 @@
 	cost             error                            // what it answers while down; nil: nothing
 }
 
-func (a *agent) Ask(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
+func (a *agent) Poll(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
 	silent, start := false, time.Now()
@@ -387,7 +387,7 @@
 			settings.DrainGrace, settings.MaxPollInterval = 2e9, int64(protocol.PollRetryInterval)
 			n := New(settings, seed, known("a", "b"), c, time.Second, a, nil, zerolog.Nop())
 			ctx, stop := context.WithCancel(t.Context())
-			go n.Follow(ctx)
+			go n.WatchEndpoints(ctx)
 			time.Sleep(time.Until(told))
 			if late := now.Add(time.Duration(a.stuck.Load()) + 5*time.Second); late.After(told) {
 				told = late
@@ -422,16 +422,16 @@
 		l.answers = append(l.answers, stale)
 		n := New(terms(), 1, &protocol.EndpointList{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
-		go n.Follow(ctx)
+		go n.WatchEndpoints(ctx)
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
-		if !n.Lists("a") || n.Lists("gone") {
+		if !n.IsListed("a") || n.IsListed("gone") {
 			t.Error("an old list was taken unasked")
 		}
 		time.Sleep(5 * time.Second)
 		stop()
 		synctest.Wait()
-		if got := strings.Join(l.asked[:5], ", "); got != "0 true, 7 false, 7 true, 7 true, 3 false" || !n.Lists("gone") {
+		if got := strings.Join(l.asked[:5], ", "); got != "0 true, 7 false, 7 true, 7 true, 3 false" || !n.IsListed("gone") {
 			t.Error(got)
 		}
 		if len(l.asked) > 105 {
@@ -451,7 +451,7 @@
 			l := &lister{}
 			n := New(terms(), 1, c.known, &carrier{}, time.Second, l, nil, zerolog.Nop())
 			ctx, stop := context.WithCancel(t.Context())
-			go n.Follow(ctx)
+			go n.WatchEndpoints(ctx)
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
 			if got := strings.Join(l.asked, ", "); got != c.want {
@@ -480,7 +480,7 @@
 		hasty.MaxPollInterval = 0
 		n := New(hasty, 1, &protocol.EndpointList{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
-		go n.Follow(ctx)
+		go n.WatchEndpoints(ctx)
 		time.Sleep(time.Second + time.Millisecond)
 		stop()
 		synctest.Wait()
@@ -499,13 +499,13 @@
 		fresh := &lister{answers: []any{&protocol.EndpointList{Version: 3, Complete: true, Endpoints: known("b", "c").Endpoints}}}
 		n := New(terms(), 1, known("a"), &carrier{script: serves(time.Millisecond)}, time.Second, old, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
-		go n.Follow(ctx)
+		go n.WatchEndpoints(ctx)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		kept := n.members["b"].executor
 		for _, l := range []*lister{down, fresh} {
-			n.Turn(&lister{}) // the last one counts
-			n.Turn(l)
+			n.SetEndpointSource(&lister{}) // the last one counts
+			n.SetEndpointSource(l)
 			synctest.Wait()
 		}
 		got := fmt.Sprint(old.asked, down.asked, fresh.asked)
@@ -601,7 +601,7 @@
 			mark()
 			now := slices.Sorted(maps.Keys(banned))
 			mu.Unlock()
-			n.Ban(now)
+			n.SetExcluded(now)
 		}
 		id, scheme, budget := fmt.Sprint(i), dice(2), time.Duration(dice(3000)+20)*time.Millisecond
 		ctx, leave := context.WithCancel(t.Context())
@@ -659,8 +659,8 @@
 		if to("a:7") == 0 {
 			t.Fatal("not in use before")
 		}
-		n.Ban([]string{"a", "never"})
-		if known, excluded := n.Figures(); known != 2 || excluded != 1 {
+		n.SetExcluded([]string{"a", "never"})
+		if known, excluded := n.ServerCounts(); known != 2 || excluded != 1 {
 			t.Errorf("%d known, %d excluded", known, excluded)
 		}
 		restarted := protocol.Endpoint{ID: "a", Address: "elsewhere:7", Started: time.Now().UnixNano()}
@@ -674,18 +674,18 @@
 			}
 		}
 		n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{restarted}}) })
-		n.Ban(nil)
+		n.SetExcluded(nil)
 		if to("elsewhere:7") == 0 {
 			t.Error("not in use after")
 		}
-		if n.event(func() { n.listed(known("b")) }); !n.Listed("a") || n.Listed("never") {
+		if n.event(func() { n.listed(known("b")) }); !n.WasListed("a") || n.WasListed("never") {
 			t.Error("who was ever listed")
 		}
-		n.Ban([]string{"b"})
+		n.SetExcluded([]string{"b"})
 		n.event(func() {
 			n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{entry("b", dispatch.Draining)}})
 		})
-		if n.Ban(nil); to("b:7") > 0 {
+		if n.SetExcluded(nil); to("b:7") > 0 {
 			t.Error("one that drains by discovery's word is in use")
 		}
 	})
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -30,10 +30,10 @@
 		MaxResponseHeaderBytes: 16 << 10}}
 }
 
-// Ask gets the whole list, or waits for changes since a version. The first such call does not wait: it tells what has
+// Poll gets the whole list, or waits for changes since a version. The first such call does not wait: it tells what has
 // changed by now, or that nothing has. Calls are made one at a time.
 // Danger: a process that takes over serves on a list of which it does not know whether it is the present one.
-func (d *Discovery) Ask(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
+func (d *Discovery) Poll(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
 	limit, target := protocol.WatchSilence, "http://"+d.address+"/api/targets"
 	if !whole {
 		wait := protocol.WatchWait
--- a/internal/transport/executors.go
+++ b/internal/transport/executors.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// Do carries one posting to its end. It tells of starts and progress by heard, and of the end by ended, once, before
+// Forward carries one posting to its end. It tells of starts and progress by heard, and of the end by ended, once, before
 // it looks after the connection.
-func (x *Executors) Do(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
+func (x *Executors) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
 	ended func(protocol.AttemptResult)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -27,7 +27,7 @@
 // lister gives one list after the other, and then none.
 type lister chan *protocol.EndpointList
 
-func (l lister) Ask(ctx context.Context, _ int64, _ bool) (*protocol.EndpointList, error) {
+func (l lister) Poll(ctx context.Context, _ int64, _ bool) (*protocol.EndpointList, error) {
 	select {
 	case list := <-l:
 		return list, nil
@@ -51,7 +51,7 @@
 	n := routing.New(c.Settings, 1, listing(1, addresses...), x, time.Second, news, nil, zerolog.Nop())
 	follow, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
-	go n.Follow(follow)
+	go n.WatchEndpoints(follow)
 	s, address := node(t, d, func(ctx context.Context, q *protocol.Request) *protocol.Response {
 		defer context.AfterFunc(ctx, func() { gone <- struct{}{} })() // no answer of the node's own ends it
 		if deaf {                                                     // word of the close never comes, as if it waited behind work
--- a/internal/transport/known_test.go
+++ b/internal/transport/known_test.go
@@ -176,17 +176,17 @@
 					n := routing.New(c.Settings, 1, known, x, time.Second, NewDiscovery(first.Addr().String(), c.Names), nil, zerolog.Nop())
 					ctx, stop := context.WithCancel(t.Context())
 					defer stop()
-					go n.Follow(ctx)
+					go n.WatchEndpoints(ctx)
 					if turned {
 						within(t, "a call at the first place", first.known)
-						n.Turn(NewDiscovery(p.Addr().String(), c.Names))
+						n.SetEndpointSource(NewDiscovery(p.Addr().String(), c.Names))
 					}
 					select {
 					case <-p.known:
 					case <-time.After(time.Minute):
 						t.Fatal("too few calls")
 					}
-					for n.Entries()[0].State != dispatch.Draining {
+					for n.Endpoints()[0].State != dispatch.Draining {
 						if late := time.Since(p.since); late > protocol.NotificationDeadline {
 							t.Fatalf("not known after %s", late)
 						}
--- a/internal/transport/slow_list_test.go
+++ b/internal/transport/slow_list_test.go
@@ -36,7 +36,7 @@
 		}))
 		d := NewDiscovery(strings.TrimPrefix(agent.URL, "http://"), &protocol.Names{Zones: []string{"a"}, MachineTypes: []string{"m"}})
 		start := time.Now()
-		l, err := d.Ask(t.Context(), 0, true)
+		l, err := d.Poll(t.Context(), 0, true)
 		switch took := time.Since(start); {
 		case come == pieces && (err != nil || len(l.Endpoints) != len(entries)):
 			t.Errorf("a list that comes slowly, after %v: %v", took, err)
--- a/internal/transport/told_span_test.go
+++ b/internal/transport/told_span_test.go
@@ -41,7 +41,7 @@
 		deadline := time.Now().Add(time.Second)
 		job := &protocol.Attempt{Address: strings.TrimPrefix(executor.URL, "http://"), Deadline: deadline,
 			Request: &protocol.Request{ID: "j", Target: "/p", Header: http.Header{"X-Call-Id": {"j"}}, Body: []byte("b")}}
-		x.Do(t.Context(), job, func(protocol.JobUpdate) {}, func(e protocol.AttemptResult) {
+		x.Forward(t.Context(), job, func(protocol.JobUpdate) {}, func(e protocol.AttemptResult) {
 			if e.Outcome != dispatch.Succeeded {
 				t.Errorf("%v: %v", e.Outcome, e.Cause)
 			}
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -430,7 +430,7 @@
 
 // process is one life of the node.
 type process struct {
-	node *routing.Node
+	node *routing.Router
 	ctx  context.Context
 	kill context.CancelFunc
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -455,7 +455,7 @@
 		w.t.Fatal(err)
 	}
 	p.node = routing.New(c.Settings, w.rand.Uint64(), list, x, c.ProbeTimeout, p.discovery("one:1"), nil, zerolog.Nop())
-	go p.node.Follow(p.ctx)
+	go p.node.WatchEndpoints(p.ctx)
 	return p
 }
 
@@ -583,7 +583,7 @@
 				}
 				w.agents[place].turn(time.Now().Add(moved))
 				w.mu.Unlock()
-				p.node.Turn(p.discovery(place))
+				p.node.SetEndpointSource(p.discovery(place))
 				w.mu.Lock()
 			case "hand": // what a new process will know
 				handed = w.agents["one:1"].list(0, true)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -109,7 +109,7 @@
 	job := &protocol.Attempt{Address: address, Deadline: time.Now().Add(time.Second), Request: &protocol.Request{ID: "j", Target: "/p",
 		Header: http.Header{"X-Call-Id": {"j"}, "Idempotency-Key": {"k"}}, Body: []byte("b")}}
 	ends := 0
-	x.Do(ctx, job, func(l protocol.JobUpdate) { e.heard = append(e.heard, l.State) },
+	x.Forward(ctx, job, func(l protocol.JobUpdate) { e.heard = append(e.heard, l.State) },
 		func(end protocol.AttemptResult) {
 			e.outcome, e.result, ends = end.Outcome, end.Result, ends+1
 			for _, f := range then {
@@ -745,14 +745,14 @@
 	go s.Serve(l)
 	defer s.Close()
 	d := NewDiscovery(l.Addr().String(), &protocol.Names{})
-	if list, err := d.Ask(t.Context(), 0, true); err != nil || list.Version != 4 || !list.Complete {
+	if list, err := d.Poll(t.Context(), 0, true); err != nil || list.Version != 4 || !list.Complete {
 		t.Error(list, err)
 	}
-	if list, err := d.Ask(t.Context(), 4, false); err != nil || list.Version != 5 {
+	if list, err := d.Poll(t.Context(), 4, false); err != nil || list.Version != 5 {
 		t.Error(list, err)
 	}
 	for range 2 {
-		if list, err := d.Ask(t.Context(), 5, false); err == nil {
+		if list, err := d.Poll(t.Context(), 5, false); err == nil {
 			t.Error(list)
 		}
 	}
