--- a/cmd/fernrail/desk.go
+++ b/cmd/fernrail/desk.go
@@ -32,7 +32,7 @@
 	config      *config.Node
 	node        *routing.Router
 	server      *transport.Server
-	descriptors *transport.Descriptors
+	descriptors *transport.ConnectionBudget
 	counters    *metrics.Counters
 	seat        *hotrestart.Process
 	share       *fleet.Fleet // nil: no budget is held with other nodes
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -126,7 +126,7 @@
 	}
 	// Danger: an old process that is told to end at this one's yes, and does not see yet that it has a successor.
 	desk.seat.SetServing(true)
-	ended := desk.server.Open(l)
+	ended := desk.server.Start(l)
 	if c.PeerMessagesUnsupported && c.Fleet == nil {
 		log.Warn().Str("key", "settings.Limits.MayTell").Msg("messages between nodes have no protocol here: none are sent")
 	}
@@ -154,7 +154,7 @@
 	if c.ListenFD == 0 {
 		return net.Listen("tcp", c.Listen)
 	}
-	return transport.Inherit(c.ListenFD)
+	return transport.InheritListener(c.ListenFD)
 }
 
 // places is how many operators' calls are held at a time: a part of the descriptors that takes little from clients.
@@ -162,17 +162,17 @@
 
 // wire puts a node together. share is nil where it holds no budgets with others.
 func wire(c *config.Node, share *fleet.Fleet, log zerolog.Logger) *desk {
-	descriptors, counters := transport.NewDescriptors(c.Sockets), metrics.New(c.Names.Classes)
-	descriptors.Log(log)
-	carrier := transport.NewExecutors(descriptors, c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, counters.AttemptSent)
+	descriptors, counters := transport.NewConnectionBudget(c.Sockets), metrics.New(c.Names.Classes)
+	descriptors.SetLogger(log)
+	carrier := transport.NewServerClient(descriptors, c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, counters.AttemptSent)
 	var held routing.QuotaSource
 	if share != nil {
 		p := &purse{share, descriptors}
 		held = p
-		carrier.Dials(p.dial)
+		carrier.SetDialGate(p.dial)
 	}
-	node := routing.New(c.Settings, c.Seed, c.InitialEndpoints, carrier, c.ProbeTimeout, transport.NewDiscovery(c.Discovery, c.Names), held, log)
-	carrier.Behind(node.SchedulingDelay)
+	node := routing.New(c.Settings, c.Seed, c.InitialEndpoints, carrier, c.ProbeTimeout, transport.NewDiscoveryClient(c.Discovery, c.Names), held, log)
+	carrier.SetSchedulingDelay(node.SchedulingDelay)
 	if share != nil && c.Fleet.WitnessQuorum > 0 {
 		node.OnOutcome(share.RecordOutcome)
 	}
@@ -200,6 +200,6 @@
 	log.Info().Str("discovery", now.Discovery).Msg("new configuration")
 	if now.Discovery != c.Discovery {
 		c.Discovery = now.Discovery
-		node.SetEndpointSource(transport.NewDiscovery(now.Discovery, c.Names))
+		node.SetEndpointSource(transport.NewDiscoveryClient(now.Discovery, c.Names))
 	}
 }
--- a/cmd/fernrail/move_test.go
+++ b/cmd/fernrail/move_test.go
@@ -229,7 +229,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	server.Open(l)
+	server.Start(l)
 	ctx, cancel := context.WithCancel(context.Background())
 	go node.WatchEndpoints(ctx)
 	f.Cleanup(func() {
--- a/cmd/fernrail/purse.go
+++ b/cmd/fernrail/purse.go
@@ -13,7 +13,7 @@
 // purse is what this node may use of the budgets that it holds with others.
 type purse struct {
 	share       *fleet.Fleet
-	descriptors *transport.Descriptors
+	descriptors *transport.ConnectionBudget
 }
 
 // names are the module's budgets in the configuration's words.
@@ -26,7 +26,7 @@
 		units *= p.share.Total(config.BudgetSlowStart)
 	case dispatch.BudgetConnections:
 		// One that is open and unused costs nothing.
-		if p.descriptors.Idle(key) > 0 {
+		if p.descriptors.IdleConnections(key) > 0 {
 			return true
 		}
 	}
--- a/internal/routing/leave_test.go
+++ b/internal/routing/leave_test.go
@@ -70,9 +70,9 @@
 			mu.Lock()
 			arrived = map[string]int{}
 			mu.Unlock()
-			x := transport.NewExecutors(transport.NewDescriptors(256), time.Minute, time.Minute, protocol.LoadReportKeys{}, func() {})
+			x := transport.NewServerClient(transport.NewConnectionBudget(256), time.Minute, time.Minute, protocol.LoadReportKeys{}, func() {})
 			dialing, told := make(chan struct{}, 9), make(chan struct{})
-			x.Dials(func(address string) bool {
+			x.SetDialGate(func(address string) bool {
 				if address == stood.Address {
 					dialing <- struct{}{}
 					<-told
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -64,11 +64,11 @@
 	lingers = 256 << 10
 )
 
-// Descriptors is the one owner of the descriptor budget. Each connection takes one place when it comes up and gives
+// ConnectionBudget is the one owner of the descriptor budget. Each connection takes one place when it comes up and gives
 // it back when it is closed, there alone. Idle connections give way first, the longest idle one before the others.
 // Danger: connections that are opened by the hundred and say nothing, or half of something, crowd out clients that work.
 // So a stranger, one that has not handed a request in yet, takes the place of the longest waiting stranger.
-type Descriptors struct {
+type ConnectionBudget struct {
 	mu        sync.Mutex
 	changed   sync.Cond // a place or the last request may be free
 	total     int
@@ -88,18 +88,18 @@
 	log       zerolog.Logger
 }
 
-func NewDescriptors(sockets int) *Descriptors {
-	d := &Descriptors{young: young, kept: map[string]int{}, log: zerolog.Nop()}
+func NewConnectionBudget(sockets int) *ConnectionBudget {
+	d := &ConnectionBudget{young: young, kept: map[string]int{}, log: zerolog.Nop()}
 	d.changed.L = &d.mu
 	d.Resize(sockets)
 	return d
 }
 
-// Log has each connection told of that is closed to make room. It is called before the node serves.
-func (d *Descriptors) Log(log zerolog.Logger) { d.log = log }
+// SetLogger has each connection told of that is closed to make room. It is called before the node serves.
+func (d *ConnectionBudget) SetLogger(log zerolog.Logger) { d.log = log }
 
 // Resize sets how many descriptors this process may hold; what is idle beyond that is closed.
-func (d *Descriptors) Resize(sockets int) {
+func (d *ConnectionBudget) Resize(sockets int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.total = max(sockets-reserve, 4)
@@ -116,12 +116,12 @@
 }
 
 // left is how many more places a side may take. Under mu.
-func (d *Descriptors) left(of side) int {
+func (d *ConnectionBudget) left(of side) int {
 	return min(d.most[of]-d.held[of], d.total-d.held[clients]-d.held[executors])
 }
 
 // take asks for a place; where none is left an idle connection or a stranger has to give way.
-func (d *Descriptors) take(of side) bool {
+func (d *ConnectionBudget) take(of side) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	// Those that came before had not been read when the next ones came; so more than one may have to go.
@@ -160,7 +160,7 @@
 
 // greet finds a place for a client's new connection, a stranger. It is a spare one if clients have come to the spare
 // places, though an idle connection gives way.
-func (d *Descriptors) greet(fresh net.Conn) *conn {
+func (d *ConnectionBudget) greet(fresh net.Conn) *conn {
 	for !d.take(clients) {
 		d.mu.Lock()
 		if d.left(clients) <= 0 {
@@ -180,7 +180,7 @@
 }
 
 // admit takes a client's connection for a known one, with its first whole request; false: it had to go.
-func (d *Descriptors) admit(c *conn) bool {
+func (d *ConnectionBudget) admit(c *conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !c.closed && c.in == &d.strangers {
@@ -192,7 +192,7 @@
 // needless is the longest waiting stranger that can go: it has its answer, has sent nothing, or half a head at the most; nil: there is
 // none among those that are looked at. Under mu.
 // Danger: at a process that is behind, whole requests lie unread in the sockets of strangers, and end with no answer.
-func (d *Descriptors) needless() *conn {
+func (d *ConnectionBudget) needless() *conn {
 	e := d.strangers.Front()
 	for looked := 0; e != nil && looked < strangersLooked; looked++ {
 		if c := e.Value.(*conn); c.came.IsZero() || !(c.working && c.head.whole()) && !c.unread() {
@@ -204,14 +204,14 @@
 }
 
 // end closes the first connection of a list, if there is one, to make room. Under mu.
-func (d *Descriptors) end(of *list.List) {
+func (d *ConnectionBudget) end(of *list.List) {
 	if first := of.Front(); first != nil {
 		d.evict(first.Value.(*conn))
 	}
 }
 
 // evict closes a connection to make room. Under mu.
-func (d *Descriptors) evict(c *conn) {
+func (d *ConnectionBudget) evict(c *conn) {
 	c.put(nil)
 	c.yielded, c.lingered = c.of == executors, true
 	held := d.held
@@ -223,7 +223,7 @@
 }
 
 // yield has the longest idle of the clients' connections closed, if there is one. Under mu.
-func (d *Descriptors) yield() {
+func (d *ConnectionBudget) yield() {
 	if first := d.idle[clients].Front(); first != nil {
 		d.wake(first.Value.(*conn))
 	}
@@ -232,7 +232,7 @@
 // wake has a client's connection closed that has no request on it. Under mu.
 // Danger: a request that is being read while its connection is closed is lost. A client's connection is therefore
 // only waked, and the server closes it; if a request's first bytes have come by then, it is served instead.
-func (d *Descriptors) wake(c *conn) {
+func (d *ConnectionBudget) wake(c *conn) {
 	c.put(nil)
 	c.yielded = true
 	d.yielding++
@@ -240,7 +240,7 @@
 }
 
 // dismiss has clients' connections closed that have not sent a byte for so long.
-func (d *Descriptors) dismiss(after time.Duration) {
+func (d *ConnectionBudget) dismiss(after time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for e := d.strangers.Front(); e != nil; {
@@ -251,7 +251,7 @@
 	}
 }
 
-func (d *Descriptors) give(of side) {
+func (d *ConnectionBudget) give(of side) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.held[of]--
@@ -259,7 +259,7 @@
 }
 
 // busy marks a connection as in use and numbers the use.
-func (d *Descriptors) busy(c *conn) int {
+func (d *ConnectionBudget) busy(c *conn) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leave(c)
@@ -272,7 +272,7 @@
 }
 
 // leave takes a connection out of all that is counted, but for the strangers. Under mu.
-func (d *Descriptors) leave(c *conn) {
+func (d *ConnectionBudget) leave(c *conn) {
 	if c.working {
 		c.working = false
 		d.working--
@@ -294,7 +294,7 @@
 
 // rest marks a connection as idle after a use.
 // Danger: the library tells late that a connection rests; by then the next request may have it.
-func (d *Descriptors) rest(c *conn, use int) {
+func (d *ConnectionBudget) rest(c *conn, use int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if use != c.uses || c.in != nil || c.closed {
@@ -307,7 +307,7 @@
 }
 
 // retire closes clients' connections that are idle, now and from now on.
-func (d *Descriptors) retire() {
+func (d *ConnectionBudget) retire() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopping = true
@@ -317,14 +317,14 @@
 }
 
 // resume lets clients' connections be idle again.
-func (d *Descriptors) resume() {
+func (d *ConnectionBudget) resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopping = false
 }
 
 // vacant waits until no client's connection is left, or there is no more time.
-func (d *Descriptors) vacant(ctx context.Context) {
+func (d *ConnectionBudget) vacant(ctx context.Context) {
 	defer d.wakeUp(ctx)()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -334,7 +334,7 @@
 }
 
 // wakeUp ends waits for changes with their context.
-func (d *Descriptors) wakeUp(ctx context.Context) (stop func() bool) {
+func (d *ConnectionBudget) wakeUp(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -345,7 +345,7 @@
 // empty waits until no client's request is left, no idle connection, and no answer that may not have been read. Halves of
 // requests by strangers are nobody's loss when time is up. Nothing is taken from then on.
 // Danger: a request that is read between the last look and the end of the process; it is sent on, and nobody answers it.
-func (d *Descriptors) empty(ctx context.Context) error {
+func (d *ConnectionBudget) empty(ctx context.Context) error {
 	defer d.wakeUp(ctx)()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -365,8 +365,8 @@
 	return nil
 }
 
-// Idle counts the connections to an executor that could be used at once.
-func (d *Descriptors) Idle(address string) int {
+// IdleConnections counts the connections to an executor that could be used at once.
+func (d *ConnectionBudget) IdleConnections(address string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.kept[address]
@@ -376,7 +376,7 @@
 // request was never sent whole.
 type conn struct {
 	net.Conn
-	owner   *Descriptors
+	owner   *ConnectionBudget
 	of      side
 	address string // of the executor
 	came    time.Time
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -16,16 +16,16 @@
 // errSilent says that discovery said nothing, or nothing more, for as long as it is waited for.
 var errSilent = errors.New("discovery is silent")
 
-// Discovery asks for the list of executors.
-type Discovery struct {
+// DiscoveryClient asks for the list of executors.
+type DiscoveryClient struct {
 	address   string
 	names     *protocol.Names
 	transport http.RoundTripper
 	asked     bool // it has been asked for changes
 }
 
-func NewDiscovery(address string, names *protocol.Names) *Discovery {
-	return &Discovery{address: address, names: names, transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1,
+func NewDiscoveryClient(address string, names *protocol.Names) *DiscoveryClient {
+	return &DiscoveryClient{address: address, names: names, transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1,
 		IdleConnTimeout:        protocol.WatchWait, // calls follow at once; an agent that was left keeps no descriptor
 		MaxResponseHeaderBytes: 16 << 10}}
 }
@@ -33,7 +33,7 @@
 // Poll gets the whole list, or waits for changes since a version. The first such call does not wait: it tells what has
 // changed by now, or that nothing has. Calls are made one at a time.
 // Danger: a process that takes over serves on a list of which it does not know whether it is the present one.
-func (d *Discovery) Poll(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
+func (d *DiscoveryClient) Poll(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
 	limit, target := protocol.WatchSilence, "http://"+d.address+"/api/targets"
 	if !whole {
 		wait := protocol.WatchWait
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -37,7 +37,7 @@
 // kept ones at once, busy ones with their answer, and those that never say a word soon. Then all is as before.
 func TestDrain(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
-	d := NewDescriptors(1024)
+	d := NewConnectionBudget(1024)
 	s, address := node(t, d, func(_ context.Context, q *protocol.Request) *protocol.Response {
 		if string(q.Body) == "l" {
 			taken <- struct{}{}
@@ -100,7 +100,7 @@
 // TestNoJobIsLostByADrain: clients that go on sending on their kept connections, while the node drains and serves again
 // and again, get an answer to each request or a close with nothing of it begun, which they send once more.
 func TestNoJobIsLostByADrain(t *testing.T) {
-	s, address := node(t, NewDescriptors(1024), settled)
+	s, address := node(t, NewConnectionBudget(1024), settled)
 	stop, ended := make(chan struct{}), make(chan int)
 	for client := range uint64(8) {
 		go func() {
@@ -153,7 +153,7 @@
 
 // TestCrossing: a request that is there when its connection is waked to be closed is served.
 func TestCrossing(t *testing.T) {
-	d := NewDescriptors(1024)
+	d := NewConnectionBudget(1024)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -189,11 +189,11 @@
 
 // TestPhases: what operators ask for out of turn gets a defined answer.
 func TestPhases(t *testing.T) {
-	shut := NewServer(NewDescriptors(64), nil, nil, func() bool { return true }, nil, zerolog.Nop())
+	shut := NewServer(NewConnectionBudget(64), nil, nil, func() bool { return true }, nil, zerolog.Nop())
 	if shut.Ready() || !errors.Is(shut.Drain(), errShut) || !errors.Is(shut.Activate(), errShut) {
 		t.Error("a server that does not listen")
 	}
-	s, address := node(t, NewDescriptors(64), settled)
+	s, address := node(t, NewConnectionBudget(64), settled)
 	if err := s.Activate(); err != nil || !ready(t, address) {
 		t.Error("activate without a drain", err)
 	}
@@ -213,7 +213,7 @@
 
 // TestResize: what is idle goes when the budget shrinks, and all may come back when it grows.
 func TestResize(t *testing.T) {
-	d := NewDescriptors(reserve + 100)
+	d := NewConnectionBudget(reserve + 100)
 	_, address := node(t, d, settled)
 	var kept []net.Conn
 	for range 20 {
--- a/internal/transport/executors.go
+++ b/internal/transport/executors.go
@@ -32,8 +32,8 @@
 // errBehind says that a connection did not come up in time, as far as a process can tell that was itself late to look.
 var errBehind = errors.New("no connection in time, at a process that is behind")
 
-// Executors holds the connections to executors.
-type Executors struct {
+// ServerClient holds the connections to executors.
+type ServerClient struct {
 	transport *http.Transport
 	values    protocol.LoadReportKeys // of load reports
 	wrote     func()                  // told of each posting whose last byte was written
@@ -42,11 +42,11 @@
 	connect   func(ctx context.Context, network, address string) (net.Conn, error) // tests alone put another one here
 }
 
-// NewExecutors: dial is how long a connection may take to come up, idle how long executors keep an unused one, values
+// NewServerClient: dial is how long a connection may take to come up, idle how long executors keep an unused one, values
 // what their load reports tell by which name, wrote is told of each posting whose last byte was written.
-func NewExecutors(d *Descriptors, dial, idle time.Duration, values protocol.LoadReportKeys, wrote func()) *Executors {
+func NewServerClient(d *ConnectionBudget, dial, idle time.Duration, values protocol.LoadReportKeys, wrote func()) *ServerClient {
 	dialer := &net.Dialer{KeepAlive: -1}
-	x := &Executors{values: values, wrote: wrote, dials: func(string) bool { return true }, lag: func() int64 { return 0 }, connect: dialer.DialContext}
+	x := &ServerClient{values: values, wrote: wrote, dials: func(string) bool { return true }, lag: func() int64 { return 0 }, connect: dialer.DialContext}
 	x.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			if !d.take(executors) {
@@ -80,7 +80,7 @@
 // dial opens a connection. A process that is behind looks at it later than it came up, and waits for it so much longer, but no
 // more than twice.
 // Danger: at a process that is behind each connection seems to be late, and its executor is blamed for it.
-func (x *Executors) dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
+func (x *ServerClient) dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, within+min(time.Duration(x.lag()), within))
 	defer cancel()
 	c, err := x.connect(ctx, network, address)
@@ -104,11 +104,11 @@
 	return false
 }
 
-// Behind has the process's lag known; it is called before the node serves.
-func (x *Executors) Behind(lag func() int64) { x.lag = lag }
+// SetSchedulingDelay has the process's lag known; it is called before the node serves.
+func (x *ServerClient) SetSchedulingDelay(lag func() int64) { x.lag = lag }
 
-// Dials has each new connection to an executor asked for first, at the moment at which it would be opened.
-func (x *Executors) Dials(may func(address string) bool) { x.dials = may }
+// SetDialGate has each new connection to an executor asked for first, at the moment at which it would be opened.
+func (x *ServerClient) SetDialGate(may func(address string) bool) { x.dials = may }
 
 // hold is the connection that one request has, and how often it has been used.
 type hold struct {
@@ -144,7 +144,7 @@
 
 // Forward carries one posting to its end. It tells of starts and progress by heard, and of the end by ended, once, before
 // it looks after the connection.
-func (x *Executors) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
+func (x *ServerClient) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
 	ended func(protocol.AttemptResult)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -207,7 +207,7 @@
 }
 
 // Probe asks an executor for its load.
-func (x *Executors) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
+func (x *ServerClient) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var h hold
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -37,7 +37,7 @@
 }
 
 // whole is a node on loopback with its module, and executors that are listed at these addresses.
-func whole(t *testing.T, deaf bool, addresses ...string) (address string, d *Descriptors, x *Executors, news lister, gone chan struct{}) {
+func whole(t *testing.T, deaf bool, addresses ...string) (address string, d *ConnectionBudget, x *ServerClient, news lister, gone chan struct{}) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 				}
 				address, d, x, news, gone := whole(t, false, known...)
 				dialing, dial := make(chan struct{}, 9), make(chan struct{})
-				x.Dials(func(string) bool {
+				x.SetDialGate(func(string) bool {
 					if state == "a connection comes up" {
 						dialing <- struct{}{}
 						<-dial
@@ -174,7 +174,7 @@
 			e := play(t, says(done, true))
 			address, _, x, _, gone := whole(t, true, e.Addr().String())
 			dialing, dial := make(chan struct{}, 9), make(chan struct{})
-			x.Dials(func(string) bool { dialing <- struct{}{}; <-dial; return true })
+			x.SetDialGate(func(string) bool { dialing <- struct{}{}; <-dial; return true })
 			c := call(t, address, job).(*net.TCPConn)
 			within(t, "a dial", dialing)
 			closing(c)
@@ -228,7 +228,7 @@
 func TestBytesBehindARequestAreTheNext(t *testing.T) {
 	hold := make(chan struct{})
 	var bodies []string
-	_, address := node(t, NewDescriptors(64), func(_ context.Context, q *protocol.Request) *protocol.Response {
+	_, address := node(t, NewConnectionBudget(64), func(_ context.Context, q *protocol.Request) *protocol.Response {
 		<-hold
 		bodies = append(bodies, string(q.Body))
 		return &protocol.Response{Status: 200, Body: string(q.Body)}
@@ -261,7 +261,7 @@
 		"a bad request":          strings.Replace(ask, "pay", "odd", 1) + stray,
 		"no request at all":      "GET\r\n\r\n" + stray[:1000],
 	} {
-		s, address := node(t, NewDescriptors(64), settled)
+		s, address := node(t, NewConnectionBudget(64), settled)
 		s.closing.Store(true)
 		c := call(t, address, "")
 		go io.WriteString(c, text)
@@ -283,13 +283,13 @@
 	}
 }
 
-func count(d *Descriptors, figure *int) int {
+func count(d *ConnectionBudget, figure *int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return *figure
 }
 
-func strangers(d *Descriptors) int {
+func strangers(d *ConnectionBudget) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.strangers.Len()
@@ -297,7 +297,7 @@
 
 // TestNothingIsTakenAfterTheEnd: a stranger's second half comes when the server has ended. It is not served, and nothing is made up.
 func TestNothingIsTakenAfterTheEnd(t *testing.T) {
-	d := NewDescriptors(64)
+	d := NewConnectionBudget(64)
 	s, address := node(t, d, func(context.Context, *protocol.Request) *protocol.Response {
 		t.Error("served")
 		return nil
@@ -316,7 +316,7 @@
 // TestStopEndsSilentConnections: connections that never said a word are closed before the process is, or served if they have.
 // Danger: a request that is read as the process ends.
 func TestStopEndsSilentConnections(t *testing.T) {
-	s, address := node(t, NewDescriptors(64), settled)
+	s, address := node(t, NewConnectionBudget(64), settled)
 	silent := call(t, address, "")
 	until(t, "a connection", func() bool { return strangers(s.descriptors) > 0 })
 	if err := s.Stop(time.Second, false); err != nil {
--- a/internal/transport/heading_test.go
+++ b/internal/transport/heading_test.go
@@ -46,7 +46,7 @@
 	} {
 		for seed := range uint64(4) {
 			bodies := make(chan string, 10)
-			_, address := node(t, NewDescriptors(1024), func(_ context.Context, q *protocol.Request) *protocol.Response {
+			_, address := node(t, NewConnectionBudget(1024), func(_ context.Context, q *protocol.Request) *protocol.Response {
 				bodies <- string(q.Body)
 				return &protocol.Response{Status: 200}
 			})
--- a/internal/transport/known_test.go
+++ b/internal/transport/known_test.go
@@ -173,13 +173,13 @@
 					_, x := fresh()
 					known := listing(1, "h:1")
 					known.Endpoints[0].ID = "e"
-					n := routing.New(c.Settings, 1, known, x, time.Second, NewDiscovery(first.Addr().String(), c.Names), nil, zerolog.Nop())
+					n := routing.New(c.Settings, 1, known, x, time.Second, NewDiscoveryClient(first.Addr().String(), c.Names), nil, zerolog.Nop())
 					ctx, stop := context.WithCancel(t.Context())
 					defer stop()
 					go n.WatchEndpoints(ctx)
 					if turned {
 						within(t, "a call at the first place", first.known)
-						n.SetEndpointSource(NewDiscovery(p.Addr().String(), c.Names))
+						n.SetEndpointSource(NewDiscoveryClient(p.Addr().String(), c.Names))
 					}
 					select {
 					case <-p.known:
--- a/internal/transport/machine_errors_test.go
+++ b/internal/transport/machine_errors_test.go
@@ -42,9 +42,9 @@
 		t.Fatal(err)
 	}
 	names := &protocol.Names{Classes: []string{"pay"}}
-	s := NewServer(NewDescriptors(1024), names, settled, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
+	s := NewServer(NewConnectionBudget(1024), names, settled, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
 	defer s.http.Close()
-	ended := s.Open(&failingListener{Listener: inner, errors: []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS,
+	ended := s.Start(&failingListener{Listener: inner, errors: []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.EPERM}})
 	c := call(t, inner.Addr().String(), ask+"b")
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -58,14 +58,14 @@
 	errStopping = errors.New("this process is stopping")
 )
 
-// Serve is the life of one request: it gives the one final answer, or nil if the client has left.
-type Serve func(ctx context.Context, q *protocol.Request) *protocol.Response
+// ServeFunc is the life of one request: it gives the one final answer, or nil if the client has left.
+type ServeFunc func(ctx context.Context, q *protocol.Request) *protocol.Response
 
 // Server is the side that clients reach.
 type Server struct {
-	descriptors *Descriptors
+	descriptors *ConnectionBudget
 	names       *protocol.Names
-	serve       Serve
+	serve       ServeFunc
 	ready       func() bool
 	counters    *metrics.Counters
 	log         zerolog.Logger
@@ -79,7 +79,7 @@
 	sweeps *time.Timer // while draining
 }
 
-func NewServer(d *Descriptors, names *protocol.Names, serve Serve, ready func() bool,
+func NewServer(d *ConnectionBudget, names *protocol.Names, serve ServeFunc, ready func() bool,
 	counters *metrics.Counters, l zerolog.Logger) *Server {
 	s := &Server{descriptors: d, names: names, serve: serve, ready: ready, counters: counters, log: l}
 	s.http = &http.Server{Handler: s, ReadTimeout: slowest, IdleTimeout: unused, MaxHeaderBytes: 16 << 10,
@@ -102,7 +102,7 @@
 // listener gives each connection its place in the budget.
 type listener struct {
 	net.Listener
-	descriptors *Descriptors
+	descriptors *ConnectionBudget
 	log         zerolog.Logger
 }
 
@@ -132,8 +132,8 @@
 // inherited is a listening socket that other processes hold as well.
 type inherited struct{ *net.TCPListener }
 
-// Inherit takes a listening socket over. Only this process's copy of it is ever closed.
-func Inherit(descriptor int) (net.Listener, error) {
+// InheritListener takes a listening socket over. Only this process's copy of it is ever closed.
+func InheritListener(descriptor int) (net.Listener, error) {
 	f := os.NewFile(uintptr(descriptor), "inherited listener")
 	defer f.Close()
 	l, err := net.FileListener(f)
@@ -158,8 +158,8 @@
 	return l.TCPListener.Accept()
 }
 
-// Open starts to serve; what ends that before Stop comes out of the channel.
-func (s *Server) Open(l net.Listener) <-chan error {
+// Start starts to serve; what ends that before Stop comes out of the channel.
+func (s *Server) Start(l net.Listener) <-chan error {
 	s.mu.Lock()
 	s.phase, s.listener = serving, l
 	s.mu.Unlock()
--- a/internal/transport/slow_list_test.go
+++ b/internal/transport/slow_list_test.go
@@ -34,7 +34,7 @@
 				<-r.Context().Done()
 			}
 		}))
-		d := NewDiscovery(strings.TrimPrefix(agent.URL, "http://"), &protocol.Names{Zones: []string{"a"}, MachineTypes: []string{"m"}})
+		d := NewDiscoveryClient(strings.TrimPrefix(agent.URL, "http://"), &protocol.Names{Zones: []string{"a"}, MachineTypes: []string{"m"}})
 		start := time.Now()
 		l, err := d.Poll(t.Context(), 0, true)
 		switch took := time.Since(start); {
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -448,7 +448,7 @@
 	w.at.turn(time.Now())
 	w.mu.Unlock()
 	p.ctx, p.kill = context.WithCancel(w.t.Context())
-	x := NewExecutors(NewDescriptors(256), c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, func() {})
+	x := NewServerClient(NewConnectionBudget(256), c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, func() {})
 	x.connect = p.dial
 	list, err := protocol.DecodeEndpointList([]byte(known), c.Names)
 	if err != nil {
@@ -459,8 +459,8 @@
 	return p
 }
 
-func (p *process) discovery(address string) *Discovery {
-	d := NewDiscovery(address, p.name)
+func (p *process) discovery(address string) *DiscoveryClient {
+	d := NewDiscoveryClient(address, p.name)
 	d.transport.(*http.Transport).DialContext = p.dial
 	return d
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -105,7 +105,7 @@
 	heard   []protocol.JobState
 }
 
-func do(ctx context.Context, x *Executors, address string, then ...func()) (e ending) {
+func do(ctx context.Context, x *ServerClient, address string, then ...func()) (e ending) {
 	job := &protocol.Attempt{Address: address, Deadline: time.Now().Add(time.Second), Request: &protocol.Request{ID: "j", Target: "/p",
 		Header: http.Header{"X-Call-Id": {"j"}, "Idempotency-Key": {"k"}}, Body: []byte("b")}}
 	ends := 0
@@ -122,9 +122,9 @@
 	return e
 }
 
-func fresh() (*Descriptors, *Executors) {
-	d := NewDescriptors(1024)
-	return d, NewExecutors(d, time.Second, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
+func fresh() (*ConnectionBudget, *ServerClient) {
+	d := NewConnectionBudget(1024)
+	return d, NewServerClient(d, time.Second, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
 }
 
 func TestOutcomesByWhatIsProved(t *testing.T) {
@@ -194,8 +194,8 @@
 		}
 		defer c.Close()
 	}
-	d := NewDescriptors(1024)
-	x, before, start := NewExecutors(d, 50*time.Millisecond, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {}), d.held, time.Now()
+	d := NewConnectionBudget(1024)
+	x, before, start := NewServerClient(d, 50*time.Millisecond, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {}), d.held, time.Now()
 	got := do(t.Context(), x, address)
 	if took := time.Since(start); got.outcome != dispatch.ConnectFailed || took > time.Second || d.held != before {
 		t.Errorf("%+v after %s", got, took)
@@ -218,7 +218,7 @@
 		}, true},
 	} {
 		near, far := net.Pipe()
-		u := &conn{Conn: near, owner: NewDescriptors(64), of: executors}
+		u := &conn{Conn: near, owner: NewConnectionBudget(64), of: executors}
 		u.start(nil)
 		c.use(u, far)
 		if never, _ := u.unsent(0); never != c.want {
@@ -355,7 +355,7 @@
 
 // TestRestIsOfTheLastUse: word that a connection rests comes late, when the next request has it already.
 func TestRestIsOfTheLastUse(t *testing.T) {
-	d := NewDescriptors(64)
+	d := NewConnectionBudget(64)
 	near, _ := net.Pipe()
 	c := &conn{Conn: near, owner: d, of: executors}
 	first := d.busy(c)
@@ -369,7 +369,7 @@
 }
 
 // node is the clients' side on a loopback address.
-func node(t *testing.T, d *Descriptors, serve Serve, adjust ...func(*http.Server)) (*Server, string) {
+func node(t *testing.T, d *ConnectionBudget, serve ServeFunc, adjust ...func(*http.Server)) (*Server, string) {
 	names := &protocol.Names{Classes: []string{"pay"}}
 	s := NewServer(d, names, serve, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
 	for _, a := range adjust {
@@ -379,7 +379,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Open(l)
+	s.Start(l)
 	t.Cleanup(func() { s.http.Close() })
 	return s, s.listener.Addr().String()
 }
@@ -411,7 +411,7 @@
 }
 
 func TestServer(t *testing.T) {
-	_, address := node(t, NewDescriptors(1024), settled)
+	_, address := node(t, NewConnectionBudget(1024), settled)
 	for text, want := range map[string]int{
 		ask + "b": 200,
 		"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n":            200,
@@ -429,7 +429,7 @@
 
 // TestHalfARequest: one that is broken off is never served; one that never ends or begins is ended within 3 s.
 func TestHalfARequest(t *testing.T) {
-	_, address := node(t, NewDescriptors(1024), func(context.Context, *protocol.Request) *protocol.Response {
+	_, address := node(t, NewConnectionBudget(1024), func(context.Context, *protocol.Request) *protocol.Response {
 		t.Error("served")
 		return nil
 	})
@@ -449,7 +449,7 @@
 // TestStrangersGiveWay: connections that say nothing, or never stop, take each other's places and not those of clients
 // that work; what a connection got an error for is one of them while it lingers.
 func TestStrangersGiveWay(t *testing.T) {
-	d := NewDescriptors(64)
+	d := NewConnectionBudget(64)
 	d.young = 0
 	_, address := node(t, d, settled)
 	kept := call(t, address, ask+"b")
@@ -485,7 +485,7 @@
 // has sent nothing gives way, and none whose request waits there while there are places.
 // Danger: at a process that is behind these are the longest waiting, and were closed with no answer.
 func TestUnreadRequestsDoNotGiveWay(t *testing.T) {
-	d := NewDescriptors(64)
+	d := NewConnectionBudget(64)
 	d.young = 0
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -521,7 +521,7 @@
 
 // TestYoungStrangersAreServed: clients that all come at once are not taken for such as say nothing.
 func TestYoungStrangersAreServed(t *testing.T) {
-	d := NewDescriptors(64)
+	d := NewConnectionBudget(64)
 	d.young = time.Minute
 	_, address := node(t, d, settled)
 	var all []net.Conn
@@ -539,7 +539,7 @@
 // TestLibraryLogIsCut: a flood of bad clients must not become one of log lines.
 func TestLibraryLogIsCut(t *testing.T) {
 	var out strings.Builder
-	s := NewServer(NewDescriptors(64), nil, nil, nil, nil, zerolog.New(&out))
+	s := NewServer(NewConnectionBudget(64), nil, nil, nil, nil, zerolog.New(&out))
 	for range 1000 {
 		s.http.ErrorLog.Print("bad")
 	}
@@ -550,7 +550,7 @@
 
 // TestIdleClientIsKept: the time to hand a request in does not run while a connection rests.
 func TestIdleClientIsKept(t *testing.T) {
-	_, address := node(t, NewDescriptors(1024), settled, func(h *http.Server) { h.ReadTimeout = 20 * time.Millisecond })
+	_, address := node(t, NewConnectionBudget(1024), settled, func(h *http.Server) { h.ReadTimeout = 20 * time.Millisecond })
 	c := call(t, address, ask+"b")
 	in := bufio.NewReader(c)
 	if r, err := http.ReadResponse(in, nil); err != nil {
@@ -567,7 +567,7 @@
 // TestClientLeaves: the wait for an answer ends when the client goes, and not when the time to hand in is over.
 func TestClientLeaves(t *testing.T) {
 	taken, left := make(chan struct{}), make(chan struct{})
-	_, address := node(t, NewDescriptors(1024), func(ctx context.Context, _ *protocol.Request) *protocol.Response {
+	_, address := node(t, NewConnectionBudget(1024), func(ctx context.Context, _ *protocol.Request) *protocol.Response {
 		select {
 		case taken <- struct{}{}:
 			<-ctx.Done()
@@ -591,7 +591,7 @@
 // TestShortOfDescriptors: a connection beyond the budget is answered at once, not left unread.
 func TestShortOfDescriptors(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
-	d := NewDescriptors(1024)
+	d := NewConnectionBudget(1024)
 	d.most[clients], d.spare = 2, 1
 	_, address := node(t, d, func(context.Context, *protocol.Request) *protocol.Response {
 		taken <- struct{}{}
@@ -612,7 +612,7 @@
 
 // TestYieldSparesARequestBeingRead: a connection told to make room whose next request is being read serves it first.
 func TestYieldSparesARequestBeingRead(t *testing.T) {
-	d := NewDescriptors(1024)
+	d := NewConnectionBudget(1024)
 	_, address := node(t, d, settled)
 	c := call(t, address, ask+"b")
 	if got := answer(t, c); got.StatusCode != 200 {
@@ -634,7 +634,7 @@
 
 // TestYieldIsNotUndone: the server sets its limit for idle connections after it has called one idle.
 func TestYieldIsNotUndone(t *testing.T) {
-	d := NewDescriptors(64)
+	d := NewConnectionBudget(64)
 	near, far := net.Pipe()
 	c := &conn{Conn: near, owner: d, of: clients}
 	d.rest(c, d.busy(c))
@@ -653,7 +653,7 @@
 
 // TestIdleClientsGiveWay: a connection that rests is closed for a new one, which is served.
 func TestIdleClientsGiveWay(t *testing.T) {
-	d := NewDescriptors(1024)
+	d := NewConnectionBudget(1024)
 	d.most[clients], d.spare = 3, 2
 	_, address := node(t, d, settled)
 	for range 20 {
@@ -675,7 +675,7 @@
 // between requests.
 func TestStop(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
-	s, address := node(t, NewDescriptors(1024), func(context.Context, *protocol.Request) *protocol.Response {
+	s, address := node(t, NewConnectionBudget(1024), func(context.Context, *protocol.Request) *protocol.Response {
 		taken <- struct{}{}
 		<-hold
 		return &protocol.Response{Status: 200}
@@ -715,7 +715,7 @@
 
 // TestStopLeavesHalfRequests: what a stranger never finished is no request that the node owes an answer.
 func TestStopLeavesHalfRequests(t *testing.T) {
-	d := NewDescriptors(64)
+	d := NewConnectionBudget(64)
 	s, address := node(t, d, settled)
 	call(t, address, ask[:30])
 	for read := 0; read == 0; time.Sleep(time.Millisecond) { // until its first bytes are read
@@ -744,7 +744,7 @@
 	}
 	go s.Serve(l)
 	defer s.Close()
-	d := NewDiscovery(l.Addr().String(), &protocol.Names{})
+	d := NewDiscoveryClient(l.Addr().String(), &protocol.Names{})
 	if list, err := d.Poll(t.Context(), 0, true); err != nil || list.Version != 4 || !list.Complete {
 		t.Error(list, err)
 	}
--- a/internal/transport/unsafe_test.go
+++ b/internal/transport/unsafe_test.go
@@ -115,7 +115,7 @@
 	var mu sync.Mutex
 	trouble, open := !f.kept, 0
 	most := 0
-	x := NewExecutors(NewDescriptors(256), time.Second, time.Minute, protocol.LoadReportKeys{}, func() {
+	x := NewServerClient(NewConnectionBudget(256), time.Second, time.Minute, protocol.LoadReportKeys{}, func() {
 		mu.Lock()
 		written++
 		mu.Unlock()
