--- a/cmd/fleetsim/emulate.go
+++ b/cmd/fleetsim/emulate.go
@@ -76,7 +76,7 @@
 		write, flush = encoder.Encode, func(any) error { return buffer.Flush() }
 	}
 	fault := write(rules)
-	j, count, last := invariants.New(rules), invariants.NewCount(), int64(0)
+	j, count, last := invariants.New(rules), invariants.NewCollector(), int64(0)
 	began := time.Now()
 	report := emulator.Run(s, c.Seed, policy, func(e invariants.Event) {
 		fault = errors.Join(fault, write(e), j.Add(e))
--- a/cmd/fleetsim/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -233,7 +233,7 @@
 		return nil, err
 	}
 	rules := s.Held()
-	j, count, last, began := invariants.New(rules), invariants.NewCount(), int64(0), time.Now()
+	j, count, last, began := invariants.New(rules), invariants.NewCollector(), int64(0), time.Now()
 	report := emulator.Run(s, r.Seed, policy, func(e invariants.Event) {
 		err = errors.Join(err, j.Add(e))
 		count.Add(e)
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -23,12 +23,12 @@
 	slots   float64
 	hasty   bool // every posting is turned away at once, so that all that the nodes hold goes out again
 	settle  int64
-	speed   []float64          // of each executor; nil: jobs run for settle everywhere
-	work    func() int64       // of a txn that tells nothing of it
-	works   map[*Request]int64 // of these
-	patient int64              // how long clients wait; 0: a second
-	judge   *invariants.Judge  // hears of all that happens, and shares nothing with the module
-	fault   error              // what the judge could not make sense of
+	speed   []float64           // of each executor; nil: jobs run for settle everywhere
+	work    func() int64        // of a txn that tells nothing of it
+	works   map[*Request]int64  // of these
+	patient int64               // how long clients wait; 0: a second
+	judge   *invariants.Checker // hears of all that happens, and shares nothing with the module
+	fault   error               // what the judge could not make sense of
 	taken   int
 }
 
@@ -64,7 +64,7 @@
 	}
 	n.sent[i] = append(n.sent[i], charge{n.now, work})
 	n.open, n.at[p] = append(n.open, p), n.now
-	n.tell(invariants.Event{Kind: invariants.Posted, Txn: p.Request.Tag, Posting: p.Number, Executor: strconv.Itoa(i), Work: work / 1e9})
+	n.tell(invariants.Event{Kind: invariants.AttemptSent, Request: p.Request.Tag, Attempt: p.Number, Server: strconv.Itoa(i), Work: work / 1e9})
 }
 
 // runs is how long a posting runs, without a queue.
@@ -85,10 +85,10 @@
 }
 func (n *herdNode) CancelAttempt(*Attempt) {}
 func (n *herdNode) Shed(t *Request, _ int64) {
-	n.tell(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: "declined"})
+	n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: t.Tag, Result: "declined"})
 }
 func (n *herdNode) Compensate(t *Request) {
-	n.tell(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: "reversed"})
+	n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: t.Tag, Result: "reversed"})
 }
 func (n *herdNode) PollEndpoints(bool)           {}
 func (n *herdNode) NotifyPeers(*Server, float64) {}
@@ -104,13 +104,13 @@
 	h.terms = basicTerms()
 	h.terms.Nodes, h.terms.Classes, h.terms.Tick = nodes, h.terms.Classes[:1], 2e7
 	h.since, h.off, h.sent = make([]int64, executors), make([]int64, executors), make([][]charge, executors)
-	places := map[string]invariants.Place{}
+	places := map[string]invariants.ServerPlace{}
 	for i := range executors {
-		places[strconv.Itoa(i)] = invariants.Place{Slots: h.slots}
+		places[strconv.Itoa(i)] = invariants.ServerPlace{Slots: h.slots}
 	}
-	h.judge = invariants.New(invariants.Rules{Fall: h.terms.OverloadWindow, FallMultiple: h.terms.OverloadFactor, Cold: h.terms.SlowStart,
-		ColdShare: h.terms.SlowStartShare, Doubles: h.terms.AllowHedging, Executors: places,
-		Schemes: map[string]invariants.Scheme{"s": {Effect: "repeatable"}}})
+	h.judge = invariants.New(invariants.Rules{OverloadWindow: h.terms.OverloadWindow, OverloadFactor: h.terms.OverloadFactor, SlowStart: h.terms.SlowStart,
+		SlowStartShare: h.terms.SlowStartShare, AllowHedging: h.terms.AllowHedging, Servers: places,
+		Classes: map[string]invariants.Class{"s": {Idempotency: "repeatable"}}})
 	for i := range nodes {
 		terms := *h.terms
 		terms.NodeIndex = i
@@ -128,7 +128,7 @@
 	if len(h.nodes) <= terms.NodeIndex {
 		h.nodes = append(h.nodes, n)
 	} else {
-		h.tell(invariants.Event{Kind: invariants.Killed, Node: strconv.Itoa(terms.NodeIndex)})
+		h.tell(invariants.Event{Kind: invariants.NodeKilled, Node: strconv.Itoa(terms.NodeIndex)})
 		h.nodes[terms.NodeIndex] = n // started again: it knows nothing of what it sent before
 	}
 	n.list()
@@ -149,7 +149,7 @@
 		h.off[i] = h.Int64N(2*h.terms.StartTimeError+1) - h.terms.StartTimeError
 	}
 	for _, i := range h.Perm(len(h.since)) {
-		h.tell(invariants.Event{Kind: invariants.Begun, Executor: strconv.Itoa(i), Since: h.since[i]})
+		h.tell(invariants.Event{Kind: invariants.ServerStarted, Server: strconv.Itoa(i), Since: h.since[i]})
 	}
 	for _, n := range h.nodes {
 		n.list()
@@ -176,7 +176,7 @@
 				if h.work != nil {
 					t.ExpectedWork, t.Deadline, h.works[t] = 0, h.now+h.patient, h.work()
 				}
-				h.tell(invariants.Event{Kind: invariants.Taken, Node: strconv.Itoa(n.d.terms.NodeIndex), Txn: t.Tag, Scheme: "s", Expiry: t.Deadline})
+				h.tell(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.terms.NodeIndex), Request: t.Tag, Class: "s", Deadline: t.Deadline})
 				n.d.Arrive(t)
 			}
 			n.d.ProcessQueue()
@@ -186,9 +186,9 @@
 						o = Rejected
 					}
 					n.open = slices.DeleteFunc(n.open, func(q *Attempt) bool { return p == q })
-					n.tell(invariants.Event{Kind: invariants.Ended, Txn: p.Request.Tag, Posting: p.Number, Result: o.String()})
+					n.tell(invariants.Event{Kind: invariants.AttemptEnded, Request: p.Request.Tag, Attempt: p.Number, Result: o.String()})
 					if o == Succeeded && !p.Request.Done {
-						n.tell(invariants.Event{Kind: invariants.Answered, Txn: p.Request.Tag, Result: "settled"})
+						n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: p.Request.Tag, Result: "settled"})
 					}
 					n.d.AttemptEnded(p, o, h.now-n.at[p], p.Request.Done || o == Succeeded)
 				}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -31,7 +31,7 @@
 }
 
 // play runs a scenario and gives its figures, its breaches and its log.
-func play(t testing.TB, s *Scenario, seed uint64, policy string) (*invariants.Figures, []invariants.Breach, Report, string) {
+func play(t testing.TB, s *Scenario, seed uint64, policy string) (*invariants.Summary, []invariants.Violation, Report, string) {
 	t.Helper()
 	p, err := PolicyOf(policy)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}
 	var log bytes.Buffer
 	encoder := json.NewEncoder(&log)
-	j, c, last := invariants.New(s.Held()), invariants.NewCount(), int64(0)
+	j, c, last := invariants.New(s.Held()), invariants.NewCollector(), int64(0)
 	r := Run(s, seed, p, func(e invariants.Event) {
 		if err := j.Add(e); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
--- a/internal/emulator/executor.go
+++ b/internal/emulator/executor.go
@@ -244,5 +244,5 @@
 		return
 	}
 	e.up, e.begun, e.at, e.slow, e.errors, e.failing = true, e.world.now, e.world.now, 0, 0, ""
-	e.world.log(invariants.Event{Kind: invariants.Begun, Executor: e.id})
+	e.world.log(invariants.Event{Kind: invariants.ServerStarted, Server: e.id})
 }
--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -186,7 +186,7 @@
 				continue
 			}
 			s.told[name] = now
-			w.log(invariants.Event{Kind: invariants.Held, Node: s.node.name, Budget: name, Units: now.units, Until: now.until})
+			w.log(invariants.Event{Kind: invariants.QuotaHeld, Node: s.node.name, Budget: name, Units: now.units, Until: now.until})
 		}
 	}
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -98,7 +98,7 @@
 	n.up = false
 	n.lives++
 	n.world.regroup()
-	n.world.log(invariants.Event{Kind: invariants.Killed, Node: n.name})
+	n.world.log(invariants.Event{Kind: invariants.NodeKilled, Node: n.name})
 	inOrder := make([]*held, 0, len(n.txns))
 	for _, h := range n.txns {
 		inOrder = append(inOrder, h)
@@ -158,7 +158,7 @@
 		// Danger: each node's word of each executor with each list; at 300 nodes and 200 executors nothing else was logged.
 		if state := members[i].State; state != n.told[i] {
 			n.told[i] = state
-			w.log(invariants.Event{Kind: invariants.Told, Node: n.name, Executor: w.executors[i].id, Result: []string{"up", "draining", "gone"}[state]})
+			w.log(invariants.Event{Kind: invariants.EndpointNotified, Node: n.name, Server: w.executors[i].id, Result: []string{"up", "draining", "gone"}[state]})
 		}
 	}
 	members = slices.DeleteFunc(members, func(m dispatch.Endpoint) bool { return m.State == dispatch.Removed })
@@ -184,7 +184,7 @@
 	if len(w.s.Tenant) > 0 {
 		tenant = w.s.Tenant[q.tenant].Name
 	}
-	w.log(invariants.Event{Kind: invariants.Taken, Node: n.name, Txn: q.id, Scheme: s.Name, Expiry: q.expiry, Client: q.origin.id, Aim: q.origin.aim, First: q.origin.first, Value: q.origin.value, Tenant: tenant})
+	w.log(invariants.Event{Kind: invariants.RequestAccepted, Node: n.name, Request: q.id, Class: s.Name, Deadline: q.expiry, Client: q.origin.id, LatencyObjective: q.origin.aim, First: q.origin.first, Weight: q.origin.value, Tenant: tenant})
 	n.event(func() { n.decider.Arrive(t) })
 	w.after(q.expiry-w.now, func() { n.timeOut(t) })
 	w.after(q.expiry-w.now+int64(w.s.Rules.Slack), func() { n.drop(t) })
@@ -210,7 +210,7 @@
 // answer gives the final answer.
 func (n *node) answer(t *dispatch.Request, result string) {
 	h := n.txns[t]
-	n.world.log(invariants.Event{Kind: invariants.Answered, Txn: t.Tag, Result: result})
+	n.world.log(invariants.Event{Kind: invariants.RequestAnswered, Request: t.Tag, Result: result})
 	if h == nil {
 		return
 	}
@@ -266,7 +266,7 @@
 		return
 	}
 	w.postings++
-	w.log(invariants.Event{Kind: invariants.Posted, Txn: p.Request.Tag, Posting: p.Number, Executor: e.id, Work: h.request.work / 1e9})
+	w.log(invariants.Event{Kind: invariants.AttemptSent, Request: p.Request.Tag, Attempt: p.Number, Server: e.id, Work: h.request.work / 1e9})
 	f.job = &job{txn: h.request, slots: h.request.scheme.Slots, left: h.request.work / float64(h.request.scheme.Slots), posting: p.Number}
 	f.job.tell = func(what line) { w.send(e.zone, n.zone, func() { n.heard(p, i, f, what) }) }
 	request := func() { w.send(n.zone, e.zone, func() { e.take(f.job) }) }
@@ -356,7 +356,7 @@
 func (n *node) ended(p *dispatch.Attempt, _ int, o dispatch.Outcome) {
 	f := n.out[p]
 	delete(n.out, p)
-	n.world.log(invariants.Event{Kind: invariants.Ended, Txn: p.Request.Tag, Posting: p.Number, Result: o.String()})
+	n.world.log(invariants.Event{Kind: invariants.AttemptEnded, Request: p.Request.Tag, Attempt: p.Number, Result: o.String()})
 	if o == dispatch.Succeeded && n.txns[p.Request] != nil {
 		n.answer(p.Request, settled)
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -128,20 +128,20 @@
 
 // Held gives the figures that the judge holds a log of this scenario against.
 func (s *Scenario) Held() invariants.Rules {
-	r := invariants.Rules{Slack: int64(s.Rules.Slack), Grace: int64(s.Rules.Grace), Fall: int64(s.Rules.Fall), FallMultiple: s.Rules.FallMultiple,
-		Cold: int64(s.Rules.Cold), ColdShare: s.Rules.ColdShare, Doubles: s.Rules.Doubles, Schemes: map[string]invariants.Scheme{}, Executors: map[string]invariants.Place{}}
+	r := invariants.Rules{Slack: int64(s.Rules.Slack), DrainGrace: int64(s.Rules.Grace), OverloadWindow: int64(s.Rules.Fall), OverloadFactor: s.Rules.FallMultiple,
+		SlowStart: int64(s.Rules.Cold), SlowStartShare: s.Rules.ColdShare, AllowHedging: s.Rules.Doubles, Classes: map[string]invariants.Class{}, Servers: map[string]invariants.ServerPlace{}}
 	for i, k := range s.kinds() {
-		r.Executors["e"+strconv.Itoa(i)] = invariants.Place{Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)], Slots: float64(s.Kinds[k].Slots)}
+		r.Servers["e"+strconv.Itoa(i)] = invariants.ServerPlace{Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)], Slots: float64(s.Kinds[k].Slots)}
 	}
 	for _, c := range s.Scheme {
-		r.Schemes[c.Name] = invariants.Scheme{Effect: c.Effect, Group: "all", Memory: int64(c.Memory)}
+		r.Classes[c.Name] = invariants.Class{Idempotency: c.Effect, DedupScope: "all", DedupWindow: int64(c.Memory)}
 	}
 	if s.Leases.Mode == "leased" {
 		p := s.Leases.pact(s.Fleet.Nodes)
-		r.Wholes = map[string]int64{}
+		r.Totals = map[string]int64{}
 		for b, t := range p.Budgets {
 			for _, name := range p.PartitionNames(b) {
-				r.Wholes[name] = t.Total - t.Floor*p.MaxNodes // nodes tell of their leases; floors are carved out
+				r.Totals[name] = t.Total - t.Floor*p.MaxNodes // nodes tell of their leases; floors are carved out
 			}
 		}
 	}
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -11,53 +11,53 @@
 	"slices"
 )
 
-// Kind is what an event tells of.
-type Kind string
+// EventKind is what an event tells of.
+type EventKind string
 
 const (
-	Taken    Kind = "taken"    // a node has a txn and owes it one final answer
-	Posted   Kind = "posted"   // it was sent to an executor
-	Ended    Kind = "ended"    // what came of that sending
-	Answered Kind = "answered" // the final answer
-	Left     Kind = "left"     // the client has gone; nothing is owed any more
-	Told     Kind = "told"     // a node was told that an executor is up, drains or is gone
-	Begun    Kind = "begun"    // an executor started, cold; true of the world, told to nobody
-	Killed   Kind = "killed"   // a node died; what it had is owed no more
-	Held     Kind = "held"     // a process may use so many units of a budget until a time; true from then on, in place of before
+	RequestAccepted  EventKind = "taken"    // a node has a txn and owes it one final answer
+	AttemptSent      EventKind = "posted"   // it was sent to an executor
+	AttemptEnded     EventKind = "ended"    // what came of that sending
+	RequestAnswered  EventKind = "answered" // the final answer
+	ClientLeft       EventKind = "left"     // the client has gone; nothing is owed any more
+	EndpointNotified EventKind = "told"     // a node was told that an executor is up, drains or is gone
+	ServerStarted    EventKind = "begun"    // an executor started, cold; true of the world, told to nobody
+	NodeKilled       EventKind = "killed"   // a node died; what it had is owed no more
+	QuotaHeld        EventKind = "held"     // a process may use so many units of a budget until a time; true from then on, in place of before
 )
 
 // Event is one line of a log. Times are nanoseconds, in order.
 type Event struct {
-	At       int64   `json:"at"`
-	Kind     Kind    `json:"kind"`
-	Node     string  `json:"node,omitempty"`
-	Txn      string  `json:"txn,omitempty"`
-	Scheme   string  `json:"scheme,omitempty"`   // taken
-	Client   string  `json:"client,omitempty"`   // taken: what the try is one of
-	Tenant   string  `json:"tenant,omitempty"`   // taken
-	First    int64   `json:"first,omitempty"`    // taken: when the client first asked
-	Aim      int64   `json:"aim,omitempty"`      // taken: until when an answer earns its full value
-	Value    float64 `json:"value,omitempty"`    // taken: billing value
-	Expiry   int64   `json:"expiry,omitempty"`   // taken
-	Executor string  `json:"executor,omitempty"` // posted, told, begun
-	Posting  int     `json:"posting"`            // posted, ended: from 0 on in each txn
-	Work     float64 `json:"work,omitempty"`     // posted: slots times seconds that it takes
-	Since    int64   `json:"since,omitempty"`    // begun: the moment, if it was earlier
-	Budget   string  `json:"budget,omitempty"`   // held
-	Units    int64   `json:"units,omitempty"`    // held
-	Until    int64   `json:"until,omitempty"`    // held; 0: for good, as a floor is
-	Result   string  `json:"result,omitempty"`   // ended: settled, full, undialed, unsent, or another; answered: settled, declined, reversed; told: up, draining, gone
+	At               int64     `json:"at"`
+	Kind             EventKind `json:"kind"`
+	Node             string    `json:"node,omitempty"`
+	Request          string    `json:"txn,omitempty"`
+	Class            string    `json:"scheme,omitempty"`   // taken
+	Client           string    `json:"client,omitempty"`   // taken: what the try is one of
+	Tenant           string    `json:"tenant,omitempty"`   // taken
+	First            int64     `json:"first,omitempty"`    // taken: when the client first asked
+	LatencyObjective int64     `json:"aim,omitempty"`      // taken: until when an answer earns its full value
+	Weight           float64   `json:"value,omitempty"`    // taken: billing value
+	Deadline         int64     `json:"expiry,omitempty"`   // taken
+	Server           string    `json:"executor,omitempty"` // posted, told, begun
+	Attempt          int       `json:"posting"`            // posted, ended: from 0 on in each txn
+	Work             float64   `json:"work,omitempty"`     // posted: slots times seconds that it takes
+	Since            int64     `json:"since,omitempty"`    // begun: the moment, if it was earlier
+	Budget           string    `json:"budget,omitempty"`   // held
+	Units            int64     `json:"units,omitempty"`    // held
+	Until            int64     `json:"until,omitempty"`    // held; 0: for good, as a floor is
+	Result           string    `json:"result,omitempty"`   // ended: settled, full, undialed, unsent, or another; answered: settled, declined, reversed; told: up, draining, gone
 }
 
-// Scheme is what the rules say of a kind of txn.
-type Scheme struct {
-	Effect string `json:"effect"` // repeatable, referenced, once-only
-	Group  string `json:"group"`  // of a referenced one: all, zone, cell
-	Memory int64  `json:"memory"` // how long a group drops its repeats
+// Class is what the rules say of a kind of txn.
+type Class struct {
+	Idempotency string `json:"effect"` // repeatable, referenced, once-only
+	DedupScope  string `json:"group"`  // of a referenced one: all, zone, cell
+	DedupWindow int64  `json:"memory"` // how long a group drops its repeats
 }
 
-// Place is where an executor stands, and how many slots it has when warm.
-type Place struct {
+// ServerPlace is where an executor stands, and how many slots it has when warm.
+type ServerPlace struct {
 	Zone  string  `json:"zone"`
 	Cell  string  `json:"cell"`
 	Slots float64 `json:"slots"`
@@ -65,23 +65,23 @@
 
 // Rules are the figures that a log is held against.
 type Rules struct {
-	Slack        int64             `json:"slack"` // after the expiry in which an answer still counts
-	Grace        int64             `json:"grace"` // in which sends to a draining executor have to stop
-	Fall         int64             `json:"fall"`
-	FallMultiple float64           `json:"fall_multiple"`
-	Cold         int64             `json:"cold"`
-	ColdShare    float64           `json:"cold_share"`
-	Doubles      bool              `json:"doubles"` // two postings of one txn may be out at once
-	Schemes      map[string]Scheme `json:"schemes"`
-	Executors    map[string]Place  `json:"executors"`
-	Wholes       map[string]int64  `json:"wholes,omitempty"` // of budgets that nodes hold together
+	Slack          int64                  `json:"slack"` // after the expiry in which an answer still counts
+	DrainGrace     int64                  `json:"grace"` // in which sends to a draining executor have to stop
+	OverloadWindow int64                  `json:"fall"`
+	OverloadFactor float64                `json:"fall_multiple"`
+	SlowStart      int64                  `json:"cold"`
+	SlowStartShare float64                `json:"cold_share"`
+	AllowHedging   bool                   `json:"doubles"` // two postings of one txn may be out at once
+	Classes        map[string]Class       `json:"schemes"`
+	Servers        map[string]ServerPlace `json:"executors"`
+	Totals         map[string]int64       `json:"wholes,omitempty"` // of budgets that nodes hold together
 }
 
 // Rule 5 is of nodes that hold budgets together: shares in force never sum to more than the whole.
 const sums = 5
 
-// Breach is a broken rule and the event that proves it, by its number from 0 on.
-type Breach struct {
+// Violation is a broken rule and the event that proves it, by its number from 0 on.
+type Violation struct {
 	Rule, Event int
 	Text        string
 }
@@ -95,7 +95,7 @@
 
 type txn struct {
 	node     string
-	scheme   Scheme
+	scheme   Class
 	expiry   int64
 	postings []*posting
 	over     bool
@@ -107,8 +107,8 @@
 	work float64
 }
 
-// Judge reads events in order.
-type Judge struct {
+// Checker reads events in order.
+type Checker struct {
 	rules    Rules
 	seen     int
 	now      int64
@@ -117,7 +117,7 @@
 	stops    map[string]map[string]int64 // node, executor: since when it is told to drain or gone
 	begun    map[string]int64
 	sends    map[string][]send // to cold executors, in the last window
-	breaches []Breach
+	breaches []Violation
 	shares   map[string]map[string]stake // budget, process
 	over     map[string]bool             // budgets told of, until they are within the whole again
 }
@@ -125,17 +125,17 @@
 // stake is what a process may use until a time; 0: for good.
 type stake struct{ units, until int64 }
 
-func New(rules Rules) *Judge {
-	return &Judge{rules: rules, txns: map[string]*txn{}, stops: map[string]map[string]int64{}, begun: map[string]int64{},
+func New(rules Rules) *Checker {
+	return &Checker{rules: rules, txns: map[string]*txn{}, stops: map[string]map[string]int64{}, begun: map[string]int64{},
 		sends: map[string][]send{}, shares: map[string]map[string]stake{}, over: map[string]bool{}}
 }
 
-func (j *Judge) breach(rule int, format string, args ...any) {
-	j.breaches = append(j.breaches, Breach{rule, j.seen, fmt.Sprintf(format, args...)})
+func (j *Checker) breach(rule int, format string, args ...any) {
+	j.breaches = append(j.breaches, Violation{rule, j.seen, fmt.Sprintf(format, args...)})
 }
 
 // Add takes the next event. An error says that the log makes no sense; it is no breach by whoever is judged.
-func (j *Judge) Add(e Event) error {
+func (j *Checker) Add(e Event) error {
 	if e.At < j.now {
 		return fmt.Errorf("event %d: time goes back from %d to %d", j.seen, j.now, e.At)
 	}
@@ -148,35 +148,35 @@
 	return nil
 }
 
-func (j *Judge) add(e Event) error {
-	t := j.txns[e.Txn]
+func (j *Checker) add(e Event) error {
+	t := j.txns[e.Request]
 	switch e.Kind {
-	case Taken:
-		scheme, known := j.rules.Schemes[e.Scheme]
-		if t != nil || !known || e.Txn == "" || e.Node == "" {
-			return fmt.Errorf("txn %q of scheme %q taken by %q: known before, or its scheme or node is not", e.Txn, e.Scheme, e.Node)
+	case RequestAccepted:
+		scheme, known := j.rules.Classes[e.Class]
+		if t != nil || !known || e.Request == "" || e.Node == "" {
+			return fmt.Errorf("txn %q of scheme %q taken by %q: known before, or its scheme or node is not", e.Request, e.Class, e.Node)
 		}
-		t = &txn{node: e.Node, scheme: scheme, expiry: e.Expiry, taken: j.seen}
-		j.txns[e.Txn] = t
+		t = &txn{node: e.Node, scheme: scheme, expiry: e.Deadline, taken: j.seen}
+		j.txns[e.Request] = t
 		heap.Push(&j.owed, t)
-	case Told:
+	case EndpointNotified:
 		if j.stops[e.Node] == nil {
 			j.stops[e.Node] = map[string]int64{}
 		}
-		if _, stopped := j.stops[e.Node][e.Executor]; e.Result == "up" {
-			delete(j.stops[e.Node], e.Executor)
+		if _, stopped := j.stops[e.Node][e.Server]; e.Result == "up" {
+			delete(j.stops[e.Node], e.Server)
 		} else if !stopped {
-			j.stops[e.Node][e.Executor] = e.At
+			j.stops[e.Node][e.Server] = e.At
 		}
-	case Begun:
-		j.begun[e.Executor] = cmp.Or(e.Since, e.At)
-		delete(j.sends, e.Executor)
-	case Held:
-		if _, known := j.rules.Wholes[e.Budget]; !known || e.Node == "" || e.Units < 0 {
+	case ServerStarted:
+		j.begun[e.Server] = cmp.Or(e.Since, e.At)
+		delete(j.sends, e.Server)
+	case QuotaHeld:
+		if _, known := j.rules.Totals[e.Budget]; !known || e.Node == "" || e.Units < 0 {
 			return fmt.Errorf("%d units of budget %q held by %q", e.Units, e.Budget, e.Node)
 		}
 		j.held(e)
-	case Killed:
+	case NodeKilled:
 		delete(j.stops, e.Node)
 		for _, shares := range j.shares {
 			delete(shares, e.Node)
@@ -186,9 +186,9 @@
 				o.over = true
 			}
 		}
-	case Posted, Ended, Answered, Left:
+	case AttemptSent, AttemptEnded, RequestAnswered, ClientLeft:
 		if t == nil {
-			return fmt.Errorf("%s of an unknown txn %q", e.Kind, e.Txn)
+			return fmt.Errorf("%s of an unknown txn %q", e.Kind, e.Request)
 		}
 		return j.step(t, e)
 	default:
@@ -197,32 +197,32 @@
 	return nil
 }
 
-func (j *Judge) step(t *txn, e Event) error {
+func (j *Checker) step(t *txn, e Event) error {
 	switch e.Kind {
-	case Posted:
-		if e.Posting != len(t.postings) {
-			return fmt.Errorf("posting %d where %d is the next", e.Posting, len(t.postings))
+	case AttemptSent:
+		if e.Attempt != len(t.postings) {
+			return fmt.Errorf("posting %d where %d is the next", e.Attempt, len(t.postings))
 		}
-		if _, known := j.rules.Executors[e.Executor]; !known {
-			return fmt.Errorf("unknown executor %q", e.Executor)
+		if _, known := j.rules.Servers[e.Server]; !known {
+			return fmt.Errorf("unknown executor %q", e.Server)
 		}
 		j.posted(t, e)
-		t.postings = append(t.postings, &posting{at: e.At, executor: e.Executor, open: true})
-	case Ended:
-		if e.Posting < 0 || e.Posting >= len(t.postings) || !t.postings[e.Posting].open {
-			return fmt.Errorf("end of posting %d, which is not out", e.Posting)
+		t.postings = append(t.postings, &posting{at: e.At, executor: e.Server, open: true})
+	case AttemptEnded:
+		if e.Attempt < 0 || e.Attempt >= len(t.postings) || !t.postings[e.Attempt].open {
+			return fmt.Errorf("end of posting %d, which is not out", e.Attempt)
 		}
-		p := t.postings[e.Posting]
+		p := t.postings[e.Attempt]
 		p.open, p.unrun = false, e.Result == "full" || e.Result == "undialed" || e.Result == "unsent"
-	case Answered:
+	case RequestAnswered:
 		if t.over {
-			j.breach(1, "txn %s: a second final answer, %s, or one that nobody waits for", e.Txn, e.Result)
+			j.breach(1, "txn %s: a second final answer, %s, or one that nobody waits for", e.Request, e.Result)
 		} else if first := t.first(); e.Result == "declined" && first != nil &&
-			(t.scheme.Effect == "once-only" || t.scheme.Effect == "referenced" && t.scheme.Group != "all") {
-			j.breach(2, "txn %s: declined though its posting to %s may have run", e.Txn, first.executor)
+			(t.scheme.Idempotency == "once-only" || t.scheme.Idempotency == "referenced" && t.scheme.DedupScope != "all") {
+			j.breach(2, "txn %s: declined though its posting to %s may have run", e.Request, first.executor)
 		}
 		t.over = true
-	case Left:
+	case ClientLeft:
 		t.over = true
 	}
 	return nil
@@ -237,51 +237,51 @@
 }
 
 // posted holds one sending against all four rules.
-func (j *Judge) posted(t *txn, e Event) {
+func (j *Checker) posted(t *txn, e Event) {
 	if t.over {
-		j.breach(1, "txn %s: sent to %s after its end", e.Txn, e.Executor)
+		j.breach(1, "txn %s: sent to %s after its end", e.Request, e.Server)
 	}
-	if !j.rules.Doubles && slices.ContainsFunc(t.postings, func(p *posting) bool { return p.open }) {
-		j.breach(2, "txn %s: a second posting out at once", e.Txn)
+	if !j.rules.AllowHedging && slices.ContainsFunc(t.postings, func(p *posting) bool { return p.open }) {
+		j.breach(2, "txn %s: a second posting out at once", e.Request)
 	}
 	if first := t.first(); first != nil {
-		was, is := j.rules.Executors[first.executor], j.rules.Executors[e.Executor]
+		was, is := j.rules.Servers[first.executor], j.rules.Servers[e.Server]
 		switch {
-		case t.scheme.Effect == "once-only":
-			j.breach(2, "txn %s: once-only, sent again to %s though it may have run at %s", e.Txn, e.Executor, first.executor)
-		case t.scheme.Effect == "referenced" && e.At-first.at > t.scheme.Memory:
-			j.breach(2, "txn %s: sent again after its group has forgotten it", e.Txn)
-		case t.scheme.Effect == "referenced" && (t.scheme.Group == "zone" && was.Zone != is.Zone || t.scheme.Group == "cell" && was.Cell != is.Cell):
-			j.breach(2, "txn %s: sent again outside its %s", e.Txn, t.scheme.Group)
+		case t.scheme.Idempotency == "once-only":
+			j.breach(2, "txn %s: once-only, sent again to %s though it may have run at %s", e.Request, e.Server, first.executor)
+		case t.scheme.Idempotency == "referenced" && e.At-first.at > t.scheme.DedupWindow:
+			j.breach(2, "txn %s: sent again after its group has forgotten it", e.Request)
+		case t.scheme.Idempotency == "referenced" && (t.scheme.DedupScope == "zone" && was.Zone != is.Zone || t.scheme.DedupScope == "cell" && was.Cell != is.Cell):
+			j.breach(2, "txn %s: sent again outside its %s", e.Request, t.scheme.DedupScope)
 		}
 	}
-	if since, stopped := j.stops[t.node][e.Executor]; stopped && e.At-since > j.rules.Grace {
-		j.breach(3, "txn %s: sent to %s %d ms after %s was told to stop", e.Txn, e.Executor, (e.At-since)/1e6, t.node)
+	if since, stopped := j.stops[t.node][e.Server]; stopped && e.At-since > j.rules.DrainGrace {
+		j.breach(3, "txn %s: sent to %s %d ms after %s was told to stop", e.Request, e.Server, (e.At-since)/1e6, t.node)
 	}
 	j.cold(e)
 }
 
 // cold counts what all nodes sent to a cold executor in one window against what it can do in it.
-func (j *Judge) cold(e Event) {
-	start, cold := j.begun[e.Executor]
-	if age := e.At - start; !cold || age >= j.rules.Cold {
+func (j *Checker) cold(e Event) {
+	start, cold := j.begun[e.Server]
+	if age := e.At - start; !cold || age >= j.rules.SlowStart {
 		return
 	}
-	old := func(s send) bool { return e.At-s.at > j.rules.Fall }
-	sends := append(slices.DeleteFunc(j.sends[e.Executor], old), send{e.At, e.Work})
-	j.sends[e.Executor] = sends
+	old := func(s send) bool { return e.At-s.at > j.rules.OverloadWindow }
+	sends := append(slices.DeleteFunc(j.sends[e.Server], old), send{e.At, e.Work})
+	j.sends[e.Server] = sends
 	sum := 0.0
 	for _, s := range sends {
 		sum += s.work
 	}
-	share := j.rules.ColdShare + (1-j.rules.ColdShare)*float64(e.At-start)/float64(j.rules.Cold)
-	if able := j.rules.FallMultiple * share * j.rules.Executors[e.Executor].Slots * float64(j.rules.Fall) / 1e9; sum > able {
-		j.breach(4, "%s, cold: %.2f s of work in a window that bears %.2f", e.Executor, sum, able)
+	share := j.rules.SlowStartShare + (1-j.rules.SlowStartShare)*float64(e.At-start)/float64(j.rules.SlowStart)
+	if able := j.rules.OverloadFactor * share * j.rules.Servers[e.Server].Slots * float64(j.rules.OverloadWindow) / 1e9; sum > able {
+		j.breach(4, "%s, cold: %.2f s of work in a window that bears %.2f", e.Server, sum, able)
 	}
 }
 
 // held adds up what all may use at this moment. A share that ends leaves the sum by itself; one that grows is told.
-func (j *Judge) held(e Event) {
+func (j *Checker) held(e Event) {
 	shares := j.shares[e.Budget]
 	if shares == nil {
 		shares = map[string]stake{}
@@ -296,7 +296,7 @@
 		}
 		sum += s.units
 	}
-	if whole := j.rules.Wholes[e.Budget]; sum > whole && !j.over[e.Budget] {
+	if whole := j.rules.Totals[e.Budget]; sum > whole && !j.over[e.Budget] {
 		j.breach(sums, "%s: %d units are in force, the whole is %d", e.Budget, sum, whole)
 		j.over[e.Budget] = true
 	} else if sum <= whole {
@@ -321,7 +321,7 @@
 }
 
 // overdue tells of txns whose answer is late.
-func (j *Judge) overdue() {
+func (j *Checker) overdue() {
 	for len(j.owed) > 0 && (j.owed[0].over || j.now > j.owed[0].expiry+j.rules.Slack) {
 		if t := heap.Pop(&j.owed).(*txn); !t.over {
 			j.breach(1, "the txn taken by event %d has no final answer by its expiry", t.taken)
@@ -331,7 +331,7 @@
 }
 
 // End closes the log at a time and gives all breaches, in the order of the events that prove them.
-func (j *Judge) End(at int64) []Breach {
+func (j *Checker) End(at int64) []Violation {
 	j.now = max(j.now, at)
 	j.overdue()
 	return j.breaches
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -10,11 +10,11 @@
 )
 
 func rules() Rules {
-	return Rules{Slack: 10, Grace: 100, Fall: 1e9, FallMultiple: 2, Cold: 10e9, ColdShare: 0.25,
-		Schemes: map[string]Scheme{"free": {Effect: "repeatable"}, "once": {Effect: "once-only"},
-			"cell": {Effect: "referenced", Group: "cell", Memory: 500}, "zone": {Effect: "referenced", Group: "zone", Memory: 500},
-			"all": {Effect: "referenced", Group: "all", Memory: 500}},
-		Executors: map[string]Place{"a": {"z1", "c1", 4}, "b": {"z1", "c1", 4}, "c": {"z1", "c2", 4}, "d": {"z2", "c3", 4}}}
+	return Rules{Slack: 10, DrainGrace: 100, OverloadWindow: 1e9, OverloadFactor: 2, SlowStart: 10e9, SlowStartShare: 0.25,
+		Classes: map[string]Class{"free": {Idempotency: "repeatable"}, "once": {Idempotency: "once-only"},
+			"cell": {Idempotency: "referenced", DedupScope: "cell", DedupWindow: 500}, "zone": {Idempotency: "referenced", DedupScope: "zone", DedupWindow: 500},
+			"all": {Idempotency: "referenced", DedupScope: "all", DedupWindow: 500}},
+		Servers: map[string]ServerPlace{"a": {"z1", "c1", 4}, "b": {"z1", "c1", 4}, "c": {"z1", "c2", 4}, "d": {"z2", "c3", 4}}}
 }
 
 // parse makes events of words: time, kind and what follows. Postings are numbered by themselves.
@@ -22,23 +22,23 @@
 	t.Helper()
 	for part := range strings.SplitSeq(text, ";") {
 		f := strings.Fields(part)
-		e := Event{Kind: Kind(f[1]), Node: "n1"}
+		e := Event{Kind: EventKind(f[1]), Node: "n1"}
 		fmt.Sscan(f[0], &e.At)
 		switch e.Kind {
-		case Taken:
-			e.Txn, e.Scheme, e.Expiry = f[2], f[3], 1000
-		case Posted:
-			e.Txn, e.Executor = f[2], f[3]
-			fmt.Sscan(f[4], &e.Posting)
-		case Ended:
-			e.Txn, e.Result = f[2], f[4]
-			fmt.Sscan(f[3], &e.Posting)
-		case Answered:
-			e.Txn, e.Result = f[2], f[3]
-		case Left:
-			e.Txn = f[2]
-		case Told:
-			e.Executor, e.Result = f[2], f[3]
+		case RequestAccepted:
+			e.Request, e.Class, e.Deadline = f[2], f[3], 1000
+		case AttemptSent:
+			e.Request, e.Server = f[2], f[3]
+			fmt.Sscan(f[4], &e.Attempt)
+		case AttemptEnded:
+			e.Request, e.Result = f[2], f[4]
+			fmt.Sscan(f[3], &e.Attempt)
+		case RequestAnswered:
+			e.Request, e.Result = f[2], f[3]
+		case ClientLeft:
+			e.Request = f[2]
+		case EndpointNotified:
+			e.Server, e.Result = f[2], f[3]
 		}
 		events = append(events, e)
 	}
@@ -93,15 +93,15 @@
 }
 
 // flood sends work to an executor that has just started, from many nodes, a little each.
-func flood(nodes int, each float64) []Breach {
+func flood(nodes int, each float64) []Violation {
 	j := New(rules())
-	j.Add(Event{Kind: Begun, Executor: "a"})
+	j.Add(Event{Kind: ServerStarted, Server: "a"})
 	for i := range nodes {
 		at, id := int64(i)*1e6, fmt.Sprint(i)
-		j.Add(Event{At: at, Kind: Taken, Node: id, Txn: id, Scheme: "free", Expiry: 1e12})
-		j.Add(Event{At: at, Kind: Posted, Txn: id, Executor: "a", Work: each})
-		j.Add(Event{At: at, Kind: Ended, Txn: id, Result: "full"})
-		j.Add(Event{At: at, Kind: Answered, Txn: id, Result: "declined"})
+		j.Add(Event{At: at, Kind: RequestAccepted, Node: id, Request: id, Class: "free", Deadline: 1e12})
+		j.Add(Event{At: at, Kind: AttemptSent, Request: id, Server: "a", Work: each})
+		j.Add(Event{At: at, Kind: AttemptEnded, Request: id, Result: "full"})
+		j.Add(Event{At: at, Kind: RequestAnswered, Request: id, Result: "declined"})
 	}
 	return j.End(2e9)
 }
@@ -150,18 +150,18 @@
 		var last Event
 		for i := range 200 {
 			id, scheme := fmt.Sprint(i), schemes[r.IntN(len(schemes))]
-			add(Event{Kind: Taken, Node: "n", Txn: id, Scheme: scheme, Expiry: at + 1000})
+			add(Event{Kind: RequestAccepted, Node: "n", Request: id, Class: scheme, Deadline: at + 1000})
 			result := "declined"
 			for n := range r.IntN(4) {
-				add(Event{Kind: Posted, Txn: id, Executor: places[r.IntN(4)], Posting: n})
+				add(Event{Kind: AttemptSent, Request: id, Server: places[r.IntN(4)], Attempt: n})
 				if r.IntN(2) == 0 {
-					add(Event{Kind: Ended, Txn: id, Posting: n, Result: "settled"})
+					add(Event{Kind: AttemptEnded, Request: id, Attempt: n, Result: "settled"})
 					result = "settled"
 					break
 				}
-				add(Event{Kind: Ended, Txn: id, Posting: n, Result: "full"})
+				add(Event{Kind: AttemptEnded, Request: id, Attempt: n, Result: "full"})
 			}
-			last = Event{Kind: Answered, Txn: id, Result: result}
+			last = Event{Kind: RequestAnswered, Request: id, Result: result}
 			add(last)
 		}
 		if b := j.End(at + 5000); len(b) > 0 {
@@ -177,7 +177,7 @@
 // TestSums: shares in force never sum to more than the whole, by events alone.
 func TestSums(t *testing.T) {
 	held := func(at int64, node string, units, until int64) Event {
-		return Event{At: at, Kind: Held, Node: node, Budget: "b", Units: units, Until: until}
+		return Event{At: at, Kind: QuotaHeld, Node: node, Budget: "b", Units: units, Until: until}
 	}
 	for name, c := range map[string]struct {
 		events   []Event
@@ -190,11 +190,11 @@
 		"in place of before":     {[]Event{held(1, "a", 10, 10), held(2, "a", 3, 12), held(3, "b", 7, 12)}, 0},
 		"given back":             {[]Event{held(1, "a", 10, 10), held(2, "a", 0, 10), held(2, "b", 10, 10)}, 0},
 		"for good":               {[]Event{held(1, "a", 4, 0), held(1000, "b", 7, 2000)}, 1},
-		"dead":                   {[]Event{held(1, "a", 4, 0), {At: 2, Kind: Killed, Node: "a"}, held(3, "b", 10, 9)}, 0},
+		"dead":                   {[]Event{held(1, "a", 4, 0), {At: 2, Kind: NodeKilled, Node: "a"}, held(3, "b", 10, 9)}, 0},
 		"told once for as long":  {[]Event{held(1, "a", 11, 90), held(2, "b", 1, 90), held(3, "b", 2, 90)}, 1},
 		"and again after a time": {[]Event{held(1, "a", 11, 5), held(6, "b", 1, 90), held(7, "a", 10, 90)}, 2},
 	} {
-		j := New(Rules{Wholes: map[string]int64{"b": 10}})
+		j := New(Rules{Totals: map[string]int64{"b": 10}})
 		for _, e := range c.events {
 			if err := j.Add(e); err != nil {
 				t.Errorf("%s: %v", name, err)
--- a/internal/invariants/figures.go
+++ b/internal/invariants/figures.go
@@ -23,8 +23,8 @@
 	return g.OnTime / g.Asked
 }
 
-// Figures are the service that a log shows. A client's tries count as one, from its first on.
-type Figures struct {
+// Summary are the service that a log shows. A client's tries count as one, from its first on.
+type Summary struct {
 	All      Group            `json:"all"`
 	Schemes  map[string]Group `json:"schemes"`
 	Tenants  map[string]Group `json:"tenants,omitempty"`
@@ -37,7 +37,7 @@
 }
 
 // At is the wait that so large a part of what was served did not exceed; 0 if nothing was.
-func (f *Figures) At(part float64) int64 {
+func (f *Summary) At(part float64) int64 {
 	if len(f.Waits) == 0 {
 		return 0
 	}
@@ -51,27 +51,29 @@
 	answered       int64 // 0: not
 }
 
-// Count gathers figures from events, in any order of calls that keeps the log's.
-type Count struct {
+// Collector gathers figures from events, in any order of calls that keeps the log's.
+type Collector struct {
 	wants map[string]*want // by client
 	tries map[string]*want // by txn
-	out   Figures
+	out   Summary
 }
 
-func NewCount() *Count { return &Count{wants: map[string]*want{}, tries: map[string]*want{}} }
+func NewCollector() *Collector {
+	return &Collector{wants: map[string]*want{}, tries: map[string]*want{}}
+}
 
-func (c *Count) Add(e Event) {
+func (c *Collector) Add(e Event) {
 	switch e.Kind {
-	case Taken:
+	case RequestAccepted:
 		if c.wants[e.Client] == nil {
-			c.wants[e.Client] = &want{scheme: e.Scheme, tenant: e.Tenant, first: e.First, aim: e.Aim, value: e.Value}
+			c.wants[e.Client] = &want{scheme: e.Class, tenant: e.Tenant, first: e.First, aim: e.LatencyObjective, value: e.Weight}
 		}
-		c.tries[e.Txn] = c.wants[e.Client]
+		c.tries[e.Request] = c.wants[e.Client]
 		c.out.Tries++
-	case Posted:
+	case AttemptSent:
 		c.out.Postings++
-	case Answered:
-		switch w := c.tries[e.Txn]; {
+	case RequestAnswered:
+		switch w := c.tries[e.Request]; {
 		case e.Result == "declined":
 			c.out.Declined++
 		case e.Result == "reversed":
@@ -83,7 +85,7 @@
 }
 
 // End gives the figures.
-func (c *Count) End() *Figures {
+func (c *Collector) End() *Summary {
 	f := c.out
 	f.Schemes, f.Tenants = map[string]Group{}, map[string]Group{}
 	bySecond := map[int64]Group{}
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -114,7 +114,7 @@
 		}
 	}
 	a.unheard[v] = append(a.unheard[v], len(a.w.events))
-	a.w.event(at, invariants.Event{Kind: invariants.Told, Executor: n.id, Result: words[n.state]})
+	a.w.event(at, invariants.Event{Kind: invariants.EndpointNotified, Server: n.id, Result: words[n.state]})
 }
 
 // owe tells of all that the present process has not heard.
@@ -155,7 +155,7 @@
 	}
 	for _, id := range ids {
 		if state := latest[id]; state != "" && a == a.w.at {
-			a.w.event(now, invariants.Event{Kind: invariants.Told, Executor: id, Result: words[state]})
+			a.w.event(now, invariants.Event{Kind: invariants.EndpointNotified, Server: id, Result: words[state]})
 		}
 	}
 	a.heard, a.stuck = a.version, time.Time{}
@@ -406,7 +406,7 @@
 		}
 		n := w.posted[txn]
 		w.posted[txn]++
-		w.event(f.at, invariants.Event{Kind: invariants.Posted, Txn: txn, Executor: id, Posting: n})
+		w.event(f.at, invariants.Event{Kind: invariants.AttemptSent, Request: txn, Server: id, Attempt: n})
 		runs, result := time.Duration(5e6+w.chance(txn, uint64(n)).Int64N(6e7)), "settled"
 		if w.state[id] != "Ready" {
 			runs, result = 0, "full"
@@ -414,7 +414,7 @@
 		w.mu.Unlock()
 		time.Sleep(runs)
 		w.mu.Lock()
-		w.event(time.Now(), invariants.Event{Kind: invariants.Ended, Txn: txn, Posting: n, Result: result})
+		w.event(time.Now(), invariants.Event{Kind: invariants.AttemptEnded, Request: txn, Attempt: n, Result: result})
 		w.mu.Unlock()
 		if result == "full" {
 			_, err = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
@@ -469,7 +469,7 @@
 func (w *world) end(p *process) {
 	p.kill()
 	w.mu.Lock()
-	w.event(time.Now(), invariants.Event{Kind: invariants.Killed})
+	w.event(time.Now(), invariants.Event{Kind: invariants.NodeKilled})
 	w.alive++
 	for c := range w.conns {
 		c.Close()
@@ -481,7 +481,7 @@
 
 // history plays one, and gives what the judge says of it. On one processor a seed replays to the event, but where the runtime chooses
 // among several things that one cause made ready.
-func history(t *testing.T, seed uint64, steps []string) (breaches []invariants.Breach, posted, drains int) {
+func history(t *testing.T, seed uint64, steps []string) (breaches []invariants.Violation, posted, drains int) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	path := filepath.Join(t.TempDir(), "c.json")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
@@ -516,7 +516,7 @@
 				Header: http.Header{"X-Call-Id": {"t" + strconv.Itoa(txns)}}}
 			w.mu.Lock()
 			now, mine, node := time.Now(), p, w.alive
-			w.event(now, invariants.Event{Kind: invariants.Taken, Txn: q.ID, Scheme: strconv.Itoa(q.Class), Expiry: int64(now.Add(q.Timeout).Sub(w.zero))})
+			w.event(now, invariants.Event{Kind: invariants.RequestAccepted, Request: q.ID, Class: strconv.Itoa(q.Class), Deadline: int64(now.Add(q.Timeout).Sub(w.zero))})
 			w.mu.Unlock()
 			go func() {
 				a := mine.node.Serve(ctx, q)
@@ -524,7 +524,7 @@
 				defer w.mu.Unlock()
 				if a != nil && node == w.alive {
 					result := map[int]string{200: "settled", 503: "declined"}[a.Status]
-					w.event(time.Now(), invariants.Event{Kind: invariants.Answered, Txn: q.ID, Result: cmp.Or(result, "reversed")})
+					w.event(time.Now(), invariants.Event{Kind: invariants.RequestAnswered, Request: q.ID, Result: cmp.Or(result, "reversed")})
 				}
 			}()
 		}
@@ -610,15 +610,15 @@
 		w.end(p)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		rules := invariants.Rules{Grace: int64(grace), Slack: 5e7, Doubles: true, Executors: map[string]invariants.Place{},
-			Schemes: map[string]invariants.Scheme{"0": {Effect: "repeatable"}, "1": {Effect: "once-only"}}}
+		rules := invariants.Rules{DrainGrace: int64(grace), Slack: 5e7, AllowHedging: true, Servers: map[string]invariants.ServerPlace{},
+			Classes: map[string]invariants.Class{"0": {Idempotency: "repeatable"}, "1": {Idempotency: "once-only"}}}
 		for _, id := range ids {
-			rules.Executors[id] = invariants.Place{Slots: 4}
+			rules.Servers[id] = invariants.ServerPlace{Slots: 4}
 		}
 		w.events = slices.DeleteFunc(w.events, func(e invariants.Event) bool { return e.Kind == "" })
 		// Of what falls into one instant an answer is the last.
 		last := func(e invariants.Event) int {
-			if e.Kind == invariants.Answered || e.Kind == invariants.Killed {
+			if e.Kind == invariants.RequestAnswered || e.Kind == invariants.NodeKilled {
 				return 1
 			}
 			return 0
@@ -626,7 +626,7 @@
 		slices.SortStableFunc(w.events, func(a, b invariants.Event) int { return cmp.Or(cmp.Compare(a.At, b.At), last(a)-last(b)) })
 		j := invariants.New(rules)
 		for _, e := range w.events {
-			if e.Kind == invariants.Posted {
+			if e.Kind == invariants.AttemptSent {
 				posted++
 			}
 			if err := j.Add(e); err != nil {
