--- a/cmd/fernrail/upgrade_test.go
+++ b/cmd/fernrail/upgrade_test.go
@@ -162,7 +162,7 @@
 	}
 	admin := free.Addr().String()
 	free.Close()
-	path := filepath.Join(s.T.TempDir(), "config.json")
+	path := filepath.Join(s.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":%d},"known":%s,"settings":{%s%s}}`,
 		s.door.Addr(), discovery, sockets, s.known(), oldShape, fmt.Sprintf(common, 0, 0, ""))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/cmd/fleetsim/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -255,10 +255,10 @@
 	version, changed := "", false
 	if b, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range b.Settings {
-			switch {
-			case s.Key == "vcs.revision":
+			switch s.Key {
+			case "vcs.revision":
 				version = s.Value
-			case s.Key == "vcs.modified":
+			case "vcs.modified":
 				changed = s.Value == "true"
 			}
 		}
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -67,8 +67,7 @@
 		n.after(2e6, func() { end(Failed) })
 		return
 	}
-	next := func() {}
-	next = func() {
+	next := func() {
 		for w.running < w.slots && len(w.queue) > 0 {
 			w.running++
 			job := w.queue[0]
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -243,7 +243,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, want string }{
-		{`length = "40s"`, `length = "40s"` + "\nlenght = 3", `line 3: unknown key "lenght"`},
+		{`length = "40s"`, `length = "40s"` + "\nlengths = 3", `line 3: unknown key "lengths"`},
 		{`length = "40s"`, `length = 40`, "length: 40 has no unit"},
 		{`run = "150ms"`, `run = 150`, "scheme 1: run: 150 has no unit"},
 		{`length = "40s"`, `length = "-40s"`, "length: "},
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -195,7 +195,7 @@
 func (d *ConnectionBudget) needless() *conn {
 	e := d.strangers.Front()
 	for looked := 0; e != nil && looked < strangersLooked; looked++ {
-		if c := e.Value.(*conn); c.came.IsZero() || !(c.working && c.head.whole()) && !c.unread() {
+		if c := e.Value.(*conn); c.came.IsZero() || (!c.working || !c.head.whole()) && !c.unread() {
 			return c
 		}
 		e = e.Next()
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -154,7 +154,7 @@
 				for _, e := range []*executor{first, other} {
 					e.mu.Lock()
 					for _, id := range e.ids {
-						if id != "k" && !(state == "an attempt is out" && e == first && e.ids[0] == id) {
+						if id != "k" && (state != "an attempt is out" || e != first || e.ids[0] != id) {
 							t.Errorf("%s was sent on for who had gone", id)
 						}
 					}
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -241,7 +241,7 @@
 		latest[n.id] = n.state
 	}
 	for _, id := range ids {
-		if state, told := latest[id]; told && !(whole && state == "Gone") {
+		if state, told := latest[id]; told && (!whole || state != "Gone") {
 			l.Servers = append(l.Servers, map[string]any{"id": id, "addr": id + ":1", "zone": "home", "kind": "toy", "state": state})
 		}
 	}
@@ -508,7 +508,7 @@
 			set(id, "Ready")
 		}
 		p := w.start(c, w.at.list(0, true))
-		handed, place, txns := w.at.list(0, true), "one:1", 0
+		handed, txns := w.at.list(0, true), 0
 		ctx, done := context.WithCancel(t.Context())
 		serve := func() {
 			txns++
@@ -578,7 +578,8 @@
 					drains++
 					set(id, "Gone")
 				}
-				if place = "one:1"; w.rand.IntN(2) == 0 {
+				place := "one:1"
+				if w.rand.IntN(2) == 0 {
 					place = "two:1"
 				}
 				w.agents[place].turn(time.Now().Add(moved))
@@ -588,7 +589,7 @@
 			case "hand": // what a new process will know
 				handed = w.agents["one:1"].list(0, true)
 			case "restart":
-				w.at, place = w.agents["one:1"], "one:1"
+				w.at = w.agents["one:1"]
 				w.mu.Unlock()
 				w.end(p)
 				p = w.start(c, handed)
