--- a/internal/fleet/budget/books.go
+++ b/internal/fleet/budget/books.go
@@ -48,8 +48,8 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.Budgets)) {
 		switch t := p.Budgets[name]; {
-		case t.Partitions < 0 || t.Partitions > mostParts:
-			return fmt.Errorf("budgets.%s.parts: %d is not from 1 to %d", name, t.Partitions, mostParts)
+		case t.Partitions < 0 || t.Partitions > maxPartitions:
+			return fmt.Errorf("budgets.%s.parts: %d is not from 1 to %d", name, t.Partitions, maxPartitions)
 		case !(t.FirstAttemptRatio >= 0 && t.FirstAttemptRatio <= 1):
 			return fmt.Errorf("budgets.%s.share: %v is no share from 0 to 1", name, t.FirstAttemptRatio)
 		case t.Floor < 0 || t.Reserve < 0 || t.Window <= 0 || t.Step < 1 || t.Total < 1 || t.Total > 1<<40:
@@ -61,11 +61,11 @@
 	return nil
 }
 
-// mostFirst bounds what is believed of one node's first postings in a window.
-const mostFirst = 1 << 24
+// maxFirstAttempts bounds what is believed of one node's first postings in a window.
+const maxFirstAttempts = 1 << 24
 
-// mostParts bounds what a request holds.
-const mostParts = 64
+// maxPartitions bounds what a request holds.
+const maxPartitions = 64
 
 // PartitionNames are the shares of a budget: one, or one for each part.
 func (p *Agreement) PartitionNames(budget string) (names []string) {
@@ -74,23 +74,25 @@
 		return []string{budget}
 	}
 	for i := range t.Partitions {
-		names = append(names, partOf(budget, i))
+		names = append(names, numberedPartition(budget, i))
 	}
 	return names
 }
 
-func partOf(budget string, part int64) string { return budget + "." + strconv.FormatInt(part, 10) }
+func numberedPartition(budget string, part int64) string {
+	return budget + "." + strconv.FormatInt(part, 10)
+}
 
 // PartitionName is the share that an executor falls to, by a number that all nodes know it by.
 func (p *Agreement) PartitionName(budget string, mark uint64) string {
 	if t := p.Budgets[budget]; t.Partitions > 1 {
-		return partOf(budget, int64(mark%uint64(t.Partitions)))
+		return numberedPartition(budget, int64(mark%uint64(t.Partitions)))
 	}
 	return budget
 }
 
-// terms are those of a share.
-func (p *Agreement) terms(name string) Limits {
+// limits are those of a share.
+func (p *Agreement) limits(name string) Limits {
 	budget, _, _ := strings.Cut(name, ".")
 	return p.Budgets[budget]
 }
@@ -105,8 +107,10 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// stretched is a time by this node's clock after which it has passed by any other's.
-func (p *Agreement) stretched(time int64) int64 { return time + int64(float64(time)*p.ClockMargin) + 1 }
+// withMargin is a time by this node's clock after which it has passed by any other's.
+func (p *Agreement) withMargin(time int64) int64 {
+	return time + int64(float64(time)*p.ClockMargin) + 1
+}
 
 // Ledger are what was granted, the same at every seat. They change by Apply alone.
 type Ledger struct {
@@ -180,8 +184,8 @@
 	Totals                map[string]int64 `json:"whole,omitempty"`  // by operators
 }
 
-// founding is the number of the rest with which books begin; it lasts a lease longer than others.
-const founding = 0
+// foundingCooldown is the number of the rest with which books begin; it lasts a lease longer than others.
+const foundingCooldown = 0
 
 // NewLedger are empty; the first reign brings the pact.
 func NewLedger() *Ledger {
@@ -195,7 +199,7 @@
 			return nil, fmt.Errorf("epoch %d has passed, %d reigns", e.Epoch, b.Epoch)
 		}
 		if b.Epoch == 0 && e.Agreement != nil {
-			b.found(e.Agreement)
+			b.initialize(e.Agreement)
 			b.ClusterID = e.ClusterID
 		}
 		b.Epoch = e.Epoch
@@ -225,51 +229,51 @@
 	for _, x := range e.Expired {
 		if h := b.Holders[x.Holder]; h != nil && h.Seq == x.Seq {
 			for name := range h.Units {
-				b.lower(h, name, 0)
+				b.reduceUnits(h, name, 0)
 			}
 			delete(b.Holders, x.Holder)
 		}
 	}
 	answers = make([]*LeaseResponse, len(e.Requests))
 	for i := range e.Requests {
-		if b.hear(&e.Requests[i]) {
+		if b.recordRequest(&e.Requests[i]) {
 			answers[i] = &LeaseResponse{ClusterID: b.ClusterID, Epoch: b.Epoch, Seq: e.Requests[i].Seq, Lease: b.Agreement.Lease, ActiveHolders: len(b.Holders), Units: map[string]int64{}, Target: map[string]int64{}, Totals: map[string]int64{}}
 		}
 	}
-	b.follow()
+	b.adjustTotals()
 	for _, name := range slices.Sorted(maps.Keys(b.Budgets)) {
 		b.grant(name, e.Requests, answers)
 	}
 	return answers, nil
 }
 
-// follow has wholes that are a share of first postings go up and down with them. A whole that falls waits for what is out.
-func (b *Ledger) follow() {
+// adjustTotals has wholes that are a share of first postings go up and down with them. A whole that falls waits for what is out.
+func (b *Ledger) adjustTotals() {
 	first := int64(0)
 	for _, h := range b.Holders {
 		first += h.FirstAttempts
 	}
 	for name, a := range b.Budgets {
-		if t := b.Agreement.terms(name); t.FirstAttemptRatio > 0 {
+		if t := b.Agreement.limits(name); t.FirstAttemptRatio > 0 {
 			a.Total = max(min(int64(t.FirstAttemptRatio*float64(first)), a.MaxTotal), t.Floor*b.Agreement.MaxNodes+t.Reserve)
 		}
 	}
 }
 
-func (b *Ledger) found(p *Agreement) {
+func (b *Ledger) initialize(p *Agreement) {
 	b.Agreement = *p
 	for budget, t := range p.Budgets {
 		// Danger: a group before this one, of which no seat remembers anything, may have granted it all a moment ago.
 		pool := t.Total - t.Floor*p.MaxNodes
 		for _, name := range p.PartitionNames(budget) {
-			b.Budgets[name] = &Account{MaxTotal: t.Total, Total: t.Total, CoolingDown: map[int64]int64{founding: pool}, CoolingDownTotal: pool}
+			b.Budgets[name] = &Account{MaxTotal: t.Total, Total: t.Total, CoolingDown: map[int64]int64{foundingCooldown: pool}, CoolingDownTotal: pool}
 		}
 	}
 }
 
-// hear takes down what a holder says of itself; false: it was heard before.
+// recordRequest takes down what a holder says of itself; false: it was heard before.
 // Danger: a request that comes twice or late. What it gave back then is in use again by now, and would be granted twice.
-func (b *Ledger) hear(a *LeaseRequest) bool {
+func (b *Ledger) recordRequest(a *LeaseRequest) bool {
 	h := b.Holders[a.Holder]
 	if h == nil {
 		// Danger: a late request of a process whose lease has run out would have it hold again, for one lease at most.
@@ -278,9 +282,9 @@
 	} else if a.Seq <= h.Seq {
 		return false
 	}
-	h.Seq, h.FirstAttempts, h.Demand = a.Seq, min(max(a.FirstAttempts, 0), mostFirst), map[string]int64{}
+	h.Seq, h.FirstAttempts, h.Demand = a.Seq, min(max(a.FirstAttempts, 0), maxFirstAttempts), map[string]int64{}
 	for name, account := range b.Budgets {
-		b.lower(h, name, max(a.MaxUnits[name], 0))
+		b.reduceUnits(h, name, max(a.MaxUnits[name], 0))
 		if want := min(max(a.Demand[name], 0), account.Total); want > 0 {
 			h.Demand[name] = want
 		}
@@ -288,9 +292,9 @@
 	return true
 }
 
-// lower takes units from a holder that uses them no more, and lets them rest.
+// reduceUnits takes units from a holder that uses them no more, and lets them rest.
 // Danger: what was sent on them counts for a window still; granted at once, two would fill the same window.
-func (b *Ledger) lower(h *Lease, name string, to int64) {
+func (b *Ledger) reduceUnits(h *Lease, name string, to int64) {
 	if units := h.Units[name] - to; units > 0 {
 		a := b.Budgets[name]
 		// Danger: numbers given in the order of a map would differ from seat to seat.
@@ -302,9 +306,9 @@
 
 // grant gives those that ask what they want, as far as it is fair and free.
 func (b *Ledger) grant(name string, asks []LeaseRequest, answers []*LeaseResponse) {
-	a, t := b.Budgets[name], b.Agreement.terms(name)
+	a, t := b.Budgets[name], b.Agreement.limits(name)
 	pool := max(a.Total-t.Floor*b.Agreement.MaxNodes, 0)
-	level := b.level(name, max(pool-t.Reserve, 0))
+	level := b.fairLevel(name, max(pool-t.Reserve, 0))
 	for i := range asks {
 		if answers[i] == nil {
 			continue
@@ -333,8 +337,8 @@
 	}
 }
 
-// level is the most that anyone gets so that the sum of all wants, cut there, fits: max-min fairness.
-func (b *Ledger) level(name string, pool int64) int64 {
+// fairLevel is the most that anyone gets so that the sum of all wants, cut there, fits: max-min fairness.
+func (b *Ledger) fairLevel(name string, pool int64) int64 {
 	wants := make([]int64, 0, len(b.Holders))
 	for _, h := range b.Holders {
 		wants = append(wants, h.Demand[name])
@@ -351,7 +355,7 @@
 
 // Outstanding is what holders may have in force of a budget at most, with all floors.
 func (b *Ledger) Outstanding(name string) int64 {
-	return b.Budgets[name].Granted + b.Agreement.terms(name).Floor*b.Agreement.MaxNodes
+	return b.Budgets[name].Granted + b.Agreement.limits(name).Floor*b.Agreement.MaxNodes
 }
 
 // HolderNames are the holders in order.
--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -62,7 +62,7 @@
 	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 100, Step: 10, Window: 100}}}
 	b := NewLedger()
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
-	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": founding}})
+	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": foundingCooldown}})
 	h := NewLeaseHolder("n", "p", pact, 0)
 	for i, want := range []int64{50, 45, 41, 49, 50} {
 		answers, _ := b.Apply(&LogEntry{Epoch: 1, Requests: []LeaseRequest{h.NextRequest(map[string]int64{"b": want}, int64(i))}})
@@ -78,7 +78,7 @@
 	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 100, Floor: 5, Step: 1, Window: 100}}}
 	b, now := NewLedger(), int64(0)
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
-	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": founding}})
+	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": foundingCooldown}})
 	r := NewLeaderTerm(b, 1, now)
 	one, two := NewLeaseHolder("n", "p", pact, 0), NewLeaseHolder("m", "q", pact, 0)
 	round := func(h *LeaseHolder, want int64) int64 {
@@ -122,7 +122,7 @@
 	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 50, Floor: 2, Step: 1, Window: 100, FirstAttemptRatio: 0.1}}}
 	b := NewLedger()
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
-	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": founding}})
+	b.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{"b": foundingCooldown}})
 	for i, c := range []struct{ one, two, whole int64 }{
 		{0, 0, 4}, {100, 0, 10}, {200, 100, 30}, {9000, -5, 50}, {1 << 60, 1 << 60, 50}, {100, 50, 15},
 	} {
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -33,8 +33,8 @@
 // Units may be used now.
 // Danger: a process before this one may have used its node's floor a moment ago. So it counts from a window on.
 func (h *LeaseHolder) Units(budget string, now int64) int64 {
-	t, units := h.pact.terms(budget), int64(0)
-	if !h.bare && !h.refused && now-h.born >= h.pact.stretched(t.Window) {
+	t, units := h.pact.limits(budget), int64(0)
+	if !h.bare && !h.refused && now-h.born >= h.pact.withMargin(t.Window) {
 		units = t.Floor
 	}
 	return units + h.LeasedUnits(budget, now)
--- a/internal/fleet/budget/meter.go
+++ b/internal/fleet/budget/meter.go
@@ -21,7 +21,7 @@
 
 // NewUsageMeter counts over the window of the budget, by the pact's margin longer: this node's clock may be fast.
 func NewUsageMeter(pact *Agreement, budget string) *UsageMeter {
-	return &UsageMeter{window: pact.stretched(pact.terms(budget).Window), uses: map[string][]*Usage{}}
+	return &UsageMeter{window: pact.withMargin(pact.limits(budget).Window), uses: map[string][]*Usage{}}
 }
 
 // Used is what counts now.
--- a/internal/fleet/budget/reign.go
+++ b/internal/fleet/budget/reign.go
@@ -28,7 +28,7 @@
 func NewLeaderTerm(b *Ledger, epoch uint64, now int64) *LeaderTerm {
 	r := &LeaderTerm{Epoch: epoch, pact: &b.Agreement, ends: map[string]end{}, rests: map[string]map[int64]int64{}, began: now, felt: map[string]int64{}}
 	for name, h := range b.Holders {
-		r.ends[name] = end{h.Seq, now + r.pact.stretched(r.pact.Lease)}
+		r.ends[name] = end{h.Seq, now + r.pact.withMargin(r.pact.Lease)}
 	}
 	r.RecordApplied(b, nil, nil, now)
 	return r
@@ -39,7 +39,7 @@
 func (r *LeaderTerm) RecordApplied(b *Ledger, e *LogEntry, answers []*LeaseResponse, now int64) {
 	for i, a := range answers {
 		if a != nil {
-			r.ends[e.Requests[i].Holder] = end{a.Seq, now + r.pact.stretched(r.pact.Lease)}
+			r.ends[e.Requests[i].Holder] = end{a.Seq, now + r.pact.withMargin(r.pact.Lease)}
 		}
 	}
 	maps.DeleteFunc(r.ends, func(name string, _ end) bool { return b.Holders[name] == nil })
@@ -52,9 +52,9 @@
 		maps.DeleteFunc(rests, func(number, _ int64) bool { _, is := a.CoolingDown[number]; return !is })
 		for number := range a.CoolingDown {
 			if _, known := rests[number]; !known {
-				rests[number] = now + r.pact.stretched(r.pact.terms(name).Window)
-				if number == founding {
-					rests[number] += r.pact.stretched(r.pact.Lease)
+				rests[number] = now + r.pact.withMargin(r.pact.limits(name).Window)
+				if number == foundingCooldown {
+					rests[number] += r.pact.withMargin(r.pact.Lease)
 				}
 			}
 		}
