--- a/internal/fleet/budget/model_test.go
+++ b/internal/fleet/budget/model_test.go
@@ -67,12 +67,12 @@
 func (w *world) reigns(epoch uint64) *LeaderTerm {
 	r := NewLeaderTerm(w.books, epoch, w.now)
 	if w.wrong == "no margin" {
-		pact := *r.pact
-		pact.ClockMargin, r.pact = 0, &pact
+		pact := *r.agreement
+		pact.ClockMargin, r.agreement = 0, &pact
 	}
 	if w.wrong == "a new grantor that forgets" {
-		for name, x := range r.ends {
-			r.ends[name] = end{x.seq, w.now}
+		for name, x := range r.expirations {
+			r.expirations[name] = expiration{x.seq, w.now}
 		}
 	}
 	return r
@@ -149,7 +149,7 @@
 func (w *world) moves() []string {
 	moves := []string{"tick"}
 	for i, h := range w.holders {
-		if w.clock(i) >= h.NextRequestTime() || !h.open {
+		if w.clock(i) >= h.NextRequestTime() || !h.awaitingResponse {
 			moves = append(moves, fmt.Sprint("ask ", i, " 0"), fmt.Sprint("ask ", i, " ", whole))
 		}
 		if w.names < 5 {
@@ -203,10 +203,10 @@
 		for j, h := range w.holders {
 			if h.Name == a.to {
 				if w.wrong == "counted from the answer" {
-					h.sent = w.clock(j)
+					h.requestedAt = w.clock(j)
 				}
 				if w.wrong == "any answer is taken" {
-					h.open, h.seq = true, a.Seq
+					h.awaitingResponse, h.seq = true, a.Seq
 				}
 				h.ApplyResponse(&a.LeaseResponse, w.clock(j))
 			}
@@ -233,7 +233,7 @@
 	}
 	// Danger: a lease that no seat will ever end; what it holds is lost.
 	for name, h := range w.books.Holders {
-		if x, known := w.reign.ends[name]; !known || x.seq != h.Seq {
+		if x, known := w.reign.expirations[name]; !known || x.seq != h.Seq {
 			return fmt.Sprintf("nobody ends what %s was granted", name)
 		}
 	}
@@ -258,9 +258,9 @@
 		b.Holders[name] = &Lease{Node: h.Node, Seq: h.Seq, Units: maps.Clone(h.Units), Demand: h.Demand}
 	}
 	r := *w.reign
-	c.reign, r.ends, r.rests = &r, maps.Clone(w.reign.ends), map[string]map[int64]int64{}
-	for name, rests := range w.reign.rests {
-		r.rests[name] = maps.Clone(rests)
+	c.reign, r.expirations, r.cooldowns = &r, maps.Clone(w.reign.expirations), map[string]map[int64]int64{}
+	for name, rests := range w.reign.cooldowns {
+		r.cooldowns[name] = maps.Clone(rests)
 	}
 	c.holders = nil
 	for _, h := range w.holders {
@@ -276,12 +276,12 @@
 // key tells worlds apart that can go on differently. Clocks are absolute: nothing is lost that could matter.
 func (w *world) key() string {
 	var k strings.Builder
-	fmt.Fprint(&k, w.now, w.names, w.books.Epoch, w.books.Budgets["b"].ReleasedThrough, w.asks, w.answers, w.history, len(w.stale), w.reign.ends, w.reign.rests)
+	fmt.Fprint(&k, w.now, w.names, w.books.Epoch, w.books.Budgets["b"].ReleasedThrough, w.asks, w.answers, w.history, len(w.stale), w.reign.expirations, w.reign.cooldowns)
 	for _, e := range w.stale {
 		fmt.Fprint(&k, *e)
 	}
 	for _, h := range w.holders {
-		fmt.Fprint(&k, h.Name, h.seq, h.epoch, h.sent, h.open, h.until, h.units, h.again)
+		fmt.Fprint(&k, h.Name, h.seq, h.epoch, h.requestedAt, h.awaitingResponse, h.expiry, h.units, h.requestNow)
 	}
 	a := w.books.Budgets["b"]
 	fmt.Fprint(&k, a.Granted, a.CoolingDown)
--- a/internal/fleet/budget/reign.go
+++ b/internal/fleet/budget/reign.go
@@ -9,26 +9,26 @@
 
 // LeaderTerm is the clock of the seat that grants. It is not part of the books: no two clocks are compared.
 type LeaderTerm struct {
-	Epoch uint64
-	pact  *Agreement
-	ends  map[string]end             // by holder
-	rests map[string]map[int64]int64 // by budget and number of the rest: when it is over
-	began int64
-	felt  map[string]int64 // by node: when a request last showed that an answer of this reign had reached it
+	Epoch       uint64
+	agreement   *Agreement
+	expirations map[string]expiration      // by holder
+	cooldowns   map[string]map[int64]int64 // by budget and number of the rest: when it is over
+	startedAt   int64
+	lastContact map[string]int64 // by node: when a request last showed that an answer of this reign had reached it
 }
 
-type end struct {
-	seq uint64
-	at  int64
+type expiration struct {
+	seq       uint64
+	expiresAt int64
 }
 
 // NewLeaderTerm begins a reign over the books as they are.
 // Danger: the one before may have granted a moment ago, and its clock is not ours. All that is out counts as granted now,
 // and all that rests as given back now.
 func NewLeaderTerm(b *Ledger, epoch uint64, now int64) *LeaderTerm {
-	r := &LeaderTerm{Epoch: epoch, pact: &b.Agreement, ends: map[string]end{}, rests: map[string]map[int64]int64{}, began: now, felt: map[string]int64{}}
+	r := &LeaderTerm{Epoch: epoch, agreement: &b.Agreement, expirations: map[string]expiration{}, cooldowns: map[string]map[int64]int64{}, startedAt: now, lastContact: map[string]int64{}}
 	for name, h := range b.Holders {
-		r.ends[name] = end{h.Seq, now + r.pact.withMargin(r.pact.Lease)}
+		r.expirations[name] = expiration{h.Seq, now + r.agreement.withMargin(r.agreement.Lease)}
 	}
 	r.RecordApplied(b, nil, nil, now)
 	return r
@@ -39,22 +39,22 @@
 func (r *LeaderTerm) RecordApplied(b *Ledger, e *LogEntry, answers []*LeaseResponse, now int64) {
 	for i, a := range answers {
 		if a != nil {
-			r.ends[e.Requests[i].Holder] = end{a.Seq, now + r.pact.withMargin(r.pact.Lease)}
+			r.expirations[e.Requests[i].Holder] = expiration{a.Seq, now + r.agreement.withMargin(r.agreement.Lease)}
 		}
 	}
-	maps.DeleteFunc(r.ends, func(name string, _ end) bool { return b.Holders[name] == nil })
+	maps.DeleteFunc(r.expirations, func(name string, _ expiration) bool { return b.Holders[name] == nil })
 	for name, a := range b.Budgets {
-		rests := r.rests[name]
+		rests := r.cooldowns[name]
 		if rests == nil {
 			rests = map[int64]int64{}
-			r.rests[name] = rests
+			r.cooldowns[name] = rests
 		}
 		maps.DeleteFunc(rests, func(number, _ int64) bool { _, is := a.CoolingDown[number]; return !is })
 		for number := range a.CoolingDown {
 			if _, known := rests[number]; !known {
-				rests[number] = now + r.pact.withMargin(r.pact.limits(name).Window)
+				rests[number] = now + r.agreement.withMargin(r.agreement.limits(name).Window)
 				if number == foundingCooldown {
-					rests[number] += r.pact.withMargin(r.pact.Lease)
+					rests[number] += r.agreement.withMargin(r.agreement.Lease)
 				}
 			}
 		}
@@ -64,12 +64,12 @@
 // DueExpirations is what has run out by now, as a step for the books; nil: nothing has.
 func (r *LeaderTerm) DueExpirations(now int64) *LogEntry {
 	e := &LogEntry{Epoch: r.Epoch, ReleasedAfterCooldown: map[string]int64{}}
-	for _, name := range slices.Sorted(maps.Keys(r.ends)) {
-		if x := r.ends[name]; now >= x.at {
+	for _, name := range slices.Sorted(maps.Keys(r.expirations)) {
+		if x := r.expirations[name]; now >= x.expiresAt {
 			e.Expired = append(e.Expired, Expiry{name, x.seq})
 		}
 	}
-	for name, rests := range r.rests {
+	for name, rests := range r.cooldowns {
 		// Rests are numbered in order, but one begun later may not be over when one before it still lasts.
 		upTo := int64(-1)
 		for _, number := range slices.Sorted(maps.Keys(rests)) {
@@ -91,7 +91,7 @@
 // ObserveRequest notes what a request shows of the way to its node and back.
 func (r *LeaderTerm) ObserveRequest(a *LeaseRequest, now int64) {
 	if a.Epoch == r.Epoch && a.HasLease {
-		r.felt[a.Node] = now
+		r.lastContact[a.Node] = now
 	}
 }
 
@@ -101,9 +101,9 @@
 func (r *LeaderTerm) Unreachable(nodes []string, now int64) bool {
 	reached := 0
 	for _, n := range nodes {
-		if at, is := r.felt[n]; is && now-at < r.pact.Lease {
+		if at, is := r.lastContact[n]; is && now-at < r.agreement.Lease {
 			reached++
 		}
 	}
-	return now-r.began >= 2*r.pact.Lease && 2*reached <= len(nodes)
+	return now-r.startedAt >= 2*r.agreement.Lease && 2*reached <= len(nodes)
 }
