--- a/internal/fleet/signals/signals_test.go
+++ b/internal/fleet/signals/signals_test.go
@@ -171,7 +171,7 @@
 		t.Error("an executor that no list has")
 	}
 	large := map[string]OutcomeCount{}
-	for i := range mostTold + 1 {
+	for i := range maxReportedServers + 1 {
 		large[fmt.Sprint(i)] = OutcomeCount{Attempts: 1}
 	}
 	if b.MergeReport(&Report{"z", "a", 1, 1, large}, all, 0) {
@@ -181,8 +181,8 @@
 		b.RecordOutcome(fmt.Sprint("e", i), true, int64(i))
 		say(b, "w", "a", fmt.Sprint("e", i), uint64(i)+10, 0, 3, int64(i))
 	}
-	if len(b.own.seen) > mostKept || len(b.others["w"].seen) > mostKept || len(b.NextReport(3000, 99).Outcomes) > mostTold {
-		t.Errorf("%d and %d are kept", len(b.own.seen), len(b.others["w"].seen))
+	if len(b.own.outcomes) > maxTrackedServers || len(b.witnesses["w"].outcomes) > maxTrackedServers || len(b.NextReport(3000, 99).Outcomes) > maxReportedServers {
+		t.Errorf("%d and %d are kept", len(b.own.outcomes), len(b.witnesses["w"].outcomes))
 	}
 	if quiet := New("q", "a", 1, 3); quiet.NextReport(0, 24) != nil {
 		t.Error("a calm node talks")
--- a/internal/fleet/signals/size_test.go
+++ b/internal/fleet/signals/size_test.go
@@ -15,8 +15,8 @@
 	}
 	for n := range nodes {
 		news := &Report{fmt.Sprint("n", n), fmt.Sprint("z", n%3), 1, 1, map[string]OutcomeCount{}}
-		for i := range mostTold {
-			news.Outcomes[fmt.Sprint("e", (n*mostTold+i)%executors)] = OutcomeCount{Attempts: 1, Failures: float64(i % 2)}
+		for i := range maxReportedServers {
+			news.Outcomes[fmt.Sprint("e", (n*maxReportedServers+i)%executors)] = OutcomeCount{Attempts: 1, Failures: float64(i % 2)}
 		}
 		b.MergeReport(news, all, 1e9)
 	}
@@ -26,8 +26,8 @@
 // TestNothingIsForgottenAtSize: 1,024 executors and as many witnesses are kept and told of, each with its verdict.
 func TestNothingIsForgottenAtSize(t *testing.T) {
 	b := crowd(1024, 1024)
-	if len(b.own.seen) != 1024 || len(b.others) != 1024 {
-		t.Errorf("%d executors, %d witnesses", len(b.own.seen), len(b.others))
+	if len(b.own.outcomes) != 1024 || len(b.witnesses) != 1024 {
+		t.Errorf("%d executors, %d witnesses", len(b.own.outcomes), len(b.witnesses))
 	}
 	verdicts := b.OutlierScores(1e9)
 	if len(verdicts) == 0 {
@@ -38,7 +38,7 @@
 			t.Errorf("%s: %v, %v alone", e, how, b.OutlierScore(e, 1e9))
 		}
 	}
-	if n := b.NextReport(1e9, mostTold); len(n.Outcomes) != mostTold {
+	if n := b.NextReport(1e9, maxReportedServers); len(n.Outcomes) != maxReportedServers {
 		t.Error(len(n.Outcomes))
 	}
 }
@@ -49,7 +49,7 @@
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			board := crowd(size[0], size[1])
 			for b.Loop() {
-				board.NextReport(1e9, mostTold)
+				board.NextReport(1e9, maxReportedServers)
 				board.OutlierScores(1e9)
 			}
 		})
