--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -25,7 +25,7 @@
 	Size                    float64 // by which it is used; not over nought: as the mean
 }
 
-type class struct{ zone, kind, cell int }
+type class struct{ zone, machineType, cell int }
 
 // BalanceFactor bounds by how much the number of nodes that use an executor may differ from what its size calls for, as a factor
 // either way, or by less than one where that is more: nodes can't be cut up.
@@ -33,15 +33,15 @@
 
 // Assignment is who uses what.
 type Assignment struct {
-	nodes []string
-	parts []part
+	nodes   []string
+	classes []classAssignment
 }
 
-// part is the division of one class.
-type part struct {
-	members []Server
-	each    int      // executors that a node uses
-	table   [][]bool // by node and executor
+// classAssignment is the division of one class.
+type classAssignment struct {
+	servers        []Server
+	serversPerNode int      // executors that a node uses
+	assigned       [][]bool // by node and executor
 }
 
 // Assign works out who uses what. Nodes and executors may come in any order, nodes more than once.
@@ -54,8 +54,8 @@
 	}
 	for _, members := range classes {
 		slices.SortFunc(members, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
-		table, each := divide(d.nodes, members, t.each(len(d.nodes), len(members), len(executors)), t.MinNodesPerServer)
-		d.parts = append(d.parts, part{members, each, table})
+		table, each := divide(d.nodes, members, t.serversPerNode(len(d.nodes), len(members), len(executors)), t.MinNodesPerServer)
+		d.classes = append(d.classes, classAssignment{members, each, table})
 	}
 	return d
 }
@@ -68,29 +68,29 @@
 	if !is {
 		return far
 	}
-	for _, p := range d.parts {
-		rest := make([]int, 0, len(p.members))
-		for i := range p.members {
-			if p.table[at][i] {
-				far[p.members[i].Name] = 0
+	for _, p := range d.classes {
+		rest := make([]int, 0, len(p.servers))
+		for i := range p.servers {
+			if p.assigned[at][i] {
+				far[p.servers[i].Name] = 0
 			} else {
 				rest = append(rest, i)
 			}
 		}
 		// Danger: what is crowded for many sends them all to the same next one. Each has an order of its own.
-		mine := mark(node)
+		mine := nameHash(node)
 		slices.SortFunc(rest, func(a, b int) int {
-			return cmp.Compare(luck(mine, mark(p.members[a].Name)), luck(mine, mark(p.members[b].Name)))
+			return cmp.Compare(pairHash(mine, nameHash(p.servers[a].Name)), pairHash(mine, nameHash(p.servers[b].Name)))
 		})
 		for n, i := range rest {
-			far[p.members[i].Name] = 1 + int(math.Log2(float64(n/p.each+1)))
+			far[p.servers[i].Name] = 1 + int(math.Log2(float64(n/p.serversPerNode+1)))
 		}
 	}
 	return far
 }
 
-// each is how many executors of a class a node uses: its part, one at least, and more where nodes are few.
-func (t Settings) each(nodes, members, all int) int {
+// serversPerNode is how many executors of a class a node uses: its part, one at least, and more where nodes are few.
+func (t Settings) serversPerNode(nodes, members, all int) int {
 	part := int(math.Ceil(float64(t.Size*members) / float64(all)))
 	cover := (min(t.MinNodesPerServer, nodes)*members + nodes - 1) / nodes
 	return min(max(part, cover, 1), members)
@@ -98,8 +98,8 @@
 
 // pair is a node and an executor by their places, in order of a number by chance that all nodes know.
 type pair struct {
-	luck           uint64
-	node, executor int
+	hash         uint64
+	node, server int
 }
 
 // divide has each node take so many executors of one class, or a few more. First every executor gets the least of nodes that it is
@@ -112,16 +112,16 @@
 	var pairs []pair
 	marks := make([]uint64, len(members))
 	for i, e := range members {
-		marks[i] = mark(e.Name)
+		marks[i] = nameHash(e.Name)
 	}
 	for n, name := range nodes {
-		m := mark(name)
+		m := nameHash(name)
 		for i := range members {
-			pairs = append(pairs, pair{luck(m, marks[i]), n, i})
+			pairs = append(pairs, pair{pairHash(m, marks[i]), n, i})
 		}
 	}
 	slices.SortFunc(pairs, func(a, b pair) int {
-		return cmp.Or(cmp.Compare(a.luck, b.luck), cmp.Compare(a.node, b.node), cmp.Compare(a.executor, b.executor))
+		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.node, b.node), cmp.Compare(a.server, b.server))
 	})
 	least, most := bounds(members, marks, len(nodes)*each, len(nodes), cover)
 	// Danger: beside large ones the small ones' cover is more than all nodes would take.
@@ -135,21 +135,21 @@
 		table[n] = make([]bool, len(members))
 	}
 	take := func(p pair, by int) {
-		if by < 0 == table[p.node][p.executor] {
-			table[p.node][p.executor] = by > 0
-			has[p.node], used[p.executor] = has[p.node]+by, used[p.executor]+by
+		if by < 0 == table[p.node][p.server] {
+			table[p.node][p.server] = by > 0
+			has[p.node], used[p.server] = has[p.node]+by, used[p.server]+by
 		}
 	}
 	for _, bound := range [][]int{least, most} {
 		for _, p := range pairs {
-			if has[p.node] < each && used[p.executor] < bound[p.executor] {
+			if has[p.node] < each && used[p.server] < bound[p.server] {
 				take(p, 1)
 			}
 		}
 	}
 	// Danger: what is left over by bounds that can't all be met, an executor that nobody uses among them.
 	for _, p := range pairs {
-		if used[p.executor] >= least[p.executor] || table[p.node][p.executor] {
+		if used[p.server] >= least[p.server] || table[p.node][p.server] {
 			continue
 		}
 		give := -1
@@ -167,7 +167,7 @@
 		take(p, 1)
 	}
 	for _, p := range pairs {
-		if used[p.executor] < least[p.executor] {
+		if used[p.server] < least[p.server] {
 			take(p, 1) // one more than the others take
 		}
 	}
@@ -212,15 +212,15 @@
 	return least, most
 }
 
-func mark(name string) uint64 {
+func nameHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	x := h.Sum64() // its last bytes are hardly mixed into the first bits
 	return (x ^ x>>33) * 0xff51afd7ed558ccd
 }
 
-// luck is a number by chance of a pair of marks.
-func luck(a, b uint64) uint64 {
+// pairHash is a number by chance of a pair of marks.
+func pairHash(a, b uint64) uint64 {
 	x := a ^ (b<<32 | b>>32)
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
