--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -49,7 +49,7 @@
 	stop  context.CancelFunc
 
 	mu      sync.Mutex
-	seat    *seat    // nil: this process has none, or has none yet
+	seat    *voter   // nil: this process has none, or has none yet
 	members *members // nil: it takes no part, or not yet
 	holder  *budget.LeaseHolder
 	wants   *budget.DemandEstimator
@@ -76,7 +76,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	f := &Fleet{plan: plan, name: name, clock: clock, log: log.With().Str("part", "fleet").Logger(), kick: make(chan struct{}, 1), news: make(chan struct{}, 1),
 		stop: stop, shares: map[string]*share{}}
-	f.holder = budget.NewLeaseHolder(name, identity(), &plan.Agreement, clock())
+	f.holder = budget.NewLeaseHolder(name, randomID(), &plan.Agreement, clock())
 	f.wants, f.firsts = budget.NewDemandEstimator(name, &plan.Agreement), budget.NewUsageMeter(&plan.Agreement, config.BudgetRetries)
 	for b, t := range plan.Agreement.Budgets {
 		for _, part := range plan.Agreement.PartitionNames(b) {
@@ -152,7 +152,7 @@
 
 // sit takes the node's seat.
 func (f *Fleet) sit(ctx context.Context, l net.Listener) error {
-	s, err := takeSeat(ctx, f.name, l, f.plan, f.clock, f.calls, f.log)
+	s, err := startVoter(ctx, f.name, l, f.plan, f.clock, f.calls, f.log)
 	if err != nil {
 		l.Close()
 		return err
@@ -163,8 +163,8 @@
 	f.all.Go(func() {
 		select {
 		case <-ctx.Done():
-		case <-s.shut:
-		case <-s.lost:
+		case <-s.closed:
+		case <-s.quorumLost:
 			f.mu.Lock()
 			mine := f.seat == s
 			if mine {
@@ -172,7 +172,7 @@
 			}
 			f.mu.Unlock()
 			if mine {
-				s.leave()
+				s.close()
 				f.sitLater(ctx)
 			}
 		}
@@ -234,7 +234,7 @@
 		m.leave(told)
 	}
 	if s != nil {
-		s.leave()
+		s.close()
 	}
 }
 
@@ -245,8 +245,8 @@
 	f.leave(true)
 }
 
-// identity is a name that no process before this one had.
-func identity() string {
+// randomID is a name that no process before this one had.
+func randomID() string {
 	b := make([]byte, 8)
 	rand.Read(b)
 	return hex.EncodeToString(b)
@@ -548,7 +548,7 @@
 		out.Outliers = f.board.read()
 	}
 	if seat != nil {
-		out.Voter = seat.read()
+		out.Voter = seat.status()
 	}
 	return out
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -65,7 +65,7 @@
 	c.AwarenessMaxMultiplier = 2 // a node that is cut off looks at the others as often, or nearly
 	c.GossipInterval, c.PushPullInterval = plan.ElectionTimeout, rejoin*plan.ElectionTimeout
 	c.TCPTimeout = 4 * plan.ElectionTimeout
-	c.LogOutput = &logged{log, "gossip", rate.NewLimiter(1, 2)}
+	c.LogOutput = &libraryLogWriter{log, "gossip", rate.NewLimiter(1, 2)}
 	c.Events, c.Conflict = m, m
 	if hear != nil {
 		c.Delegate, c.GossipInterval = m, plan.ElectionTimeout/3 // news of failures goes two or three nodes far, each in its turn
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -29,121 +29,121 @@
 )
 
 const (
-	gather   = 5 * time.Millisecond // in which requests are taken down together; one write to disk serves them all
-	batch    = 512                  // requests taken down at once, at most
-	waiting  = 4096                 // requests that wait at a seat; more are turned away
-	inspect  = 25 * time.Millisecond
-	places   = 10000 // connections to a seat at most; each of the 4,096 nodes that any fleet may have has one or two
-	greeting = 2 * time.Second
-	keepLogs = 4096 // entries behind a snapshot that a seat which lags can still be sent one by one
-	snapshot = 8192 // entries after which one is made
+	batchWindow       = 5 * time.Millisecond // in which requests are taken down together; one write to disk serves them all
+	maxBatch          = 512                  // requests taken down at once, at most
+	maxPending        = 4096                 // requests that wait at a seat; more are turned away
+	expiryInterval    = 25 * time.Millisecond
+	maxConnections    = 10000 // connections to a seat at most; each of the 4,096 nodes that any fleet may have has one or two
+	handshakeTimeout  = 2 * time.Second
+	trailingLogs      = 4096 // entries behind a snapshot that a seat which lags can still be sent one by one
+	snapshotThreshold = 8192 // entries after which one is made
 )
 
-// seat is a member of the group that grants.
-type seat struct {
-	name, id string // id: of this seat's memory; another one once that is lost
-	plan     *config.Fleet
-	clock    Clock
-	calls    *calls
-	log      zerolog.Logger
-	books    *books
-	raft     *raft.Raft
-	store    io.Closer // nil: in memory
-	wire     *wire
-	server   *http.Server
-	asks     chan *asked
-	orders   chan *order
-	all      sync.WaitGroup
-	stop     context.CancelFunc
-	shut     chan struct{} // closed once nothing goes out any more
-	lost     chan struct{} // closed once the group can never decide again, and this seat has to forget it
-
-	mu      sync.Mutex
-	clocks  map[string]float64 // beyond the margin: their rates by ours
-	disk    string             // its fault, while the seat waits for it
-	fault   string             // why it does not grant, though it was elected
-	reigns  bool
-	refused int64
-}
-
-// asked is a request that waits for its answer.
-type asked struct {
+// voter is a member of the group that grants.
+type voter struct {
+	name, id   string // id: of this seat's memory; another one once that is lost
+	cfg        *config.Fleet
+	clock      Clock
+	client     *calls
+	log        zerolog.Logger
+	state      *stateMachine
+	raft       *raft.Raft
+	store      io.Closer // nil: in memory
+	streams    *wire
+	server     *http.Server
+	pending    chan *pendingRequest
+	commands   chan *adminCommand
+	tasks      sync.WaitGroup
+	cancel     context.CancelFunc
+	closed     chan struct{} // closed once nothing goes out any more
+	quorumLost chan struct{} // closed once the group can never decide again, and this seat has to forget it
+
+	mu           sync.Mutex
+	skewedClocks map[string]float64 // beyond the margin: their rates by ours
+	diskError    string             // its fault, while the seat waits for it
+	termError    string             // why it does not grant, though it was elected
+	serving      bool
+	rejected     int64
+}
+
+// pendingRequest is a request that waits for its answer.
+type pendingRequest struct {
 	budget.LeaseRequest
-	answer chan *budget.LeaseResponse // nil comes: not granted here
+	response chan *budget.LeaseResponse // nil comes: not granted here
 }
 
-// order is an operators' change of a whole.
-type order struct {
-	whole map[string]int64
-	done  chan error
+// adminCommand is an operators' change of a whole.
+type adminCommand struct {
+	totals map[string]int64
+	done   chan error
 }
 
-// takeSeat opens the seat's memory and its door, on a listener that the caller closes if this fails.
-func takeSeat(ctx context.Context, name string, l net.Listener, plan *config.Fleet, clock Clock, c *calls, log zerolog.Logger) (*seat, error) {
+// startVoter opens the seat's memory and its door, on a listener that the caller closes if this fails.
+func startVoter(ctx context.Context, name string, l net.Listener, plan *config.Fleet, clock Clock, c *calls, log zerolog.Logger) (*voter, error) {
 	ctx, stop := context.WithCancel(ctx)
-	s := &seat{name: name, plan: plan, clock: clock, calls: c, log: log, books: &books{books: budget.NewLedger()}, clocks: map[string]float64{}, asks: make(chan *asked, waiting), orders: make(chan *order), stop: stop, shut: make(chan struct{}), lost: make(chan struct{})}
-	fail := func(err error) (*seat, error) {
+	s := &voter{name: name, cfg: plan, clock: clock, client: c, log: log, state: &stateMachine{ledger: budget.NewLedger()}, skewedClocks: map[string]float64{}, pending: make(chan *pendingRequest, maxPending), commands: make(chan *adminCommand), cancel: stop, closed: make(chan struct{}), quorumLost: make(chan struct{})}
+	fail := func(err error) (*voter, error) {
 		stop()
 		if s.store != nil {
 			s.store.Close()
 		}
 		return nil, err
 	}
-	logs, stable, snaps, err := s.remember()
+	logs, stable, snaps, err := s.openStore()
 	if err != nil {
 		return fail(fmt.Errorf("fleet.dir: %w", err))
 	}
-	s.wire = newWire(netutil.LimitListener(l, places), s.id, plan, c, log)
+	s.streams = newWire(netutil.LimitListener(l, maxConnections), s.id, plan, c, log)
 	c0 := raft.DefaultConfig()
 	c0.LocalID = raft.ServerID(s.id)
 	c0.HeartbeatTimeout, c0.ElectionTimeout, c0.LeaderLeaseTimeout = plan.ElectionTimeout, plan.ElectionTimeout, plan.ElectionTimeout/2
 	c0.CommitTimeout = max(plan.ElectionTimeout/10, time.Millisecond)
-	c0.SnapshotThreshold, c0.TrailingLogs = snapshot, keepLogs
-	c0.Logger = hclog.New(&hclog.LoggerOptions{Output: &logged{log, "raft", rate.NewLimiter(1, 5)}, Level: hclog.Warn, DisableTime: true})
-	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.wire, MaxPool: 3, Timeout: 4 * plan.ElectionTimeout, Logger: c0.Logger})
-	if s.raft, err = raft.NewRaft(c0, s.books, logs, stable, snaps, transport); err != nil {
+	c0.SnapshotThreshold, c0.TrailingLogs = snapshotThreshold, trailingLogs
+	c0.Logger = hclog.New(&hclog.LoggerOptions{Output: &libraryLogWriter{log, "raft", rate.NewLimiter(1, 5)}, Level: hclog.Warn, DisableTime: true})
+	transport := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: s.streams, MaxPool: 3, Timeout: 4 * plan.ElectionTimeout, Logger: c0.Logger})
+	if s.raft, err = raft.NewRaft(c0, s.state, logs, stable, snaps, transport); err != nil {
 		return fail(fmt.Errorf("fleet.dir: %w", err))
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /ask", s.serveAsk)
-	mux.HandleFunc("POST /who", s.serveWho)
-	mux.HandleFunc("POST /admit", s.serveAdmit)
-	mux.HandleFunc("POST /whole", s.serveWhole)
-	s.server = &http.Server{Handler: s.guard(mux), ReadTimeout: greeting, WriteTimeout: greeting + time.Duration(plan.Agreement.Lease), IdleTimeout: time.Minute,
+	mux.HandleFunc("POST /ask", s.handleLease)
+	mux.HandleFunc("POST /who", s.handleStatus)
+	mux.HandleFunc("POST /admit", s.handleJoin)
+	mux.HandleFunc("POST /whole", s.handleSetTotal)
+	s.server = &http.Server{Handler: s.authenticate(mux), ReadTimeout: handshakeTimeout, WriteTimeout: handshakeTimeout + time.Duration(plan.Agreement.Lease), IdleTimeout: time.Minute,
 		MaxHeaderBytes: 4096, ErrorLog: nil}
-	s.all.Go(func() { s.server.Serve(s.wire.plain) })
-	s.all.Go(s.wire.accept)
-	s.all.Go(func() { s.reign(ctx) })
-	s.all.Go(func() { s.find(ctx) })
+	s.tasks.Go(func() { s.server.Serve(s.streams.plain) })
+	s.tasks.Go(s.streams.accept)
+	s.tasks.Go(func() { s.runLeader(ctx) })
+	s.tasks.Go(func() { s.discoverCluster(ctx) })
 	return s, nil
 }
 
-// leave ends the seat's part.
-func (s *seat) leave() {
-	s.stop()
+// close ends the seat's part.
+func (s *voter) close() {
+	s.cancel()
 	s.server.Close()
-	s.wire.Close()
-	close(s.shut)
+	s.streams.Close()
+	close(s.closed)
 	s.raft.Shutdown().Error()
-	s.all.Wait()
+	s.tasks.Wait()
 	if s.store != nil {
 		s.store.Close()
 	}
 }
 
-// remember opens what the seat has agreed to. Without a directory it begins anew, under another id, at each start.
+// openStore opens what the seat has agreed to. Without a directory it begins anew, under another id, at each start.
 // Danger: a seat that has lost its memory and answers as before would vote twice in one election, and forget what it had
 // agreed to have granted. The id is lost with the memory, and whoever has another id is not part of the group.
-func (s *seat) remember() (logs raft.LogStore, stable raft.StableStore, snaps raft.SnapshotStore, err error) {
-	if s.plan.DataDir == "" {
-		s.id = s.name + "/" + identity()
+func (s *voter) openStore() (logs raft.LogStore, stable raft.StableStore, snaps raft.SnapshotStore, err error) {
+	if s.cfg.DataDir == "" {
+		s.id = s.name + "/" + randomID()
 		store := raft.NewInmemStore()
 		return store, store, raft.NewInmemSnapshotStore(), nil
 	}
-	if err := os.MkdirAll(s.plan.DataDir, 0o700); err != nil {
+	if err := os.MkdirAll(s.cfg.DataDir, 0o700); err != nil {
 		return nil, nil, nil, err
 	}
-	store, err := raftboltdb.NewBoltStore(filepath.Join(s.plan.DataDir, "seat.db"))
+	store, err := raftboltdb.NewBoltStore(filepath.Join(s.cfg.DataDir, "seat.db"))
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -153,115 +153,119 @@
 		return nil, nil, nil, err
 	}
 	if len(id) == 0 {
-		id = []byte(s.name + "/" + identity())
+		id = []byte(s.name + "/" + randomID())
 		if err := store.Set([]byte("fernrail id"), id); err != nil {
 			return nil, nil, nil, err
 		}
 	}
 	// Danger: a directory that was another seat's.
-	if s.id = string(id); nameOf(s.id) != s.name {
-		return nil, nil, nil, fmt.Errorf("%s is the memory of %s", s.plan.DataDir, nameOf(s.id))
+	if s.id = string(id); nodeName(s.id) != s.name {
+		return nil, nil, nil, fmt.Errorf("%s is the memory of %s", s.cfg.DataDir, nodeName(s.id))
 	}
-	snaps, err = raft.NewFileSnapshotStoreWithLogger(s.plan.DataDir, 2, hclog.NewNullLogger())
-	own := &steady{store, s}
+	snaps, err = raft.NewFileSnapshotStoreWithLogger(s.cfg.DataDir, 2, hclog.NewNullLogger())
+	own := &retryingStore{store, s}
 	return own, own, snaps, err
 }
 
-// steady is what the group needs to have written before it goes on: terms and votes. The library ends the whole process if
+// retryingStore is what the group needs to have written before it goes on: terms and votes. The library ends the whole process if
 // that fails. Here it waits: a seat whose disk takes nothing is silent, as a dead one is, and goes on once it does.
-type steady struct {
+type retryingStore struct {
 	*raftboltdb.BoltStore
-	seat *seat
+	voter *voter
 }
 
-func (d *steady) Set(key, value []byte) error {
-	return d.seat.persist(func() error { return d.BoltStore.Set(key, value) })
+func (d *retryingStore) Set(key, value []byte) error {
+	return d.voter.retryWrite(func() error { return d.BoltStore.Set(key, value) })
 }
 
-func (d *steady) SetUint64(key []byte, value uint64) error {
-	return d.seat.persist(func() error { return d.BoltStore.SetUint64(key, value) })
+func (d *retryingStore) SetUint64(key []byte, value uint64) error {
+	return d.voter.retryWrite(func() error { return d.BoltStore.SetUint64(key, value) })
 }
 
 // StoreLog and StoreLogs may fail: the library then lets go of the grant, or leaves the step to the others.
-func (d *steady) StoreLog(l *raft.Log) error { return d.seat.noted(d.BoltStore.StoreLog(l)) }
+func (d *retryingStore) StoreLog(l *raft.Log) error {
+	return d.voter.recordDiskError(d.BoltStore.StoreLog(l))
+}
 
-func (d *steady) StoreLogs(l []*raft.Log) error { return d.seat.noted(d.BoltStore.StoreLogs(l)) }
+func (d *retryingStore) StoreLogs(l []*raft.Log) error {
+	return d.voter.recordDiskError(d.BoltStore.StoreLogs(l))
+}
 
-// noted keeps what the disk said last, for operators.
-func (s *seat) noted(err error) error {
+// recordDiskError keeps what the disk said last, for operators.
+func (s *voter) recordDiskError(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.disk = ""; err != nil {
-		s.disk = err.Error()
+	if s.diskError = ""; err != nil {
+		s.diskError = err.Error()
 	}
 	return err
 }
 
-// persist tries until it is written, or the seat is left; then its door is shut, so that nobody hears of what was not.
-func (s *seat) persist(write func() error) error {
+// retryWrite tries until it is written, or the seat is left; then its door is shut, so that nobody hears of what was not.
+func (s *voter) retryWrite(write func() error) error {
 	for {
-		err := s.noted(write())
+		err := s.recordDiskError(write())
 		if err == nil {
 			return nil
 		}
 		s.log.Error().Err(err).Msg("the seat's disk takes nothing: it is silent until it does")
 		select {
-		case <-s.shut:
+		case <-s.closed:
 			return nil
 		case <-time.After(time.Second):
 		}
 	}
 }
 
-// nameOf is the node's name in a seat's id.
-func nameOf(id string) string { name, _, _ := strings.Cut(id, "/"); return name }
+// nodeName is the node's name in a seat's id.
+func nodeName(id string) string { name, _, _ := strings.Cut(id, "/"); return name }
 
-// logged takes a library's log over, by the line and at a bounded rate: a seat that is cut off tells of each try.
-type logged struct {
+// libraryLogWriter takes a library's log over, by the line and at a bounded rate: a seat that is cut off tells of each try.
+type libraryLogWriter struct {
 	zerolog.Logger
-	of   string
-	pace *rate.Limiter
+	library string
+	limiter *rate.Limiter
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *libraryLogWriter) Write(b []byte) (int, error) {
 	line := strings.TrimSpace(string(b))
-	if strings.Contains(line, "[DEBUG]") || strings.Contains(line, "[INFO]") || !l.pace.Allow() {
+	if strings.Contains(line, "[DEBUG]") || strings.Contains(line, "[INFO]") || !l.limiter.Allow() {
 		return len(b), nil
 	}
-	l.Warn().Str("says", line).Msg(l.of)
+	l.Warn().Str("says", line).Msg(l.library)
 	return len(b), nil
 }
 
-// books are the replicated state; raft alone changes it.
-type books struct {
-	mu    sync.Mutex
-	books *budget.Ledger
+// stateMachine are the replicated state; raft alone changes it.
+type stateMachine struct {
+	mu     sync.Mutex
+	ledger *budget.Ledger
 }
 
-type applied struct {
-	answers []*budget.LeaseResponse
-	err     error
+type applyResult struct {
+	responses []*budget.LeaseResponse
+	err       error
 }
 
-func (b *books) Apply(l *raft.Log) any {
+func (b *stateMachine) Apply(l *raft.Log) any {
 	var e budget.LogEntry
 	if err := json.Unmarshal(l.Data, &e); err != nil {
-		return applied{err: err}
+		return applyResult{err: err}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	answers, err := b.books.Apply(&e)
-	return applied{answers, err}
+	answers, err := b.ledger.Apply(&e)
+	return applyResult{answers, err}
 }
 
-func (b *books) Snapshot() (raft.FSMSnapshot, error) {
+func (b *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	text, err := json.Marshal(b.books)
-	return image(text), err
+	text, err := json.Marshal(b.ledger)
+	return ledgerSnapshot(text), err
 }
 
-func (b *books) Restore(r io.ReadCloser) error {
+func (b *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	fresh := budget.NewLedger()
 	if err := json.NewDecoder(r).Decode(fresh); err != nil {
@@ -269,13 +273,13 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.books = fresh
+	b.ledger = fresh
 	return nil
 }
 
-type image []byte
+type ledgerSnapshot []byte
 
-func (i image) Persist(sink raft.SnapshotSink) error {
+func (i ledgerSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(i); err != nil {
 		sink.Cancel()
 		return err
@@ -283,26 +287,26 @@
 	return sink.Close()
 }
 
-func (i image) Release() {}
+func (i ledgerSnapshot) Release() {}
 
 // commit has a step agreed on by most seats, and gives what came of it.
 // Danger: a seat that was stopped and goes on believes that it is still the one that grants. Nothing is answered before
 // most seats have written the step down under its reign, and that proves that no other reign had begun when they did.
-func (s *seat) commit(e *budget.LogEntry) ([]*budget.LeaseResponse, error) {
+func (s *voter) commit(e *budget.LogEntry) ([]*budget.LeaseResponse, error) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		return nil, err
 	}
-	f := s.raft.Apply(text, time.Duration(s.plan.Agreement.Lease))
+	f := s.raft.Apply(text, time.Duration(s.cfg.Agreement.Lease))
 	if err := f.Error(); err != nil {
 		return nil, err
 	}
-	done := f.Response().(applied)
-	return done.answers, done.err
+	done := f.Response().(applyResult)
+	return done.responses, done.err
 }
 
-// reign grants for as long as this seat is the elected one.
-func (s *seat) reign(ctx context.Context) {
+// runLeader grants for as long as this seat is the elected one.
+func (s *voter) runLeader(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -312,18 +316,18 @@
 				continue
 			}
 		}
-		err := s.grants(ctx)
+		err := s.serveLeases(ctx)
 		s.mu.Lock()
-		s.reigns, s.fault = false, ""
+		s.serving, s.termError = false, ""
 		if err != nil {
-			s.fault = err.Error()
+			s.termError = err.Error()
 		}
 		s.mu.Unlock()
 		if ctx.Err() != nil {
 			return
 		}
 		s.log.Warn().Err(err).Msg("this seat grants no more")
-		s.turnAway()
+		s.rejectPending()
 		// Danger: a seat with a full disk that stays elected, and grants nothing. The others go on without it.
 		if s.raft.State() == raft.Leader {
 			s.raft.LeadershipTransfer().Error()
@@ -331,27 +335,27 @@
 	}
 }
 
-// grants is one reign, up to its end.
-func (s *seat) grants(ctx context.Context) error {
-	if err := s.raft.Barrier(time.Duration(s.plan.Agreement.Lease)).Error(); err != nil {
+// serveLeases is one reign, up to its end.
+func (s *voter) serveLeases(ctx context.Context) error {
+	if err := s.raft.Barrier(time.Duration(s.cfg.Agreement.Lease)).Error(); err != nil {
 		return err
 	}
 	epoch := s.raft.CurrentTerm()
-	if _, err := s.commit(&budget.LogEntry{NewTerm: true, Epoch: epoch, Agreement: &s.plan.Agreement, ClusterID: identity()}); err != nil {
+	if _, err := s.commit(&budget.LogEntry{NewTerm: true, Epoch: epoch, Agreement: &s.cfg.Agreement, ClusterID: randomID()}); err != nil {
 		return err
 	}
-	s.books.mu.Lock()
-	reign := budget.NewLeaderTerm(s.books.books, epoch, s.clock())
-	s.books.mu.Unlock()
+	s.state.mu.Lock()
+	reign := budget.NewLeaderTerm(s.state.ledger, epoch, s.clock())
+	s.state.mu.Unlock()
 	s.mu.Lock()
-	s.reigns = true
+	s.serving = true
 	s.mu.Unlock()
 	s.log.Info().Uint64("epoch", epoch).Msg("this seat grants")
 	var names []string
-	for _, x := range s.plan.Voters {
+	for _, x := range s.cfg.Voters {
 		names = append(names, x.Name)
 	}
-	tick := time.NewTicker(inspect)
+	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
 	for s.raft.State() == raft.Leader {
 		var err error
@@ -362,21 +366,21 @@
 			if reign.Unreachable(names, s.clock()) {
 				return errors.New("most nodes with seats get no answers of this one")
 			}
-			s.books.mu.Lock()
+			s.state.mu.Lock()
 			due := reign.DueExpirations(s.clock())
-			s.books.mu.Unlock()
+			s.state.mu.Unlock()
 			if due != nil {
 				if _, err = s.commit(due); err == nil {
-					s.books.mu.Lock()
-					reign.RecordApplied(s.books.books, due, nil, s.clock())
-					s.books.mu.Unlock()
+					s.state.mu.Lock()
+					reign.RecordApplied(s.state.ledger, due, nil, s.clock())
+					s.state.mu.Unlock()
 				}
 			}
-		case o := <-s.orders:
-			_, err = s.commit(&budget.LogEntry{Epoch: epoch, Totals: o.whole})
+		case o := <-s.commands:
+			_, err = s.commit(&budget.LogEntry{Epoch: epoch, Totals: o.totals})
 			o.done <- err
-		case first := <-s.asks:
-			err = s.answer(reign, s.together(first))
+		case first := <-s.pending:
+			err = s.answerBatch(reign, s.collectBatch(first))
 		}
 		if err != nil {
 			return err
@@ -385,28 +389,28 @@
 	return errors.New("another seat was elected")
 }
 
-// clocked keeps the nodes that say their clocks are beyond the margin, and names each as it turns out to be so.
-func (s *seat) clocked(node string, of float64) {
+// recordClockRate keeps the nodes that say their clocks are beyond the margin, and names each as it turns out to be so.
+func (s *voter) recordClockRate(node string, of float64) {
 	s.mu.Lock()
-	_, was := s.clocks[node]
+	_, was := s.skewedClocks[node]
 	if of != 0 {
-		s.clocks[node] = of
+		s.skewedClocks[node] = of
 	} else {
-		delete(s.clocks, node)
+		delete(s.skewedClocks, node)
 	}
 	s.mu.Unlock()
 	if of != 0 && !was {
-		s.log.Error().Str("clock", node).Float64("rate", of).Float64("margin", s.plan.Agreement.ClockMargin).Msg("a clock is beyond the margin: its node uses no lease")
+		s.log.Error().Str("clock", node).Float64("rate", of).Float64("margin", s.cfg.Agreement.ClockMargin).Msg("a clock is beyond the margin: its node uses no lease")
 	}
 }
 
-// together gathers requests that come within a moment.
-func (s *seat) together(first *asked) []*asked {
-	all, enough := []*asked{first}, time.NewTimer(gather)
+// collectBatch gathers requests that come within a moment.
+func (s *voter) collectBatch(first *pendingRequest) []*pendingRequest {
+	all, enough := []*pendingRequest{first}, time.NewTimer(batchWindow)
 	defer enough.Stop()
-	for len(all) < batch {
+	for len(all) < maxBatch {
 		select {
-		case a := <-s.asks:
+		case a := <-s.pending:
 			all = append(all, a)
 		case <-enough.C:
 			return all
@@ -415,61 +419,61 @@
 	return all
 }
 
-func (s *seat) answer(reign *budget.LeaderTerm, all []*asked) error {
+func (s *voter) answerBatch(reign *budget.LeaderTerm, all []*pendingRequest) error {
 	e := &budget.LogEntry{Epoch: reign.Epoch}
 	for _, a := range all {
-		s.clocked(a.Node, a.ClockRate)
+		s.recordClockRate(a.Node, a.ClockRate)
 		reign.ObserveRequest(&a.LeaseRequest, s.clock())
 		e.Requests = append(e.Requests, a.LeaseRequest)
 	}
 	answers, err := s.commit(e)
 	if err == nil {
-		s.books.mu.Lock()
-		reign.RecordApplied(s.books.books, e, answers, s.clock())
-		s.books.mu.Unlock()
+		s.state.mu.Lock()
+		reign.RecordApplied(s.state.ledger, e, answers, s.clock())
+		s.state.mu.Unlock()
 	}
 	for i, a := range all {
 		if err != nil {
-			a.answer <- nil
+			a.response <- nil
 		} else {
 			if answers[i] != nil {
 				answers[i].LeaderTime = s.clock()
 			}
-			a.answer <- answers[i]
+			a.response <- answers[i]
 		}
 	}
 	return err
 }
 
-// turnAway answers those that still wait.
-func (s *seat) turnAway() {
+// rejectPending answers those that still wait.
+func (s *voter) rejectPending() {
 	for {
 		select {
-		case a := <-s.asks:
-			a.answer <- nil
+		case a := <-s.pending:
+			a.response <- nil
 		default:
 			return
 		}
 	}
 }
 
-// find sees to it that the seat is part of the group. A group is founded once, when all seats are there and none has any
+// discoverCluster sees to it that the seat is part of the group. A group is founded once, when all seats are there and none has any
 // memory; after that whoever has lost its memory is let in by the others, under its new id.
-func (s *seat) find(ctx context.Context) {
-	tick := time.NewTicker(max(s.plan.ElectionTimeout, 50*time.Millisecond))
+func (s *voter) discoverCluster(ctx context.Context) {
+	tick := time.NewTicker(max(s.cfg.ElectionTimeout, 50*time.Millisecond))
 	defer tick.Stop()
 	since := s.clock()
 	for {
-		if !s.blank() && s.member() {
-			if !s.beyond(ctx) {
+		if !s.isBlank() && s.isMember() {
+			if !s.clusterLost(ctx) {
 				since = s.clock()
-			} else if s.clock()-since > s.plan.Agreement.Lease {
+			} else if s.clock()-since > s.cfg.Agreement.Lease {
 				s.log.Error().Msg("most seats have lost their memory: this one forgets as well, and the group is founded anew")
-				close(s.lost)
+				close(s.quorumLost)
 				return
 			}
-		} else if !s.found(ctx) {
-			s.enter(ctx)
+		} else if !s.bootstrapCluster(ctx) {
+			s.joinCluster(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -479,35 +483,35 @@
 	}
 }
 
-// beyond says whether the group can never decide again: nobody is elected, and most seats are there without the memory that
+// clusterLost says whether the group can never decide again: nobody is elected, and most seats are there without the memory that
 // was theirs. Only where seats have no directory, for what is on a disk may come back.
 // Danger: two of three that start anew while the third goes on; nobody can let them in, and all live on floors for good.
-func (s *seat) beyond(ctx context.Context) bool {
-	if _, id := s.raft.LeaderWithID(); s.plan.DataDir != "" || id != "" {
+func (s *voter) clusterLost(ctx context.Context) bool {
+	if _, id := s.raft.LeaderWithID(); s.cfg.DataDir != "" || id != "" {
 		return false
 	}
 	blanks := 0
-	for _, x := range s.plan.Voters {
+	for _, x := range s.cfg.Voters {
 		if x.Name == s.name {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, time.Second)
-		var w who
-		if s.calls.post(call, x.Address, "/who", &who{s.name, s.id, false}, &w) == nil && w.Blank && w.Name == x.Name {
+		var w statusResponse
+		if s.client.post(call, x.Address, "/who", &statusResponse{s.name, s.id, false}, &w) == nil && w.Blank && w.Name == x.Name {
 			blanks++
 		}
 		cancel()
 	}
-	return 2*blanks > len(s.plan.Voters)
+	return 2*blanks > len(s.cfg.Voters)
 }
 
-// blank says whether the seat remembers no group.
-func (s *seat) blank() bool {
+// isBlank says whether the seat remembers no group.
+func (s *voter) isBlank() bool {
 	c := s.raft.GetConfiguration()
 	return c.Error() != nil || len(c.Configuration().Servers) == 0
 }
 
-func (s *seat) member() bool {
+func (s *voter) isMember() bool {
 	c := s.raft.GetConfiguration()
 	if c.Error() != nil {
 		return true
@@ -520,24 +524,24 @@
 	return false
 }
 
-// who is what a seat says of itself.
-type who struct {
+// statusResponse is what a seat says of itself.
+type statusResponse struct {
 	Name  string `json:"name"`
 	ID    string `json:"id"`
 	Blank bool   `json:"blank"`
 }
 
-// found founds the group if this seat is the one that does.
-func (s *seat) found(ctx context.Context) bool {
+// bootstrapCluster founds the group if this seat is the one that does.
+func (s *voter) bootstrapCluster(ctx context.Context) bool {
 	var servers []raft.Server
 	first := s.name
-	for _, x := range s.plan.Voters {
-		w := who{s.name, s.id, s.blank()}
+	for _, x := range s.cfg.Voters {
+		w := statusResponse{s.name, s.id, s.isBlank()}
 		if x.Name != s.name {
 			call, cancel := context.WithTimeout(ctx, time.Second)
-			err := s.calls.post(call, x.Address, "/who", &who{s.name, s.id, s.blank()}, &w)
+			err := s.client.post(call, x.Address, "/who", &statusResponse{s.name, s.id, s.isBlank()}, &w)
 			cancel()
-			if err != nil || w.Name != x.Name || nameOf(w.ID) != x.Name {
+			if err != nil || w.Name != x.Name || nodeName(w.ID) != x.Name {
 				return false
 			}
 		}
@@ -555,15 +559,15 @@
 	return true
 }
 
-// enter asks the others to let this seat in.
-func (s *seat) enter(ctx context.Context) {
-	for _, x := range s.plan.Voters {
+// joinCluster asks the others to let this seat in.
+func (s *voter) joinCluster(ctx context.Context) {
+	for _, x := range s.cfg.Voters {
 		if x.Name == s.name {
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, time.Second)
-		var done who
-		err := s.calls.post(call, x.Address, "/admit", &who{s.name, s.id, true}, &done)
+		var done statusResponse
+		err := s.client.post(call, x.Address, "/admit", &statusResponse{s.name, s.id, true}, &done)
 		cancel()
 		if err == nil {
 			s.log.Info().Str("by", x.Name).Msg("this seat is let in")
@@ -572,9 +576,9 @@
 	}
 }
 
-// admit puts a seat's new id in the place of the one that it had.
-func (s *seat) admit(w *who) error {
-	if s.plan.Voter(w.Name) == nil || nameOf(w.ID) != w.Name {
+// addVoter puts a seat's new id in the place of the one that it had.
+func (s *voter) addVoter(w *statusResponse) error {
+	if s.cfg.Voter(w.Name) == nil || nodeName(w.ID) != w.Name {
 		return fmt.Errorf("%.60q has no seat", w.Name)
 	}
 	c := s.raft.GetConfiguration()
@@ -588,7 +592,7 @@
 		}
 	}
 	for _, x := range c.Configuration().Servers {
-		if nameOf(string(x.ID)) == w.Name {
+		if nodeName(string(x.ID)) == w.Name {
 			f := s.raft.RemoveServer(x.ID, index, time.Second)
 			if err := f.Error(); err != nil {
 				return err
@@ -600,11 +604,11 @@
 	return s.raft.AddVoter(raft.ServerID(w.ID), raft.ServerAddress(w.ID), index, time.Second).Error()
 }
 
-// guard lets calls of this fleet in, and no others.
-func (s *seat) guard(next http.Handler) http.Handler {
+// authenticate lets calls of this fleet in, and no others.
+func (s *voter) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
-		if !s.calls.known(r.Header.Get(tokenHeader)) {
-			s.wire.stranger("a call of no node of this fleet and version")
+		if !s.client.known(r.Header.Get(tokenHeader)) {
+			s.streams.stranger("a call of no node of this fleet and version")
 			out.Header().Set("Connection", "close")
 			http.Error(out, "not of this fleet, or of another version", http.StatusForbidden)
 			return
@@ -614,7 +618,7 @@
 	})
 }
 
-func read(out http.ResponseWriter, r *http.Request, in any) bool {
+func decodeRequest(out http.ResponseWriter, r *http.Request, in any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(in); err != nil {
@@ -624,12 +628,12 @@
 	return true
 }
 
-func (s *seat) serveAsk(out http.ResponseWriter, r *http.Request) {
-	a := &asked{answer: make(chan *budget.LeaseResponse, 1)}
-	if !read(out, r, &a.LeaseRequest) {
+func (s *voter) handleLease(out http.ResponseWriter, r *http.Request) {
+	a := &pendingRequest{response: make(chan *budget.LeaseResponse, 1)}
+	if !decodeRequest(out, r, &a.LeaseRequest) {
 		return
 	}
-	if pact, founded := s.pact(); founded && r.Header.Get(pactHeader) != pact {
+	if pact, founded := s.agreementDigest(); founded && r.Header.Get(pactHeader) != pact {
 		http.Error(out, errPact.Error(), http.StatusConflict)
 		return
 	}
@@ -638,84 +642,84 @@
 		return
 	}
 	var given *budget.LeaseResponse
-	if s.grantsNow() {
+	if s.isServing() {
 		select {
-		case s.asks <- a:
+		case s.pending <- a:
 			select {
-			case given = <-a.answer:
+			case given = <-a.response:
 			case <-r.Context().Done():
 				return
 			}
 		default:
 			s.mu.Lock()
-			s.refused++
+			s.rejected++
 			s.mu.Unlock()
 		}
 	}
 	if given == nil {
 		_, id := s.raft.LeaderWithID()
-		json.NewEncoder(out).Encode(redirect{nameOf(string(id))})
+		json.NewEncoder(out).Encode(redirect{nodeName(string(id))})
 		return
 	}
 	json.NewEncoder(out).Encode(given)
 }
 
-// pact is the digest of what was agreed on, once a grantor has reigned.
-func (s *seat) pact() (digest string, founded bool) {
-	s.books.mu.Lock()
-	defer s.books.mu.Unlock()
-	return s.books.books.Agreement.Digest(), s.books.books.Epoch > 0
+// agreementDigest is the digest of what was agreed on, once a grantor has reigned.
+func (s *voter) agreementDigest() (digest string, founded bool) {
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	return s.state.ledger.Agreement.Digest(), s.state.ledger.Epoch > 0
 }
 
-func (s *seat) grantsNow() bool {
+func (s *voter) isServing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reigns
+	return s.serving
 }
 
-func (s *seat) serveWho(out http.ResponseWriter, _ *http.Request) {
-	json.NewEncoder(out).Encode(who{s.name, s.id, s.blank()})
+func (s *voter) handleStatus(out http.ResponseWriter, _ *http.Request) {
+	json.NewEncoder(out).Encode(statusResponse{s.name, s.id, s.isBlank()})
 }
 
-func (s *seat) serveAdmit(out http.ResponseWriter, r *http.Request) {
-	var w who
-	if !read(out, r, &w) {
+func (s *voter) handleJoin(out http.ResponseWriter, r *http.Request) {
+	var w statusResponse
+	if !decodeRequest(out, r, &w) {
 		return
 	}
 	if s.raft.State() != raft.Leader {
 		http.Error(out, errElsewhere.Error(), http.StatusMisdirectedRequest)
 		return
 	}
-	if err := s.admit(&w); err != nil {
+	if err := s.addVoter(&w); err != nil {
 		http.Error(out, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	json.NewEncoder(out).Encode(who{s.name, s.id, false})
+	json.NewEncoder(out).Encode(statusResponse{s.name, s.id, false})
 }
 
-func (s *seat) serveWhole(out http.ResponseWriter, r *http.Request) {
-	o := &order{done: make(chan error, 1)}
-	if !read(out, r, &o.whole) {
+func (s *voter) handleSetTotal(out http.ResponseWriter, r *http.Request) {
+	o := &adminCommand{done: make(chan error, 1)}
+	if !decodeRequest(out, r, &o.totals) {
 		return
 	}
-	for name, whole := range o.whole {
-		t, is := s.plan.Agreement.Budgets[name]
-		if least := t.Floor*s.plan.Agreement.MaxNodes + t.Reserve; !is || whole < least || whole > t.Total*64 {
+	for name, whole := range o.totals {
+		t, is := s.cfg.Agreement.Budgets[name]
+		if least := t.Floor*s.cfg.Agreement.MaxNodes + t.Reserve; !is || whole < least || whole > t.Total*64 {
 			http.Error(out, fmt.Sprintf("%.40q: no such budget, or a whole under its floors and reserve (%d)", name, least), http.StatusBadRequest)
 			return
 		}
 	}
-	if !s.grantsNow() {
+	if !s.isServing() {
 		http.Error(out, errElsewhere.Error(), http.StatusMisdirectedRequest)
 		return
 	}
 	select {
-	case s.orders <- o:
+	case s.commands <- o:
 		if err := <-o.done; err != nil {
 			http.Error(out, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		json.NewEncoder(out).Encode(o.whole)
+		json.NewEncoder(out).Encode(o.totals)
 	case <-r.Context().Done():
 	}
 }
@@ -750,23 +754,23 @@
 	Demand map[string]int64 `json:"want"`
 }
 
-func (s *seat) read() *VoterStatus {
+func (s *voter) status() *VoterStatus {
 	_, granter := s.raft.LeaderWithID()
-	out := &VoterStatus{ID: s.id, State: strings.ToLower(s.raft.State().String()), Leader: nameOf(string(granter)), Budgets: map[string]LedgerStatus{}}
+	out := &VoterStatus{ID: s.id, State: strings.ToLower(s.raft.State().String()), Leader: nodeName(string(granter)), Budgets: map[string]LedgerStatus{}}
 	if c := s.raft.GetConfiguration(); c.Error() == nil {
 		for _, x := range c.Configuration().Servers {
 			out.Voters = append(out.Voters, string(x.ID))
 		}
 	}
 	s.mu.Lock()
-	out.IsLeader, out.Error, out.ClockRates = s.reigns, s.disk, maps.Clone(s.clocks)
+	out.IsLeader, out.Error, out.ClockRates = s.serving, s.diskError, maps.Clone(s.skewedClocks)
 	if out.Error == "" && (out.Leader == "" || out.Leader == s.name) {
-		out.Error = s.fault // why the last reign ended; of no interest once another one grants
+		out.Error = s.termError // why the last reign ended; of no interest once another one grants
 	}
 	s.mu.Unlock()
-	s.books.mu.Lock()
-	defer s.books.mu.Unlock()
-	b := s.books.books
+	s.state.mu.Lock()
+	defer s.state.mu.Unlock()
+	b := s.state.ledger
 	out.Epoch = b.Epoch
 	for name, a := range b.Budgets {
 		floors := b.Outstanding(name) - a.Granted
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -71,7 +71,7 @@
 	if !w.keep(c) {
 		return
 	}
-	c.SetReadDeadline(time.Now().Add(greeting))
+	c.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	in := bufio.NewReaderSize(c, 4096)
 	first, err := in.Peek(1)
 	if err != nil {
@@ -121,7 +121,7 @@
 
 // Dial is raft's: addresses in the group are ids.
 func (w *wire) Dial(id raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	seat := w.plan.Voter(nameOf(string(id)))
+	seat := w.plan.Voter(nodeName(string(id)))
 	if seat == nil || len(id) > 255 {
 		return nil, fmt.Errorf("%q has no seat", id)
 	}
