--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -41,7 +41,7 @@
 	name  string
 	clock Clock
 	log   zerolog.Logger
-	calls *calls
+	calls *voterClient
 	kick  chan struct{}
 	news  chan struct{} // of members
 	board *board        // nil: nodes do not tell of executors
@@ -83,7 +83,7 @@
 			f.shares[part] = &share{terms: t, meter: budget.NewUsageMeter(&plan.Agreement, part), whole: t.Total}
 		}
 	}
-	f.calls = newCalls(plan)
+	f.calls = newVoterClient(plan)
 	if plan.WitnessQuorum > 0 {
 		f.board = newBoard(name, plan, clock)
 	}
@@ -272,14 +272,14 @@
 		kicked = false
 		ask := f.ask()
 		call, cancel := context.WithTimeout(ctx, time.Duration(f.plan.Agreement.Lease/3))
-		answer, to, err := f.calls.ask(call, at, &ask)
+		answer, to, err := f.calls.requestLease(call, at, &ask)
 		cancel()
 		at = to
 		if err == nil {
 			f.take(answer)
 		}
 		// Danger: floors by a file of its own, beyond what was carved out for each; a seat that is not reached proves nothing.
-		if refused := errors.Is(err, errPact); refused || err == nil {
+		if refused := errors.Is(err, errAgreementMismatch); refused || err == nil {
 			f.mu.Lock()
 			f.holder.SetRejected(refused, f.clock())
 			f.mu.Unlock()
@@ -374,13 +374,13 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	err := errElsewhere
+	err := errNotLeader
 	for _, s := range f.plan.Voters {
 		var done map[string]int64
 		switch fault := f.calls.post(ctx, s.Address, "/whole", map[string]int64{name: units}, &done); {
 		case fault == nil:
 			return nil
-		case errors.Is(err, errElsewhere): // what the granter says counts, not that others don't grant
+		case errors.Is(err, errNotLeader): // what the granter says counts, not that others don't grant
 			err = fault
 		}
 	}
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	c.AdvertisePort = c.BindPort
-	key := sha256.Sum256(fmt.Appendf(nil, "fernrail gossip %d %s", version, plan.Secret))
+	key := sha256.Sum256(fmt.Appendf(nil, "fernrail gossip %d %s", protocolVersion, plan.Secret))
 	c.SecretKey = key[:]
 	c.ProbeInterval, c.ProbeTimeout = 2*plan.ElectionTimeout, plan.ElectionTimeout
 	c.AwarenessMaxMultiplier = 2 // a node that is cut off looks at the others as often, or nearly
--- a/internal/fleet/seat.go
+++ b/internal/fleet/seat.go
@@ -44,12 +44,12 @@
 	name, id   string // id: of this seat's memory; another one once that is lost
 	cfg        *config.Fleet
 	clock      Clock
-	client     *calls
+	client     *voterClient
 	log        zerolog.Logger
 	state      *stateMachine
 	raft       *raft.Raft
 	store      io.Closer // nil: in memory
-	streams    *wire
+	streams    *streamLayer
 	server     *http.Server
 	pending    chan *pendingRequest
 	commands   chan *adminCommand
@@ -79,7 +79,7 @@
 }
 
 // startVoter opens the seat's memory and its door, on a listener that the caller closes if this fails.
-func startVoter(ctx context.Context, name string, l net.Listener, plan *config.Fleet, clock Clock, c *calls, log zerolog.Logger) (*voter, error) {
+func startVoter(ctx context.Context, name string, l net.Listener, plan *config.Fleet, clock Clock, c *voterClient, log zerolog.Logger) (*voter, error) {
 	ctx, stop := context.WithCancel(ctx)
 	s := &voter{name: name, cfg: plan, clock: clock, client: c, log: log, state: &stateMachine{ledger: budget.NewLedger()}, skewedClocks: map[string]float64{}, pending: make(chan *pendingRequest, maxPending), commands: make(chan *adminCommand), cancel: stop, closed: make(chan struct{}), quorumLost: make(chan struct{})}
 	fail := func(err error) (*voter, error) {
@@ -93,7 +93,7 @@
 	if err != nil {
 		return fail(fmt.Errorf("fleet.dir: %w", err))
 	}
-	s.streams = newWire(netutil.LimitListener(l, maxConnections), s.id, plan, c, log)
+	s.streams = newStreamLayer(netutil.LimitListener(l, maxConnections), s.id, plan, c, log)
 	c0 := raft.DefaultConfig()
 	c0.LocalID = raft.ServerID(s.id)
 	c0.HeartbeatTimeout, c0.ElectionTimeout, c0.LeaderLeaseTimeout = plan.ElectionTimeout, plan.ElectionTimeout, plan.ElectionTimeout/2
@@ -111,8 +111,8 @@
 	mux.HandleFunc("POST /whole", s.handleSetTotal)
 	s.server = &http.Server{Handler: s.authenticate(mux), ReadTimeout: handshakeTimeout, WriteTimeout: handshakeTimeout + time.Duration(plan.Agreement.Lease), IdleTimeout: time.Minute,
 		MaxHeaderBytes: 4096, ErrorLog: nil}
-	s.tasks.Go(func() { s.server.Serve(s.streams.plain) })
-	s.tasks.Go(s.streams.accept)
+	s.tasks.Go(func() { s.server.Serve(s.streams.httpQueue) })
+	s.tasks.Go(s.streams.acceptConnections)
 	s.tasks.Go(func() { s.runLeader(ctx) })
 	s.tasks.Go(func() { s.discoverCluster(ctx) })
 	return s, nil
@@ -607,13 +607,13 @@
 // authenticate lets calls of this fleet in, and no others.
 func (s *voter) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
-		if !s.client.known(r.Header.Get(tokenHeader)) {
-			s.streams.stranger("a call of no node of this fleet and version")
+		if !s.client.isAuthentic(r.Header.Get(tokenHeader)) {
+			s.streams.rejectUnauthenticated("a call of no node of this fleet and version")
 			out.Header().Set("Connection", "close")
 			http.Error(out, "not of this fleet, or of another version", http.StatusForbidden)
 			return
 		}
-		r.Body = http.MaxBytesReader(out, r.Body, maxCall)
+		r.Body = http.MaxBytesReader(out, r.Body, maxBodyBytes)
 		next.ServeHTTP(out, r)
 	})
 }
@@ -633,8 +633,8 @@
 	if !decodeRequest(out, r, &a.LeaseRequest) {
 		return
 	}
-	if pact, founded := s.agreementDigest(); founded && r.Header.Get(pactHeader) != pact {
-		http.Error(out, errPact.Error(), http.StatusConflict)
+	if pact, founded := s.agreementDigest(); founded && r.Header.Get(agreementHeader) != pact {
+		http.Error(out, errAgreementMismatch.Error(), http.StatusConflict)
 		return
 	}
 	if a.Node == "" || a.Holder == "" || len(a.Node)+len(a.Holder) > 256 {
@@ -658,7 +658,7 @@
 	}
 	if given == nil {
 		_, id := s.raft.LeaderWithID()
-		json.NewEncoder(out).Encode(redirect{nodeName(string(id))})
+		json.NewEncoder(out).Encode(leaderRedirect{nodeName(string(id))})
 		return
 	}
 	json.NewEncoder(out).Encode(given)
@@ -687,7 +687,7 @@
 		return
 	}
 	if s.raft.State() != raft.Leader {
-		http.Error(out, errElsewhere.Error(), http.StatusMisdirectedRequest)
+		http.Error(out, errNotLeader.Error(), http.StatusMisdirectedRequest)
 		return
 	}
 	if err := s.addVoter(&w); err != nil {
@@ -710,7 +710,7 @@
 		}
 	}
 	if !s.isServing() {
-		http.Error(out, errElsewhere.Error(), http.StatusMisdirectedRequest)
+		http.Error(out, errNotLeader.Error(), http.StatusMisdirectedRequest)
 		return
 	}
 	select {
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -18,42 +18,42 @@
 	"fernrail/internal/config"
 )
 
-// wire is the one door of a seat, shared by calls and the group's own streams. A stream says with its first bytes that it
+// streamLayer is the one door of a seat, shared by calls and the group's own streams. A stream says with its first bytes that it
 // is one, that it is of this fleet, and which id it is for; all else is a call. It is raft's StreamLayer.
-type wire struct {
-	id      string
-	plan    *config.Fleet
-	calls   *calls
-	log     zerolog.Logger
-	told    *rate.Limiter
-	inner   net.Listener
-	streams *line // to raft
-	plain   *line // to the server of calls
-
-	mu   sync.Mutex
-	open map[net.Conn]bool // that came in and have not gone
-	over bool
+type streamLayer struct {
+	id         string
+	cfg        *config.Fleet
+	client     *voterClient
+	log        zerolog.Logger
+	logLimiter *rate.Limiter
+	listener   net.Listener
+	raftQueue  *acceptQueue // to raft
+	httpQueue  *acceptQueue // to the server of calls
+
+	mu          sync.Mutex
+	connections map[net.Conn]bool // that came in and have not gone
+	closed      bool
 }
 
-// mark begins a stream. No HTTP request begins with it.
-const mark = 0x01
+// streamMarker begins a stream. No HTTP request begins with it.
+const streamMarker = 0x01
 
-func newWire(l net.Listener, id string, plan *config.Fleet, c *calls, log zerolog.Logger) *wire {
-	return &wire{id: id, plan: plan, calls: c, log: log, told: rate.NewLimiter(1, 1), inner: l, open: map[net.Conn]bool{},
-		streams: newLine(named(id)), plain: newLine(l.Addr())}
+func newStreamLayer(l net.Listener, id string, plan *config.Fleet, c *voterClient, log zerolog.Logger) *streamLayer {
+	return &streamLayer{id: id, cfg: plan, client: c, log: log, logLimiter: rate.NewLimiter(1, 1), listener: l, connections: map[net.Conn]bool{},
+		raftQueue: newAcceptQueue(voterAddress(id)), httpQueue: newAcceptQueue(l.Addr())}
 }
 
-// stranger tells of one, at a bounded rate.
-func (w *wire) stranger(what string) {
-	if w.told.Allow() {
+// rejectUnauthenticated tells of one, at a bounded rate.
+func (w *streamLayer) rejectUnauthenticated(what string) {
+	if w.logLimiter.Allow() {
 		w.log.Warn().Str("fault", what).Msg("stranger at the fleet's door")
 	}
 }
 
-// accept takes connections until the listener is closed.
-func (w *wire) accept() {
+// acceptConnections takes connections until the listener is closed.
+func (w *streamLayer) acceptConnections() {
 	for {
-		c, err := w.inner.Accept()
+		c, err := w.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -62,151 +62,151 @@
 			time.Sleep(100 * time.Millisecond)
 			continue
 		}
-		go w.greet(c)
+		go w.handshake(c)
 	}
 }
 
-// greet finds out what a connection is.
-func (w *wire) greet(c net.Conn) {
-	if !w.keep(c) {
+// handshake finds out what a connection is.
+func (w *streamLayer) handshake(c net.Conn) {
+	if !w.track(c) {
 		return
 	}
 	c.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	in := bufio.NewReaderSize(c, 4096)
 	first, err := in.Peek(1)
 	if err != nil {
-		w.drop(c)
+		w.closeConnection(c)
 		return
 	}
-	if first[0] != mark {
+	if first[0] != streamMarker {
 		c.SetReadDeadline(time.Time{})
-		w.plain.hand(&begun{c, in, w})
+		w.httpQueue.deliver(&handshakeConn{c, in, w})
 		return
 	}
 	head := make([]byte, 1+64+1)
-	if _, err := io.ReadFull(in, head); err != nil || !w.calls.known(string(head[1:65])) {
-		w.stranger("a stream of no node of this fleet and version")
-		w.drop(c)
+	if _, err := io.ReadFull(in, head); err != nil || !w.client.isAuthentic(string(head[1:65])) {
+		w.rejectUnauthenticated("a stream of no node of this fleet and version")
+		w.closeConnection(c)
 		return
 	}
 	id := make([]byte, head[65])
 	// Danger: a seat that has lost its memory takes part under the id that went with it.
 	if _, err := io.ReadFull(in, id); err != nil || string(id) != w.id {
-		w.stranger("a stream for a seat that is not here any more")
-		w.drop(c)
+		w.rejectUnauthenticated("a stream for a seat that is not here any more")
+		w.closeConnection(c)
 		return
 	}
 	c.SetReadDeadline(time.Time{})
-	w.streams.hand(&begun{c, in, w})
+	w.raftQueue.deliver(&handshakeConn{c, in, w})
 }
 
-// keep notes a connection until it is closed, so that all end with the door; false: that is shut.
-func (w *wire) keep(c net.Conn) bool {
+// track notes a connection until it is closed, so that all end with the door; false: that is shut.
+func (w *streamLayer) track(c net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.over {
+	if w.closed {
 		c.Close()
 		return false
 	}
-	w.open[c] = true
+	w.connections[c] = true
 	return true
 }
 
-func (w *wire) drop(c net.Conn) error {
+func (w *streamLayer) closeConnection(c net.Conn) error {
 	w.mu.Lock()
-	delete(w.open, c)
+	delete(w.connections, c)
 	w.mu.Unlock()
 	return c.Close()
 }
 
 // Dial is raft's: addresses in the group are ids.
-func (w *wire) Dial(id raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	seat := w.plan.Voter(nodeName(string(id)))
+func (w *streamLayer) Dial(id raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	seat := w.cfg.Voter(nodeName(string(id)))
 	if seat == nil || len(id) > 255 {
 		return nil, fmt.Errorf("%q has no seat", id)
 	}
-	c, err := net.DialTimeout("tcp", seat.Address, min(timeout, w.plan.ElectionTimeout))
+	c, err := net.DialTimeout("tcp", seat.Address, min(timeout, w.cfg.ElectionTimeout))
 	if err != nil {
 		return nil, err
 	}
-	if !w.keep(c) {
+	if !w.track(c) {
 		return nil, net.ErrClosed
 	}
 	c.SetWriteDeadline(time.Now().Add(timeout))
-	head := append([]byte{mark}, w.calls.token...)
+	head := append([]byte{streamMarker}, w.client.token...)
 	head = append(append(head, byte(len(id))), id...)
 	if _, err := c.Write(head); err != nil {
-		w.drop(c)
+		w.closeConnection(c)
 		return nil, err
 	}
 	c.SetWriteDeadline(time.Time{})
-	return &begun{c, bufio.NewReaderSize(c, 4096), w}, nil
+	return &handshakeConn{c, bufio.NewReaderSize(c, 4096), w}, nil
 }
 
-func (w *wire) Accept() (net.Conn, error) { return w.streams.Accept() }
-func (w *wire) Addr() net.Addr            { return named(w.id) }
+func (w *streamLayer) Accept() (net.Conn, error) { return w.raftQueue.Accept() }
+func (w *streamLayer) Addr() net.Addr            { return voterAddress(w.id) }
 
 // Close ends the door and all that stand in it.
-func (w *wire) Close() error {
-	err := w.inner.Close()
-	w.streams.Close()
-	w.plain.Close()
+func (w *streamLayer) Close() error {
+	err := w.listener.Close()
+	w.raftQueue.Close()
+	w.httpQueue.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.over = true
-	for c := range w.open {
+	w.closed = true
+	for c := range w.connections {
 		c.Close()
 	}
 	return err
 }
 
-// named is a seat's id as an address.
-type named string
+// voterAddress is a seat's id as an address.
+type voterAddress string
 
-func (n named) Network() string { return "fleet" }
-func (n named) String() string  { return string(n) }
+func (n voterAddress) Network() string { return "fleet" }
+func (n voterAddress) String() string  { return string(n) }
 
-// begun is a connection of which some bytes have been read.
-type begun struct {
+// handshakeConn is a connection of which some bytes have been read.
+type handshakeConn struct {
 	net.Conn
-	in   *bufio.Reader
-	wire *wire
+	reader *bufio.Reader
+	layer  *streamLayer
 }
 
-func (b *begun) Close() error { return b.wire.drop(b.Conn) }
+func (b *handshakeConn) Close() error { return b.layer.closeConnection(b.Conn) }
 
-func (b *begun) Read(p []byte) (int, error) { return b.in.Read(p) }
+func (b *handshakeConn) Read(p []byte) (int, error) { return b.reader.Read(p) }
 
-// line is a listener that is handed its connections.
-type line struct {
-	address net.Addr
-	conns   chan net.Conn
-	over    chan struct{}
-	close   func()
+// acceptQueue is a listener that is handed its connections.
+type acceptQueue struct {
+	address   net.Addr
+	conns     chan net.Conn
+	closed    chan struct{}
+	closeOnce func()
 }
 
-func newLine(address net.Addr) *line {
-	l := &line{address: address, conns: make(chan net.Conn), over: make(chan struct{})}
-	l.close = sync.OnceFunc(func() { close(l.over) })
+func newAcceptQueue(address net.Addr) *acceptQueue {
+	l := &acceptQueue{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
+	l.closeOnce = sync.OnceFunc(func() { close(l.closed) })
 	return l
 }
 
-func (l *line) hand(c net.Conn) {
+func (l *acceptQueue) deliver(c net.Conn) {
 	select {
 	case l.conns <- c:
-	case <-l.over:
+	case <-l.closed:
 		c.Close()
 	}
 }
 
-func (l *line) Accept() (net.Conn, error) {
+func (l *acceptQueue) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
-	case <-l.over:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *line) Close() error   { l.close(); return nil }
-func (l *line) Addr() net.Addr { return l.address }
+func (l *acceptQueue) Close() error   { l.closeOnce(); return nil }
+func (l *acceptQueue) Addr() net.Addr { return l.address }
