--- a/internal/fleet/board.go
+++ b/internal/fleet/board.go
@@ -14,63 +14,63 @@
 	"fernrail/internal/fleet/signals"
 )
 
-// board is what nodes told each other of executors.
-type board struct {
-	clock Clock
-	kick  chan struct{} // something failed
+// gossipState is what nodes told each other of executors.
+type gossipState struct {
+	clock       Clock
+	failureSeen chan struct{} // something failed
 
-	mu     sync.Mutex
-	seen   *signals.OutlierTracker
-	listed func(executor string) bool
-	bad    map[string]float64 // as it was last handed over
+	mu      sync.Mutex
+	tracker *signals.OutlierTracker
+	listed  func(executor string) bool
+	scores  map[string]float64 // as it was last handed over
 }
 
-// apart is by how much what is said of an executor changes before it is handed over again.
-const apart = 0.02
+// scoreChangeThreshold is by how much what is said of an executor changes before it is handed over again.
+const scoreChangeThreshold = 0.02
 
-func newBoard(name string, plan *config.Fleet, clock Clock) *board {
+func newGossipState(name string, plan *config.Fleet, clock Clock) *gossipState {
 	// A later process of the node has a larger number, unless the machine's clock was set back meanwhile; it is heard then once its number is.
-	return &board{clock: clock, kick: make(chan struct{}, 1), seen: signals.New(name, plan.Zone, time.Now().UnixNano(), plan.WitnessQuorum),
-		listed: func(string) bool { return false }, bad: map[string]float64{}}
+	return &gossipState{clock: clock, failureSeen: make(chan struct{}, 1), tracker: signals.New(name, plan.Zone, time.Now().UnixNano(), plan.WitnessQuorum),
+		listed: func(string) bool { return false }, scores: map[string]float64{}}
 }
 
-// hear is what gossip calls with others' news; nil where nodes do not tell of executors.
-func (f *Fleet) hear() func([]byte) {
-	if f.board == nil {
+// reportHandler is what gossip calls with others' news; nil where nodes do not tell of executors.
+func (f *Fleet) reportHandler() func([]byte) {
+	if f.gossip == nil {
 		return nil
 	}
 	return func(text []byte) {
-		b := f.board
+		b := f.gossip
 		var n signals.Report
 		err := json.Unmarshal(text, &n)
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if err != nil {
-			b.seen.RejectedReports++
-		} else if b.seen.MergeReport(&n, b.listed, b.clock()) {
+			b.tracker.RejectedReports++
+		} else if b.tracker.MergeReport(&n, b.listed, b.clock()) {
 			// Danger: news that goes no further than its node reaches by itself.
-			f.pass(n.Node, append([]byte(nil), text...))
+			f.broadcast(n.Node, append([]byte(nil), text...))
 		}
 	}
 }
 
-// pass has gossip carry a node's news. It may be called by gossip itself.
-func (f *Fleet) pass(node string, text []byte) {
+// broadcast has gossip carry a node's news. It may be called by gossip itself.
+func (f *Fleet) broadcast(node string, text []byte) {
 	f.mu.Lock()
 	m := f.members
 	f.mu.Unlock()
 	if m != nil {
-		m.say(node, text)
+		m.broadcast(node, text)
 	}
 }
 
 // RecordOutcome notes how a job of this node's ended.
 func (f *Fleet) RecordOutcome(executor string, failed bool) {
-	f.board.mu.Lock()
-	defer f.board.mu.Unlock()
-	if f.board.seen.RecordOutcome(executor, failed, f.board.clock()); failed {
+	f.gossip.mu.Lock()
+	defer f.gossip.mu.Unlock()
+	if f.gossip.tracker.RecordOutcome(executor, failed, f.gossip.clock()); failed {
 		select {
-		case f.board.kick <- struct{}{}:
+		case f.gossip.failureSeen <- struct{}{}:
 		default:
 		}
 	}
@@ -79,7 +79,7 @@
 // RunOutlierGossip has this node's news go about until the end, and hands over how bad many say that executors are, all that are said to be, whenever
 // that changes. listed says which executors there are.
 func (f *Fleet) RunOutlierGossip(ctx context.Context, listed func(executor string) bool, heard func(bad map[string]float64)) {
-	b := f.board
+	b := f.gossip
 	b.mu.Lock()
 	b.listed = listed
 	b.mu.Unlock()
@@ -90,20 +90,20 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-		case <-b.kick:
+		case <-b.failureSeen:
 		}
 		b.mu.Lock()
 		now := b.clock()
-		b.seen.RetainServers(listed)
-		text := b.news(now)
-		bad := b.seen.OutlierScores(now)
-		changed := !maps.EqualFunc(bad, b.bad, func(x, y float64) bool { return math.Abs(x-y) < apart })
+		b.tracker.RetainServers(listed)
+		text := b.encodeReport(now)
+		bad := b.tracker.OutlierScores(now)
+		changed := !maps.EqualFunc(bad, b.scores, func(x, y float64) bool { return math.Abs(x-y) < scoreChangeThreshold })
 		if changed {
-			b.bad = bad
+			b.scores = bad
 		}
 		b.mu.Unlock()
 		if text != nil {
-			f.pass(f.name, text)
+			f.broadcast(f.name, text)
 		}
 		if changed {
 			heard(bad)
@@ -111,17 +111,17 @@
 	}
 }
 
-// mostNews is in bytes. Danger: gossip never sends what does not fit into one of its packets beside other things.
-const mostNews = 900
+// maxReportBytes is in bytes. Danger: gossip never sends what does not fit into one of its packets beside other things.
+const maxReportBytes = 900
 
-// news of this node, as much as fits; nil: there is none. Under mu.
-func (b *board) news(now int64) []byte {
+// encodeReport of this node, as much as fits; nil: there is none. Under mu.
+func (b *gossipState) encodeReport(now int64) []byte {
 	for most := 64; most > 0; most /= 2 {
-		n := b.seen.NextReport(now, most)
+		n := b.tracker.NextReport(now, most)
 		if n == nil {
 			return nil
 		}
-		if text, err := json.Marshal(n); err == nil && len(text) <= mostNews {
+		if text, err := json.Marshal(n); err == nil && len(text) <= maxReportBytes {
 			return text
 		}
 	}
@@ -134,8 +134,8 @@
 	RejectedReports int64              `json:"dropped"` // news that was not taken
 }
 
-func (b *board) read() *OutlierStatus {
+func (b *gossipState) status() *OutlierStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return &OutlierStatus{maps.Clone(b.bad), b.seen.RejectedReports}
+	return &OutlierStatus{maps.Clone(b.scores), b.tracker.RejectedReports}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -37,20 +37,20 @@
 
 // Fleet is one process's part. It is safe for use by many goroutines.
 type Fleet struct {
-	plan  *config.Fleet
-	name  string
-	clock Clock
-	log   zerolog.Logger
-	calls *voterClient
-	kick  chan struct{}
-	news  chan struct{} // of members
-	board *board        // nil: nodes do not tell of executors
-	all   sync.WaitGroup
-	stop  context.CancelFunc
+	plan   *config.Fleet
+	name   string
+	clock  Clock
+	log    zerolog.Logger
+	calls  *voterClient
+	kick   chan struct{}
+	news   chan struct{} // of members
+	gossip *gossipState  // nil: nodes do not tell of executors
+	all    sync.WaitGroup
+	stop   context.CancelFunc
 
 	mu      sync.Mutex
-	seat    *voter   // nil: this process has none, or has none yet
-	members *members // nil: it takes no part, or not yet
+	seat    *voter      // nil: this process has none, or has none yet
+	members *membership // nil: it takes no part, or not yet
 	holder  *budget.LeaseHolder
 	wants   *budget.DemandEstimator
 	firsts  *budget.UsageMeter // first postings, in a window of second ones
@@ -85,7 +85,7 @@
 	}
 	f.calls = newVoterClient(plan)
 	if plan.WitnessQuorum > 0 {
-		f.board = newBoard(name, plan, clock)
+		f.gossip = newGossipState(name, plan, clock)
 	}
 	if own := plan.Voter(name); own != nil {
 		l, err := net.Listen("tcp", plan.Listen)
@@ -101,7 +101,7 @@
 		}
 	}
 	if plan.Gossip != "" {
-		m, err := meet(ctx, name, plan, f.told, f.hear(), f.log)
+		m, err := joinGossip(ctx, name, plan, f.told, f.reportHandler(), f.log)
 		if err != nil && beside {
 			f.all.Go(func() { f.meetLater(ctx) })
 		} else if err != nil {
@@ -139,7 +139,7 @@
 // meetLater waits for the address at which another process of this node still hears who is there.
 func (f *Fleet) meetLater(ctx context.Context) {
 	later(ctx, func() bool {
-		m, err := meet(ctx, f.name, f.plan, f.told, f.hear(), f.log)
+		m, err := joinGossip(ctx, f.name, f.plan, f.told, f.reportHandler(), f.log)
 		if err != nil {
 			return false
 		}
@@ -542,10 +542,10 @@
 	seat, members := f.seat, f.members
 	f.mu.Unlock()
 	if members != nil {
-		out.Members = members.read()
+		out.Members = members.status()
 	}
-	if f.board != nil {
-		out.Outliers = f.board.read()
+	if f.gossip != nil {
+		out.Outliers = f.gossip.status()
 	}
 	if seat != nil {
 		out.Voter = seat.status()
