--- a/internal/fleet/board.go
+++ b/internal/fleet/board.go
@@ -57,7 +57,7 @@
 // broadcast has gossip carry a node's news. It may be called by gossip itself.
 func (f *Fleet) broadcast(node string, text []byte) {
 	f.mu.Lock()
-	m := f.members
+	m := f.membership
 	f.mu.Unlock()
 	if m != nil {
 		m.broadcast(node, text)
@@ -83,7 +83,7 @@
 	b.mu.Lock()
 	b.listed = listed
 	b.mu.Unlock()
-	tick := time.NewTicker(f.plan.ElectionTimeout / 2)
+	tick := time.NewTicker(f.cfg.ElectionTimeout / 2)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -37,53 +37,53 @@
 
 // Fleet is one process's part. It is safe for use by many goroutines.
 type Fleet struct {
-	plan   *config.Fleet
-	name   string
-	clock  Clock
-	log    zerolog.Logger
-	calls  *voterClient
-	kick   chan struct{}
-	news   chan struct{} // of members
-	gossip *gossipState  // nil: nodes do not tell of executors
-	all    sync.WaitGroup
-	stop   context.CancelFunc
-
-	mu      sync.Mutex
-	seat    *voter      // nil: this process has none, or has none yet
-	members *membership // nil: it takes no part, or not yet
-	holder  *budget.LeaseHolder
-	wants   *budget.DemandEstimator
-	firsts  *budget.UsageMeter // first postings, in a window of second ones
-	shares  map[string]*share
-}
-
-// share is what this node has of one budget, and what it did with it.
-type share struct {
-	terms   budget.Limits
-	meter   *budget.UsageMeter
-	whole   int64 // as last heard
-	sent    int64 // counted at the sending
-	lapsed  int64 // held back there: the lease had run out, or had come down
-	slipped int64 // gone out, though the lease had run out once the write was over, or since it could not wait
-}
-
-// hurries is how many requests a node that needs more makes in a lease at most; one that needs no more makes three.
-const hurries = 15
+	cfg               *config.Fleet
+	name              string
+	clock             Clock
+	log               zerolog.Logger
+	client            *voterClient
+	requestSoon       chan struct{}
+	membershipChanged chan struct{} // of members
+	gossip            *gossipState  // nil: nodes do not tell of executors
+	tasks             sync.WaitGroup
+	cancel            context.CancelFunc
+
+	mu            sync.Mutex
+	voter         *voter      // nil: this process has none, or has none yet
+	membership    *membership // nil: it takes no part, or not yet
+	holder        *budget.LeaseHolder
+	demand        *budget.DemandEstimator
+	firstAttempts *budget.UsageMeter // first postings, in a window of second ones
+	quotas        map[string]*quota
+}
+
+// quota is what this node has of one budget, and what it did with it.
+type quota struct {
+	limits          budget.Limits
+	meter           *budget.UsageMeter
+	total           int64 // as last heard
+	sent            int64 // counted at the sending
+	heldBack        int64 // held back there: the lease had run out, or had come down
+	sentAfterExpiry int64 // gone out, though the lease had run out once the write was over, or since it could not wait
+}
+
+// maxRequestsPerLease is how many requests a node that needs more makes in a lease at most; one that needs no more makes three.
+const maxRequestsPerLease = 15
 
 // Start begins to ask for leases, and takes the seat if the node has one. beside says that other processes of the node may
 // live, one of which may have it. Close ends both.
 func Start(name string, plan *config.Fleet, beside bool, clock Clock, log zerolog.Logger) (*Fleet, error) {
 	ctx, stop := context.WithCancel(context.Background())
-	f := &Fleet{plan: plan, name: name, clock: clock, log: log.With().Str("part", "fleet").Logger(), kick: make(chan struct{}, 1), news: make(chan struct{}, 1),
-		stop: stop, shares: map[string]*share{}}
+	f := &Fleet{cfg: plan, name: name, clock: clock, log: log.With().Str("part", "fleet").Logger(), requestSoon: make(chan struct{}, 1), membershipChanged: make(chan struct{}, 1),
+		cancel: stop, quotas: map[string]*quota{}}
 	f.holder = budget.NewLeaseHolder(name, randomID(), &plan.Agreement, clock())
-	f.wants, f.firsts = budget.NewDemandEstimator(name, &plan.Agreement), budget.NewUsageMeter(&plan.Agreement, config.BudgetRetries)
+	f.demand, f.firstAttempts = budget.NewDemandEstimator(name, &plan.Agreement), budget.NewUsageMeter(&plan.Agreement, config.BudgetRetries)
 	for b, t := range plan.Agreement.Budgets {
 		for _, part := range plan.Agreement.PartitionNames(b) {
-			f.shares[part] = &share{terms: t, meter: budget.NewUsageMeter(&plan.Agreement, part), whole: t.Total}
+			f.quotas[part] = &quota{limits: t, meter: budget.NewUsageMeter(&plan.Agreement, part), total: t.Total}
 		}
 	}
-	f.calls = newVoterClient(plan)
+	f.client = newVoterClient(plan)
 	if plan.WitnessQuorum > 0 {
 		f.gossip = newGossipState(name, plan, clock)
 	}
@@ -91,44 +91,44 @@
 		l, err := net.Listen("tcp", plan.Listen)
 		// Danger: another process of this node has the seat, as in an upgrade; this one takes it once that one has left.
 		if errors.Is(err, syscall.EADDRINUSE) && beside {
-			f.all.Go(func() { f.sitLater(ctx) })
+			f.tasks.Go(func() { f.retryStartVoter(ctx) })
 		} else if err != nil {
 			stop()
 			return nil, fmt.Errorf("fleet.listen: %w", err)
-		} else if err := f.sit(ctx, l); err != nil {
+		} else if err := f.startVoter(ctx, l); err != nil {
 			stop()
 			return nil, err
 		}
 	}
 	if plan.Gossip != "" {
-		m, err := joinGossip(ctx, name, plan, f.told, f.reportHandler(), f.log)
+		m, err := joinGossip(ctx, name, plan, f.notifyMembershipChange, f.reportHandler(), f.log)
 		if err != nil && beside {
-			f.all.Go(func() { f.meetLater(ctx) })
+			f.tasks.Go(func() { f.retryJoinGossip(ctx) })
 		} else if err != nil {
 			f.Close()
 			return nil, fmt.Errorf("fleet.gossip: %w", err)
 		} else {
-			f.members = m
+			f.membership = m
 		}
 	}
-	f.all.Go(func() { f.keep(ctx) })
+	f.tasks.Go(func() { f.renewLeases(ctx) })
 	return f, nil
 }
 
-func (f *Fleet) told() {
+func (f *Fleet) notifyMembershipChange() {
 	select {
-	case f.news <- struct{}{}:
+	case f.membershipChanged <- struct{}{}:
 	default:
 	}
 }
 
 // MembershipChanges comes when other members are there than were when they were last looked at.
-func (f *Fleet) MembershipChanges() <-chan struct{} { return f.news }
+func (f *Fleet) MembershipChanges() <-chan struct{} { return f.membershipChanged }
 
 // Peers are the nodes that are there, as this one believes, itself among them where it takes part in gossip.
 func (f *Fleet) Peers() []string {
 	f.mu.Lock()
-	m := f.members
+	m := f.membership
 	f.mu.Unlock()
 	if m == nil {
 		return nil
@@ -136,52 +136,52 @@
 	return m.names()
 }
 
-// meetLater waits for the address at which another process of this node still hears who is there.
-func (f *Fleet) meetLater(ctx context.Context) {
-	later(ctx, func() bool {
-		m, err := joinGossip(ctx, f.name, f.plan, f.told, f.reportHandler(), f.log)
+// retryJoinGossip waits for the address at which another process of this node still hears who is there.
+func (f *Fleet) retryJoinGossip(ctx context.Context) {
+	retryUntilDone(ctx, func() bool {
+		m, err := joinGossip(ctx, f.name, f.cfg, f.notifyMembershipChange, f.reportHandler(), f.log)
 		if err != nil {
 			return false
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.members = m
+		f.membership = m
 		return true
 	})
 }
 
-// sit takes the node's seat.
-func (f *Fleet) sit(ctx context.Context, l net.Listener) error {
-	s, err := startVoter(ctx, f.name, l, f.plan, f.clock, f.calls, f.log)
+// startVoter takes the node's seat.
+func (f *Fleet) startVoter(ctx context.Context, l net.Listener) error {
+	s, err := startVoter(ctx, f.name, l, f.cfg, f.clock, f.client, f.log)
 	if err != nil {
 		l.Close()
 		return err
 	}
 	f.mu.Lock()
-	f.seat = s
+	f.voter = s
 	f.mu.Unlock()
-	f.all.Go(func() {
+	f.tasks.Go(func() {
 		select {
 		case <-ctx.Done():
 		case <-s.closed:
 		case <-s.quorumLost:
 			f.mu.Lock()
-			mine := f.seat == s
+			mine := f.voter == s
 			if mine {
-				f.seat = nil
+				f.voter = nil
 			}
 			f.mu.Unlock()
 			if mine {
 				s.close()
-				f.sitLater(ctx)
+				f.retryStartVoter(ctx)
 			}
 		}
 	})
 	return nil
 }
 
-// later tries until it is done, or the fleet ends.
-func later(ctx context.Context, try func() (done bool)) {
+// retryUntilDone tries until it is done, or the fleet ends.
+func retryUntilDone(ctx context.Context, try func() (done bool)) {
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -196,15 +196,15 @@
 	}
 }
 
-// sitLater waits for the seat's door.
-func (f *Fleet) sitLater(ctx context.Context) {
-	later(ctx, func() bool {
-		l, err := net.Listen("tcp", f.plan.Listen)
+// retryStartVoter waits for the seat's door.
+func (f *Fleet) retryStartVoter(ctx context.Context) {
+	retryUntilDone(ctx, func() bool {
+		l, err := net.Listen("tcp", f.cfg.Listen)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			return false
 		}
 		if err == nil {
-			err = f.sit(ctx, l)
+			err = f.startVoter(ctx, l)
 		}
 		if err != nil {
 			f.log.Error().Err(err).Msg("the seat is not taken")
@@ -227,8 +227,8 @@
 
 func (f *Fleet) leave(told bool) {
 	f.mu.Lock()
-	s, m := f.seat, f.members
-	f.seat, f.members = nil, nil
+	s, m := f.voter, f.membership
+	f.voter, f.membership = nil, nil
 	f.mu.Unlock()
 	if m != nil {
 		m.leave(told)
@@ -240,8 +240,8 @@
 
 // Close ends all. The lease is not given back: the grants run out by themselves.
 func (f *Fleet) Close() {
-	f.stop()
-	f.all.Wait()
+	f.cancel()
+	f.tasks.Wait()
 	f.leave(true)
 }
 
@@ -252,16 +252,16 @@
 	return hex.EncodeToString(b)
 }
 
-// keep asks for leases until the end.
-func (f *Fleet) keep(ctx context.Context) {
+// renewLeases asks for leases until the end.
+func (f *Fleet) renewLeases(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	kicked, at, heard, hurry := false, 0, true, time.Duration(f.plan.Agreement.Lease/hurries)
+	kicked, at, heard, hurry := false, 0, true, time.Duration(f.cfg.Agreement.Lease/maxRequestsPerLease)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.kick:
+		case <-f.requestSoon:
 			if !kicked {
 				kicked = true
 				timer.Reset(hurry)
@@ -270,13 +270,13 @@
 		case <-timer.C:
 		}
 		kicked = false
-		ask := f.ask()
-		call, cancel := context.WithTimeout(ctx, time.Duration(f.plan.Agreement.Lease/3))
-		answer, to, err := f.calls.requestLease(call, at, &ask)
+		ask := f.nextRequest()
+		call, cancel := context.WithTimeout(ctx, time.Duration(f.cfg.Agreement.Lease/3))
+		answer, to, err := f.client.requestLease(call, at, &ask)
 		cancel()
 		at = to
 		if err == nil {
-			f.take(answer)
+			f.applyResponse(answer)
 		}
 		// Danger: floors by a file of its own, beyond what was carved out for each; a seat that is not reached proves nothing.
 		if refused := errors.Is(err, errAgreementMismatch); refused || err == nil {
@@ -292,36 +292,36 @@
 		next := time.Duration(f.holder.NextRequestTime() - f.clock())
 		f.mu.Unlock()
 		if err != nil {
-			next = min(next, time.Duration(f.plan.Agreement.Lease/10)) // another seat
+			next = min(next, time.Duration(f.cfg.Agreement.Lease/10)) // another seat
 		}
 		timer.Reset(max(next, hurry/8))
 	}
 }
 
-// ask makes the next request from what was used and refused since the last one.
-func (f *Fleet) ask() budget.LeaseRequest {
+// nextRequest makes the next request from what was used and refused since the last one.
+func (f *Fleet) nextRequest() budget.LeaseRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	want := f.wants.Estimate(func(name string) (float64, bool) { return f.shares[name].meter.PeakDemand(now) },
+	want := f.demand.Estimate(func(name string) (float64, bool) { return f.quotas[name].meter.PeakDemand(now) },
 		func(name string) int64 { return f.holder.Units(name, now) })
 	a := f.holder.NextRequest(want, now)
-	a.FirstAttempts = int64(f.firsts.Used("", now))
+	a.FirstAttempts = int64(f.firstAttempts.Used("", now))
 	return a
 }
 
-func (f *Fleet) take(a *budget.LeaseResponse) {
+func (f *Fleet) applyResponse(a *budget.LeaseResponse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	was := f.holder.ClockRate()
-	f.wants.ObserveResponse(a)
+	f.demand.ObserveResponse(a)
 	f.holder.ApplyResponse(a, f.clock())
 	if rate := f.holder.ClockRate(); rate != 0 && was == 0 {
-		f.log.Error().Float64("rate", rate).Float64("margin", f.plan.Agreement.ClockMargin).Msg("this machine's clock, or the granter's, is beyond the margin: no lease is used")
+		f.log.Error().Float64("rate", rate).Float64("margin", f.cfg.Agreement.ClockMargin).Msg("this machine's clock, or the granter's, is beyond the margin: no lease is used")
 	}
 	for name, whole := range a.Totals {
-		if s := f.shares[name]; s != nil {
-			s.whole = whole
+		if s := f.quotas[name]; s != nil {
+			s.total = whole
 		}
 	}
 }
@@ -330,8 +330,8 @@
 func (f *Fleet) Allow(name, key string, units float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	name = f.share(name, key)
-	s := f.shares[name]
+	name = f.quotaName(name, key)
+	s := f.quotas[name]
 	if s == nil {
 		return true
 	}
@@ -340,7 +340,7 @@
 		return true
 	}
 	s.meter.RecordRejected(key, units, now)
-	f.hurry()
+	f.hurryRequest()
 	return false
 }
 
@@ -348,36 +348,36 @@
 func (f *Fleet) Quota(name, key string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	name = f.share(name, key)
-	s := f.shares[name]
+	name = f.quotaName(name, key)
+	s := f.quotas[name]
 	if s == nil {
 		return 1
 	}
-	return float64(f.holder.Units(name, f.clock())) / float64(s.terms.Total)
+	return float64(f.holder.Units(name, f.clock())) / float64(s.limits.Total)
 }
 
-// share is the one of a budget that a key falls to.
-func (f *Fleet) share(budget, key string) string {
-	if f.plan.Agreement.Budgets[budget].Partitions <= 1 {
+// quotaName is the one of a budget that a key falls to.
+func (f *Fleet) quotaName(budget, key string) string {
+	if f.cfg.Agreement.Budgets[budget].Partitions <= 1 {
 		return budget
 	}
-	return f.plan.Agreement.PartitionName(budget, dispatch.HashName(key))
+	return f.cfg.Agreement.PartitionName(budget, dispatch.HashName(key))
 }
 
 // Total is what all nodes have of a budget, by the pact.
-func (f *Fleet) Total(name string) float64 { return float64(f.plan.Agreement.Budgets[name].Total) }
+func (f *Fleet) Total(name string) float64 { return float64(f.cfg.Agreement.Budgets[name].Total) }
 
 // SetTotal has the seats agree on another whole. A lowered one waits for what is out.
 func (f *Fleet) SetTotal(name string, units int64) error {
-	if _, is := f.plan.Agreement.Budgets[name]; !is {
+	if _, is := f.cfg.Agreement.Budgets[name]; !is {
 		return fmt.Errorf("no budget is called %.40q", name)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	err := errNotLeader
-	for _, s := range f.plan.Voters {
+	for _, s := range f.cfg.Voters {
 		var done map[string]int64
-		switch fault := f.calls.post(ctx, s.Address, "/whole", map[string]int64{name: units}, &done); {
+		switch fault := f.client.post(ctx, s.Address, "/whole", map[string]int64{name: units}, &done); {
 		case fault == nil:
 			return nil
 		case errors.Is(err, errNotLeader): // what the granter says counts, not that others don't grant
@@ -387,23 +387,23 @@
 	return err
 }
 
-// hurry has the next request made soon. Under mu.
-func (f *Fleet) hurry() {
+// hurryRequest has the next request made soon. Under mu.
+func (f *Fleet) hurryRequest() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.requestSoon <- struct{}{}:
 	default:
 	}
 }
 
 // Reservation is what one sending takes of several budgets. The zero one is of none.
 type Reservation struct {
-	fleet *Fleet
-	first bool
-	uses  []charged
+	fleet          *Fleet
+	isFirstAttempt bool
+	usages         []reservedUsage
 }
 
-type charged struct {
-	share *share
+type reservedUsage struct {
+	share *quota
 	name  string
 	use   *budget.Usage
 }
@@ -412,8 +412,8 @@
 func (c *Reservation) Reserve(f *Fleet, name, key string, units float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	name = f.share(name, key)
-	s := f.shares[name]
+	name = f.quotaName(name, key)
+	s := f.quotas[name]
 	if s == nil {
 		return true
 	}
@@ -421,15 +421,15 @@
 	now := f.clock()
 	use := s.meter.Reserve(key, units, f.holder.Units(name, now), now)
 	if use == nil {
-		f.hurry()
+		f.hurryRequest()
 		return false
 	}
-	c.uses = append(c.uses, charged{s, name, use})
+	c.usages = append(c.usages, reservedUsage{s, name, use})
 	return true
 }
 
 // CountFirstAttempt has the sending counted as a first posting, of which second ones may be a share.
-func (c *Reservation) CountFirstAttempt(f *Fleet) { c.fleet, c.first = f, true }
+func (c *Reservation) CountFirstAttempt(f *Fleet) { c.fleet, c.isFirstAttempt = f, true }
 
 // MaySend says whether what was reserved may go out at this very moment. Sent has to be called once it has.
 func (c *Reservation) MaySend() bool {
@@ -440,17 +440,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	for _, u := range c.uses {
+	for _, u := range c.usages {
 		if !u.share.meter.Send(u.use, f.holder.Units(u.name, now), now) {
-			u.share.lapsed++
+			u.share.heldBack++
 			return false
 		}
 	}
-	for _, u := range c.uses {
+	for _, u := range c.usages {
 		u.share.sent++
 	}
-	if c.first {
-		f.firsts.Record("", 1, now)
+	if c.isFirstAttempt {
+		f.firstAttempts.Record("", 1, now)
 	}
 	return true
 }
@@ -465,9 +465,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	for _, u := range c.uses {
+	for _, u := range c.usages {
 		if u.share.meter.Used(u.use.Key(), now) > float64(f.holder.Units(u.name, now)) && now >= f.holder.LeaseExpiry() {
-			u.share.slipped++
+			u.share.sentAfterExpiry++
 		}
 	}
 }
@@ -480,21 +480,21 @@
 	}
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
-	for _, u := range c.uses {
-		if u.share.meter.Cancel(u.use); over && u.name == c.fleet.share(config.BudgetTenantAttempts, u.use.Key()) {
+	for _, u := range c.usages {
+		if u.share.meter.Cancel(u.use); over && u.name == c.fleet.quotaName(config.BudgetTenantAttempts, u.use.Key()) {
 			u.share.meter.Release(u.use)
 		}
 	}
-	c.uses = nil
+	c.usages = nil
 }
 
 // RecordOverrun counts a sending that could not wait for its share, and that it did not.
 func (f *Fleet) RecordOverrun(name, key string, units float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s := f.shares[f.share(name, key)]; s != nil {
+	if s := f.quotas[f.quotaName(name, key)]; s != nil {
 		s.meter.Record(key, units, f.clock())
-		s.slipped++
+		s.sentAfterExpiry++
 	}
 }
 
@@ -536,10 +536,10 @@
 	now := f.clock()
 	out.Epoch, out.LeaseMillis = f.holder.Epoch(), max(f.holder.LeaseExpiry()-now, 0)/1e6
 	out.ClockRate = f.holder.ClockRate()
-	for name, s := range f.shares {
-		out.Budgets[name] = BudgetStatus{s.whole, s.terms.Floor, f.holder.Units(name, now), s.meter.Peak(now), f.wants.LastEstimate(name), s.sent, s.lapsed, s.slipped}
+	for name, s := range f.quotas {
+		out.Budgets[name] = BudgetStatus{s.total, s.limits.Floor, f.holder.Units(name, now), s.meter.Peak(now), f.demand.LastEstimate(name), s.sent, s.heldBack, s.sentAfterExpiry}
 	}
-	seat, members := f.seat, f.members
+	seat, members := f.voter, f.membership
 	f.mu.Unlock()
 	if members != nil {
 		out.Members = members.status()
