--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -62,11 +62,11 @@
 func load(env func(string) string, list bool) (*Node, error) {
 	path := env("EDGE_CONFIG")
 	if path == "" {
-		return nil, fmt.Errorf("EDGE_CONFIG: names no file")
+		return nil, keyErrorf("EDGE_CONFIG", "names no file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
+		return nil, &KeyError{Key: "EDGE_CONFIG", Err: err}
 	}
 	return decode(text, env, list)
 }
@@ -102,7 +102,7 @@
 	// Danger: a list of thousands of servers that is decoded three times, at a node that has to serve soon on a small share of a core.
 	var raw map[string]json.RawMessage
 	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&raw); err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, &KeyError{Key: "configuration", Err: err}
 	}
 	known := raw["known"]
 	// Danger: SIGHUP at a node with a small share of a core, which stands still for a list that nobody looks at.
@@ -115,7 +115,7 @@
 		decoder.UseNumber()
 		var value any
 		if err := decoder.Decode(&value); err != nil {
-			return nil, fmt.Errorf("configuration: %w", err)
+			return nil, &KeyError{Key: "configuration", Err: err}
 		}
 		if tree[key] = value; key != "settings" {
 			flatten(flat, key, value)
@@ -123,7 +123,7 @@
 	}
 	settings, isObject := tree["settings"].(map[string]any)
 	if !isObject {
-		return nil, fmt.Errorf("settings: missing or not an object")
+		return nil, keyErrorf("settings", "missing or not an object")
 	}
 	under := map[string]string{}
 	for key, value := range settings {
@@ -143,7 +143,7 @@
 	if n.Settings, err = DecodeSettings(find); err != nil {
 		return nil, err
 	}
-	r := &reader{find: find}
+	r := &reader{find: find, section: "settings."}
 	// Danger: what looks again after a tick would look again at once, and take the core.
 	r.whole("Tick", 1e6, 1)
 	n.LoadReportKeys = DecodeLoadReportKeys(find)
@@ -186,7 +186,7 @@
 			key = variable
 		}
 		if _, _, err := net.SplitHostPort(v); err != nil && r.err == nil {
-			r.err = fmt.Errorf("%s: %q is not host:port", key, v)
+			r.err = keyErrorf(key, "%q is not host:port", v)
 		}
 		return v
 	}
@@ -194,7 +194,7 @@
 	if level := env("EDGE_LOG"); level != "" {
 		var err error
 		if n.LogLevel, err = zerolog.ParseLevel(level); err != nil {
-			return fmt.Errorf("EDGE_LOG: %q is not a level, such as trace, debug, info or warn", level)
+			return keyErrorf("EDGE_LOG", "%q is not a level, such as trace, debug, info or warn", level)
 		}
 	}
 	if n.Name = env("EDGE_NAME"); n.Name == "" {
@@ -204,16 +204,16 @@
 	if r.word("admin_addr") != "" || env("EDGE_ADMIN_ADDR") != "" {
 		// Danger: the clients' own address, written twice; one of the two would not come up, or hear the other's calls.
 		if n.AdminAddress = address("EDGE_ADMIN_ADDR", "admin_addr"); n.AdminAddress == n.Listen && r.err == nil {
-			r.err = fmt.Errorf("admin_addr: %q is where clients connect", n.AdminAddress)
+			r.err = keyErrorf("admin_addr", "%q is where clients connect", n.AdminAddress)
 		}
 	}
 	if fd := env("EDGE_LISTEN_FD"); fd != "" {
 		var err error
 		if n.ListenFD, err = strconv.Atoi(fd); err != nil || n.ListenFD < 3 {
-			return fmt.Errorf("EDGE_LISTEN_FD: %q is not the number of an inherited descriptor", fd)
+			return keyErrorf("EDGE_LISTEN_FD", "%q is not the number of an inherited descriptor", fd)
 		}
 		if on, err := unix.GetsockoptInt(n.ListenFD, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on == 0 {
-			return fmt.Errorf("EDGE_LISTEN_FD: descriptor %d is not an open listening socket", n.ListenFD)
+			return keyErrorf("EDGE_LISTEN_FD", "descriptor %d is not an open listening socket", n.ListenFD)
 		}
 	}
 	n.Cores = r.real("limits.cores", defaultCores)
@@ -225,11 +225,11 @@
 	}
 	var err error
 	if n.Seed, err = strconv.ParseUint(r.word("seed"), 16, 64); err != nil {
-		return fmt.Errorf("seed: %q is not a hexadecimal number of 64 bits", r.word("seed"))
+		return keyErrorf("seed", "%q is not a hexadecimal number of 64 bits", r.word("seed"))
 	}
 	if n.InitialEndpoints = (&protocol.EndpointList{}); known != nil && string(known) != "null" {
 		if n.InitialEndpoints, err = protocol.DecodeEndpointList(known, n.Names); err != nil {
-			return fmt.Errorf("known: %w", err)
+			return &KeyError{Key: "known", Err: err}
 		}
 	}
 	if n.Fleet, err = n.fleet(r, flat); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -3,7 +3,9 @@
 package config
 
 import (
+	"errors"
 	"fmt"
+	"io/fs"
 	"net"
 	"os"
 	"path/filepath"
@@ -63,19 +65,19 @@
 		{`"listen":"127.0.0.1:70"`, `"listen":"here"`, "listen: "},
 		{`"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb: "},
 		{`"sockets":1024`, `"sockets":"many"`, "limits.sockets: "},
-		{`"Schemes"`, `"Scheme"`, "Schemes: "},
-		{`"SlaTime":200000000`, `"SlaTime":-1`, "Schemes.1.SlaTime: "},
-		{`"SlaTime":200000000,`, ``, "Schemes.1.SlaTime: "},
-		{`"Idempotency":"idempotent"`, `"Idempotency":"perhaps"`, "Schemes.0.Idempotency: "},
-		{`[2.5,2.0]`, `[2.5,"x"]`, "Extra.ClassStretch: "},
-		{`"Share":0.25`, `"Share":"NaN"`, "Tenants.0.Share: "},
-		{`"DialTimeout":120000000`, `"DialTimeout":0`, "Limits.DialTimeout: "},
-		{`"Tick":5000000`, `"Tick":0`, "Tick: "},
-		{`"Odd":true`, `"Weights":"heavy"`, "Weights: "},
-		{`"Odd":true`, `"Discovery":"guess"`, "Discovery: "},
-		{`"Odd":true`, `"Report":{"Source":"sometimes"}`, "Report.Source: "},
-		{`"MayCancel":true`, `"MayProbe":"perhaps"`, "Limits.MayProbe: "},
-		{`"MayCancel":true`, `"MayTell":3`, "Limits.MayTell: "},
+		{`"Schemes"`, `"Scheme"`, "settings.Schemes: "},
+		{`"SlaTime":200000000`, `"SlaTime":-1`, "settings.Schemes.1.SlaTime: "},
+		{`"SlaTime":200000000,`, ``, "settings.Schemes.1.SlaTime: "},
+		{`"Idempotency":"idempotent"`, `"Idempotency":"perhaps"`, "settings.Schemes.0.Idempotency: "},
+		{`[2.5,2.0]`, `[2.5,"x"]`, "settings.Extra.ClassStretch: "},
+		{`"Share":0.25`, `"Share":"NaN"`, "settings.Tenants.0.Share: "},
+		{`"DialTimeout":120000000`, `"DialTimeout":0`, "settings.Limits.DialTimeout: "},
+		{`"Tick":5000000`, `"Tick":0`, "settings.Tick: "},
+		{`"Odd":true`, `"Weights":"heavy"`, "settings.Weights: "},
+		{`"Odd":true`, `"Discovery":"guess"`, "settings.Discovery: "},
+		{`"Odd":true`, `"Report":{"Source":"sometimes"}`, "settings.Report.Source: "},
+		{`"MayCancel":true`, `"MayProbe":"perhaps"`, "settings.Limits.MayProbe: "},
+		{`"MayCancel":true`, `"MayTell":3`, "settings.Limits.MayTell: "},
 		{`"sockets":1024`, `"sockets":1024,"probe_ms":0`, "limits.probe_ms: "},
 		{`"state":"Ready"`, `"state":"Odd"`, "known: servers.0: unknown state"},
 	} {
@@ -83,16 +85,31 @@
 		if text == whole {
 			t.Fatalf("%s is not in the text", c.from)
 		}
-		if _, err := parse([]byte(text), nothing); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.to, err, c.want)
-		}
-	}
-	if _, err := parse([]byte(whole), func(v string) string { return map[string]string{"EDGE_LOG": "loud"}[v] }); err == nil ||
-		!strings.Contains(err.Error(), "EDGE_LOG") {
-		t.Error(err)
+		_, err := parse([]byte(text), nothing)
+		checkKeyError(t, c.to, err, c.want)
+	}
+	_, err := parse([]byte(whole), func(v string) string { return map[string]string{"EDGE_LOG": "loud"}[v] })
+	checkKeyError(t, "a level that is none", err, "EDGE_LOG: ")
+	_, err = Load(nothing)
+	checkKeyError(t, "no file", err, "EDGE_CONFIG: ")
+	_, err = Load(func(string) string { return filepath.Join(t.TempDir(), "absent") })
+	checkKeyError(t, "an absent file", err, "EDGE_CONFIG: ")
+	if !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("an absent file: %v", err)
 	}
-	if _, err := Load(nothing); err == nil || !strings.Contains(err.Error(), "EDGE_CONFIG") {
-		t.Error(err)
+}
+
+// checkKeyError fails the test unless err is a KeyError, whose text begins with its key and with want.
+func checkKeyError(t *testing.T, what string, err error, want string) {
+	t.Helper()
+	var keyError *KeyError
+	if !errors.As(err, &keyError) {
+		t.Errorf("%s: %v is no KeyError, want %q", what, err, want)
+		return
+	}
+	text := err.Error()
+	if !strings.HasPrefix(text, keyError.Key+": ") || !strings.HasPrefix(text, want) {
+		t.Errorf("%s: %q about the key %q, want %q", what, text, keyError.Key, want)
 	}
 }
 
@@ -110,7 +127,9 @@
 		n, err := parse([]byte("{"+c.file+whole[1:]), func(v string) string {
 			return map[string]string{"EDGE_ADMIN_ADDR": c.variable, "EDGE_LISTEN": "10.0.0.4:7070"}[v]
 		})
-		if c.fault == "" && (err != nil || n.AdminAddress != c.want) || c.fault != "" && (err == nil || !strings.Contains(err.Error(), c.fault)) {
+		if c.fault != "" {
+			checkKeyError(t, c.file+c.variable, err, c.fault)
+		} else if err != nil || n.AdminAddress != c.want {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
@@ -140,9 +159,8 @@
 		t.Error(err)
 	}
 	for _, fd := range []string{"five", "-1", "0", "1", "99999", fmt.Sprint(other.Fd())} {
-		if _, err := read(fd); err == nil || !strings.Contains(err.Error(), "EDGE_LISTEN_FD: ") {
-			t.Errorf("%s: %v", fd, err)
-		}
+		_, err := read(fd)
+		checkKeyError(t, fd, err, "EDGE_LISTEN_FD: ")
 	}
 	if n, err := read(""); err != nil || n.ListenFD != 0 {
 		t.Error(err)
@@ -193,9 +211,8 @@
 	}
 	for _, key := range []string{"LeftMargin", "BootStampError"} {
 		text := strings.Replace(whole, `"Odd":true`, `"Rules":{"`+key+`":-1}`, 1)
-		if _, err := parse([]byte(text), nothing); err == nil || !strings.Contains(err.Error(), "Rules."+key+": ") {
-			t.Errorf("%s: %v", key, err)
-		}
+		_, err := parse([]byte(text), nothing)
+		checkKeyError(t, key, err, "settings.Rules."+key+": ")
 	}
 }
 
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -3,7 +3,6 @@
 package config
 
 import (
-	"fmt"
 	"maps"
 	"net"
 	"slices"
@@ -82,11 +81,11 @@
 	}
 	for _, address := range append(slices.Clone(f.Join), f.Gossip) {
 		if host, _, err := net.SplitHostPort(address); address != "" && (err != nil || net.ParseIP(host) == nil) {
-			return nil, fmt.Errorf("fleet.gossip, fleet.join: %q is not IP:port; no names are looked up", address)
+			return nil, keyErrorf("fleet.gossip, fleet.join", "%q is not IP:port; no names are looked up", address)
 		}
 	}
 	if f.Gossip == "" && len(f.Join) > 0 {
-		return nil, fmt.Errorf("fleet.join: nothing to join by without fleet.gossip")
+		return nil, keyErrorf("fleet.join", "nothing to join by without fleet.gossip")
 	}
 	if parted {
 		f.Subset = &subset.Settings{Size: int(r.whole("fleet.subset.size", 0, 1)), MinNodesPerServer: int(r.whole("fleet.subset.cover", defaultCover, 1))}
@@ -96,11 +95,11 @@
 		case r.err != nil:
 			return nil, r.err
 		case size < least:
-			return nil, fmt.Errorf("fleet.subset.size: %d is under the %d zones or kinds of which each node needs one", size, least)
+			return nil, keyErrorf("fleet.subset.size", "%d is under the %d zones or kinds of which each node needs one", size, least)
 		case listed > 0 && size > listed:
-			return nil, fmt.Errorf("fleet.subset.size: %d is more than the %d executors that are known", size, listed)
+			return nil, keyErrorf("fleet.subset.size", "%d is more than the %d executors that are known", size, listed)
 		case f.Gossip == "":
-			return nil, fmt.Errorf("fleet.subset: without fleet.gossip no node knows of others")
+			return nil, keyErrorf("fleet.subset", "without fleet.gossip no node knows of others")
 		}
 	}
 	if z := n.Settings.Zone; z >= 0 && z < len(n.Names.Zones) {
@@ -112,11 +111,11 @@
 		case r.err != nil:
 			return nil, r.err
 		case f.Gossip == "":
-			return nil, fmt.Errorf("fleet.signals: without fleet.gossip nodes hear nothing of each other")
+			return nil, keyErrorf("fleet.signals", "without fleet.gossip nodes hear nothing of each other")
 		case f.Zone == "":
-			return nil, fmt.Errorf("fleet.signals: settings.MyZone and settings.Dcs name no zone, so that this node is no witness")
+			return nil, keyErrorf("fleet.signals", "settings.MyZone and settings.Dcs name no zone, so that this node is no witness")
 		case int64(f.WitnessQuorum) > f.Agreement.MaxNodes:
-			return nil, fmt.Errorf("fleet.signals.quorum: %d is more than all nodes, fleet.most", f.WitnessQuorum)
+			return nil, keyErrorf("fleet.signals.quorum", "%d is more than all nodes, fleet.most", f.WitnessQuorum)
 		}
 	}
 	count := int(r.whole("fleet.seats.count", 0, 0))
@@ -124,17 +123,17 @@
 		at := "fleet.seats." + strconv.Itoa(i)
 		s := Voter{r.word(at + ".name"), r.word(at + ".address")}
 		if s.Name == "" || strings.ContainsAny(s.Name, "/ ") {
-			return nil, fmt.Errorf("%s.name: %q is no name of a node", at, s.Name)
+			return nil, keyErrorf(at+".name", "%q is no name of a node", s.Name)
 		}
 		if _, _, err := net.SplitHostPort(s.Address); err != nil {
-			return nil, fmt.Errorf("%s.address: %q is not host:port", at, s.Address)
+			return nil, keyErrorf(at+".address", "%q is not host:port", s.Address)
 		}
 		for j, other := range f.Voters {
 			if other.Name == s.Name {
-				return nil, fmt.Errorf("%s.name: %q is the name of seat %d as well", at, s.Name, j)
+				return nil, keyErrorf(at+".name", "%q is the name of seat %d as well", s.Name, j)
 			}
 			if other.Address == s.Address {
-				return nil, fmt.Errorf("%s.address: %q is the address of seat %d as well", at, s.Address, j)
+				return nil, keyErrorf(at+".address", "%q is the address of seat %d as well", s.Address, j)
 			}
 		}
 		f.Voters = append(f.Voters, s)
@@ -144,7 +143,7 @@
 		window, longest, soon := int64(1000), n.MaxDeadline.Milliseconds(), n.Settings.MaxPollWait()
 		switch fall := n.Settings.OverloadWindow / 1e6; {
 		case !slices.Contains([]string{BudgetRetries, BudgetConnections, BudgetSlowStart, BudgetTenantAttempts, BudgetPolls}, name):
-			return nil, fmt.Errorf("fleet.budgets.%s: no such budget; there are %s, %s, %s, %s and %s", name, BudgetRetries, BudgetConnections, BudgetSlowStart, BudgetTenantAttempts, BudgetPolls)
+			return nil, keyErrorf("fleet.budgets."+name, "no such budget; there are %s, %s, %s, %s and %s", BudgetRetries, BudgetConnections, BudgetSlowStart, BudgetTenantAttempts, BudgetPolls)
 		case name == BudgetSlowStart && fall > 0:
 			window = fall
 		case name == BudgetTenantAttempts:
@@ -153,15 +152,15 @@
 		t := budget.Limits{Total: r.whole(at+"whole", 0, 1), Floor: r.whole(at+"floor", 0, 0), Reserve: r.whole(at+"reserve", 0, 0),
 			Step: r.whole(at+"step", 1, 1), Window: r.whole(at+"window_ms", window, 1) * 1e6, Partitions: r.whole(at+"parts", 1, 1), FirstAttemptRatio: r.real(at+"share", 0)}
 		if name == BudgetSlowStart && t.Window < n.Settings.OverloadWindow {
-			return nil, fmt.Errorf("%swindow_ms: %d is under the window in which a cold executor falls over, settings.Rules.Fall", at, t.Window/1e6)
+			return nil, keyErrorf(at+"window_ms", "%d is under the window in which a cold executor falls over, settings.Rules.Fall", t.Window/1e6)
 		}
 		if name == BudgetTenantAttempts && t.Window < int64(n.MaxDeadline) {
-			return nil, fmt.Errorf("%swindow_ms: %d is under the longest expiry of a scheme, %d, for which a job may run that nothing is heard of", at, t.Window/1e6, longest)
+			return nil, keyErrorf(at+"window_ms", "%d is under the longest expiry of a scheme, %d, for which a job may run that nothing is heard of", t.Window/1e6, longest)
 		}
 		// Danger: news that lies longer than the rules allow since no share comes. A floor is one call in a window, so the window is
 		// what a node waits at most.
 		if name == BudgetPolls && (t.Floor < 1 || float64(t.Window)*(1+f.Agreement.ClockMargin) >= float64(soon)) {
-			return nil, fmt.Errorf("%sfloor: %d in a window of %d ms; each node needs one in less than %d, by settings.Rules", at, t.Floor, t.Window/1e6, soon/1e6)
+			return nil, keyErrorf(at+"floor", "%d in a window of %d ms; each node needs one in less than %d, by settings.Rules", t.Floor, t.Window/1e6, soon/1e6)
 		}
 		f.Agreement.Budgets[name] = t
 	}
@@ -169,24 +168,24 @@
 	case r.err != nil:
 		return nil, r.err
 	case count == 0 || count%2 == 0:
-		return nil, fmt.Errorf("fleet.seats: %d seats; an odd number is needed, best three or five", count)
+		return nil, keyErrorf("fleet.seats", "%d seats; an odd number is needed, best three or five", count)
 	case len(f.Secret) < leastSecret:
-		return nil, fmt.Errorf("fleet.secret: %d bytes; at least %d are needed", len(f.Secret), leastSecret)
+		return nil, keyErrorf("fleet.secret", "%d bytes; at least %d are needed", len(f.Secret), leastSecret)
 	case f.Agreement.MaxNodes < int64(count) || f.Agreement.MaxNodes > mostNodes:
-		return nil, fmt.Errorf("fleet.most: %d is not between the %d seats and %d", f.Agreement.MaxNodes, count, mostNodes)
+		return nil, keyErrorf("fleet.most", "%d is not between the %d seats and %d", f.Agreement.MaxNodes, count, mostNodes)
 	case f.Agreement.Lease < roundTrips*int64(trip):
-		return nil, fmt.Errorf("fleet.lease_ms: %d is shorter than %d round trips of %v", f.Agreement.Lease/1e6, roundTrips, trip)
+		return nil, keyErrorf("fleet.lease_ms", "%d is shorter than %d round trips of %v", f.Agreement.Lease/1e6, roundTrips, trip)
 	case !names[BudgetSlowStart]:
-		return nil, fmt.Errorf("fleet.budgets.cold: missing; nodes that hold budgets together take no turns at cold executors")
+		return nil, keyErrorf("fleet.budgets.cold", "missing; nodes that hold budgets together take no turns at cold executors")
 	case slices.ContainsFunc([]string{BudgetSlowStart, BudgetConnections, BudgetTenantAttempts, BudgetPolls}, func(name string) bool { return f.Agreement.Budgets[name].FirstAttemptRatio != 0 }):
-		return nil, fmt.Errorf("fleet.budgets: share is for second postings alone, which are one of first ones")
+		return nil, keyErrorf("fleet.budgets", "share is for second postings alone, which are one of first ones")
 	case f.Agreement.Budgets[BudgetRetries].Partitions > 1:
-		return nil, fmt.Errorf("fleet.budgets.again.parts: %d; second postings are counted for all executors together", f.Agreement.Budgets[BudgetRetries].Partitions)
+		return nil, keyErrorf("fleet.budgets.again.parts", "%d; second postings are counted for all executors together", f.Agreement.Budgets[BudgetRetries].Partitions)
 	case f.Agreement.Budgets[BudgetPolls].Partitions > 1:
-		return nil, fmt.Errorf("fleet.budgets.calls.parts: %d; there is one list", f.Agreement.Budgets[BudgetPolls].Partitions)
+		return nil, keyErrorf("fleet.budgets.calls.parts", "%d; there is one list", f.Agreement.Budgets[BudgetPolls].Partitions)
 	}
 	if err := f.Agreement.Validate(); err != nil {
-		return nil, fmt.Errorf("fleet.%w", err)
+		return nil, agreementError(err)
 	}
 	seat := f.Voter(n.Name)
 	if seat != nil && f.Listen == "" {
@@ -194,10 +193,10 @@
 	}
 	if seat != nil {
 		if _, _, err := net.SplitHostPort(f.Listen); err != nil {
-			return nil, fmt.Errorf("fleet.listen: %q is not host:port", f.Listen)
+			return nil, keyErrorf("fleet.listen", "%q is not host:port", f.Listen)
 		}
 		if f.Listen == n.Listen || f.Listen == n.AdminAddress {
-			return nil, fmt.Errorf("fleet.listen: %q is where clients or operators connect", f.Listen)
+			return nil, keyErrorf("fleet.listen", "%q is where clients or operators connect", f.Listen)
 		}
 	}
 	return f, nil
@@ -210,3 +209,9 @@
 	}
 	return nil
 }
+
+// agreementError names the key within the file: Validate begins its text with the key below the fleet section.
+func agreementError(err error) error {
+	key, reason, _ := strings.Cut(err.Error(), ": ")
+	return keyErrorf("fleet."+key, "%s", reason)
+}
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -93,7 +93,10 @@
 			if err != nil || n.Fleet == nil || n.Fleet.Voter("n1") == nil || n.Fleet.Listen != "127.0.0.1:7201" || n.FleetDisabled {
 				t.Errorf("%v, %+v", err, n)
 			}
-		} else if err == nil || !strings.Contains(strings.TrimPrefix(err.Error(), "settings: "), want) {
+			continue
+		}
+		checkKeyError(t, want, err, "fleet.")
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -20,13 +20,14 @@
 
 // reader reads settings. The first fault is kept and names its key; later reads give what stands for absent.
 type reader struct {
-	find Lookup
-	err  error
+	find    Lookup
+	section string // before each key in errors, such as "settings."
+	err     error
 }
 
 func (r *reader) fail(key, value, want string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("settings: %s: %q is not %s", key, value, want)
+		r.err = keyErrorf(r.section+key, "%q is not %s", value, want)
 	}
 }
 
@@ -104,7 +105,7 @@
 // DecodeSettings reads the settings that the module uses; what it does not know is skipped, what is absent gets the value
 // that permits least.
 func DecodeSettings(find Lookup) (*dispatch.Settings, error) {
-	r := &reader{find: find}
+	r := &reader{find: find, section: "settings."}
 	whole := max(r.real("ScoreParts.Whole", 1), 0.01)
 	t := &dispatch.Settings{
 		Zone: int(r.whole("MyZone", 0, 0)), Nodes: int(r.whole("ReplicasOfMe", 1, 0)), NodeIndex: int(r.whole("Me", 0, 0)), Tick: r.whole("Tick", 1e6, 0),
