--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -43,16 +43,16 @@
 	Fleet                   *Fleet        // budgets held with other nodes; nil: none, nothing is told to other nodes
 	LogLevel                zerolog.Level // the least that is logged; trace tells of each posting
 
-	said map[string]string // the file's values by dotted name, but for those that concern a start alone
+	values map[string]string // the file's values by dotted name, but for those that concern a start alone
 }
 
 const (
-	defaultCores   = 1
-	defaultMemory  = 192 // MB
-	defaultSockets = 1024
-	defaultProbe   = 500 // ms; a deep probe waits like a txn, and one that waits long tells that there is no room
-	leastMemory    = 8   // MB; under this the runtime alone does not fit
-	leastSockets   = 16  // descriptors; under this the standard files and the poller leave none for work
+	defaultCores       = 1
+	defaultMemoryMB    = 192 // MB
+	defaultSockets     = 1024
+	defaultProbeMillis = 500 // ms; a deep probe waits like a txn, and one that waits long tells that there is no room
+	minMemoryMB        = 8   // MB; under this the runtime alone does not fit
+	minSockets         = 16  // descriptors; under this the standard files and the poller leave none for work
 )
 
 // Load reads the file that EDGE_CONFIG names. The other EDGE variables, where set, go before the file.
@@ -85,11 +85,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	keys := maps.Clone(n.said)
-	maps.Copy(keys, now.said)
+	keys := maps.Clone(n.values)
+	maps.Copy(keys, now.values)
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		was, had := n.said[key]
-		if is, has := now.said[key]; was != is || had != has {
+		was, had := n.values[key]
+		if is, has := now.values[key]; was != is || had != has {
 			left = append(left, key)
 		}
 	}
@@ -130,26 +130,26 @@
 		flatten(under, key, value)
 	}
 	find := func(key string) (string, bool) { v, found := under[key]; return v, found }
-	n := &Node{said: map[string]string{}}
+	n := &Node{values: map[string]string{}}
 	for key, value := range flat {
 		if key != "discovery" && key != "seed" {
-			n.said[key] = value
+			n.values[key] = value
 		}
 	}
 	for key, value := range under {
-		n.said["settings."+key] = value
+		n.values["settings."+key] = value
 	}
 	var err error
 	if n.Settings, err = DecodeSettings(find); err != nil {
 		return nil, err
 	}
-	r := &reader{find: find, section: "settings."}
+	r := &valueReader{lookup: find, keyPrefix: "settings."}
 	// Danger: what looks again after a tick would look again at once, and take the core.
-	r.whole("Tick", 1e6, 1)
+	r.integer("Tick", 1e6, 1)
 	n.LoadReportKeys = DecodeLoadReportKeys(find)
 	// Messages have no page for sockets, and none is guessed: the module is told that there are none.
 	n.PeerMessagesUnsupported, n.Settings.PeerMessages = n.Settings.PeerMessages, false
-	n.DialTimeout = time.Duration(r.whole("Limits.DialTimeout", 1e9, 1))
+	n.DialTimeout = time.Duration(r.integer("Limits.DialTimeout", 1e9, 1))
 	// Danger: a posting that waits for its connection when its executor begins to drain, and sends after the grace.
 	// Danger: on sockets what the agent on this machine has counts a while after it can be asked, whatever failed before, and
 	// where a grace for drains is told, at once, asked for or not.
@@ -159,29 +159,29 @@
 		n.DialTimeout = min(n.DialTimeout, max(grace/2, 1))
 		n.Settings.UnpolledEventAge, n.Settings.DrainGrace = 0, min(n.Settings.DrainGrace-int64(n.DialTimeout), 2*n.Settings.MaxPollInterval)
 	}
-	n.IdleTimeout = time.Duration(r.whole("Limits.IdleClose", 10e9, 0))
+	n.IdleTimeout = time.Duration(r.integer("Limits.IdleClose", 10e9, 0))
 	n.Names = &protocol.Names{Zones: r.list("Dcs"), MachineTypes: r.list("Skus")}
 	for i := range n.Settings.Classes {
 		at := "Schemes." + strconv.Itoa(i) + "."
-		n.Names.Classes = append(n.Names.Classes, r.word(at+"Name"))
-		n.MaxDeadline = max(n.MaxDeadline, time.Duration(r.whole(at+"Expiry", 60e9, 1)))
+		n.Names.Classes = append(n.Names.Classes, r.text(at+"Name"))
+		n.MaxDeadline = max(n.MaxDeadline, time.Duration(r.integer(at+"Expiry", 60e9, 1)))
 	}
 	for i := range n.Settings.Tenants {
-		n.Names.Tenants = append(n.Names.Tenants, r.word("Tenants."+strconv.Itoa(i)+".Name"))
+		n.Names.Tenants = append(n.Names.Tenants, r.text("Tenants."+strconv.Itoa(i)+".Name"))
 	}
 	if r.err != nil {
 		return nil, r.err
 	}
-	return n, n.own(flat, known, env)
+	return n, n.decodeNodeSections(flat, known, env)
 }
 
-// own reads what stands beside the settings.
-func (n *Node) own(flat map[string]string, known json.RawMessage, env func(string) string) error {
-	r := &reader{find: func(key string) (string, bool) { v, found := flat[key]; return v, found }}
+// decodeNodeSections reads what stands beside the settings.
+func (n *Node) decodeNodeSections(flat map[string]string, known json.RawMessage, env func(string) string) error {
+	r := &valueReader{lookup: func(key string) (string, bool) { v, found := flat[key]; return v, found }}
 	address := func(variable, key string) string {
 		v := env(variable)
 		if v == "" {
-			v = r.word(key)
+			v = r.text(key)
 		} else {
 			key = variable
 		}
@@ -198,10 +198,10 @@
 		}
 	}
 	if n.Name = env("EDGE_NAME"); n.Name == "" {
-		n.Name = r.word("name")
+		n.Name = r.text("name")
 	}
 	n.Listen, n.Discovery = address("EDGE_LISTEN", "listen"), address("EDGE_DISCOVERY", "discovery")
-	if r.word("admin_addr") != "" || env("EDGE_ADMIN_ADDR") != "" {
+	if r.text("admin_addr") != "" || env("EDGE_ADMIN_ADDR") != "" {
 		// Danger: the clients' own address, written twice; one of the two would not come up, or hear the other's calls.
 		if n.AdminAddress = address("EDGE_ADMIN_ADDR", "admin_addr"); n.AdminAddress == n.Listen && r.err == nil {
 			r.err = keyErrorf("admin_addr", "%q is where clients connect", n.AdminAddress)
@@ -216,23 +216,23 @@
 			return keyErrorf("EDGE_LISTEN_FD", "descriptor %d is not an open listening socket", n.ListenFD)
 		}
 	}
-	n.Cores = r.real("limits.cores", defaultCores)
-	n.Memory = r.whole("limits.memory_mb", defaultMemory, leastMemory) << 20
-	n.ProbeTimeout = time.Duration(r.whole("limits.probe_ms", defaultProbe, 1)) * time.Millisecond
-	n.Sockets = int(r.whole("limits.sockets", defaultSockets, leastSockets))
+	n.Cores = r.float("limits.cores", defaultCores)
+	n.Memory = r.integer("limits.memory_mb", defaultMemoryMB, minMemoryMB) << 20
+	n.ProbeTimeout = time.Duration(r.integer("limits.probe_ms", defaultProbeMillis, 1)) * time.Millisecond
+	n.Sockets = int(r.integer("limits.sockets", defaultSockets, minSockets))
 	if r.err != nil {
 		return r.err
 	}
 	var err error
-	if n.Seed, err = strconv.ParseUint(r.word("seed"), 16, 64); err != nil {
-		return keyErrorf("seed", "%q is not a hexadecimal number of 64 bits", r.word("seed"))
+	if n.Seed, err = strconv.ParseUint(r.text("seed"), 16, 64); err != nil {
+		return keyErrorf("seed", "%q is not a hexadecimal number of 64 bits", r.text("seed"))
 	}
 	if n.InitialEndpoints = (&protocol.EndpointList{}); known != nil && string(known) != "null" {
 		if n.InitialEndpoints, err = protocol.DecodeEndpointList(known, n.Names); err != nil {
 			return &KeyError{Key: "known", Err: err}
 		}
 	}
-	if n.Fleet, err = n.fleet(r, flat); err != nil {
+	if n.Fleet, err = n.decodeFleet(r, flat); err != nil {
 		return err
 	}
 	// Danger: a site that forbids nodes to talk, on which a section meant for another site makes them.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -43,18 +43,18 @@
 )
 
 const (
-	defaultPace   = 300                   // ms; a loaded machine pauses for a tenth of a second
-	defaultLease  = 3000                  // ms
-	defaultMargin = 0.05                  // clocks of machines differ by a thousandth of that; paused virtual ones do not
-	roundTrips    = 3                     // at least, in a lease
-	leastSecret   = 8                     // bytes
-	defaultCover  = 3                     // nodes that use an executor at least: two may be wrong about who is there
-	mostNodes     = 4096                  // that any fleet may ever have
-	defaultTrip   = 50 * time.Millisecond // of a call between nodes
+	defaultElectionMillis    = 300                   // ms; a loaded machine pauses for a tenth of a second
+	defaultLeaseMillis       = 3000                  // ms
+	defaultClockMargin       = 0.05                  // clocks of machines differ by a thousandth of that; paused virtual ones do not
+	minLeaseRoundTrips       = 3                     // at least, in a lease
+	minSecretBytes           = 8                     // bytes
+	defaultMinNodesPerServer = 3                     // nodes that use an executor at least: two may be wrong about who is there
+	maxNodes                 = 4096                  // that any fleet may ever have
+	defaultRoundTrip         = 50 * time.Millisecond // of a call between nodes
 )
 
-// fleet reads the section of that name; nil: there is none.
-func (n *Node) fleet(r *reader, flat map[string]string) (*Fleet, error) {
+// decodeFleet reads the section of that name; nil: there is none.
+func (n *Node) decodeFleet(r *valueReader, flat map[string]string) (*Fleet, error) {
 	names := map[string]bool{}
 	some, parted := false, false
 	for key := range flat {
@@ -68,12 +68,12 @@
 	if !some {
 		return nil, nil
 	}
-	f := &Fleet{Listen: r.word("fleet.listen"), Secret: r.word("fleet.secret"), DataDir: r.word("fleet.dir"),
-		ElectionTimeout: time.Duration(r.whole("fleet.pace_ms", defaultPace, 20)) * time.Millisecond}
-	f.Agreement = budget.Agreement{MaxNodes: r.whole("fleet.most", 0, 1), Lease: r.whole("fleet.lease_ms", defaultLease, 1) * 1e6,
-		ClockMargin: r.real("fleet.margin", defaultMargin), Budgets: map[string]budget.Limits{}}
-	trip := time.Duration(r.whole("fleet.round_trip_ms", int64(defaultTrip/time.Millisecond), 1)) * time.Millisecond
-	f.Gossip, f.Join, f.Routes = r.word("fleet.gossip"), r.list("fleet.join"), map[string]string{}
+	f := &Fleet{Listen: r.text("fleet.listen"), Secret: r.text("fleet.secret"), DataDir: r.text("fleet.dir"),
+		ElectionTimeout: time.Duration(r.integer("fleet.pace_ms", defaultElectionMillis, 20)) * time.Millisecond}
+	f.Agreement = budget.Agreement{MaxNodes: r.integer("fleet.most", 0, 1), Lease: r.integer("fleet.lease_ms", defaultLeaseMillis, 1) * 1e6,
+		ClockMargin: r.float("fleet.margin", defaultClockMargin), Budgets: map[string]budget.Limits{}}
+	trip := time.Duration(r.integer("fleet.round_trip_ms", int64(defaultRoundTrip/time.Millisecond), 1)) * time.Millisecond
+	f.Gossip, f.Join, f.Routes = r.text("fleet.gossip"), r.list("fleet.join"), map[string]string{}
 	for key, to := range flat {
 		if from, is := strings.CutPrefix(key, "fleet.routes."); is {
 			f.Routes[from] = to
@@ -88,7 +88,7 @@
 		return nil, keyErrorf("fleet.join", "nothing to join by without fleet.gossip")
 	}
 	if parted {
-		f.Subset = &subset.Settings{Size: int(r.whole("fleet.subset.size", 0, 1)), MinNodesPerServer: int(r.whole("fleet.subset.cover", defaultCover, 1))}
+		f.Subset = &subset.Settings{Size: int(r.integer("fleet.subset.size", 0, 1)), MinNodesPerServer: int(r.integer("fleet.subset.cover", defaultMinNodesPerServer, 1))}
 		// Danger: a zone or a kind that a node can't reach, or a part that is none.
 		least, listed := max(len(n.Names.Zones), len(n.Names.MachineTypes)), len(n.InitialEndpoints.Endpoints)
 		switch size := f.Subset.Size; {
@@ -106,7 +106,7 @@
 		f.Zone = n.Names.Zones[z]
 	}
 	if _, told := flat["fleet.signals.quorum"]; told {
-		f.WitnessQuorum = int(r.whole("fleet.signals.quorum", 0, 2))
+		f.WitnessQuorum = int(r.integer("fleet.signals.quorum", 0, 2))
 		switch {
 		case r.err != nil:
 			return nil, r.err
@@ -118,10 +118,10 @@
 			return nil, keyErrorf("fleet.signals.quorum", "%d is more than all nodes, fleet.most", f.WitnessQuorum)
 		}
 	}
-	count := int(r.whole("fleet.seats.count", 0, 0))
+	count := int(r.integer("fleet.seats.count", 0, 0))
 	for i := range count {
 		at := "fleet.seats." + strconv.Itoa(i)
-		s := Voter{r.word(at + ".name"), r.word(at + ".address")}
+		s := Voter{r.text(at + ".name"), r.text(at + ".address")}
 		if s.Name == "" || strings.ContainsAny(s.Name, "/ ") {
 			return nil, keyErrorf(at+".name", "%q is no name of a node", s.Name)
 		}
@@ -149,8 +149,8 @@
 		case name == BudgetTenantAttempts:
 			window = longest
 		}
-		t := budget.Limits{Total: r.whole(at+"whole", 0, 1), Floor: r.whole(at+"floor", 0, 0), Reserve: r.whole(at+"reserve", 0, 0),
-			Step: r.whole(at+"step", 1, 1), Window: r.whole(at+"window_ms", window, 1) * 1e6, Partitions: r.whole(at+"parts", 1, 1), FirstAttemptRatio: r.real(at+"share", 0)}
+		t := budget.Limits{Total: r.integer(at+"whole", 0, 1), Floor: r.integer(at+"floor", 0, 0), Reserve: r.integer(at+"reserve", 0, 0),
+			Step: r.integer(at+"step", 1, 1), Window: r.integer(at+"window_ms", window, 1) * 1e6, Partitions: r.integer(at+"parts", 1, 1), FirstAttemptRatio: r.float(at+"share", 0)}
 		if name == BudgetSlowStart && t.Window < n.Settings.OverloadWindow {
 			return nil, keyErrorf(at+"window_ms", "%d is under the window in which a cold executor falls over, settings.Rules.Fall", t.Window/1e6)
 		}
@@ -169,12 +169,12 @@
 		return nil, r.err
 	case count == 0 || count%2 == 0:
 		return nil, keyErrorf("fleet.seats", "%d seats; an odd number is needed, best three or five", count)
-	case len(f.Secret) < leastSecret:
-		return nil, keyErrorf("fleet.secret", "%d bytes; at least %d are needed", len(f.Secret), leastSecret)
-	case f.Agreement.MaxNodes < int64(count) || f.Agreement.MaxNodes > mostNodes:
-		return nil, keyErrorf("fleet.most", "%d is not between the %d seats and %d", f.Agreement.MaxNodes, count, mostNodes)
-	case f.Agreement.Lease < roundTrips*int64(trip):
-		return nil, keyErrorf("fleet.lease_ms", "%d is shorter than %d round trips of %v", f.Agreement.Lease/1e6, roundTrips, trip)
+	case len(f.Secret) < minSecretBytes:
+		return nil, keyErrorf("fleet.secret", "%d bytes; at least %d are needed", len(f.Secret), minSecretBytes)
+	case f.Agreement.MaxNodes < int64(count) || f.Agreement.MaxNodes > maxNodes:
+		return nil, keyErrorf("fleet.most", "%d is not between the %d seats and %d", f.Agreement.MaxNodes, count, maxNodes)
+	case f.Agreement.Lease < minLeaseRoundTrips*int64(trip):
+		return nil, keyErrorf("fleet.lease_ms", "%d is shorter than %d round trips of %v", f.Agreement.Lease/1e6, minLeaseRoundTrips, trip)
 	case !names[BudgetSlowStart]:
 		return nil, keyErrorf("fleet.budgets.cold", "missing; nodes that hold budgets together take no turns at cold executors")
 	case slices.ContainsFunc([]string{BudgetSlowStart, BudgetConnections, BudgetTenantAttempts, BudgetPolls}, func(name string) bool { return f.Agreement.Budgets[name].FirstAttemptRatio != 0 }):
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	node.said = nil
+	node.values = nil
 	return node, nil
 }
 
@@ -196,7 +196,7 @@
 		if err != nil {
 			return
 		}
-		node.said = nil
+		node.values = nil
 		same := reflect.DeepEqual(node, storedNode())
 		if _, skip := withoutEffect[path]; same != skip {
 			t.Errorf("%s renamed: the same configuration is %t, want %t", path, same, skip)
