--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,6 +29,15 @@
 
 func nothing(string) string { return "" }
 
+// parse decodes the text of a file, as Load does once it has read one.
+func parse(text []byte, getenv func(string) string) (*Node, error) {
+	parsed, err := parseFile(text)
+	if err != nil {
+		return nil, err
+	}
+	return decodeNode(parsed, getenv)
+}
+
 func TestWholeConfiguration(t *testing.T) {
 	n, err := parse([]byte(whole), nothing)
 	if err != nil {
@@ -180,8 +189,8 @@
 	}
 }
 
-// TestNewShape: what the settings of the new deployments say reaches the module; messages, which sockets have no protocol
-// for, do not. Without these keys nothing of it is on.
+// TestNewShape: what the settings of the new deployments say reaches the module; messages, which sockets have no
+// protocol for, do not. Without these keys nothing of it is on.
 func TestNewShape(t *testing.T) {
 	text := strings.NewReplacer(`"Odd":true`, `"Discovery":"subscribe","Weights":"live","Report":{"Source":"pull","Fields":["util","x0","x1"]}`,
 		`"MayCancel":true`, `"MayCancel":true,"MayProbe":true,"MayTell":true`, `"ReportX0":"free memory","ReportX1":"free slots"`,
@@ -216,8 +225,8 @@
 	}
 }
 
-// TestReloadLooksAtNoServers: a node that reads its file again takes the new place of discovery from it, and decodes no server.
-// Danger: a node with a small share of a core stands still for a list of thousands that nobody looks at.
+// TestReloadLooksAtNoServers: a node that reads its file again takes the new place of discovery from it, and decodes
+// no server. Danger: a node with a small share of a core stands still for a list of thousands that nobody looks at.
 func TestReloadLooksAtNoServers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	env := func(variable string) string { return map[string]string{"EDGE_CONFIG": path}[variable] }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,8 +7,8 @@
 // KeyError reports a value that a node cannot start with. Its text begins with the key, which operators search for in
 // their file.
 type KeyError struct {
-	// Key is the dotted name of the value, such as limits.sockets or settings.Schemes.0.SlaTime; the environment variable
-	// that gave it; or "configuration" where the file as a whole cannot be read.
+	// Key is the dotted name of the value, such as limits.sockets or settings.Schemes.0.SlaTime; the environment
+	// variable that gave it; or "configuration" where the file as a whole cannot be read.
 	Key string
 	// Err says what is wrong with the value.
 	Err error
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -3,7 +3,6 @@
 package config
 
 import (
-	"maps"
 	"net"
 	"slices"
 	"strconv"
@@ -14,198 +13,175 @@
 	"fernrail/internal/fleet/subset"
 )
 
-// Voter is a node that takes part in granting.
+// Voter is a node that votes on who holds how much of each budget.
 type Voter struct{ Name, Address string }
 
 // Fleet is how a node holds budgets together with others.
 type Fleet struct {
-	Listen          string // of a seat
-	Secret          string // what all nodes of a fleet know
-	DataDir         string // where a seat keeps what was agreed; empty: in memory alone
+	Listen          string // where a voter is called
+	Secret          string // known to all nodes of a fleet, which authenticate each other by it
+	DataDir         string // where a voter keeps its log and snapshots; empty: in memory alone
 	Voters          []Voter
-	ElectionTimeout time.Duration // after which a seat that hears nothing looks for another grantor
+	ElectionTimeout time.Duration // after which a voter that hears no leader stands for election
 	Agreement       budget.Agreement
-	Gossip          string            // where this node hears who is there; empty: it takes no part in that
-	Join            []string          // where others do, some of them
+	Gossip          string            // where this node exchanges gossip; empty: it takes no part
+	Join            []string          // where some of the others do
 	Routes          map[string]string // addresses that this node reaches by another one
-	Subset          *subset.Settings  // nil: each node uses all executors
-	WitnessQuorum   int               // of witnesses that shut an executor out; 0: nodes do not tell of executors
+	Subset          *subset.Settings  // nil: each node uses all servers
+	WitnessQuorum   int               // nodes that have to call a server an outlier; 0: nodes exchange no outlier scores
 	Zone            string            // of this node; empty: the settings name none
 }
 
-// Budgets that can be held together, by the names that the file gives them.
 const (
-	BudgetRetries        = "again"   // second and later postings, of all txns of all nodes
-	BudgetConnections    = "connect" // new connections to one executor
-	BudgetSlowStart      = "cold"    // parts of the work that a cold executor bears
-	BudgetTenantAttempts = "jobs"    // postings of one tenant that are out; the window is how long one may be that nothing is heard of
-	BudgetPolls          = "calls"   // for the list
+	defaultElectionTimeout = 300 * time.Millisecond // a loaded machine pauses for 100 ms
+	minElectionTimeout     = 20 * time.Millisecond
+	defaultLease           = 3 * time.Second
+	defaultClockMargin     = 0.05 // share by which the rates of two clocks may differ
+	defaultRoundTrip       = 50 * time.Millisecond
+	minLeaseRoundTrips     = 3 // a lease has to allow for a renewal and its retry
+	minSecretBytes         = 8
+	maxNodes               = 4096
 )
 
-const (
-	defaultElectionMillis    = 300                   // ms; a loaded machine pauses for a tenth of a second
-	defaultLeaseMillis       = 3000                  // ms
-	defaultClockMargin       = 0.05                  // clocks of machines differ by a thousandth of that; paused virtual ones do not
-	minLeaseRoundTrips       = 3                     // at least, in a lease
-	minSecretBytes           = 8                     // bytes
-	defaultMinNodesPerServer = 3                     // nodes that use an executor at least: two may be wrong about who is there
-	maxNodes                 = 4096                  // that any fleet may ever have
-	defaultRoundTrip         = 50 * time.Millisecond // of a call between nodes
-)
-
-// decodeFleet reads the section of that name; nil: there is none.
-func (n *Node) decodeFleet(r *valueReader, flat map[string]string) (*Fleet, error) {
-	names := map[string]bool{}
-	some, parted := false, false
-	for key := range flat {
-		rest, is := strings.CutPrefix(key, "fleet.")
-		some, parted = some || is, parted || strings.HasPrefix(rest, "subset.")
-		if rest, is = strings.CutPrefix(rest, "budgets."); is {
-			name, _, _ := strings.Cut(rest, ".")
-			names[name] = true
-		}
+// Voter returns the voter with that name; nil: that node is none.
+func (f *Fleet) Voter(name string) *Voter {
+	i := slices.IndexFunc(f.Voters, func(v Voter) bool { return v.Name == name })
+	if i < 0 {
+		return nil
 	}
-	if !some {
+	return &f.Voters[i]
+}
+
+// fleetDecoder decodes the fleet section of a file.
+type fleetDecoder struct {
+	*valueReader
+	node   *Node
+	values map[string]string // the file's values by dotted name
+	fleet  *Fleet
+
+	roundTrip time.Duration // of a call between voters, at the most
+}
+
+// decodeFleet reads the fleet section; nil: there is none.
+func decodeFleet(node *Node, values map[string]string) (*Fleet, error) {
+	if !hasPrefix(values, "fleet.") {
 		return nil, nil
 	}
-	f := &Fleet{Listen: r.text("fleet.listen"), Secret: r.text("fleet.secret"), DataDir: r.text("fleet.dir"),
-		ElectionTimeout: time.Duration(r.integer("fleet.pace_ms", defaultElectionMillis, 20)) * time.Millisecond}
-	f.Agreement = budget.Agreement{MaxNodes: r.integer("fleet.most", 0, 1), Lease: r.integer("fleet.lease_ms", defaultLeaseMillis, 1) * 1e6,
-		ClockMargin: r.float("fleet.margin", defaultClockMargin), Budgets: map[string]budget.Limits{}}
-	trip := time.Duration(r.integer("fleet.round_trip_ms", int64(defaultRoundTrip/time.Millisecond), 1)) * time.Millisecond
-	f.Gossip, f.Join, f.Routes = r.text("fleet.gossip"), r.list("fleet.join"), map[string]string{}
-	for key, to := range flat {
-		if from, is := strings.CutPrefix(key, "fleet.routes."); is {
-			f.Routes[from] = to
-		}
+	d := &fleetDecoder{
+		valueReader: &valueReader{lookup: lookupIn(values)},
+		node:        node,
+		values:      values,
+		fleet:       &Fleet{Zone: node.zone()},
 	}
-	for _, address := range append(slices.Clone(f.Join), f.Gossip) {
-		if host, _, err := net.SplitHostPort(address); address != "" && (err != nil || net.ParseIP(host) == nil) {
-			return nil, keyErrorf("fleet.gossip, fleet.join", "%q is not IP:port; no names are looked up", address)
-		}
+	steps := []func() error{
+		d.decodeBasics,
+		d.decodeGossip,
+		d.decodeSubset,
+		d.decodeOutlierSignals,
+		d.decodeVoters,
+		d.decodeBudgets,
+		d.checkSection,
+		d.decodeListen,
 	}
-	if f.Gossip == "" && len(f.Join) > 0 {
-		return nil, keyErrorf("fleet.join", "nothing to join by without fleet.gossip")
-	}
-	if parted {
-		f.Subset = &subset.Settings{Size: int(r.integer("fleet.subset.size", 0, 1)), MinNodesPerServer: int(r.integer("fleet.subset.cover", defaultMinNodesPerServer, 1))}
-		// Danger: a zone or a kind that a node can't reach, or a part that is none.
-		least, listed := max(len(n.Names.Zones), len(n.Names.MachineTypes)), len(n.InitialEndpoints.Endpoints)
-		switch size := f.Subset.Size; {
-		case r.err != nil:
-			return nil, r.err
-		case size < least:
-			return nil, keyErrorf("fleet.subset.size", "%d is under the %d zones or kinds of which each node needs one", size, least)
-		case listed > 0 && size > listed:
-			return nil, keyErrorf("fleet.subset.size", "%d is more than the %d executors that are known", size, listed)
-		case f.Gossip == "":
-			return nil, keyErrorf("fleet.subset", "without fleet.gossip no node knows of others")
+	for _, step := range steps {
+		if err := step(); err != nil {
+			return nil, err
 		}
 	}
-	if z := n.Settings.Zone; z >= 0 && z < len(n.Names.Zones) {
-		f.Zone = n.Names.Zones[z]
-	}
-	if _, told := flat["fleet.signals.quorum"]; told {
-		f.WitnessQuorum = int(r.integer("fleet.signals.quorum", 0, 2))
-		switch {
-		case r.err != nil:
-			return nil, r.err
-		case f.Gossip == "":
-			return nil, keyErrorf("fleet.signals", "without fleet.gossip nodes hear nothing of each other")
-		case f.Zone == "":
-			return nil, keyErrorf("fleet.signals", "settings.MyZone and settings.Dcs name no zone, so that this node is no witness")
-		case int64(f.WitnessQuorum) > f.Agreement.MaxNodes:
-			return nil, keyErrorf("fleet.signals.quorum", "%d is more than all nodes, fleet.most", f.WitnessQuorum)
+	return d.fleet, nil
+}
+
+// hasPrefix reports whether any key begins with the prefix.
+func hasPrefix(values map[string]string, prefix string) bool {
+	for key := range values {
+		if strings.HasPrefix(key, prefix) {
+			return true
 		}
 	}
-	count := int(r.integer("fleet.seats.count", 0, 0))
+	return false
+}
+
+// zone returns the name of this node's zone; empty: the settings name none.
+func (n *Node) zone() string {
+	if n.Settings.Zone < 0 || n.Settings.Zone >= len(n.Names.Zones) {
+		return ""
+	}
+	return n.Names.Zones[n.Settings.Zone]
+}
+
+// decodeBasics reads what stands directly in the section.
+func (d *fleetDecoder) decodeBasics() error {
+	d.fleet.Listen = d.text("fleet.listen")
+	d.fleet.Secret = d.text("fleet.secret")
+	d.fleet.DataDir = d.text("fleet.dir")
+	d.fleet.ElectionTimeout = d.milliseconds("fleet.pace_ms", defaultElectionTimeout, minElectionTimeout)
+	d.fleet.Agreement = budget.Agreement{
+		MaxNodes:    d.integer("fleet.most", 0, 1),
+		Lease:       int64(d.milliseconds("fleet.lease_ms", defaultLease, time.Millisecond)),
+		ClockMargin: d.float("fleet.margin", defaultClockMargin),
+		Budgets:     map[string]budget.Limits{},
+	}
+	d.roundTrip = d.milliseconds("fleet.round_trip_ms", defaultRoundTrip, time.Millisecond)
+	return nil
+}
+
+// decodeVoters reads the voters. Each has a name and an address of its own.
+func (d *fleetDecoder) decodeVoters() error {
+	count := int(d.integer("fleet.seats.count", 0, 0))
 	for i := range count {
-		at := "fleet.seats." + strconv.Itoa(i)
-		s := Voter{r.text(at + ".name"), r.text(at + ".address")}
-		if s.Name == "" || strings.ContainsAny(s.Name, "/ ") {
-			return nil, keyErrorf(at+".name", "%q is no name of a node", s.Name)
-		}
-		if _, _, err := net.SplitHostPort(s.Address); err != nil {
-			return nil, keyErrorf(at+".address", "%q is not host:port", s.Address)
-		}
-		for j, other := range f.Voters {
-			if other.Name == s.Name {
-				return nil, keyErrorf(at+".name", "%q is the name of seat %d as well", s.Name, j)
-			}
-			if other.Address == s.Address {
-				return nil, keyErrorf(at+".address", "%q is the address of seat %d as well", s.Address, j)
-			}
+		key := voterKey(i)
+		voter := Voter{Name: d.text(key + ".name"), Address: d.text(key + ".address")}
+		if voter.Name == "" || strings.ContainsAny(voter.Name, "/ ") {
+			return keyErrorf(key+".name", "%q is no name of a node", voter.Name)
 		}
-		f.Voters = append(f.Voters, s)
-	}
-	for _, name := range slices.Sorted(maps.Keys(names)) {
-		at := "fleet.budgets." + name + "."
-		window, longest, soon := int64(1000), n.MaxDeadline.Milliseconds(), n.Settings.MaxPollWait()
-		switch fall := n.Settings.OverloadWindow / 1e6; {
-		case !slices.Contains([]string{BudgetRetries, BudgetConnections, BudgetSlowStart, BudgetTenantAttempts, BudgetPolls}, name):
-			return nil, keyErrorf("fleet.budgets."+name, "no such budget; there are %s, %s, %s, %s and %s", BudgetRetries, BudgetConnections, BudgetSlowStart, BudgetTenantAttempts, BudgetPolls)
-		case name == BudgetSlowStart && fall > 0:
-			window = fall
-		case name == BudgetTenantAttempts:
-			window = longest
+		if _, _, err := net.SplitHostPort(voter.Address); err != nil {
+			return keyErrorf(key+".address", "%q is not host:port", voter.Address)
 		}
-		t := budget.Limits{Total: r.integer(at+"whole", 0, 1), Floor: r.integer(at+"floor", 0, 0), Reserve: r.integer(at+"reserve", 0, 0),
-			Step: r.integer(at+"step", 1, 1), Window: r.integer(at+"window_ms", window, 1) * 1e6, Partitions: r.integer(at+"parts", 1, 1), FirstAttemptRatio: r.float(at+"share", 0)}
-		if name == BudgetSlowStart && t.Window < n.Settings.OverloadWindow {
-			return nil, keyErrorf(at+"window_ms", "%d is under the window in which a cold executor falls over, settings.Rules.Fall", t.Window/1e6)
+		if err := d.checkUniqueVoter(key, voter); err != nil {
+			return err
 		}
-		if name == BudgetTenantAttempts && t.Window < int64(n.MaxDeadline) {
-			return nil, keyErrorf(at+"window_ms", "%d is under the longest expiry of a scheme, %d, for which a job may run that nothing is heard of", t.Window/1e6, longest)
-		}
-		// Danger: news that lies longer than the rules allow since no share comes. A floor is one call in a window, so the window is
-		// what a node waits at most.
-		if name == BudgetPolls && (t.Floor < 1 || float64(t.Window)*(1+f.Agreement.ClockMargin) >= float64(soon)) {
-			return nil, keyErrorf(at+"floor", "%d in a window of %d ms; each node needs one in less than %d, by settings.Rules", t.Floor, t.Window/1e6, soon/1e6)
-		}
-		f.Agreement.Budgets[name] = t
+		d.fleet.Voters = append(d.fleet.Voters, voter)
 	}
-	switch {
-	case r.err != nil:
-		return nil, r.err
-	case count == 0 || count%2 == 0:
-		return nil, keyErrorf("fleet.seats", "%d seats; an odd number is needed, best three or five", count)
-	case len(f.Secret) < minSecretBytes:
-		return nil, keyErrorf("fleet.secret", "%d bytes; at least %d are needed", len(f.Secret), minSecretBytes)
-	case f.Agreement.MaxNodes < int64(count) || f.Agreement.MaxNodes > maxNodes:
-		return nil, keyErrorf("fleet.most", "%d is not between the %d seats and %d", f.Agreement.MaxNodes, count, maxNodes)
-	case f.Agreement.Lease < minLeaseRoundTrips*int64(trip):
-		return nil, keyErrorf("fleet.lease_ms", "%d is shorter than %d round trips of %v", f.Agreement.Lease/1e6, minLeaseRoundTrips, trip)
-	case !names[BudgetSlowStart]:
-		return nil, keyErrorf("fleet.budgets.cold", "missing; nodes that hold budgets together take no turns at cold executors")
-	case slices.ContainsFunc([]string{BudgetSlowStart, BudgetConnections, BudgetTenantAttempts, BudgetPolls}, func(name string) bool { return f.Agreement.Budgets[name].FirstAttemptRatio != 0 }):
-		return nil, keyErrorf("fleet.budgets", "share is for second postings alone, which are one of first ones")
-	case f.Agreement.Budgets[BudgetRetries].Partitions > 1:
-		return nil, keyErrorf("fleet.budgets.again.parts", "%d; second postings are counted for all executors together", f.Agreement.Budgets[BudgetRetries].Partitions)
-	case f.Agreement.Budgets[BudgetPolls].Partitions > 1:
-		return nil, keyErrorf("fleet.budgets.calls.parts", "%d; there is one list", f.Agreement.Budgets[BudgetPolls].Partitions)
-	}
-	if err := f.Agreement.Validate(); err != nil {
-		return nil, agreementError(err)
-	}
-	seat := f.Voter(n.Name)
-	if seat != nil && f.Listen == "" {
-		f.Listen = seat.Address
-	}
-	if seat != nil {
-		if _, _, err := net.SplitHostPort(f.Listen); err != nil {
-			return nil, keyErrorf("fleet.listen", "%q is not host:port", f.Listen)
+	return nil
+}
+
+// voterKey returns the key of a voter's object.
+func voterKey(index int) string { return "fleet.seats." + strconv.Itoa(index) }
+
+// checkUniqueVoter compares a voter with those before it.
+func (d *fleetDecoder) checkUniqueVoter(key string, voter Voter) error {
+	for i, other := range d.fleet.Voters {
+		if other.Name == voter.Name {
+			return keyErrorf(key+".name", "%q is the name of voter %d as well", voter.Name, i)
 		}
-		if f.Listen == n.Listen || f.Listen == n.AdminAddress {
-			return nil, keyErrorf("fleet.listen", "%q is where clients or operators connect", f.Listen)
+		if other.Address == voter.Address {
+			return keyErrorf(key+".address", "%q is the address of voter %d as well", voter.Address, i)
 		}
 	}
-	return f, nil
+	return nil
 }
 
-// Voter is the seat of that name; nil: the node has none.
-func (f *Fleet) Voter(name string) *Voter {
-	if i := slices.IndexFunc(f.Voters, func(s Voter) bool { return s.Name == name }); i >= 0 {
-		return &f.Voters[i]
+// checkSection checks what concerns several parts of the section, once all of them have been read.
+func (d *fleetDecoder) checkSection() error {
+	voters, agreement := len(d.fleet.Voters), &d.fleet.Agreement
+	switch {
+	case d.err != nil:
+		return d.err
+	case voters%2 == 0:
+		return keyErrorf("fleet.seats", "%d seats; an odd number is needed, best three or five", voters)
+	case len(d.fleet.Secret) < minSecretBytes:
+		return keyErrorf("fleet.secret", "%d bytes; at least %d are needed", len(d.fleet.Secret), minSecretBytes)
+	case agreement.MaxNodes < int64(voters) || agreement.MaxNodes > maxNodes:
+		return keyErrorf("fleet.most", "%d is not between the %d voters and %d", agreement.MaxNodes, voters, maxNodes)
+	case time.Duration(agreement.Lease) < minLeaseRoundTrips*d.roundTrip:
+		return keyErrorf("fleet.lease_ms", "%d is shorter than %d round trips of %v",
+			time.Duration(agreement.Lease).Milliseconds(), minLeaseRoundTrips, d.roundTrip)
+	}
+	if err := checkBudgets(agreement.Budgets); err != nil {
+		return err
+	}
+	if err := agreement.Validate(); err != nil {
+		return agreementError(err)
 	}
 	return nil
 }
@@ -215,3 +191,22 @@
 	key, reason, _ := strings.Cut(err.Error(), ": ")
 	return keyErrorf("fleet."+key, "%s", reason)
 }
+
+// decodeListen finds out where a voter is called: at its address among the voters, unless it listens at another one.
+func (d *fleetDecoder) decodeListen() error {
+	voter := d.fleet.Voter(d.node.Name)
+	if voter == nil {
+		return nil
+	}
+	if d.fleet.Listen == "" {
+		d.fleet.Listen = voter.Address
+	}
+	listen := d.fleet.Listen
+	if _, _, err := net.SplitHostPort(listen); err != nil {
+		return keyErrorf("fleet.listen", "%q is not host:port", listen)
+	}
+	if listen == d.node.Listen || listen == d.node.AdminAddress {
+		return keyErrorf("fleet.listen", "%q is where clients or operators connect", listen)
+	}
+	return nil
+}
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// valueReader reads values by key and converts them. It keeps the first error; from then on its results count for nothing,
-// so that a caller may read many values and check err once.
+// valueReader reads values by key and converts them. It keeps the first error; from then on its results count for
+// nothing, so that a caller may read many values and check err once.
 type valueReader struct {
 	lookup    Lookup
 	keyPrefix string // before each key in errors, such as "settings."
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package config reads, checks and completes the configuration of a node. It is the one place that knows the names of the
-// settings and of the file's keys: the node decodes its file here, and the simulator's adapter decodes the same settings
-// from its wire.
+// Package config reads, checks and completes the configuration of a node. It is the one place that knows the names of
+// the settings and of the file's keys: the node decodes its file here, and the simulator's adapter decodes the same
+// settings from its wire.
 package config
 
 import (
@@ -20,8 +20,8 @@
 	minTolerableMissRate = 0.001
 )
 
-// missedObjectiveSpan is over how many times the tolerated rate of missed objectives the points for punctuality shrink to
-// zero, by the page on the settings.
+// missedObjectiveSpan is over how many times the tolerated rate of missed objectives the points for punctuality
+// shrink to zero, by the page on the settings.
 const missedObjectiveSpan = 4
 
 const (
@@ -29,8 +29,8 @@
 	defaultUnpolledEventAge = 1_000_000_000 // ns
 )
 
-// DecodeSettings reads the settings that the dispatcher uses. Unknown ones are skipped, and an absent one gets the value
-// that permits least. An error is a KeyError.
+// DecodeSettings reads the settings that the dispatcher uses. Unknown ones are skipped, and an absent one gets the
+// value that permits least. An error is a KeyError.
 func DecodeSettings(lookup Lookup) (*dispatch.Settings, error) {
 	r := &valueReader{lookup: lookup, keyPrefix: "settings."}
 	settings := decodeSite(r)
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -145,8 +145,8 @@
 	return node, nil
 }
 
-// TestStoredNode reads a file with every key of a node, written for an earlier release, and compares what comes out with
-// what that release read.
+// TestStoredNode reads a file with every key of a node, written for an earlier release, and compares what comes out
+// with what that release read.
 func TestStoredNode(t *testing.T) {
 	node, err := readStored(t, "", "")
 	if err != nil {
@@ -169,8 +169,8 @@
 	}
 }
 
-// TestStoredNodeKeys renames each key of the stored file in turn. What is read has to differ, so that no key can change its
-// name, or be left unread, without a test that fails.
+// TestStoredNodeKeys renames each key of the stored file in turn. What is read has to differ, so that no key can
+// change its name, or be left unread, without a test that fails.
 func TestStoredNodeKeys(t *testing.T) {
 	withoutEffect := map[string]string{
 		"settings.Rules.AskWithin": "Rules.DrainGrace goes before it",
