--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,17 +17,26 @@
 	"fernrail/internal/protocol"
 )
 
-const whole = `{"name":"n1","listen":"127.0.0.1:70","discovery":"127.0.0.2:85","seed":"8c1f","news":{"odd":[1,{"a":null}]},
+// wholeFile is a configuration with a value of each kind, and some that no release knows.
+const wholeFile = `{"name":"n1","listen":"127.0.0.1:70","discovery":"127.0.0.2:85","seed":"8c1f",
+"news":{"odd":[1,{"a":null}]},
 "limits":{"cores":0.5,"memory_mb":192,"sockets":1024},
 "known":{"version":4,"full":true,"servers":[
 {"id":"s-1","addr":"10.0.0.1:7","zone":"west","kind":"big","cell":3,"state":"Ready","weight":1.5,"started_ms":12}]},
 "settings":{"Dcs":["east","west"],"Skus":["small","big"],"Tick":5000000,"Odd":true,
 "Limits":{"IdleClose":60000000000,"DialTimeout":120000000,"MostPostings":3,"MayCancel":true},
-"Extra":{"ReportX0":"free memory","ReportX1":"free slots","ClassKind":[-1,1],"ClassStretch":[2.5,2.0]},"Tenants":[{"Name":"acme","Share":0.25}],
+"Extra":{"ReportX0":"free memory","ReportX1":"free slots","ClassKind":[-1,1],"ClassStretch":[2.5,2.0]},
+"Tenants":[{"Name":"acme","Share":0.25}],
 "Schemes":[{"Name":"status","SlaTime":100000000,"Expiry":5000000000,"Idempotency":"idempotent"},
 {"Name":"pay","SlaTime":200000000,"Expiry":3000000000,"Idempotency":"deduplicated","Group":"cell","MemorySpan":7}]}}`
 
-func nothing(string) string { return "" }
+// noEnvironment stands for a start with no variable set.
+func noEnvironment(string) string { return "" }
+
+// environment stands for a start with these variables set.
+func environment(variables map[string]string) func(string) string {
+	return func(variable string) string { return variables[variable] }
+}
 
 // parse decodes the text of a file, as Load does once it has read one.
 func parse(text []byte, getenv func(string) string) (*Node, error) {
@@ -38,34 +47,65 @@
 	return decodeNode(parsed, getenv)
 }
 
-func TestWholeConfiguration(t *testing.T) {
-	n, err := parse([]byte(whole), nothing)
+// mustParse decodes the text of a file that a node can start with.
+func mustParse(t *testing.T, text string) *Node {
+	t.Helper()
+	node, err := parse([]byte(text), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.Name != "n1" || n.Seed != 0x8c1f || n.Cores != 0.5 || n.Memory != 192<<20 || n.Sockets != 1024 ||
-		n.DialTimeout != 120*time.Millisecond || n.IdleTimeout != time.Minute || n.MaxDeadline != 5*time.Second || n.LoadReportKeys.FreeSlots != "x1" || n.ProbeTimeout != 500*time.Millisecond {
-		t.Errorf("%+v", n)
-	}
-	if e := n.InitialEndpoints.Endpoints[0]; e.ID != "s-1" || e.Zone != 1 || e.MachineType != 1 || e.Started != 12e6 {
-		t.Errorf("%+v", e)
-	}
-	pay, tick := n.Settings.Classes[1], n.Settings.Tick
-	if pay.Idempotency != dispatch.IdempotentInGroup || pay.DedupScope != dispatch.DedupCell || pay.DedupWindow != 7 || pay.MachineType != 1 ||
-		pay.ObjectivePerWork != 2 || tick != 5e6 || !n.Settings.AllowCancel || n.Settings.AllowHedging || n.Settings.Tenants[0].Quota != 0.25 {
-		t.Errorf("%+v", pay)
+	return node
+}
+
+// checkEqual fails the test unless a value is the wanted one.
+func checkEqual[T comparable](t *testing.T, what string, got, want T) {
+	t.Helper()
+	if got != want {
+		t.Errorf("%s is %v, want %v", what, got, want)
 	}
 }
 
+func TestWholeConfiguration(t *testing.T) {
+	node := mustParse(t, wholeFile)
+	checkEqual(t, "name", node.Name, "n1")
+	checkEqual(t, "seed", node.Seed, 0x8c1f)
+	checkEqual(t, "cores", node.Cores, 0.5)
+	checkEqual(t, "memory", node.Memory, 192<<20)
+	checkEqual(t, "sockets", node.Sockets, 1024)
+	checkEqual(t, "dial timeout", node.DialTimeout, 120*time.Millisecond)
+	checkEqual(t, "idle timeout", node.IdleTimeout, time.Minute)
+	checkEqual(t, "longest deadline", node.MaxDeadline, 5*time.Second)
+	checkEqual(t, "key of free slots", node.LoadReportKeys.FreeSlots, "x1")
+	checkEqual(t, "probe timeout", node.ProbeTimeout, 500*time.Millisecond)
+
+	endpoint := node.InitialEndpoints.Endpoints[0]
+	checkEqual(t, "server", endpoint.ID, "s-1")
+	checkEqual(t, "server's zone", endpoint.Zone, 1)
+	checkEqual(t, "server's machine type", endpoint.MachineType, 1)
+	checkEqual(t, "server's start", endpoint.Started, 12e6)
+
+	pay := node.Settings.Classes[1]
+	checkEqual(t, "idempotency", pay.Idempotency, dispatch.IdempotentInGroup)
+	checkEqual(t, "dedup scope", pay.DedupScope, dispatch.DedupCell)
+	checkEqual(t, "dedup window", pay.DedupWindow, 7)
+	checkEqual(t, "machine type", pay.MachineType, 1)
+	checkEqual(t, "objective per work", pay.ObjectivePerWork, 2)
+	checkEqual(t, "tick", node.Settings.Tick, 5e6)
+	checkEqual(t, "cancelling", node.Settings.AllowCancel, true)
+	checkEqual(t, "hedging", node.Settings.AllowHedging, false)
+	checkEqual(t, "tenant's quota", node.Settings.Tenants[0].Quota, 0.25)
+}
+
+// TestEnvironmentGoesBeforeTheFile: variables that are set take the place of the file's values, the others leave
+// them.
 func TestEnvironmentGoesBeforeTheFile(t *testing.T) {
-	n, err := parse([]byte(whole), func(v string) string {
-		return map[string]string{"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.9:1"}[v]
-	})
+	n, err := parse([]byte(wholeFile), environment(map[string]string{"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.9:1"}))
 	if err != nil || n.Name != "n9" || n.Listen != "127.0.0.9:1" || n.Discovery != "127.0.0.2:85" {
 		t.Fatalf("%+v %v", n, err)
 	}
 }
 
+// TestFaultsNameTheKey: each value that a node cannot start with is named by its key.
 func TestFaultsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`{"name"`, `["name"`, "configuration: "},
@@ -90,16 +130,16 @@
 		{`"sockets":1024`, `"sockets":1024,"probe_ms":0`, "limits.probe_ms: "},
 		{`"state":"Ready"`, `"state":"Odd"`, "known: servers.0: unknown state"},
 	} {
-		text := strings.Replace(whole, c.from, c.to, 1)
-		if text == whole {
+		text := strings.Replace(wholeFile, c.from, c.to, 1)
+		if text == wholeFile {
 			t.Fatalf("%s is not in the text", c.from)
 		}
-		_, err := parse([]byte(text), nothing)
+		_, err := parse([]byte(text), noEnvironment)
 		checkKeyError(t, c.to, err, c.want)
 	}
-	_, err := parse([]byte(whole), func(v string) string { return map[string]string{"EDGE_LOG": "loud"}[v] })
+	_, err := parse([]byte(wholeFile), environment(map[string]string{"EDGE_LOG": "loud"}))
 	checkKeyError(t, "a level that is none", err, "EDGE_LOG: ")
-	_, err = Load(nothing)
+	_, err = Load(noEnvironment)
 	checkKeyError(t, "no file", err, "EDGE_CONFIG: ")
 	_, err = Load(func(string) string { return filepath.Join(t.TempDir(), "absent") })
 	checkKeyError(t, "an absent file", err, "EDGE_CONFIG: ")
@@ -122,8 +162,8 @@
 	}
 }
 
-// TestAddressOfOperators: there is none unless one is told; it is host:port, and not the clients' own.
-func TestAddressOfOperators(t *testing.T) {
+// TestAdminAddress: there is none unless one is given; it is host:port, and not the clients' own.
+func TestAdminAddress(t *testing.T) {
 	for _, c := range []struct{ file, variable, want, fault string }{
 		{"", "", "", ""},
 		{`"admin_addr":"127.0.0.1:15000",`, "", "127.0.0.1:15000", ""},
@@ -133,9 +173,8 @@
 		{"", "15000", "", "EDGE_ADMIN_ADDR: "},
 		{"", "10.0.0.4:7070", "", "admin_addr: "},
 	} {
-		n, err := parse([]byte("{"+c.file+whole[1:]), func(v string) string {
-			return map[string]string{"EDGE_ADMIN_ADDR": c.variable, "EDGE_LISTEN": "10.0.0.4:7070"}[v]
-		})
+		getenv := environment(map[string]string{"EDGE_ADMIN_ADDR": c.variable, "EDGE_LISTEN": "10.0.0.4:7070"})
+		n, err := parse([]byte("{"+c.file+wholeFile[1:]), getenv)
 		if c.fault != "" {
 			checkKeyError(t, c.file+c.variable, err, c.fault)
 		} else if err != nil || n.AdminAddress != c.want {
@@ -144,27 +183,27 @@
 	}
 }
 
-// TestInherited: what is handed over is a number, and the descriptor of a socket that listens.
-func TestInherited(t *testing.T) {
+// TestInheritedListener: EDGE_LISTEN_FD is the number of a descriptor, of a socket that listens.
+func TestInheritedListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	door, err := l.(*net.TCPListener).File()
+	listener, err := l.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer door.Close()
+	defer listener.Close()
 	other, err := os.Open(os.DevNull)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
 	read := func(fd string) (*Node, error) {
-		return parse([]byte(whole), func(v string) string { return map[string]string{"EDGE_LISTEN_FD": fd}[v] })
+		return parse([]byte(wholeFile), environment(map[string]string{"EDGE_LISTEN_FD": fd}))
 	}
-	if n, err := read(fmt.Sprint(door.Fd())); err != nil || n.ListenFD != int(door.Fd()) {
+	if n, err := read(fmt.Sprint(listener.Fd())); err != nil || n.ListenFD != int(listener.Fd()) {
 		t.Error(err)
 	}
 	for _, fd := range []string{"five", "-1", "0", "1", "99999", fmt.Sprint(other.Fd())} {
@@ -176,75 +215,97 @@
 	}
 }
 
-// TestSlowConnections: a connection that comes up when a drain's grace is over is none that a posting may go out on.
-func TestSlowConnections(t *testing.T) {
-	text := strings.Replace(whole, `"Odd":true`, `"Rules":{"DrainGrace":100000000}`, 1)
-	n, err := parse([]byte(text), nothing)
-	if err != nil || n.DialTimeout > 50*time.Millisecond {
-		t.Errorf("%v %v", n.DialTimeout, err)
+// TestDialWithinDrainGrace: a connection that comes up when the grace of a drain is over is too late for its attempt,
+// so that the dial and the time to start an attempt fit into the grace together.
+func TestDialWithinDrainGrace(t *testing.T) {
+	node := mustParse(t, strings.Replace(wholeFile, `"Odd":true`, `"Rules":{"DrainGrace":100000000}`, 1))
+	if node.DialTimeout > 50*time.Millisecond {
+		t.Errorf("%v for a connection", node.DialTimeout)
 	}
-	// What discovery's agent has counts as told without a call, and what waits for a connection goes out later still.
-	if n.Settings.UnpolledEventAge != 0 || n.Settings.MaxPollInterval != int64(protocol.PollRetryInterval) || n.Settings.DrainGrace+int64(n.DialTimeout) > 100e6 {
-		t.Errorf("%d ns may pass without a call, %d ns after news", n.Settings.UnpolledEventAge, n.Settings.DrainGrace)
+	// What the discovery agent has counts as known without a poll.
+	checkEqual(t, "age of unpolled events", node.Settings.UnpolledEventAge, 0)
+	checkEqual(t, "poll interval", node.Settings.MaxPollInterval, int64(protocol.PollRetryInterval))
+	if node.Settings.DrainGrace+int64(node.DialTimeout) > 100e6 {
+		t.Errorf("%d ns to start an attempt, and %v to connect", node.Settings.DrainGrace, node.DialTimeout)
 	}
 }
 
-// TestNewShape: what the settings of the new deployments say reaches the module; messages, which sockets have no
-// protocol for, do not. Without these keys nothing of it is on.
-func TestNewShape(t *testing.T) {
-	text := strings.NewReplacer(`"Odd":true`, `"Discovery":"subscribe","Weights":"live","Report":{"Source":"pull","Fields":["util","x0","x1"]}`,
-		`"MayCancel":true`, `"MayCancel":true,"MayProbe":true,"MayTell":true`, `"ReportX0":"free memory","ReportX1":"free slots"`,
+// TestSubscribingSite: settings of sites whose nodes poll and probe reach the dispatcher; peer messages, for which
+// sockets have no protocol, do not. Without these keys all of it is off.
+func TestSubscribingSite(t *testing.T) {
+	node := mustParse(t, strings.NewReplacer(
+		`"Odd":true`, `"Discovery":"subscribe","Weights":"live","Report":{"Source":"pull","Fields":["util","x0","x1"]}`,
+		`"MayCancel":true`, `"MayCancel":true,"MayProbe":true,"MayTell":true`,
+		`"ReportX0":"free memory","ReportX1":"free slots"`,
 		`"MemoryUnit":"one a slot","ReportX0":"free slots","ReportX1":"free memory"`,
-		`"sockets":1024`, `"sockets":1024,"probe_ms":80`).Replace(whole)
-	n, err := parse([]byte(text), nothing)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if x := n.Settings; !x.PollForChanges || !x.LiveCapacity || !x.CapacityProbes || x.LoadReports || x.PeerMessages || x.AllowHedging || !n.PeerMessagesUnsupported ||
-		n.LoadReportKeys.FreeSlots != "x0" || n.LoadReportKeys.FreeMemory != "x1" || n.ProbeTimeout != 80*time.Millisecond {
-		t.Errorf("%+v %+v", n, x)
-	}
-	if n, err = parse([]byte(whole), nothing); err != nil || n.Settings.LiveCapacity || n.Settings.CapacityProbes || n.Settings.PeerMessages || n.PeerMessagesUnsupported || n.Settings.PollForChanges {
-		t.Errorf("%+v %v", n.Settings, err)
-	}
+		`"sockets":1024`, `"sockets":1024,"probe_ms":80`,
+	).Replace(wholeFile))
+	checkEqual(t, "polling", node.Settings.PollForChanges, true)
+	checkEqual(t, "live capacity", node.Settings.LiveCapacity, true)
+	checkEqual(t, "capacity probes", node.Settings.CapacityProbes, true)
+	checkEqual(t, "load reports", node.Settings.LoadReports, false)
+	checkEqual(t, "peer messages", node.Settings.PeerMessages, false)
+	checkEqual(t, "hedging", node.Settings.AllowHedging, false)
+	checkEqual(t, "peer messages without a protocol", node.PeerMessagesUnsupported, true)
+	checkEqual(t, "key of free slots", node.LoadReportKeys.FreeSlots, "x0")
+	checkEqual(t, "key of free memory", node.LoadReportKeys.FreeMemory, "x1")
+	checkEqual(t, "probe timeout", node.ProbeTimeout, 80*time.Millisecond)
+
+	node = mustParse(t, wholeFile)
+	checkEqual(t, "live capacity", node.Settings.LiveCapacity, false)
+	checkEqual(t, "capacity probes", node.Settings.CapacityProbes, false)
+	checkEqual(t, "peer messages", node.Settings.PeerMessages, false)
+	checkEqual(t, "peer messages without a protocol", node.PeerMessagesUnsupported, false)
+	checkEqual(t, "polling", node.Settings.PollForChanges, false)
 }
 
-// TestClocks: by how much clocks may differ reaches the module, and is nothing where the settings say nothing.
-func TestClocks(t *testing.T) {
-	for text, want := range map[string][3]int64{whole: {0, 0, 5e9},
-		strings.Replace(whole, `"Odd":true`, `"Rules":{"LeftMargin":7500000000,"BootStampError":40}`, 1): {7500e6, 40, 5e9}} {
-		n, err := parse([]byte(text), nothing)
-		if err != nil || [3]int64{n.Settings.DeadlineMargin, n.Settings.StartTimeError, n.Settings.Classes[0].MaxDeadline} != want {
-			t.Errorf("%v, want %v", err, want)
-		}
+// TestClockErrors: by how much clocks may differ reaches the dispatcher, and is nothing where the settings say
+// nothing.
+func TestClockErrors(t *testing.T) {
+	check := func(text string, deadlineMargin, startTimeError int64) {
+		t.Helper()
+		settings := mustParse(t, text).Settings
+		checkEqual(t, "deadline margin", settings.DeadlineMargin, deadlineMargin)
+		checkEqual(t, "start time error", settings.StartTimeError, startTimeError)
+		checkEqual(t, "deadline", settings.Classes[0].MaxDeadline, 5e9)
 	}
+	check(wholeFile, 0, 0)
+	rules := `"Rules":{"LeftMargin":7500000000,"BootStampError":40}`
+	check(strings.Replace(wholeFile, `"Odd":true`, rules, 1), 7500e6, 40)
+
 	for _, key := range []string{"LeftMargin", "BootStampError"} {
-		text := strings.Replace(whole, `"Odd":true`, `"Rules":{"`+key+`":-1}`, 1)
-		_, err := parse([]byte(text), nothing)
+		text := strings.Replace(wholeFile, `"Odd":true`, `"Rules":{"`+key+`":-1}`, 1)
+		_, err := parse([]byte(text), noEnvironment)
 		checkKeyError(t, key, err, "settings.Rules."+key+": ")
 	}
 }
 
-// TestReloadLooksAtNoServers: a node that reads its file again takes the new place of discovery from it, and decodes
-// no server. Danger: a node with a small share of a core stands still for a list of thousands that nobody looks at.
+// TestReloadLooksAtNoServers: a node that reads its file again takes the new address of discovery from it, and
+// decodes no server: a list of thousands would hold up a node with a small share of a core.
 func TestReloadLooksAtNoServers(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "c.json")
-	env := func(variable string) string { return map[string]string{"EDGE_CONFIG": path}[variable] }
+	path := filepath.Join(t.TempDir(), "config.json")
+	getenv := environment(map[string]string{"EDGE_CONFIG": path})
 	write := func(text string) {
+		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(whole)
-	n, err := Load(env)
+	write(wholeFile)
+	node, err := Load(getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write(strings.NewReplacer("127.0.0.2:85", "127.0.0.3:85", `"addr":"10.0.0.1:7"`, `"addr":"nowhere"`).Replace(whole))
-	if now, left, err := n.Reload(env); err != nil || len(left) > 0 || now.Discovery != "127.0.0.3:85" || len(now.InitialEndpoints.Endpoints) > 0 {
-		t.Errorf("%v, %v, %+v", err, left, now)
+	moved := strings.NewReplacer("127.0.0.2:85", "127.0.0.3:85", `"addr":"10.0.0.1:7"`, `"addr":"nowhere"`)
+	write(moved.Replace(wholeFile))
+	reloaded, restartKeys, err := node.Reload(getenv)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if _, err := Load(env); err == nil {
+	checkEqual(t, "keys for a restart", len(restartKeys), 0)
+	checkEqual(t, "discovery", reloaded.Discovery, "127.0.0.3:85")
+	checkEqual(t, "servers", len(reloaded.InitialEndpoints.Endpoints), 0)
+	if _, err := Load(getenv); err == nil {
 		t.Error("a start took a server with no address")
 	}
 }
--- a/internal/config/fleet_budgets.go
+++ b/internal/config/fleet_budgets.go
@@ -126,12 +126,12 @@
 	}
 	for _, name := range budgetNames {
 		if name != BudgetRetries && budgets[name].FirstAttemptRatio != 0 {
-			return keyErrorf("fleet.budgets", "share is for second postings alone, which are one of first ones")
+			return keyErrorf("fleet.budgets", "share is for again alone, as a ratio of first attempts")
 		}
 	}
 	if parts := budgets[BudgetRetries].Partitions; parts > 1 {
 		return keyErrorf(budgetKey(BudgetRetries, "parts"),
-			"%d; second postings are counted for all executors together", parts)
+			"%d; retries are counted for all executors together", parts)
 	}
 	if parts := budgets[BudgetPolls].Partitions; parts > 1 {
 		return keyErrorf(budgetKey(BudgetPolls, "parts"), "%d; there is one list", parts)
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// fleetFile is a configuration with a fleet section, changed by one hand.
+// fleetFile writes the example configuration of a fleet with a change, and returns the environment that names it.
 func fleetFile(t *testing.T, change func(file, fleet map[string]any)) func(string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../example/fleet/n1.json")
@@ -31,21 +31,24 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return func(v string) string { return map[string]string{"EDGE_CONFIG": path}[v] }
+	return environment(map[string]string{"EDGE_CONFIG": path})
 }
 
-// TestFleet: what is at fault is refused at the start, by its key.
+// TestFleet: a start names the key that is at fault.
 func TestFleet(t *testing.T) {
-	seat := func(f map[string]any, i int) map[string]any { return f["seats"].([]any)[i].(map[string]any) }
+	server := map[string]any{
+		"id": "s", "addr": "127.0.0.1:7", "zone": "home", "kind": "toy", "state": "Ready", "weight": 1,
+	}
+	voter := func(f map[string]any, i int) map[string]any { return f["seats"].([]any)[i].(map[string]any) }
 	budgets := func(f map[string]any) map[string]any { return f["budgets"].(map[string]any) }
 	for want, change := range map[string]func(file, f map[string]any){
 		"":                         func(map[string]any, map[string]any) {},
 		"fleet.seats: 2 seats":     func(_, f map[string]any) { f["seats"] = f["seats"].([]any)[:2] },
 		"fleet.seats: 0 seats":     func(_, f map[string]any) { delete(f, "seats") },
-		"fleet.seats.2.name":       func(_, f map[string]any) { seat(f, 2)["name"] = "n0" },
-		"fleet.seats.2.address":    func(_, f map[string]any) { seat(f, 2)["address"] = seat(f, 0)["address"] },
-		"fleet.seats.0.address":    func(_, f map[string]any) { seat(f, 0)["address"] = "nowhere" },
-		"fleet.seats.1.name":       func(_, f map[string]any) { seat(f, 1)["name"] = "a/b" },
+		"fleet.seats.2.name":       func(_, f map[string]any) { voter(f, 2)["name"] = "n0" },
+		"fleet.seats.2.address":    func(_, f map[string]any) { voter(f, 2)["address"] = voter(f, 0)["address"] },
+		"fleet.seats.0.address":    func(_, f map[string]any) { voter(f, 0)["address"] = "nowhere" },
+		"fleet.seats.1.name":       func(_, f map[string]any) { voter(f, 1)["name"] = "a/b" },
 		"fleet.listen":             func(file, f map[string]any) { f["listen"] = file["listen"] },
 		"no names are looked up":   func(_, f map[string]any) { f["gossip"] = "node-1:7300" },
 		"fleet.join: nothing":      func(_, f map[string]any) { delete(f, "gossip") },
@@ -60,14 +63,16 @@
 		"fleet.budgets.cold: miss": func(_, f map[string]any) { delete(budgets(f), "cold") },
 		"fleet.budgets.cold.windo": func(_, f map[string]any) { budgets(f)["cold"].(map[string]any)["window_ms"] = 100 },
 		"fleet.budgets.again.part": func(_, f map[string]any) { budgets(f)["again"].(map[string]any)["parts"] = 4 },
-		"fleet.budgets.jobs.windo": func(_, f map[string]any) { budgets(f)["jobs"] = map[string]any{"whole": 9, "window_ms": 100} },
+		"fleet.budgets.jobs.windo": func(_, f map[string]any) {
+			budgets(f)["jobs"] = map[string]any{"whole": 9, "window_ms": 100}
+		},
 		"fleet.budgets.calls.floo": func(_, f map[string]any) { budgets(f)["calls"] = map[string]any{"whole": 9} },
 		"needs one in less than 5500": func(_, f map[string]any) {
 			budgets(f)["calls"] = map[string]any{"whole": 9, "floor": 1, "window_ms": 8000}
 		},
 		"fleet.subset.size: 2 is mo": func(file, f map[string]any) {
 			f["subset"] = map[string]any{"size": 2}
-			file["known"] = map[string]any{"version": 1, "full": true, "servers": []any{map[string]any{"id": "s", "addr": "127.0.0.1:7", "zone": "home", "kind": "toy", "state": "Ready", "weight": 1}}}
+			file["known"] = map[string]any{"version": 1, "full": true, "servers": []any{server}}
 		},
 		"fleet.subset.size: 1 is u": func(file, f map[string]any) {
 			f["subset"] = map[string]any{"size": 1}
@@ -85,13 +90,17 @@
 			delete(f, "gossip")
 			delete(f, "join")
 		},
-		"fleet.budgets: share is f": func(_, f map[string]any) { budgets(f)["jobs"] = map[string]any{"whole": 9, "share": 0.1} },
-		"fleet.budgets.cold.parts":  func(_, f map[string]any) { budgets(f)["cold"].(map[string]any)["parts"] = 400 },
+		"fleet.budgets: share is f": func(_, f map[string]any) {
+			budgets(f)["jobs"] = map[string]any{"whole": 9, "share": 0.1}
+		},
+		"fleet.budgets.cold.parts": func(_, f map[string]any) { budgets(f)["cold"].(map[string]any)["parts"] = 400 },
 	} {
 		n, err := Load(fleetFile(t, change))
 		if want == "" {
-			if err != nil || n.Fleet == nil || n.Fleet.Voter("n1") == nil || n.Fleet.Listen != "127.0.0.1:7201" || n.FleetDisabled {
+			if err != nil || n.Fleet == nil || n.FleetDisabled {
 				t.Errorf("%v, %+v", err, n)
+			} else if n.Fleet.Voter("n1") == nil || n.Fleet.Listen != "127.0.0.1:7201" {
+				t.Errorf("%+v", n.Fleet)
 			}
 			continue
 		}
@@ -102,16 +111,16 @@
 	}
 }
 
-// TestFleetSilenced: where nodes may not talk a section is not in force, and where there is none nothing is.
-// Danger: a site that forbids messages, on which a file meant for another has its nodes listen and call.
-func TestFleetSilenced(t *testing.T) {
+// TestFleetDisabled: where the settings forbid nodes to talk, a fleet section is not in force: a file that was meant
+// for another site does not make them listen and call.
+func TestFleetDisabled(t *testing.T) {
 	n, err := Load(fleetFile(t, func(file, _ map[string]any) {
 		file["settings"].(map[string]any)["Limits"].(map[string]any)["MayTell"] = false
 	}))
 	if err != nil || n.Fleet != nil || !n.FleetDisabled {
 		t.Errorf("%v, %+v", err, n)
 	}
-	silenced := n.Settings
+	disabled := n.Settings
 	n, err = Load(fleetFile(t, func(file, _ map[string]any) {
 		file["settings"].(map[string]any)["Limits"].(map[string]any)["MayTell"] = false
 		delete(file, "fleet")
@@ -119,8 +128,8 @@
 	if err != nil || n.Fleet != nil || n.FleetDisabled {
 		t.Errorf("%v, %+v", err, n)
 	}
-	// The module sees its terms, its seed and what happens; with the same terms its decisions are the same.
-	if !reflect.DeepEqual(n.Settings, silenced) || silenced.Quotas != nil {
-		t.Errorf("a section that is not in force changes the terms: %+v, %+v", n.Settings, silenced)
+	// With the same settings the dispatcher decides the same.
+	if !reflect.DeepEqual(n.Settings, disabled) || disabled.Quotas != nil {
+		t.Errorf("a section that is not in force changes the settings: %+v, %+v", n.Settings, disabled)
 	}
 }
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -33,7 +33,10 @@
 		Memory:       200 << 20,
 		Sockets:      1000,
 		InitialEndpoints: &protocol.EndpointList{Version: 4, Complete: true, Endpoints: []protocol.Endpoint{
-			{ID: "s-1", Address: "10.0.0.1:7", State: dispatch.Up, Zone: 1, MachineType: 1, Cell: 3, Started: 12e6, Capacity: 1.5},
+			{
+				ID: "s-1", Address: "10.0.0.1:7", State: dispatch.Up, Zone: 1, MachineType: 1, Cell: 3,
+				Started: 12e6, Capacity: 1.5,
+			},
 			{ID: "s-2", Address: "10.0.0.2:7", State: dispatch.Draining, Cell: 1, Started: 5e6, Capacity: 2},
 			{ID: "s-3", Address: "10.0.0.3:7", State: dispatch.Up, Cell: 2, Started: 7e6, Capacity: 3},
 		}},
@@ -137,7 +140,7 @@
 	if from != "" && changed == string(text) {
 		t.Fatalf("%s is not in the file", from)
 	}
-	node, err := parse([]byte(changed), nothing)
+	node, err := parse([]byte(changed), noEnvironment)
 	if err != nil {
 		return nil, err
 	}
@@ -192,7 +195,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		node, err := parse(changed, nothing)
+		node, err := parse(changed, noEnvironment)
 		if err != nil {
 			return
 		}
