--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -21,44 +21,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// seats is how many processes of one node are told apart; an upgrade needs two, one that overtakes another three.
-const seats = 8
+// maxProcesses is how many processes of one node are told apart; an upgrade needs two, one that overtakes another three.
+const maxProcesses = 8
 
-// small is what a process that has not taken clients yet holds of what one holds that has: its standard files, discovery
+// startingWeight is what a process that has not taken clients yet holds of what one holds that has: its standard files, discovery
 // and operators.
-const small = 0.25
+const startingWeight = 0.25
 
 // What the bytes of the lock file stand for.
 const (
-	living   = 0         // and one for each seat, as for the next two
-	serving  = seats     // takes clients
-	starting = 2 * seats // has not taken any yet
-	budget   = 3 * seats // of cold executors
-	writing  = budget + 1
+	livingOffset    = 0                // and one for each seat, as for the next two
+	servingOffset   = maxProcesses     // takes clients
+	startingOffset  = 2 * maxProcesses // has not taken any yet
+	ownershipOffset = 3 * maxProcesses // of cold executors
+	writeOffset     = ownershipOffset + 1
 )
 
-// version of the file of bans.
-const version = 1
+// fileVersion of the file of bans.
+const fileVersion = 1
 
 // Process is one process's place among those of its node.
 type Process struct {
-	dir   string // empty: nothing is shared
-	file  string // of bans
-	locks *os.File
-	seat  int64
-	young bool // has not taken clients yet
+	dir      string // empty: nothing is shared
+	path     string // of bans
+	locks    *os.File
+	number   int64
+	starting bool // has not taken clients yet
 
-	mu     sync.Mutex
-	now    *os.File    // the file of bans as last read, kept open: no other file can have its number meanwhile
-	seen   os.FileInfo // of it
-	bans   []string    // as last read or written, sorted
-	listed []string    // executors that were ever listed, as last read or written, in that order
+	mu       sync.Mutex
+	openFile *os.File    // the file of bans as last read, kept open: no other file can have its number meanwhile
+	fileInfo os.FileInfo // of it
+	excluded []string    // as last read or written, sorted
+	listed   []string    // executors that were ever listed, as last read or written, in that order
 }
 
 // Join takes a seat in a directory. Processes of one node have one name. With no directory, or one that can't be used,
 // the seat is a single one: the error says why, and the node can serve on it.
 func Join(dir, name string) (*Process, error) {
-	s := &Process{young: true}
+	s := &Process{starting: true}
 	if dir == "" {
 		return s, nil
 	}
@@ -67,10 +67,10 @@
 	if err != nil {
 		return s, err
 	}
-	for s.seat = 0; s.seat < seats; s.seat++ {
-		if err = lock(locks, unix.F_OFD_SETLK, unix.F_WRLCK, living+s.seat); err == nil {
-			lock(locks, unix.F_OFD_SETLK, unix.F_WRLCK, starting+s.seat)
-			s.dir, s.file, s.locks = dir, base+".bans", locks
+	for s.number = 0; s.number < maxProcesses; s.number++ {
+		if err = lock(locks, unix.F_OFD_SETLK, unix.F_WRLCK, livingOffset+s.number); err == nil {
+			lock(locks, unix.F_OFD_SETLK, unix.F_WRLCK, startingOffset+s.number)
+			s.dir, s.path, s.locks = dir, base+".bans", locks
 			_, err = s.Exclusions()
 			return s, err
 		}
@@ -81,7 +81,7 @@
 
 // Coordinated says whether other processes of this node could be seen.
 func (s *Process) Coordinated() (yes bool) {
-	s.with(func(*os.File) { yes = true })
+	s.withLocks(func(*os.File) { yes = true })
 	return yes
 }
 
@@ -90,8 +90,8 @@
 	return unix.FcntlFlock(f.Fd(), how, &unix.Flock_t{Type: kind, Start: at, Len: 1})
 }
 
-// with does something with the locks, if there are any.
-func (s *Process) with(do func(locks *os.File)) {
+// withLocks does something with the locks, if there are any.
+func (s *Process) withLocks(do func(locks *os.File)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.locks != nil {
@@ -99,12 +99,12 @@
 	}
 }
 
-// held is how many other processes hold a byte from the first one on, where each seat has its own.
-func (s *Process) held(first int64) (count int) {
-	s.with(func(locks *os.File) {
-		for seat := range int64(seats) {
+// lockHolders is how many other processes hold a byte from the first one on, where each seat has its own.
+func (s *Process) lockHolders(first int64) (count int) {
+	s.withLocks(func(locks *os.File) {
+		for seat := range int64(maxProcesses) {
 			ask := unix.Flock_t{Type: unix.F_WRLCK, Start: first + seat, Len: 1}
-			if seat != s.seat && unix.FcntlFlock(locks.Fd(), unix.F_OFD_GETLK, &ask) == nil && ask.Type != unix.F_UNLCK {
+			if seat != s.number && unix.FcntlFlock(locks.Fd(), unix.F_OFD_GETLK, &ask) == nil && ask.Type != unix.F_UNLCK {
 				count++
 			}
 		}
@@ -113,24 +113,24 @@
 }
 
 // OtherProcesses is how many other processes of this node live.
-func (s *Process) OtherProcesses() int { return s.held(living) }
+func (s *Process) OtherProcesses() int { return s.lockHolders(livingOffset) }
 
 // LimitShare is this process's part of what the node may hold. One that takes no clients yet leaves the most to the others.
 // Danger: an even part, too soon, has the old process decline at the door what the new one does not take yet.
 func (s *Process) LimitShare() float64 {
-	starting := s.held(starting)
-	all := float64(s.OtherProcesses()-starting) + small*float64(starting)
+	starting := s.lockHolders(startingOffset)
+	all := float64(s.OtherProcesses()-starting) + startingWeight*float64(starting)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	own := 1.0
-	if s.young {
-		own = small
+	if s.starting {
+		own = startingWeight
 	}
 	return own / (own + all)
 }
 
 // HasSuccessor says whether another process of this node takes clients.
-func (s *Process) HasSuccessor() bool { return s.held(serving) > 0 }
+func (s *Process) HasSuccessor() bool { return s.lockHolders(servingOffset) > 0 }
 
 // SetServing tells the others that this process takes clients, or no longer.
 func (s *Process) SetServing(yes bool) {
@@ -138,55 +138,55 @@
 	if yes {
 		kind = unix.F_WRLCK
 	}
-	s.with(func(locks *os.File) {
-		s.young = false
-		lock(locks, unix.F_OFD_SETLK, kind, serving+s.seat)
-		lock(locks, unix.F_OFD_SETLK, unix.F_UNLCK, starting+s.seat)
+	s.withLocks(func(locks *os.File) {
+		s.starting = false
+		lock(locks, unix.F_OFD_SETLK, kind, servingOffset+s.number)
+		lock(locks, unix.F_OFD_SETLK, unix.F_UNLCK, startingOffset+s.number)
 	})
 }
 
 // AcquireOwnership takes this node's part of cold executors' budgets, which one process holds at a time; false: another one does.
 func (s *Process) AcquireOwnership() bool {
 	owns := true
-	s.with(func(locks *os.File) { owns = lock(locks, unix.F_OFD_SETLK, unix.F_WRLCK, budget) == nil })
+	s.withLocks(func(locks *os.File) { owns = lock(locks, unix.F_OFD_SETLK, unix.F_WRLCK, ownershipOffset) == nil })
 	return owns
 }
 
 // ReleaseOwnership leaves it to another process.
 func (s *Process) ReleaseOwnership() {
-	s.with(func(locks *os.File) { lock(locks, unix.F_OFD_SETLK, unix.F_UNLCK, budget) })
+	s.withLocks(func(locks *os.File) { lock(locks, unix.F_OFD_SETLK, unix.F_UNLCK, ownershipOffset) })
 }
 
-// list is the file of bans.
-type list struct {
-	Version int      `json:"version"`
-	Bans    []string `json:"bans"`
-	Listed  []string `json:"listed"`
+// exclusionFile is the file of bans.
+type exclusionFile struct {
+	Version  int      `json:"version"`
+	Excluded []string `json:"bans"`
+	Listed   []string `json:"listed"`
 }
 
-// most is how many executors that were listed are remembered, the latest; files count as memory.
-const most = 2000
+// maxListed is how many executors that were listed are remembered, the latest; files count as memory.
+const maxListed = 2000
 
-// read brings the bans up to date. A file that is not there yet holds no news. Under mu.
-func (s *Process) read() error {
+// refresh brings the bans up to date. A file that is not there yet holds no news. Under mu.
+func (s *Process) refresh() error {
 	if s.dir == "" {
 		return nil
 	}
 	// Danger: a file that names thousands is decoded ten times a second, at a node with a small share of a core. Each change is a file
 	// of its own, so one that is still the same has nothing new.
-	if is, err := os.Stat(s.file); err == nil && s.seen != nil && os.SameFile(is, s.seen) && is.Size() == s.seen.Size() &&
-		is.ModTime().Equal(s.seen.ModTime()) {
+	if is, err := os.Stat(s.path); err == nil && s.fileInfo != nil && os.SameFile(is, s.fileInfo) && is.Size() == s.fileInfo.Size() &&
+		is.ModTime().Equal(s.fileInfo.ModTime()) {
 		return nil
 	}
-	s.unseen()
-	file, err := os.Open(s.file)
+	s.closeFile()
+	file, err := os.Open(s.path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	s.now = file
+	s.openFile = file
 	seen, err := file.Stat()
 	if err != nil {
 		return err
@@ -195,43 +195,43 @@
 	if err != nil {
 		return err
 	}
-	var l list
+	var l exclusionFile
 	if err := json.Unmarshal(text, &l); err != nil {
-		return fmt.Errorf("%s: %w", s.file, err)
+		return fmt.Errorf("%s: %w", s.path, err)
 	}
-	if l.Version != version {
-		return fmt.Errorf("%s: version %d, this program knows %d", s.file, l.Version, version)
+	if l.Version != fileVersion {
+		return fmt.Errorf("%s: version %d, this program knows %d", s.path, l.Version, fileVersion)
 	}
-	s.bans, s.listed, s.seen = l.Bans, l.Listed, seen
+	s.excluded, s.listed, s.fileInfo = l.Excluded, l.Listed, seen
 	return nil
 }
 
-// unseen forgets the file as last read. Under mu.
-func (s *Process) unseen() {
-	if s.now != nil {
-		s.now.Close()
+// closeFile forgets the file as last read. Under mu.
+func (s *Process) closeFile() {
+	if s.openFile != nil {
+		s.openFile.Close()
 	}
-	s.now, s.seen = nil, nil
+	s.openFile, s.fileInfo = nil, nil
 }
 
 // Exclusions gives the ids of banned executors, sorted. Where they can't be read, they are what they last were.
 func (s *Process) Exclusions() ([]string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.read()
-	return slices.Clone(s.bans), err
+	err := s.refresh()
+	return slices.Clone(s.excluded), err
 }
 
 // SetExcluded adds an executor to the banned or takes it out. With an error nothing has changed.
 // Danger: a ban that is not kept ends with the process while the operators' staff work on the machine.
 func (s *Process) SetExcluded(id string, yes bool) error {
-	return s.change(func() bool {
-		at, banned := slices.BinarySearch(s.bans, id)
+	return s.update(func() bool {
+		at, banned := slices.BinarySearch(s.excluded, id)
 		switch {
 		case yes && !banned:
-			s.bans = slices.Insert(slices.Clone(s.bans), at, id)
+			s.excluded = slices.Insert(slices.Clone(s.excluded), at, id)
 		case !yes && banned:
-			s.bans = slices.Delete(slices.Clone(s.bans), at, at+1)
+			s.excluded = slices.Delete(slices.Clone(s.excluded), at, at+1)
 		}
 		return yes != banned
 	})
@@ -239,7 +239,7 @@
 
 // RecordListed remembers executors that were listed, for processes that come after they have gone.
 func (s *Process) RecordListed(ids []string) error {
-	return s.change(func() bool {
+	return s.update(func() bool {
 		before := len(s.listed)
 		known := make(map[string]bool, before+len(ids))
 		for _, id := range s.listed {
@@ -251,7 +251,7 @@
 			}
 		}
 		grown := len(s.listed) > before
-		s.listed = s.listed[max(len(s.listed)-most, 0):]
+		s.listed = s.listed[max(len(s.listed)-maxListed, 0):]
 		return grown
 	})
 }
@@ -260,46 +260,46 @@
 func (s *Process) WasListed(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.read()
+	s.refresh()
 	return slices.Contains(s.listed, id)
 }
 
-// change brings what is shared up to date, changes it and writes it if that made a difference.
+// update brings what is shared up to date, changes it and writes it if that made a difference.
 // Danger: two processes that change it at once; one would write over what the other has just kept.
-func (s *Process) change(do func() bool) error {
+func (s *Process) update(do func() bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.dir == "" {
 		do()
 		return nil
 	}
-	if err := lock(s.locks, unix.F_OFD_SETLKW, unix.F_WRLCK, writing); err != nil {
+	if err := lock(s.locks, unix.F_OFD_SETLKW, unix.F_WRLCK, writeOffset); err != nil {
 		return fmt.Errorf("%s: %w", s.locks.Name(), err)
 	}
-	defer lock(s.locks, unix.F_OFD_SETLK, unix.F_UNLCK, writing)
-	if err := s.read(); err != nil {
+	defer lock(s.locks, unix.F_OFD_SETLK, unix.F_UNLCK, writeOffset)
+	if err := s.refresh(); err != nil {
 		return err
 	}
-	bans, listed := s.bans, s.listed
+	bans, listed := s.excluded, s.listed
 	if !do() {
 		return nil
 	}
 	err := s.write()
 	if err != nil {
-		s.bans, s.listed = bans, listed
+		s.excluded, s.listed = bans, listed
 	}
 	return err
 }
 
 // write puts a whole new file in the old one's place.
 func (s *Process) write() error {
-	text, err := json.Marshal(list{version, s.bans, s.listed})
+	text, err := json.Marshal(exclusionFile{fileVersion, s.excluded, s.listed})
 	if err != nil {
 		return err
 	}
-	fresh := fmt.Sprintf("%s.%d", s.file, s.seat)
+	fresh := fmt.Sprintf("%s.%d", s.path, s.number)
 	if err = os.WriteFile(fresh, text, 0o600); err == nil {
-		err = os.Rename(fresh, s.file)
+		err = os.Rename(fresh, s.path)
 	}
 	if err != nil {
 		os.Remove(fresh)
@@ -309,9 +309,9 @@
 
 // Leave gives the seat up, and whatever goes with it; the kernel would do as much when the process ends.
 func (s *Process) Leave() {
-	s.with(func(locks *os.File) {
+	s.withLocks(func(locks *os.File) {
 		locks.Close()
-		s.unseen()
+		s.closeFile()
 		s.dir, s.locks = "", nil
 	})
 }
--- a/internal/hotrestart/process_test.go
+++ b/internal/hotrestart/process_test.go
@@ -111,18 +111,18 @@
 		if err := s.SetExcluded("s-1", true); err != nil {
 			t.Fatal(err)
 		}
-		os.WriteFile(s.file, []byte(text), 0o600)
+		os.WriteFile(s.path, []byte(text), 0o600)
 		bans, err := s.Exclusions()
-		if !slices.Equal(bans, []string{"s-1"}) || err == nil || !strings.Contains(err.Error(), s.file) {
+		if !slices.Equal(bans, []string{"s-1"}) || err == nil || !strings.Contains(err.Error(), s.path) {
 			t.Errorf("%s: %q, %v", name, bans, err)
 		}
-		if err := s.SetExcluded("s-2", true); err == nil || !strings.Contains(err.Error(), s.file) {
+		if err := s.SetExcluded("s-2", true); err == nil || !strings.Contains(err.Error(), s.path) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if after, _ := os.ReadFile(s.file); string(after) != text {
+		if after, _ := os.ReadFile(s.path); string(after) != text {
 			t.Errorf("%s: was written over by %q", name, after)
 		}
-		os.Remove(s.file)
+		os.Remove(s.path)
 		if err := s.SetExcluded("s-2", true); err != nil {
 			t.Error(err)
 		}
@@ -159,10 +159,10 @@
 		t.Error("who was listed")
 	}
 	var many []string
-	for n := range most {
+	for n := range maxListed {
 		many = append(many, fmt.Sprint("m-", n))
 	}
-	if err := c.RecordListed(many); err != nil || len(c.listed) != most || c.WasListed("s-0") || !c.WasListed("m-0") {
+	if err := c.RecordListed(many); err != nil || len(c.listed) != maxListed || c.WasListed("s-0") || !c.WasListed("m-0") {
 		t.Errorf("%v, %d listed", err, len(c.listed))
 	}
 }
@@ -229,7 +229,7 @@
 	defer one.Leave()
 	defer two.Leave()
 	var names []string
-	for i := range most {
+	for i := range maxListed {
 		names = append(names, fmt.Sprint("s-", i))
 	}
 	if err := one.RecordListed(names); err != nil {
