--- a/internal/routing/lag.go
+++ b/internal/routing/lag.go
@@ -27,9 +27,9 @@
 // the lag. Between two measurements the next one's delay so far counts, so that a process that runs again after it stood still knows
 // at once how long it did.
 type lagMeter struct {
-	last atomic.Int64 // ns; as measured last
-	due  atomic.Int64 // ns since start, when the next measurement should end; far off while none is made
-	now  func() int64 // ns since start, monotonic
+	lastDelay atomic.Int64 // ns; as measured last
+	due       atomic.Int64 // ns since start, when the next measurement should end; far off while none is made
+	now       func() int64 // ns since start, monotonic
 }
 
 func newLagMeter() *lagMeter {
@@ -39,9 +39,9 @@
 	return m
 }
 
-// Lag is how long what is handled at this moment may have waited, in ns.
-func (m *lagMeter) Lag() int64 {
-	return max(m.last.Load(), m.now()-m.due.Load(), 0)
+// Delay is how long what is handled at this moment may have waited, in ns.
+func (m *lagMeter) Delay() int64 {
+	return max(m.lastDelay.Load(), m.now()-m.due.Load(), 0)
 }
 
 // run measures until the context ends.
@@ -56,7 +56,7 @@
 		select {
 		case <-ctx.Done():
 			m.due.Store(math.MaxInt64)
-			m.last.Store(0)
+			m.lastDelay.Store(0)
 			return
 		case <-timer.C:
 		}
@@ -64,7 +64,7 @@
 		runtime.Gosched()
 		runtime.Gosched()
 		lag := max(m.now()-due, 0)
-		if m.last.Store(lag); lag >= int64(lagTold) {
+		if m.lastDelay.Store(lag); lag >= int64(lagTold) {
 			log.Warn().Int64("lag_ms", lag/1e6).Msg("this process is behind: ready work waits")
 		}
 	}
--- a/internal/routing/lag_test.go
+++ b/internal/routing/lag_test.go
@@ -15,7 +15,7 @@
 func TestLag(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	m := newLagMeter()
-	if m.Lag() != 0 {
+	if m.Delay() != 0 {
 		t.Error("there is a lag before it is measured")
 	}
 	go m.run(t.Context(), zerolog.Nop())
@@ -29,7 +29,7 @@
 	for range 8 { // ready work that takes its time together
 		go func() {
 			hold(held / 8)
-			end <- m.Lag()
+			end <- m.Delay()
 		}()
 	}
 	most := int64(0)
@@ -39,9 +39,9 @@
 	if most < int64(held)/8 { // each gets its turn for some 10 ms
 		t.Errorf("lag %v while work waited for %v", time.Duration(most), held)
 	}
-	for start := time.Now(); m.Lag() > int64(held)/4; time.Sleep(lagInterval) {
+	for start := time.Now(); m.Delay() > int64(held)/4; time.Sleep(lagInterval) {
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("lag %v long after that", time.Duration(m.Lag()))
+			t.Fatalf("lag %v long after that", time.Duration(m.Delay()))
 		}
 	}
 }
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -22,7 +22,7 @@
 
 // window is the same for one scheme.
 func (n *Router) window(scheme int) int64 {
-	return cmp.Or(n.terms.Classes[scheme].DedupWindow, int64(remembered))
+	return cmp.Or(n.settings.Classes[scheme].DedupWindow, int64(remembered))
 }
 
 // fresh says whether a txn's id is new to this node, and keeps it.
@@ -32,37 +32,37 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock()
-	if now-n.turned >= n.span {
-		n.ids[1], n.ids[0], n.turned = n.ids[0], map[string]int64{}, now
-		for _, l := range n.lives {
-			n.ids[0][l.request.ID] = math.MaxInt64
+	if now-n.idsRotatedAt >= n.longestIDWindow {
+		n.seenIDs[1], n.seenIDs[0], n.idsRotatedAt = n.seenIDs[0], map[string]int64{}, now
+		for _, l := range n.requests {
+			n.seenIDs[0][l.request.ID] = math.MaxInt64
 		}
 	}
-	if max(n.ids[0][id], n.ids[1][id]) > now {
+	if max(n.seenIDs[0][id], n.seenIDs[1][id]) > now {
 		return false
 	}
-	n.ids[0][id] = math.MaxInt64
+	n.seenIDs[0][id] = math.MaxInt64
 	return true
 }
 
 // end takes a txn out that has its final answer or lost its client; nil: there is none. Under mu.
 func (n *Router) end(t *dispatch.Request) *life {
-	l := n.lives[t]
+	l := n.requests[t]
 	if l != nil {
-		delete(n.lives, t)
-		n.ids[0][l.request.ID] = n.clock() + n.window(l.request.Class)
-		delete(n.ids[1], l.request.ID)
+		delete(n.requests, t)
+		n.seenIDs[0][l.request.ID] = n.clock() + n.window(l.request.Class)
+		delete(n.seenIDs[1], l.request.ID)
 	}
 	return l
 }
 
 // life is a txn that has no final answer yet.
 type life struct {
-	number  int // in the order of arrival
-	request *protocol.Request
-	began   int64                   // by the node's clock, ns
-	gone    bool                    // its client has closed
-	answer  chan *protocol.Response // holds the one final answer; nil: its client has gone
+	number       int // in the order of arrival
+	request      *protocol.Request
+	arrivedAt    int64                   // by the node's clock, ns
+	clientClosed bool                    // its client has closed
+	response     chan *protocol.Response // holds the one final answer; nil: its client has gone
 }
 
 // Serve is the life of one txn, from the request read whole to its one final answer; nil: the module failed, and none is known.
@@ -75,19 +75,19 @@
 		return &protocol.Response{Status: http.StatusConflict}
 	}
 	// Danger: a client counts its time from when it sent, and a node that is behind reads late what lay in the socket meanwhile.
-	waited := n.lag.Lag()
-	l := &life{request: q, answer: make(chan *protocol.Response, 1)}
+	waited := n.delay.Delay()
+	l := &life{request: q, response: make(chan *protocol.Response, 1)}
 	t := &dispatch.Request{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, AffinityKey: q.AffinityKey, ExpectedWork: q.ExpectedWork, UnreadTime: waited,
-		Class: n.terms.Classes[q.Class]}
+		Class: n.settings.Classes[q.Class]}
 	err := n.event(func() {
 		t.Deadline = n.clock() + int64(q.Timeout)
-		n.taken++
-		l.number, l.began = n.taken, n.clock()
-		n.lives[t] = l
+		n.requestCount++
+		l.number, l.arrivedAt = n.requestCount, n.clock()
+		n.requests[t] = l
 		n.module.Arrive(t)
 		// Danger: where clocks may differ the module moves the expiry; a node that ends has no more time for all that.
-		if !t.Done && t.Deadline > n.till {
-			n.module.SetDeadline(t, n.till)
+		if !t.Done && t.Deadline > n.shutdownDeadline {
+			n.module.SetDeadline(t, n.shutdownDeadline)
 		}
 	})
 	// Danger: a txn that the module lost in a fault; it is owed an answer all the same.
@@ -96,23 +96,23 @@
 		return &protocol.Response{Status: http.StatusInternalServerError}
 	}
 	select {
-	case a := <-l.answer:
+	case a := <-l.response:
 		n.unserved(t, l, a)
 		return a
 	case <-ctx.Done():
-		n.log.Debug().Str("id", q.ID).Int64("lag_ms", n.lag.Lag()/1e6).Msg("client has gone")
+		n.log.Debug().Str("id", q.ID).Int64("lag_ms", n.delay.Delay()/1e6).Msg("client has gone")
 		if n.event(func() { n.clientGone(t) }) != nil {
 			n.event(func() { n.drop(t) })
 		}
-		return <-l.answer
+		return <-l.response
 	}
 }
 
 // clientGone ends a txn whose client has closed. Danger: one that shut its sending side alone still reads, and what was read from it and
 // ends with no answer is lost.
 func (n *Router) clientGone(t *dispatch.Request) {
-	if l := n.lives[t]; l != nil {
-		l.gone = true
+	if l := n.requests[t]; l != nil {
+		l.clientClosed = true
 		n.module.ClientClosed(t)
 	}
 }
@@ -121,19 +121,19 @@
 func (n *Router) unserved(t *dispatch.Request, l *life, a *protocol.Response) {
 	if a != nil && a.Status != http.StatusOK && !a.ClientClosed {
 		n.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
-			Int64("age_ms", (n.clock()-l.began)/1e6).Int64("lag_ms", n.lag.Lag()/1e6).Msg("not served")
+			Int64("age_ms", (n.clock()-l.arrivedAt)/1e6).Int64("lag_ms", n.delay.Delay()/1e6).Msg("not served")
 	}
 }
 
 // Shutdown brings forward what is out: the node has been told to end, and all is answered within that time.
 func (n *Router) Shutdown(within time.Duration) {
 	n.event(func() {
-		n.till = n.clock() + int64(within)
-		inOrder := slices.SortedFunc(maps.Keys(n.lives), func(a, b *dispatch.Request) int {
-			return cmp.Compare(n.lives[a].number, n.lives[b].number)
+		n.shutdownDeadline = n.clock() + int64(within)
+		inOrder := slices.SortedFunc(maps.Keys(n.requests), func(a, b *dispatch.Request) int {
+			return cmp.Compare(n.requests[a].number, n.requests[b].number)
 		})
 		for _, t := range inOrder {
-			n.module.SetDeadline(t, n.till)
+			n.module.SetDeadline(t, n.shutdownDeadline)
 		}
 	})
 }
@@ -142,15 +142,15 @@
 func (n *Router) drop(t *dispatch.Request) {
 	if l := n.end(t); l != nil {
 		n.module.Finish(t)
-		l.answer <- nil
+		l.response <- nil
 	}
 }
 
 // answer gives a txn its final answer, the first one that comes.
 func (n *Router) answer(t *dispatch.Request, a *protocol.Response) {
 	if l := n.end(t); l != nil {
-		a.ClientClosed = l.gone
-		l.answer <- a
+		a.ClientClosed = l.clientClosed
+		l.response <- a
 	}
 }
 
@@ -158,49 +158,49 @@
 // Danger: a posting that was decided before its executor was told of as leaving, or its txn was answered, and waited since
 // for a connection, the processor or a descriptor. Nothing of it has left, so it is proved not run.
 type leave struct {
-	node    *Router
-	posting *dispatch.Attempt
-	job     *protocol.Attempt
-	ctx     context.Context
-	charge  Reservation  // nil: it takes nothing
-	at      atomic.Int64 // when it was let go; 0: it has not been
+	router      *Router
+	attempt     *dispatch.Attempt
+	outgoing    *protocol.Attempt
+	ctx         context.Context
+	reservation Reservation  // nil: it takes nothing
+	sentAt      atomic.Int64 // when it was let go; 0: it has not been
 }
 
 func (l *leave) MaySend() bool {
-	l.node.mu.Lock()
-	l.node.module.SetSchedulingDelay(l.node.lag.Lag())
-	stands := l.node.module.MaySend(l.posting) && l.node.at(l.posting.Server) == l.job.Address
-	l.node.mu.Unlock()
-	if !stands || l.ctx.Err() != nil || l.job.TimeoutOverstated(time.Now()) {
+	l.router.mu.Lock()
+	l.router.module.SetSchedulingDelay(l.router.delay.Delay())
+	stands := l.router.module.MaySend(l.attempt) && l.router.at(l.attempt.Server) == l.outgoing.Address
+	l.router.mu.Unlock()
+	if !stands || l.ctx.Err() != nil || l.outgoing.TimeoutOverstated(time.Now()) {
 		return false
 	}
 	// Danger: word that a client has closed waits behind work at a full node, and its job is begun for nobody.
-	if l.job.Request.ClientGone() {
-		l.node.event(func() { l.node.clientGone(l.posting.Request) })
+	if l.outgoing.Request.ClientGone() {
+		l.router.event(func() { l.router.clientGone(l.attempt.Request) })
 		return false
 	}
-	if l.charge != nil && !l.charge.MaySend() {
+	if l.reservation != nil && !l.reservation.MaySend() {
 		return false
 	}
-	l.at.Store(l.node.clock())
+	l.sentAt.Store(l.router.clock())
 	return true
 }
 
 func (l *leave) Sent() {
-	if l.charge != nil {
-		l.charge.Sent()
+	if l.reservation != nil {
+		l.reservation.Sent()
 	}
 }
 
 // carry takes one posting to its executor and tells the module of its one outcome.
 func (n *Router) carry(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Reservation) {
-	sent, gate := n.clock(), &leave{node: n, posting: p, job: job, ctx: ctx, charge: charge}
+	sent, gate := n.clock(), &leave{router: n, attempt: p, outgoing: job, ctx: ctx, reservation: charge}
 	job.Gate = gate
 	defer withdraw()
 	began := int64(0) // when it told of its start
 	ended := func(e protocol.AttemptResult) {
 		n.log.Trace().Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
-			Int64("sent_us", sent/1e3).Int64("left_us", gate.at.Load()/1e3).Int64("began_us", began/1e3).Int64("ended_us", n.clock()/1e3).Msg("posting")
+			Int64("sent_us", sent/1e3).Int64("left_us", gate.sentAt.Load()/1e3).Int64("began_us", began/1e3).Int64("ended_us", n.clock()/1e3).Msg("posting")
 		if charge != nil {
 			charge.Release(e.Outcome == dispatch.Succeeded || e.Outcome == dispatch.Failed || e.Outcome == dispatch.Rejected)
 		}
@@ -208,7 +208,7 @@
 	}
 	// Danger: a fault in one posting's goroutine takes the node down; it may have run by then.
 	if err := n.guard(func() {
-		n.carrier.Forward(ctx, job, func(line protocol.JobUpdate) {
+		n.forwarder.Forward(ctx, job, func(line protocol.JobUpdate) {
 			n.event(func() {
 				if line.State == protocol.Started {
 					began = n.clock()
@@ -226,26 +226,26 @@
 // ended tells the module of a posting's one outcome.
 func (n *Router) ended(p *dispatch.Attempt, e protocol.AttemptResult, sent int64) {
 	n.event(func() {
-		if n.out[p] == nil {
+		if n.cancelFuncs[p] == nil {
 			return
 		}
-		delete(n.out, p)
+		delete(n.cancelFuncs, p)
 		if e.Outcome == dispatch.Succeeded {
 			n.answer(p.Request, &protocol.Response{Status: http.StatusOK, Body: e.Result})
 		}
 		p.FreeSlots = e.FreeSlots
-		n.module.AttemptEnded(p, e.Outcome, n.clock()-sent, n.lives[p.Request] == nil)
+		n.module.AttemptEnded(p, e.Outcome, n.clock()-sent, n.requests[p.Request] == nil)
 	})
-	if n.witness != nil {
+	if n.onOutcome != nil {
 		switch e.Outcome {
 		case dispatch.Succeeded:
-			n.witness(p.Server.Tag, false)
+			n.onOutcome(p.Server.Tag, false)
 		case dispatch.Failed, dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionLost:
-			n.witness(p.Server.Tag, true)
+			n.onOutcome(p.Server.Tag, true)
 		}
 	}
 	if e.Cause != nil && e.Outcome != dispatch.Canceled {
 		n.log.Debug().Err(e.Cause).Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
-			Int64("lag_ms", n.lag.Lag()/1e6).Msg("posting ended")
+			Int64("lag_ms", n.delay.Delay()/1e6).Msg("posting ended")
 	}
 }
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -52,59 +52,59 @@
 
 // Router is the module with all that it acts through. It is the module's Door.
 type Router struct {
-	terms   *dispatch.Settings
-	carrier Forwarder
-	probe   time.Duration  // how long the answer to a probe is waited for
-	lister  EndpointSource // Follow alone uses it
-	known   *protocol.EndpointList
-	news    chan struct{}       // closed and nil when discovery has first answered; Follow alone uses it
-	heard   <-chan struct{}     // the same, for others
-	turn    chan EndpointSource // the latest new place to ask, at most one
-	log     zerolog.Logger
-	start   time.Time
-	purse   QuotaSource // nil: nodes share nothing
-	lag     *lagMeter
-
-	mu      sync.Mutex // round the module and all below; never held over a write, a dial or a log line
-	module  *dispatch.Dispatcher
-	members map[string]*member
-	banned  map[string]bool // by operators; what is in it drains
-	// listedOnce holds every executor that was ever listed, so that one that is away is told from a slip of the pen
-	listedOnce map[string]bool
-	ever       []string            // the same in order
-	till       int64               // when the node ends
-	taken      int                 // txns, ever
-	ids        [2]map[string]int64 // of txns taken, by when they may come again: since turned, and in the span before
-	turned     int64
-	span       int64                                    // the longest that an id is kept
-	lives      map[*dispatch.Request]*life              // txns without a final answer
-	out        map[*dispatch.Attempt]context.CancelFunc // postings without an outcome
-	watch      chan bool                                // what the module wants of the list, at most one order
-	relisted   chan struct{}                            // there are other executors than were; at most one word of it
-	doubted    map[string]float64                       // how bad others say that executors are
-	witness    func(executor string, failed bool)       // hears how jobs ended; nil: nobody does
-	beyond     int                                      // how far an executor is that was just listed
+	settings           *dispatch.Settings
+	forwarder          Forwarder
+	probeTimeout       time.Duration  // how long the answer to a probe is waited for
+	endpointSource     EndpointSource // Follow alone uses it
+	initialEndpoints   *protocol.EndpointList
+	unansweredUpdate   chan struct{}       // closed and nil when discovery has first answered; Follow alone uses it
+	firstUpdate        <-chan struct{}     // the same, for others
+	nextEndpointSource chan EndpointSource // the latest new place to ask, at most one
+	log                zerolog.Logger
+	startTime          time.Time
+	quotaSource        QuotaSource // nil: nodes share nothing
+	delay              *lagMeter
+
+	mu        sync.Mutex // round the module and all below; never held over a write, a dial or a log line
+	module    *dispatch.Dispatcher
+	endpoints map[string]*member
+	excluded  map[string]bool // by operators; what is in it drains
+	// listedIDs holds every executor that was ever listed, so that one that is away is told from a slip of the pen
+	listedIDs        map[string]bool
+	listedOrder      []string            // the same in order
+	shutdownDeadline int64               // when the node ends
+	requestCount     int                 // txns, ever
+	seenIDs          [2]map[string]int64 // of txns taken, by when they may come again: since turned, and in the span before
+	idsRotatedAt     int64
+	longestIDWindow  int64                                    // the longest that an id is kept
+	requests         map[*dispatch.Request]*life              // txns without a final answer
+	cancelFuncs    map[*dispatch.Attempt]context.CancelFunc // postings without an outcome
+	pollRequested    chan bool                                // what the module wants of the list, at most one order
+	endpointsChanged chan struct{}                            // there are other executors than were; at most one word of it
+	outlierScores    map[string]float64                       // how bad others say that executors are
+	onOutcome        func(executor string, failed bool)       // hears how jobs ended; nil: nobody does
+	unplacedDistance int                                      // how far an executor is that was just listed
 }
 
 // member is an executor of the list with its present address.
 type member struct {
-	executor *dispatch.Server
-	entry    protocol.Endpoint // what discovery said last
-	address  string
+	server  *dispatch.Server
+	listed  protocol.Endpoint // what discovery said last
+	address string
 }
 
 // New starts the module on the list as it was last known. purse is nil where nodes share nothing.
 func New(terms *dispatch.Settings, seed uint64, known *protocol.EndpointList, c Forwarder, probe time.Duration, l EndpointSource, purse QuotaSource, log zerolog.Logger) *Router {
-	n := &Router{terms: terms, carrier: c, probe: probe, lister: l, known: known, log: log, start: time.Now(), lag: newLagMeter(), till: math.MaxInt64, members: map[string]*member{}, listedOnce: map[string]bool{},
-		news: make(chan struct{}), ids: [2]map[string]int64{{}, {}}, lives: map[*dispatch.Request]*life{}, out: map[*dispatch.Attempt]context.CancelFunc{}, watch: make(chan bool, 1), turn: make(chan EndpointSource, 1), relisted: make(chan struct{}, 1)}
-	n.heard = n.news
+	n := &Router{settings: terms, forwarder: c, probeTimeout: probe, endpointSource: l, initialEndpoints: known, log: log, startTime: time.Now(), delay: newLagMeter(), shutdownDeadline: math.MaxInt64, endpoints: map[string]*member{}, listedIDs: map[string]bool{},
+		unansweredUpdate: make(chan struct{}), seenIDs: [2]map[string]int64{{}, {}}, requests: map[*dispatch.Request]*life{}, cancelFuncs: map[*dispatch.Attempt]context.CancelFunc{}, pollRequested: make(chan bool, 1), nextEndpointSource: make(chan EndpointSource, 1), endpointsChanged: make(chan struct{}, 1)}
+	n.firstUpdate = n.unansweredUpdate
 	for i := range terms.Classes {
-		n.span = max(n.span, n.window(i))
+		n.longestIDWindow = max(n.longestIDWindow, n.window(i))
 	}
-	if n.purse = purse; purse != nil {
+	if n.quotaSource = purse; purse != nil {
 		own := *terms
 		own.Quotas, terms = n, &own
-		n.terms = terms
+		n.settings = terms
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -117,7 +117,7 @@
 }
 
 // clock is Unix time that never goes back, the clock that discovery tells starts by.
-func (n *Router) clock() int64 { return n.start.UnixNano() + int64(time.Since(n.start)) }
+func (n *Router) clock() int64 { return n.startTime.UnixNano() + int64(time.Since(n.startTime)) }
 
 // event tells the module one thing.
 func (n *Router) event(step func()) error {
@@ -125,7 +125,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.module.Advance(n.clock())
-		n.module.SetSchedulingDelay(n.lag.Lag())
+		n.module.SetSchedulingDelay(n.delay.Delay())
 		step()
 		n.module.ProcessQueue()
 	})
@@ -147,11 +147,11 @@
 func (n *Router) Ready() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.members) > 0
+	return len(n.endpoints) > 0
 }
 
 // SchedulingDelay is how long work of this process waits until it runs, in ns.
-func (n *Router) SchedulingDelay() int64 { return n.lag.Lag() }
+func (n *Router) SchedulingDelay() int64 { return n.delay.Delay() }
 
 // ServerCounts counts the executors of the list, and those that the draw leaves out.
 func (n *Router) ServerCounts() (known, excluded int) {
@@ -170,21 +170,21 @@
 
 func (n *Router) PollEndpoints(on bool) {
 	select {
-	case <-n.watch:
+	case <-n.pollRequested:
 	default:
 	}
-	n.watch <- on
+	n.pollRequested <- on
 }
 
 // ProbeCapacity asks an executor for its load. What does not come while the longest probe may last tells of no room.
 func (n *Router) ProbeCapacity(e *dispatch.Server) {
 	address := n.at(e)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), n.probe)
+		ctx, cancel := context.WithTimeout(context.Background(), n.probeTimeout)
 		defer cancel()
 		var load protocol.LoadReport
 		var err error
-		if fault := n.guard(func() { load, err = n.carrier.Probe(ctx, address) }); fault != nil {
+		if fault := n.guard(func() { load, err = n.forwarder.Probe(ctx, address) }); fault != nil {
 			err = fault
 		}
 		n.event(func() { n.module.CapacityReported(e, err == nil, load.FreeSlots, load.FreeMemory) })
@@ -197,7 +197,7 @@
 // at is an executor's present address. Under mu.
 // Danger: one that came back elsewhere while a connection to where it was is still under way.
 func (n *Router) at(e *dispatch.Server) string {
-	if m := n.members[e.Tag]; m != nil {
+	if m := n.endpoints[e.Tag]; m != nil {
 		return m.address
 	}
 	return ""
@@ -210,11 +210,11 @@
 	}
 	deadline := time.Now().Add(time.Duration(till - n.clock()))
 	ctx, withdraw := context.WithDeadline(context.Background(), deadline)
-	n.out[p] = withdraw
-	job := &protocol.Attempt{Request: n.lives[p.Request].request, Deadline: deadline, Address: n.at(p.Server)}
+	n.cancelFuncs[p] = withdraw
+	job := &protocol.Attempt{Request: n.requests[p.Request].request, Deadline: deadline, Address: n.at(p.Server)}
 	var charge Reservation
-	if n.purse != nil {
-		if charge = n.purse.Reserve(p.Server.Tag, n.tenant(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
+	if n.quotaSource != nil {
+		if charge = n.quotaSource.Reserve(p.Server.Tag, n.tenant(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
 			defer withdraw()
 			go n.ended(p, protocol.AttemptResult{Outcome: dispatch.NotSent}, n.clock())
 			return
@@ -227,35 +227,35 @@
 func (n *Router) Allow(b dispatch.Budget, e *dispatch.Server, t *dispatch.Request, units float64) bool {
 	switch b {
 	case dispatch.BudgetTenantAttempts:
-		return n.purse.Allow(b, n.tenant(t), units)
+		return n.quotaSource.Allow(b, n.tenant(t), units)
 	case dispatch.BudgetRetries, dispatch.BudgetPolls:
-		return n.purse.Allow(b, "", units)
+		return n.quotaSource.Allow(b, "", units)
 	}
-	return n.purse.Allow(b, n.key(b, e), units)
+	return n.quotaSource.Allow(b, n.key(b, e), units)
 }
 
 // tenant is the name of a txn's; empty where there are none.
 func (n *Router) tenant(t *dispatch.Request) string {
-	if t.Tenant >= len(n.terms.Tenants) {
+	if t.Tenant >= len(n.settings.Tenants) {
 		return ""
 	}
-	return n.terms.Tenants[t.Tenant].Tag
+	return n.settings.Tenants[t.Tenant].Tag
 }
 
 // Quota implements dispatch.Shares, under the lock as well.
 func (n *Router) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
-	return n.purse.Quota(b, n.key(b, e))
+	return n.quotaSource.Quota(b, n.key(b, e))
 }
 
 func (n *Router) key(b dispatch.Budget, e *dispatch.Server) string {
-	if m := n.members[e.Tag]; b == dispatch.BudgetConnections && m != nil {
+	if m := n.endpoints[e.Tag]; b == dispatch.BudgetConnections && m != nil {
 		return m.address
 	}
 	return e.Tag
 }
 
 func (n *Router) CancelAttempt(p *dispatch.Attempt) {
-	if withdraw := n.out[p]; withdraw != nil {
+	if withdraw := n.cancelFuncs[p]; withdraw != nil {
 		withdraw()
 	}
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -165,7 +165,7 @@
 			serve("other", 0)
 			time.Sleep(2 * time.Minute)
 			serve("another", 0)
-			if kept := len(n.ids[0]) + len(n.ids[1]); kept > 4 {
+			if kept := len(n.seenIDs[0]) + len(n.seenIDs[1]); kept > 4 {
 				t.Errorf("window %s: %d ids are kept", window, kept)
 			}
 		})
@@ -185,7 +185,7 @@
 		}
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		if len(n.lives)+len(n.out) > 0 {
+		if len(n.requests)+len(n.cancelFuncs) > 0 {
 			t.Error("something of it is kept")
 		}
 	})
@@ -204,7 +204,7 @@
 			}
 		}
 		synctest.Wait()
-		if len(n.out) > 0 {
+		if len(n.cancelFuncs) > 0 {
 			t.Error("postings are out that nobody waits for")
 		}
 	})
@@ -230,7 +230,7 @@
 			t.Errorf("%d attempts", c.sent())
 		}
 		synctest.Wait()
-		if len(n.lives)+len(n.out) > 0 {
+		if len(n.requests)+len(n.cancelFuncs) > 0 {
 			t.Error("the posting is still out")
 		}
 	})
@@ -258,17 +258,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
 		n := New(terms(), 1, known("a"), &carrier{script: serves(time.Millisecond)}, time.Second, &lister{}, nil, zerolog.New(&log))
-		broken := *n.terms
+		broken := *n.settings
 		broken.Classes = []*dispatch.Class{nil}
-		whole := n.terms
-		n.terms = &broken
+		whole := n.settings
+		n.settings = &broken
 		if a := n.Serve(t.Context(), ask("j", 0, time.Second)); a == nil || a.Status != 500 {
 			t.Errorf("%+v", a)
 		}
 		if !strings.Contains(log.String(), "life.go") {
 			t.Error(log.String())
 		}
-		n.terms = whole
+		n.settings = whole
 		if a := n.Serve(t.Context(), ask("k", 0, time.Second)); a == nil || a.Status != 200 {
 			t.Errorf("%+v", a)
 		}
@@ -324,8 +324,8 @@
 		if pause := l.at[3].Sub(l.at[2]); pause < 200*time.Millisecond || pause > time.Second {
 			t.Error(pause)
 		}
-		if len(n.members) != 1 || n.members["b"] == nil {
-			t.Error(n.members)
+		if len(n.endpoints) != 1 || n.endpoints["b"] == nil {
+			t.Error(n.endpoints)
 		}
 		stop()
 	})
@@ -502,15 +502,15 @@
 		go n.WatchEndpoints(ctx)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		kept := n.members["b"].executor
+		kept := n.endpoints["b"].server
 		for _, l := range []*lister{down, fresh} {
 			n.SetEndpointSource(&lister{}) // the last one counts
 			n.SetEndpointSource(l)
 			synctest.Wait()
 		}
 		got := fmt.Sprint(old.asked, down.asked, fresh.asked)
-		if got != "[0 false 50 false] [0 true] [0 true 3 false]" || len(n.members) != 2 || n.members["b"].executor != kept {
-			t.Error(got, n.members)
+		if got != "[0 false 50 false] [0 true] [0 true 3 false]" || len(n.endpoints) != 2 || n.endpoints["b"].server != kept {
+			t.Error(got, n.endpoints)
 		}
 		stop()
 	})
@@ -628,8 +628,8 @@
 	lives.Wait()
 	time.Sleep(time.Minute)
 	synctest.Wait()
-	if len(n.lives)+len(n.out) > 0 {
-		t.Errorf("%d txns and %d postings are left", len(n.lives), len(n.out))
+	if len(n.requests)+len(n.cancelFuncs) > 0 {
+		t.Errorf("%d txns and %d postings are left", len(n.requests), len(n.cancelFuncs))
 	}
 }
 
