--- a/internal/routing/lag.go
+++ b/internal/routing/lag.go
@@ -13,46 +13,46 @@
 )
 
 const (
-	// lagInterval is between two measurements. Each wakes the process once, which costs it about 10 us.
-	lagInterval = 50 * time.Millisecond
-	// lagTold is the lag from which the log tells of it, once a second at most: a process with a small share of a core is
+	// delaySampleInterval is between two measurements. Each wakes the process once, which costs it about 10 us.
+	delaySampleInterval = 50 * time.Millisecond
+	// delayLogThreshold is the lag from which the log tells of it, once a second at most: a process with a small share of a core is
 	// behind by some tens of milliseconds whenever two requests meet.
-	lagTold = 100 * time.Millisecond
+	delayLogThreshold = 100 * time.Millisecond
 )
 
-// lagMeter measures how far this process is behind: how long work that is ready waits until it runs. It is behind when it is short of
+// delayMonitor measures how far this process is behind: how long work that is ready waits until it runs. It is behind when it is short of
 // processor time, was stopped, or its host was.
 //
 // A goroutine sleeps for lagInterval and then yields, so that all that is ready by then runs first; the time beyond the interval is
 // the lag. Between two measurements the next one's delay so far counts, so that a process that runs again after it stood still knows
 // at once how long it did.
-type lagMeter struct {
+type delayMonitor struct {
 	lastDelay atomic.Int64 // ns; as measured last
 	due       atomic.Int64 // ns since start, when the next measurement should end; far off while none is made
 	now       func() int64 // ns since start, monotonic
 }
 
-func newLagMeter() *lagMeter {
+func newDelayMonitor() *delayMonitor {
 	start := time.Now()
-	m := &lagMeter{now: func() int64 { return int64(time.Since(start)) }}
+	m := &delayMonitor{now: func() int64 { return int64(time.Since(start)) }}
 	m.due.Store(math.MaxInt64)
 	return m
 }
 
 // Delay is how long what is handled at this moment may have waited, in ns.
-func (m *lagMeter) Delay() int64 {
+func (m *delayMonitor) Delay() int64 {
 	return max(m.lastDelay.Load(), m.now()-m.due.Load(), 0)
 }
 
 // run measures until the context ends.
-func (m *lagMeter) run(ctx context.Context, log zerolog.Logger) {
+func (m *delayMonitor) run(ctx context.Context, log zerolog.Logger) {
 	log = log.Sample(&zerolog.BurstSampler{Burst: 1, Period: time.Second})
-	timer := time.NewTimer(lagInterval)
+	timer := time.NewTimer(delaySampleInterval)
 	defer timer.Stop()
 	for {
-		due := m.now() + int64(lagInterval)
+		due := m.now() + int64(delaySampleInterval)
 		m.due.Store(due)
-		timer.Reset(lagInterval)
+		timer.Reset(delaySampleInterval)
 		select {
 		case <-ctx.Done():
 			m.due.Store(math.MaxInt64)
@@ -64,7 +64,7 @@
 		runtime.Gosched()
 		runtime.Gosched()
 		lag := max(m.now()-due, 0)
-		if m.lastDelay.Store(lag); lag >= int64(lagTold) {
+		if m.lastDelay.Store(lag); lag >= int64(delayLogThreshold) {
 			log.Warn().Int64("lag_ms", lag/1e6).Msg("this process is behind: ready work waits")
 		}
 	}
--- a/internal/routing/lag_test.go
+++ b/internal/routing/lag_test.go
@@ -14,12 +14,12 @@
 // while after. A process that is not short of it has next to none.
 func TestLag(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	m := newLagMeter()
+	m := newDelayMonitor()
 	if m.Delay() != 0 {
 		t.Error("there is a lag before it is measured")
 	}
 	go m.run(t.Context(), zerolog.Nop())
-	time.Sleep(3 * lagInterval)
+	time.Sleep(3 * delaySampleInterval)
 	hold := func(span time.Duration) {
 		for start := time.Now(); time.Since(start) < span; {
 		}
@@ -39,7 +39,7 @@
 	if most < int64(held)/8 { // each gets its turn for some 10 ms
 		t.Errorf("lag %v while work waited for %v", time.Duration(most), held)
 	}
-	for start := time.Now(); m.Delay() > int64(held)/4; time.Sleep(lagInterval) {
+	for start := time.Now(); m.Delay() > int64(held)/4; time.Sleep(delaySampleInterval) {
 		if time.Since(start) > 20*time.Second {
 			t.Fatalf("lag %v long after that", time.Duration(m.Delay()))
 		}
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -16,13 +16,13 @@
 	"fernrail/internal/protocol"
 )
 
-// remembered is how long an id is not taken again once its txn has ended, where the scheme does not say how long repeats are
+// defaultIDWindow is how long an id is not taken again once its txn has ended, where the scheme does not say how long repeats are
 // dropped: whoever repeats another client's id goes on for a while after that one has its answer. Clients use an id once.
-const remembered = 10 * time.Second
+const defaultIDWindow = 10 * time.Second
 
 // window is the same for one scheme.
 func (n *Router) window(scheme int) int64 {
-	return cmp.Or(n.settings.Classes[scheme].DedupWindow, int64(remembered))
+	return cmp.Or(n.settings.Classes[scheme].DedupWindow, int64(defaultIDWindow))
 }
 
 // fresh says whether a txn's id is new to this node, and keeps it.
@@ -46,7 +46,7 @@
 }
 
 // end takes a txn out that has its final answer or lost its client; nil: there is none. Under mu.
-func (n *Router) end(t *dispatch.Request) *life {
+func (n *Router) end(t *dispatch.Request) *requestState {
 	l := n.requests[t]
 	if l != nil {
 		delete(n.requests, t)
@@ -56,8 +56,8 @@
 	return l
 }
 
-// life is a txn that has no final answer yet.
-type life struct {
+// requestState is a txn that has no final answer yet.
+type requestState struct {
 	number       int // in the order of arrival
 	request      *protocol.Request
 	arrivedAt    int64                   // by the node's clock, ns
@@ -76,7 +76,7 @@
 	}
 	// Danger: a client counts its time from when it sent, and a node that is behind reads late what lay in the socket meanwhile.
 	waited := n.delay.Delay()
-	l := &life{request: q, response: make(chan *protocol.Response, 1)}
+	l := &requestState{request: q, response: make(chan *protocol.Response, 1)}
 	t := &dispatch.Request{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, AffinityKey: q.AffinityKey, ExpectedWork: q.ExpectedWork, UnreadTime: waited,
 		Class: n.settings.Classes[q.Class]}
 	err := n.event(func() {
@@ -118,7 +118,7 @@
 }
 
 // unserved tells of a request that ends with no result: why, after how long, with how many attempts, and how far the process is behind.
-func (n *Router) unserved(t *dispatch.Request, l *life, a *protocol.Response) {
+func (n *Router) unserved(t *dispatch.Request, l *requestState, a *protocol.Response) {
 	if a != nil && a.Status != http.StatusOK && !a.ClientClosed {
 		n.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
 			Int64("age_ms", (n.clock()-l.arrivedAt)/1e6).Int64("lag_ms", n.delay.Delay()/1e6).Msg("not served")
@@ -154,10 +154,10 @@
 	}
 }
 
-// leave is asked by the connection at the first byte of a posting, of each there is.
+// sendGate is asked by the connection at the first byte of a posting, of each there is.
 // Danger: a posting that was decided before its executor was told of as leaving, or its txn was answered, and waited since
 // for a connection, the processor or a descriptor. Nothing of it has left, so it is proved not run.
-type leave struct {
+type sendGate struct {
 	router      *Router
 	attempt     *dispatch.Attempt
 	outgoing    *protocol.Attempt
@@ -166,7 +166,7 @@
 	sentAt      atomic.Int64 // when it was let go; 0: it has not been
 }
 
-func (l *leave) MaySend() bool {
+func (l *sendGate) MaySend() bool {
 	l.router.mu.Lock()
 	l.router.module.SetSchedulingDelay(l.router.delay.Delay())
 	stands := l.router.module.MaySend(l.attempt) && l.router.at(l.attempt.Server) == l.outgoing.Address
@@ -186,7 +186,7 @@
 	return true
 }
 
-func (l *leave) Sent() {
+func (l *sendGate) Sent() {
 	if l.reservation != nil {
 		l.reservation.Sent()
 	}
@@ -194,7 +194,7 @@
 
 // carry takes one posting to its executor and tells the module of its one outcome.
 func (n *Router) carry(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Reservation) {
-	sent, gate := n.clock(), &leave{router: n, attempt: p, outgoing: job, ctx: ctx, reservation: charge}
+	sent, gate := n.clock(), &sendGate{router: n, attempt: p, outgoing: job, ctx: ctx, reservation: charge}
 	job.Gate = gate
 	defer withdraw()
 	began := int64(0) // when it told of its start
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -25,8 +25,8 @@
 	n.nextEndpointSource <- to
 }
 
-// told is what a call for the list brought.
-type told struct {
+// watchResult is what a call for the list brought.
+type watchResult struct {
 	list     *protocol.EndpointList
 	err      error
 	noQuota  bool  // it was not made, for want of a share
@@ -40,11 +40,11 @@
 	// handed at the start is a list like any other, and changes to it cost little.
 	go n.delay.run(ctx, n.log)
 	on, whole, version := false, !n.initialEndpoints.Complete, n.initialEndpoints.Version
-	var answer chan told // of the call that is out
+	var answer chan watchResult // of the call that is out
 	leave := func() {}
 	for {
 		if on && answer == nil {
-			answer = make(chan told, 1)
+			answer = make(chan watchResult, 1)
 			var call context.Context
 			call, leave = context.WithCancel(ctx)
 			go n.ask(call, n.endpointSource, version, whole, answer)
@@ -67,11 +67,11 @@
 	}
 }
 
-// spacing is the least time between two calls that bring nothing, well within the 200 ms after which a watch has ended.
-const spacing = 50 * time.Millisecond
+// minPollInterval is the least time between two calls that bring nothing, well within the 200 ms after which a watch has ended.
+const minPollInterval = 50 * time.Millisecond
 
-func (n *Router) ask(ctx context.Context, l EndpointSource, since int64, whole bool, answer chan<- told) {
-	var a told
+func (n *Router) ask(ctx context.Context, l EndpointSource, since int64, whole bool, answer chan<- watchResult) {
+	var a watchResult
 	start := time.Now()
 	if a.noQuota = !n.may(); a.noQuota {
 		answer <- a
@@ -85,7 +85,7 @@
 	// Danger: a place that answers a watch at once, with a fault, nothing or nothing newer, takes the core.
 	if a.err != nil || len(a.list.Endpoints) == 0 || a.list.Version <= since && !whole {
 		select {
-		case <-time.After(spacing - time.Since(start)):
+		case <-time.After(minPollInterval - time.Since(start)):
 		case <-ctx.Done():
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 // hear takes what a call brought, and says whether to ask on, and for what.
-func (n *Router) hear(a told, had int64, wanted bool) (on, whole bool, version int64) {
+func (n *Router) hear(a watchResult, had int64, wanted bool) (on, whole bool, version int64) {
 	switch {
 	case a.err != nil || a.noQuota:
 	case wanted && !a.list.Complete:
@@ -153,7 +153,7 @@
 	for _, e := range l.Endpoints {
 		m := n.endpoints[e.ID]
 		if m == nil {
-			m = &member{server: &dispatch.Server{Tag: e.ID, Hash: dispatch.HashName(e.ID), Distance: n.unplacedDistance, OutlierScore: n.outlierScores[e.ID]}}
+			m = &endpoint{server: &dispatch.Server{Tag: e.ID, Hash: dispatch.HashName(e.ID), Distance: n.unplacedDistance, OutlierScore: n.outlierScores[e.ID]}}
 			n.endpoints[e.ID] = m
 			n.other()
 		}
@@ -233,7 +233,7 @@
 }
 
 // present is an executor as the module is told of it: a banned one drains, whatever discovery says.
-func (n *Router) present(m *member) dispatch.Endpoint {
+func (n *Router) present(m *endpoint) dispatch.Endpoint {
 	e := &m.listed
 	state := e.State
 	if state == dispatch.Up && n.excluded[e.ID] {
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -63,11 +63,11 @@
 	log                zerolog.Logger
 	startTime          time.Time
 	quotaSource        QuotaSource // nil: nodes share nothing
-	delay              *lagMeter
+	delay              *delayMonitor
 
 	mu        sync.Mutex // round the module and all below; never held over a write, a dial or a log line
 	module    *dispatch.Dispatcher
-	endpoints map[string]*member
+	endpoints map[string]*endpoint
 	excluded  map[string]bool // by operators; what is in it drains
 	// listedIDs holds every executor that was ever listed, so that one that is away is told from a slip of the pen
 	listedIDs        map[string]bool
@@ -77,8 +77,8 @@
 	seenIDs          [2]map[string]int64 // of txns taken, by when they may come again: since turned, and in the span before
 	idsRotatedAt     int64
 	longestIDWindow  int64                                    // the longest that an id is kept
-	requests         map[*dispatch.Request]*life              // txns without a final answer
-	cancelFuncs    map[*dispatch.Attempt]context.CancelFunc // postings without an outcome
+	requests         map[*dispatch.Request]*requestState      // txns without a final answer
+	cancelFuncs      map[*dispatch.Attempt]context.CancelFunc // postings without an outcome
 	pollRequested    chan bool                                // what the module wants of the list, at most one order
 	endpointsChanged chan struct{}                            // there are other executors than were; at most one word of it
 	outlierScores    map[string]float64                       // how bad others say that executors are
@@ -86,8 +86,8 @@
 	unplacedDistance int                                      // how far an executor is that was just listed
 }
 
-// member is an executor of the list with its present address.
-type member struct {
+// endpoint is an executor of the list with its present address.
+type endpoint struct {
 	server  *dispatch.Server
 	listed  protocol.Endpoint // what discovery said last
 	address string
@@ -95,8 +95,8 @@
 
 // New starts the module on the list as it was last known. purse is nil where nodes share nothing.
 func New(terms *dispatch.Settings, seed uint64, known *protocol.EndpointList, c Forwarder, probe time.Duration, l EndpointSource, purse QuotaSource, log zerolog.Logger) *Router {
-	n := &Router{settings: terms, forwarder: c, probeTimeout: probe, endpointSource: l, initialEndpoints: known, log: log, startTime: time.Now(), delay: newLagMeter(), shutdownDeadline: math.MaxInt64, endpoints: map[string]*member{}, listedIDs: map[string]bool{},
-		unansweredUpdate: make(chan struct{}), seenIDs: [2]map[string]int64{{}, {}}, requests: map[*dispatch.Request]*life{}, cancelFuncs: map[*dispatch.Attempt]context.CancelFunc{}, pollRequested: make(chan bool, 1), nextEndpointSource: make(chan EndpointSource, 1), endpointsChanged: make(chan struct{}, 1)}
+	n := &Router{settings: terms, forwarder: c, probeTimeout: probe, endpointSource: l, initialEndpoints: known, log: log, startTime: time.Now(), delay: newDelayMonitor(), shutdownDeadline: math.MaxInt64, endpoints: map[string]*endpoint{}, listedIDs: map[string]bool{},
+		unansweredUpdate: make(chan struct{}), seenIDs: [2]map[string]int64{{}, {}}, requests: map[*dispatch.Request]*requestState{}, cancelFuncs: map[*dispatch.Attempt]context.CancelFunc{}, pollRequested: make(chan bool, 1), nextEndpointSource: make(chan EndpointSource, 1), endpointsChanged: make(chan struct{}, 1)}
 	n.firstUpdate = n.unansweredUpdate
 	for i := range terms.Classes {
 		n.longestIDWindow = max(n.longestIDWindow, n.window(i))
