--- a/internal/routing/leave_test.go
+++ b/internal/routing/leave_test.go
@@ -45,23 +45,23 @@
 	for name, change := range map[string]func(n *Router){
 		"drains": func(n *Router) {
 			b.State = dispatch.Draining
-			n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
+			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
 		"is left out of a whole list": func(n *Router) {
-			n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
+			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
 		},
 		"is banned": func(n *Router) {
-			n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a}}) })
+			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a}}) })
 			n.SetExcluded([]string{"b"})
 		},
 		"is listed elsewhere": func(n *Router) {
 			b.Address = a.Address
-			n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
+			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
 		"goes and comes back as another": func(n *Router) {
-			n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
+			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
 			b.Address = a.Address
-			n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a, b}}) })
+			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a, b}}) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -172,7 +172,7 @@
 					}
 					switch chance.IntN(3) {
 					case 0:
-						n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}) })
+						n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}) })
 					default:
 						banned := []string{}
 						for _, id := range ids {
@@ -184,7 +184,7 @@
 							}
 						}
 						n.SetExcluded(banned)
-						n.event(func() { n.listed(&protocol.EndpointList{Complete: true, Endpoints: all}) })
+						n.event(func() { n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: all}) })
 					}
 					mu.Unlock()
 				}
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -20,15 +20,15 @@
 // dropped: whoever repeats another client's id goes on for a while after that one has its answer. Clients use an id once.
 const defaultIDWindow = 10 * time.Second
 
-// window is the same for one scheme.
-func (n *Router) window(scheme int) int64 {
+// idWindow is the same for one scheme.
+func (n *Router) idWindow(scheme int) int64 {
 	return cmp.Or(n.settings.Classes[scheme].DedupWindow, int64(defaultIDWindow))
 }
 
-// fresh says whether a txn's id is new to this node, and keeps it.
+// reserveID says whether a txn's id is new to this node, and keeps it.
 // Danger: an id that is another client's, taken a second time; the two would run under one name, and the wrong one might
 // get the answer.
-func (n *Router) fresh(id string) bool {
+func (n *Router) reserveID(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.clock()
@@ -45,12 +45,12 @@
 	return true
 }
 
-// end takes a txn out that has its final answer or lost its client; nil: there is none. Under mu.
-func (n *Router) end(t *dispatch.Request) *requestState {
+// removeRequest takes a txn out that has its final answer or lost its client; nil: there is none. Under mu.
+func (n *Router) removeRequest(t *dispatch.Request) *requestState {
 	l := n.requests[t]
 	if l != nil {
 		delete(n.requests, t)
-		n.seenIDs[0][l.request.ID] = n.clock() + n.window(l.request.Class)
+		n.seenIDs[0][l.request.ID] = n.clock() + n.idWindow(l.request.Class)
 		delete(n.seenIDs[1], l.request.ID)
 	}
 	return l
@@ -71,7 +71,7 @@
 	if ctx.Err() != nil || q.ClientGone() {
 		return &protocol.Response{Status: http.StatusServiceUnavailable, ClientClosed: true}
 	}
-	if !n.fresh(q.ID) {
+	if !n.reserveID(q.ID) {
 		return &protocol.Response{Status: http.StatusConflict}
 	}
 	// Danger: a client counts its time from when it sent, and a node that is behind reads late what lay in the socket meanwhile.
@@ -92,17 +92,17 @@
 	})
 	// Danger: a txn that the module lost in a fault; it is owed an answer all the same.
 	if err != nil {
-		n.event(func() { n.drop(t) })
+		n.event(func() { n.abandonRequest(t) })
 		return &protocol.Response{Status: http.StatusInternalServerError}
 	}
 	select {
 	case a := <-l.response:
-		n.unserved(t, l, a)
+		n.logUnserved(t, l, a)
 		return a
 	case <-ctx.Done():
 		n.log.Debug().Str("id", q.ID).Int64("lag_ms", n.delay.Delay()/1e6).Msg("client has gone")
 		if n.event(func() { n.clientGone(t) }) != nil {
-			n.event(func() { n.drop(t) })
+			n.event(func() { n.abandonRequest(t) })
 		}
 		return <-l.response
 	}
@@ -117,8 +117,8 @@
 	}
 }
 
-// unserved tells of a request that ends with no result: why, after how long, with how many attempts, and how far the process is behind.
-func (n *Router) unserved(t *dispatch.Request, l *requestState, a *protocol.Response) {
+// logUnserved tells of a request that ends with no result: why, after how long, with how many attempts, and how far the process is behind.
+func (n *Router) logUnserved(t *dispatch.Request, l *requestState, a *protocol.Response) {
 	if a != nil && a.Status != http.StatusOK && !a.ClientClosed {
 		n.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
 			Int64("age_ms", (n.clock()-l.arrivedAt)/1e6).Int64("lag_ms", n.delay.Delay()/1e6).Msg("not served")
@@ -138,17 +138,17 @@
 	})
 }
 
-// drop ends a txn whose client takes no answer any more.
-func (n *Router) drop(t *dispatch.Request) {
-	if l := n.end(t); l != nil {
+// abandonRequest ends a txn whose client takes no answer any more.
+func (n *Router) abandonRequest(t *dispatch.Request) {
+	if l := n.removeRequest(t); l != nil {
 		n.module.Finish(t)
 		l.response <- nil
 	}
 }
 
-// answer gives a txn its final answer, the first one that comes.
-func (n *Router) answer(t *dispatch.Request, a *protocol.Response) {
-	if l := n.end(t); l != nil {
+// respond gives a txn its final answer, the first one that comes.
+func (n *Router) respond(t *dispatch.Request, a *protocol.Response) {
+	if l := n.removeRequest(t); l != nil {
 		a.ClientClosed = l.clientClosed
 		l.response <- a
 	}
@@ -169,7 +169,7 @@
 func (l *sendGate) MaySend() bool {
 	l.router.mu.Lock()
 	l.router.module.SetSchedulingDelay(l.router.delay.Delay())
-	stands := l.router.module.MaySend(l.attempt) && l.router.at(l.attempt.Server) == l.outgoing.Address
+	stands := l.router.module.MaySend(l.attempt) && l.router.address(l.attempt.Server) == l.outgoing.Address
 	l.router.mu.Unlock()
 	if !stands || l.ctx.Err() != nil || l.outgoing.TimeoutOverstated(time.Now()) {
 		return false
@@ -192,8 +192,8 @@
 	}
 }
 
-// carry takes one posting to its executor and tells the module of its one outcome.
-func (n *Router) carry(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Reservation) {
+// runAttempt takes one posting to its executor and tells the module of its one outcome.
+func (n *Router) runAttempt(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Reservation) {
 	sent, gate := n.clock(), &sendGate{router: n, attempt: p, outgoing: job, ctx: ctx, reservation: charge}
 	job.Gate = gate
 	defer withdraw()
@@ -204,10 +204,10 @@
 		if charge != nil {
 			charge.Release(e.Outcome == dispatch.Succeeded || e.Outcome == dispatch.Failed || e.Outcome == dispatch.Rejected)
 		}
-		n.ended(p, e, sent)
+		n.attemptEnded(p, e, sent)
 	}
 	// Danger: a fault in one posting's goroutine takes the node down; it may have run by then.
-	if err := n.guard(func() {
+	if err := n.recoverPanic(func() {
 		n.forwarder.Forward(ctx, job, func(line protocol.JobUpdate) {
 			n.event(func() {
 				if line.State == protocol.Started {
@@ -223,15 +223,15 @@
 	}
 }
 
-// ended tells the module of a posting's one outcome.
-func (n *Router) ended(p *dispatch.Attempt, e protocol.AttemptResult, sent int64) {
+// attemptEnded tells the module of a posting's one outcome.
+func (n *Router) attemptEnded(p *dispatch.Attempt, e protocol.AttemptResult, sent int64) {
 	n.event(func() {
 		if n.cancelFuncs[p] == nil {
 			return
 		}
 		delete(n.cancelFuncs, p)
 		if e.Outcome == dispatch.Succeeded {
-			n.answer(p.Request, &protocol.Response{Status: http.StatusOK, Body: e.Result})
+			n.respond(p.Request, &protocol.Response{Status: http.StatusOK, Body: e.Result})
 		}
 		p.FreeSlots = e.FreeSlots
 		n.module.AttemptEnded(p, e.Outcome, n.clock()-sent, n.requests[p.Request] == nil)
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -47,7 +47,7 @@
 			answer = make(chan watchResult, 1)
 			var call context.Context
 			call, leave = context.WithCancel(ctx)
-			go n.ask(call, n.endpointSource, version, whole, answer)
+			go n.poll(call, n.endpointSource, version, whole, answer)
 		}
 		select {
 		case <-ctx.Done():
@@ -62,7 +62,7 @@
 		case a := <-answer:
 			leave()
 			answer = nil
-			on, whole, version = n.hear(a, version, whole)
+			on, whole, version = n.handlePollResult(a, version, whole)
 		}
 	}
 }
@@ -70,15 +70,15 @@
 // minPollInterval is the least time between two calls that bring nothing, well within the 200 ms after which a watch has ended.
 const minPollInterval = 50 * time.Millisecond
 
-func (n *Router) ask(ctx context.Context, l EndpointSource, since int64, whole bool, answer chan<- watchResult) {
+func (n *Router) poll(ctx context.Context, l EndpointSource, since int64, whole bool, answer chan<- watchResult) {
 	var a watchResult
 	start := time.Now()
-	if a.noQuota = !n.may(); a.noQuota {
+	if a.noQuota = !n.mayPoll(); a.noQuota {
 		answer <- a
 		return
 	}
 	n.log.Debug().Int64("since", since).Bool("whole", whole).Msg("list asked for")
-	if fault := n.guard(func() { a.list, a.err = l.Poll(ctx, since, whole) }); fault != nil {
+	if fault := n.recoverPanic(func() { a.list, a.err = l.Poll(ctx, since, whole) }); fault != nil {
 		a.err = fault
 	}
 	a.duration = int64(time.Since(start))
@@ -92,8 +92,8 @@
 	answer <- a
 }
 
-// hear takes what a call brought, and says whether to ask on, and for what.
-func (n *Router) hear(a watchResult, had int64, wanted bool) (on, whole bool, version int64) {
+// handlePollResult takes what a call brought, and says whether to ask on, and for what.
+func (n *Router) handlePollResult(a watchResult, had int64, wanted bool) (on, whole bool, version int64) {
 	switch {
 	case a.err != nil || a.noQuota:
 	case wanted && !a.list.Complete:
@@ -117,7 +117,7 @@
 		return false, wanted, had
 	}
 	began := time.Now()
-	n.event(func() { n.listed(a.list) })
+	n.event(func() { n.applyEndpoints(a.list) })
 	if a.list.Complete || len(a.list.Endpoints) > 0 {
 		n.log.Info().Int64("version", a.list.Version).Bool("whole", a.list.Complete).Int("entries", len(a.list.Endpoints)).
 			Int64("applied_us", time.Since(began).Microseconds()).Int64("lag_ms", n.delay.Delay()/1e6).Msg("list")
@@ -126,19 +126,19 @@
 		close(n.unansweredUpdate)
 		n.unansweredUpdate = nil
 	}
-	return n.on(), false, a.list.Version
+	return n.pollAgain(), false, a.list.Version
 }
 
-// on says whether the next call is made at once; where nodes hold calls together the module says when.
-func (n *Router) on() bool {
+// pollAgain says whether the next call is made at once; where nodes hold calls together the module says when.
+func (n *Router) pollAgain() bool {
 	if n.quotaSource != nil {
 		n.event(n.module.PollSucceeded)
 	}
 	return n.quotaSource == nil
 }
 
-// may says whether a call may go out at this moment.
-func (n *Router) may() bool {
+// mayPoll says whether a call may go out at this moment.
+func (n *Router) mayPoll() bool {
 	if n.quotaSource == nil {
 		return true
 	}
@@ -147,15 +147,15 @@
 	return n.quotaSource.AllowPoll(overdue)
 }
 
-// listed hands the list to the module and keeps the addresses.
-func (n *Router) listed(l *protocol.EndpointList) {
+// applyEndpoints hands the list to the module and keeps the addresses.
+func (n *Router) applyEndpoints(l *protocol.EndpointList) {
 	var members []dispatch.Endpoint
 	for _, e := range l.Endpoints {
 		m := n.endpoints[e.ID]
 		if m == nil {
 			m = &endpoint{server: &dispatch.Server{Tag: e.ID, Hash: dispatch.HashName(e.ID), Distance: n.unplacedDistance, OutlierScore: n.outlierScores[e.ID]}}
 			n.endpoints[e.ID] = m
-			n.other()
+			n.notifyEndpointsChanged()
 		}
 		if e.Address != "" {
 			m.address = e.Address
@@ -163,30 +163,30 @@
 		if m.listed = e; !n.listedIDs[e.ID] {
 			n.listedIDs[e.ID], n.listedOrder = true, append(n.listedOrder, e.ID)
 		}
-		members = append(members, n.present(m))
+		members = append(members, n.moduleEndpoint(m))
 	}
 	n.module.UpdateEndpoints(l.Complete, members)
 	// Danger: a map of thousands that is walked at each change of one of them.
 	if !l.Complete {
 		for _, e := range l.Endpoints {
-			n.forget(e.ID)
+			n.dropIfRemoved(e.ID)
 		}
 		return
 	}
 	for id := range n.endpoints {
-		n.forget(id)
+		n.dropIfRemoved(id)
 	}
 }
 
-// forget drops a server that is gone.
-func (n *Router) forget(id string) {
+// dropIfRemoved drops a server that is gone.
+func (n *Router) dropIfRemoved(id string) {
 	if m := n.endpoints[id]; m != nil && m.server.State == dispatch.Removed {
 		delete(n.endpoints, id)
-		n.other()
+		n.notifyEndpointsChanged()
 	}
 }
 
-func (n *Router) other() {
+func (n *Router) notifyEndpointsChanged() {
 	select {
 	case n.endpointsChanged <- struct{}{}:
 	default:
@@ -232,8 +232,8 @@
 	})
 }
 
-// present is an executor as the module is told of it: a banned one drains, whatever discovery says.
-func (n *Router) present(m *endpoint) dispatch.Endpoint {
+// moduleEndpoint is an executor as the module is told of it: a banned one drains, whatever discovery says.
+func (n *Router) moduleEndpoint(m *endpoint) dispatch.Endpoint {
 	e := &m.listed
 	state := e.State
 	if state == dispatch.Up && n.excluded[e.ID] {
@@ -253,7 +253,7 @@
 		}
 		for _, id := range slices.Sorted(maps.Keys(n.endpoints)) {
 			if m := n.endpoints[id]; was[id] != n.excluded[id] {
-				changed = append(changed, n.present(m))
+				changed = append(changed, n.moduleEndpoint(m))
 			}
 		}
 		if len(changed) > 0 {
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -99,7 +99,7 @@
 		unansweredUpdate: make(chan struct{}), seenIDs: [2]map[string]int64{{}, {}}, requests: map[*dispatch.Request]*requestState{}, cancelFuncs: map[*dispatch.Attempt]context.CancelFunc{}, pollRequested: make(chan bool, 1), nextEndpointSource: make(chan EndpointSource, 1), endpointsChanged: make(chan struct{}, 1)}
 	n.firstUpdate = n.unansweredUpdate
 	for i := range terms.Classes {
-		n.longestIDWindow = max(n.longestIDWindow, n.window(i))
+		n.longestIDWindow = max(n.longestIDWindow, n.idWindow(i))
 	}
 	if n.quotaSource = purse; purse != nil {
 		own := *terms
@@ -109,7 +109,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.module = dispatch.New(terms, seed, n, n.clock())
-	n.listed(known)
+	n.applyEndpoints(known)
 	if !terms.PollForChanges {
 		n.module.StartPolling()
 	}
@@ -121,7 +121,7 @@
 
 // event tells the module one thing.
 func (n *Router) event(step func()) error {
-	return n.guard(func() {
+	return n.recoverPanic(func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.module.Advance(n.clock())
@@ -131,8 +131,8 @@
 	})
 }
 
-// guard ends a panic with the step it came from, and tells of it with its stack.
-func (n *Router) guard(step func()) (err error) {
+// recoverPanic ends a panic with the step it came from, and tells of it with its stack.
+func (n *Router) recoverPanic(step func()) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("panic: %v", r)
@@ -178,13 +178,13 @@
 
 // ProbeCapacity asks an executor for its load. What does not come while the longest probe may last tells of no room.
 func (n *Router) ProbeCapacity(e *dispatch.Server) {
-	address := n.at(e)
+	address := n.address(e)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), n.probeTimeout)
 		defer cancel()
 		var load protocol.LoadReport
 		var err error
-		if fault := n.guard(func() { load, err = n.forwarder.Probe(ctx, address) }); fault != nil {
+		if fault := n.recoverPanic(func() { load, err = n.forwarder.Probe(ctx, address) }); fault != nil {
 			err = fault
 		}
 		n.event(func() { n.module.CapacityReported(e, err == nil, load.FreeSlots, load.FreeMemory) })
@@ -194,9 +194,9 @@
 // NotifyPeers implements dispatch.Door. The protocol has no messages between nodes, so the module is told that there are none.
 func (n *Router) NotifyPeers(*dispatch.Server, float64) {}
 
-// at is an executor's present address. Under mu.
+// address is an executor's present address. Under mu.
 // Danger: one that came back elsewhere while a connection to where it was is still under way.
-func (n *Router) at(e *dispatch.Server) string {
+func (n *Router) address(e *dispatch.Server) string {
 	if m := n.endpoints[e.Tag]; m != nil {
 		return m.address
 	}
@@ -211,31 +211,31 @@
 	deadline := time.Now().Add(time.Duration(till - n.clock()))
 	ctx, withdraw := context.WithDeadline(context.Background(), deadline)
 	n.cancelFuncs[p] = withdraw
-	job := &protocol.Attempt{Request: n.requests[p.Request].request, Deadline: deadline, Address: n.at(p.Server)}
+	job := &protocol.Attempt{Request: n.requests[p.Request].request, Deadline: deadline, Address: n.address(p.Server)}
 	var charge Reservation
 	if n.quotaSource != nil {
-		if charge = n.quotaSource.Reserve(p.Server.Tag, n.tenant(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
+		if charge = n.quotaSource.Reserve(p.Server.Tag, n.tenantName(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
 			defer withdraw()
-			go n.ended(p, protocol.AttemptResult{Outcome: dispatch.NotSent}, n.clock())
+			go n.attemptEnded(p, protocol.AttemptResult{Outcome: dispatch.NotSent}, n.clock())
 			return
 		}
 	}
-	go n.carry(ctx, withdraw, p, job, charge)
+	go n.runAttempt(ctx, withdraw, p, job, charge)
 }
 
 // Allow implements dispatch.Shares, under the lock as well.
 func (n *Router) Allow(b dispatch.Budget, e *dispatch.Server, t *dispatch.Request, units float64) bool {
 	switch b {
 	case dispatch.BudgetTenantAttempts:
-		return n.quotaSource.Allow(b, n.tenant(t), units)
+		return n.quotaSource.Allow(b, n.tenantName(t), units)
 	case dispatch.BudgetRetries, dispatch.BudgetPolls:
 		return n.quotaSource.Allow(b, "", units)
 	}
-	return n.quotaSource.Allow(b, n.key(b, e), units)
+	return n.quotaSource.Allow(b, n.quotaKey(b, e), units)
 }
 
-// tenant is the name of a txn's; empty where there are none.
-func (n *Router) tenant(t *dispatch.Request) string {
+// tenantName is the name of a txn's; empty where there are none.
+func (n *Router) tenantName(t *dispatch.Request) string {
 	if t.Tenant >= len(n.settings.Tenants) {
 		return ""
 	}
@@ -244,10 +244,10 @@
 
 // Quota implements dispatch.Shares, under the lock as well.
 func (n *Router) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
-	return n.quotaSource.Quota(b, n.key(b, e))
+	return n.quotaSource.Quota(b, n.quotaKey(b, e))
 }
 
-func (n *Router) key(b dispatch.Budget, e *dispatch.Server) string {
+func (n *Router) quotaKey(b dispatch.Budget, e *dispatch.Server) string {
 	if m := n.endpoints[e.Tag]; b == dispatch.BudgetConnections && m != nil {
 		return m.address
 	}
@@ -261,9 +261,9 @@
 }
 
 func (n *Router) Shed(t *dispatch.Request, returnIn int64) {
-	n.answer(t, &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Duration(returnIn)})
+	n.respond(t, &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Duration(returnIn)})
 }
 
 func (n *Router) Compensate(t *dispatch.Request) {
-	n.answer(t, &protocol.Response{Status: http.StatusInternalServerError})
+	n.respond(t, &protocol.Response{Status: http.StatusInternalServerError})
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -589,7 +589,7 @@
 						}
 					}
 				}
-				n.listed(l)
+				n.applyEndpoints(l)
 			})
 		}
 		if dice(6) == 0 {
@@ -668,22 +668,22 @@
 			"nothing": {}, "whole": known("a", "b"), "change": {Endpoints: []protocol.Endpoint{entry("a", dispatch.Up)}},
 			"away": known("b"), "back": known("a", "b"), "restarted": {Endpoints: []protocol.Endpoint{restarted}},
 		} {
-			n.event(func() { n.listed(l) })
+			n.event(func() { n.applyEndpoints(l) })
 			if got := to("a:7") + to("elsewhere:7"); got > 0 {
 				t.Errorf("%s: %d went to a banned executor", name, got)
 			}
 		}
-		n.event(func() { n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{restarted}}) })
+		n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{restarted}}) })
 		n.SetExcluded(nil)
 		if to("elsewhere:7") == 0 {
 			t.Error("not in use after")
 		}
-		if n.event(func() { n.listed(known("b")) }); !n.WasListed("a") || n.WasListed("never") {
+		if n.event(func() { n.applyEndpoints(known("b")) }); !n.WasListed("a") || n.WasListed("never") {
 			t.Error("who was ever listed")
 		}
 		n.SetExcluded([]string{"b"})
 		n.event(func() {
-			n.listed(&protocol.EndpointList{Endpoints: []protocol.Endpoint{entry("b", dispatch.Draining)}})
+			n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{entry("b", dispatch.Draining)}})
 		})
 		if n.SetExcluded(nil); to("b:7") > 0 {
 			t.Error("one that drains by discovery's word is in use")
@@ -713,7 +713,7 @@
 		}
 		c.mu.Unlock()
 		n.event(func() {
-			n.listed(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{entry("b", dispatch.Up)}})
+			n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{entry("b", dispatch.Up)}})
 		})
 		time.Sleep(time.Second)
 		if a := n.Serve(t.Context(), ask("k", 0, 5*time.Second)); a == nil || a.Status != 200 {
