--- a/internal/routing/lag.go
+++ b/internal/routing/lag.go
@@ -34,37 +34,37 @@
 
 func newDelayMonitor() *delayMonitor {
 	start := time.Now()
-	m := &delayMonitor{now: func() int64 { return int64(time.Since(start)) }}
-	m.due.Store(math.MaxInt64)
-	return m
+	d := &delayMonitor{now: func() int64 { return int64(time.Since(start)) }}
+	d.due.Store(math.MaxInt64)
+	return d
 }
 
 // Delay is how long what is handled at this moment may have waited, in ns.
-func (m *delayMonitor) Delay() int64 {
-	return max(m.lastDelay.Load(), m.now()-m.due.Load(), 0)
+func (d *delayMonitor) Delay() int64 {
+	return max(d.lastDelay.Load(), d.now()-d.due.Load(), 0)
 }
 
 // run measures until the context ends.
-func (m *delayMonitor) run(ctx context.Context, log zerolog.Logger) {
+func (d *delayMonitor) run(ctx context.Context, log zerolog.Logger) {
 	log = log.Sample(&zerolog.BurstSampler{Burst: 1, Period: time.Second})
 	timer := time.NewTimer(delaySampleInterval)
 	defer timer.Stop()
 	for {
-		due := m.now() + int64(delaySampleInterval)
-		m.due.Store(due)
+		due := d.now() + int64(delaySampleInterval)
+		d.due.Store(due)
 		timer.Reset(delaySampleInterval)
 		select {
 		case <-ctx.Done():
-			m.due.Store(math.MaxInt64)
-			m.lastDelay.Store(0)
+			d.due.Store(math.MaxInt64)
+			d.lastDelay.Store(0)
 			return
 		case <-timer.C:
 		}
 		// A timer's goroutine goes before those that are ready; two yields put it behind them.
 		runtime.Gosched()
 		runtime.Gosched()
-		lag := max(m.now()-due, 0)
-		if m.lastDelay.Store(lag); lag >= int64(delayLogThreshold) {
+		lag := max(d.now()-due, 0)
+		if d.lastDelay.Store(lag); lag >= int64(delayLogThreshold) {
 			log.Warn().Int64("lag_ms", lag/1e6).Msg("this process is behind: ready work waits")
 		}
 	}
--- a/internal/routing/leave_test.go
+++ b/internal/routing/leave_test.go
@@ -42,26 +42,26 @@
 	}
 	a := protocol.Endpoint{ID: "a", Address: executor("a")}
 	b := protocol.Endpoint{ID: "b", Address: executor("b")}
-	for name, change := range map[string]func(n *Router){
-		"drains": func(n *Router) {
+	for name, change := range map[string]func(router *Router){
+		"drains": func(router *Router) {
 			b.State = dispatch.Draining
-			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
+			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
-		"is left out of a whole list": func(n *Router) {
-			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
+		"is left out of a whole list": func(router *Router) {
+			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
 		},
-		"is banned": func(n *Router) {
-			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a}}) })
-			n.SetExcluded([]string{"b"})
+		"is banned": func(router *Router) {
+			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a}}) })
+			router.SetExcluded([]string{"b"})
 		},
-		"is listed elsewhere": func(n *Router) {
+		"is listed elsewhere": func(router *Router) {
 			b.Address = a.Address
-			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
+			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
-		"goes and comes back as another": func(n *Router) {
-			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
+		"goes and comes back as another": func(router *Router) {
+			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
 			b.Address = a.Address
-			n.event(func() { n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a, b}}) })
+			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a, b}}) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -79,17 +79,17 @@
 				}
 				return true
 			})
-			n := New(terms(), 1, &protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{b}}, x, time.Second, &lister{}, nil, zerolog.Nop())
+			router := New(terms(), 1, &protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{b}}, x, time.Second, &lister{}, nil, zerolog.Nop())
 			for _, scheme := range []int{0, 1} {
 				answer := make(chan *protocol.Response, 1)
 				go func() {
 					q := ask(fmt.Sprint(name, scheme), scheme, time.Minute)
 					q.Target, q.Header = "/j", http.Header{"X-Call-Id": {q.ID}}
-					answer <- n.Serve(context.Background(), q)
+					answer <- router.Serve(context.Background(), q)
 				}()
 				if scheme == 0 {
 					<-dialing
-					change(n)
+					change(router)
 					close(told)
 				}
 				if got := <-answer; got.Status != http.StatusOK || got.Body != "a" {
@@ -138,7 +138,7 @@
 			chance := rand.New(rand.NewPCG(seed, 2))
 			ids := []string{"a", "b", "c", "d"}
 			s := &slow{carrier: &carrier{}, chance: rand.New(rand.NewPCG(seed, 3))}
-			n := New(terms(), seed, known(ids...), s, time.Second, &lister{}, nil, zerolog.Nop())
+			router := New(terms(), seed, known(ids...), s, time.Second, &lister{}, nil, zerolog.Nop())
 			up, answered, left := map[string]bool{"a": true, "b": true, "c": true, "d": true}, map[string]bool{}, 0
 			var mu sync.Mutex
 			s.left = func(address string, job *protocol.Attempt) {
@@ -155,7 +155,7 @@
 					if chance.IntN(4) == 0 {
 						time.AfterFunc(time.Duration(chance.Int64N(1e9)), gone)
 					}
-					n.Serve(ctx, q)
+					router.Serve(ctx, q)
 					mu.Lock()
 					answered[q.ID] = true
 					mu.Unlock()
@@ -172,7 +172,7 @@
 					}
 					switch chance.IntN(3) {
 					case 0:
-						n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}) })
+						router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}) })
 					default:
 						banned := []string{}
 						for _, id := range ids {
@@ -183,8 +183,8 @@
 								all, banned = append(all, entry(id, dispatch.Up)), append(banned, id)
 							}
 						}
-						n.SetExcluded(banned)
-						n.event(func() { n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: all}) })
+						router.SetExcluded(banned)
+						router.event(func() { router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: all}) })
 					}
 					mu.Unlock()
 				}
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -21,37 +21,37 @@
 const defaultIDWindow = 10 * time.Second
 
 // idWindow is the same for one scheme.
-func (n *Router) idWindow(scheme int) int64 {
-	return cmp.Or(n.settings.Classes[scheme].DedupWindow, int64(defaultIDWindow))
+func (r *Router) idWindow(scheme int) int64 {
+	return cmp.Or(r.settings.Classes[scheme].DedupWindow, int64(defaultIDWindow))
 }
 
 // reserveID says whether a txn's id is new to this node, and keeps it.
 // Danger: an id that is another client's, taken a second time; the two would run under one name, and the wrong one might
 // get the answer.
-func (n *Router) reserveID(id string) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.clock()
-	if now-n.idsRotatedAt >= n.longestIDWindow {
-		n.seenIDs[1], n.seenIDs[0], n.idsRotatedAt = n.seenIDs[0], map[string]int64{}, now
-		for _, l := range n.requests {
-			n.seenIDs[0][l.request.ID] = math.MaxInt64
+func (r *Router) reserveID(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.clock()
+	if now-r.idsRotatedAt >= r.longestIDWindow {
+		r.seenIDs[1], r.seenIDs[0], r.idsRotatedAt = r.seenIDs[0], map[string]int64{}, now
+		for _, l := range r.requests {
+			r.seenIDs[0][l.request.ID] = math.MaxInt64
 		}
 	}
-	if max(n.seenIDs[0][id], n.seenIDs[1][id]) > now {
+	if max(r.seenIDs[0][id], r.seenIDs[1][id]) > now {
 		return false
 	}
-	n.seenIDs[0][id] = math.MaxInt64
+	r.seenIDs[0][id] = math.MaxInt64
 	return true
 }
 
 // removeRequest takes a txn out that has its final answer or lost its client; nil: there is none. Under mu.
-func (n *Router) removeRequest(t *dispatch.Request) *requestState {
-	l := n.requests[t]
+func (r *Router) removeRequest(t *dispatch.Request) *requestState {
+	l := r.requests[t]
 	if l != nil {
-		delete(n.requests, t)
-		n.seenIDs[0][l.request.ID] = n.clock() + n.idWindow(l.request.Class)
-		delete(n.seenIDs[1], l.request.ID)
+		delete(r.requests, t)
+		r.seenIDs[0][l.request.ID] = r.clock() + r.idWindow(l.request.Class)
+		delete(r.seenIDs[1], l.request.ID)
 	}
 	return l
 }
@@ -66,43 +66,43 @@
 }
 
 // Serve is the life of one txn, from the request read whole to its one final answer; nil: the module failed, and none is known.
-func (n *Router) Serve(ctx context.Context, q *protocol.Request) *protocol.Response {
+func (r *Router) Serve(ctx context.Context, q *protocol.Request) *protocol.Response {
 	// Danger: a full node that works for clients which closed while their requests waited in the socket.
 	if ctx.Err() != nil || q.ClientGone() {
 		return &protocol.Response{Status: http.StatusServiceUnavailable, ClientClosed: true}
 	}
-	if !n.reserveID(q.ID) {
+	if !r.reserveID(q.ID) {
 		return &protocol.Response{Status: http.StatusConflict}
 	}
 	// Danger: a client counts its time from when it sent, and a node that is behind reads late what lay in the socket meanwhile.
-	waited := n.delay.Delay()
+	waited := r.delay.Delay()
 	l := &requestState{request: q, response: make(chan *protocol.Response, 1)}
 	t := &dispatch.Request{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, AffinityKey: q.AffinityKey, ExpectedWork: q.ExpectedWork, UnreadTime: waited,
-		Class: n.settings.Classes[q.Class]}
-	err := n.event(func() {
-		t.Deadline = n.clock() + int64(q.Timeout)
-		n.requestCount++
-		l.number, l.arrivedAt = n.requestCount, n.clock()
-		n.requests[t] = l
-		n.module.Arrive(t)
+		Class: r.settings.Classes[q.Class]}
+	err := r.event(func() {
+		t.Deadline = r.clock() + int64(q.Timeout)
+		r.requestCount++
+		l.number, l.arrivedAt = r.requestCount, r.clock()
+		r.requests[t] = l
+		r.module.Arrive(t)
 		// Danger: where clocks may differ the module moves the expiry; a node that ends has no more time for all that.
-		if !t.Done && t.Deadline > n.shutdownDeadline {
-			n.module.SetDeadline(t, n.shutdownDeadline)
+		if !t.Done && t.Deadline > r.shutdownDeadline {
+			r.module.SetDeadline(t, r.shutdownDeadline)
 		}
 	})
 	// Danger: a txn that the module lost in a fault; it is owed an answer all the same.
 	if err != nil {
-		n.event(func() { n.abandonRequest(t) })
+		r.event(func() { r.abandonRequest(t) })
 		return &protocol.Response{Status: http.StatusInternalServerError}
 	}
 	select {
 	case a := <-l.response:
-		n.logUnserved(t, l, a)
+		r.logUnserved(t, l, a)
 		return a
 	case <-ctx.Done():
-		n.log.Debug().Str("id", q.ID).Int64("lag_ms", n.delay.Delay()/1e6).Msg("client has gone")
-		if n.event(func() { n.clientGone(t) }) != nil {
-			n.event(func() { n.abandonRequest(t) })
+		r.log.Debug().Str("id", q.ID).Int64("lag_ms", r.delay.Delay()/1e6).Msg("client has gone")
+		if r.event(func() { r.clientGone(t) }) != nil {
+			r.event(func() { r.abandonRequest(t) })
 		}
 		return <-l.response
 	}
@@ -110,45 +110,45 @@
 
 // clientGone ends a txn whose client has closed. Danger: one that shut its sending side alone still reads, and what was read from it and
 // ends with no answer is lost.
-func (n *Router) clientGone(t *dispatch.Request) {
-	if l := n.requests[t]; l != nil {
+func (r *Router) clientGone(t *dispatch.Request) {
+	if l := r.requests[t]; l != nil {
 		l.clientClosed = true
-		n.module.ClientClosed(t)
+		r.module.ClientClosed(t)
 	}
 }
 
 // logUnserved tells of a request that ends with no result: why, after how long, with how many attempts, and how far the process is behind.
-func (n *Router) logUnserved(t *dispatch.Request, l *requestState, a *protocol.Response) {
+func (r *Router) logUnserved(t *dispatch.Request, l *requestState, a *protocol.Response) {
 	if a != nil && a.Status != http.StatusOK && !a.ClientClosed {
-		n.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
-			Int64("age_ms", (n.clock()-l.arrivedAt)/1e6).Int64("lag_ms", n.delay.Delay()/1e6).Msg("not served")
+		r.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
+			Int64("age_ms", (r.clock()-l.arrivedAt)/1e6).Int64("lag_ms", r.delay.Delay()/1e6).Msg("not served")
 	}
 }
 
 // Shutdown brings forward what is out: the node has been told to end, and all is answered within that time.
-func (n *Router) Shutdown(within time.Duration) {
-	n.event(func() {
-		n.shutdownDeadline = n.clock() + int64(within)
-		inOrder := slices.SortedFunc(maps.Keys(n.requests), func(a, b *dispatch.Request) int {
-			return cmp.Compare(n.requests[a].number, n.requests[b].number)
+func (r *Router) Shutdown(within time.Duration) {
+	r.event(func() {
+		r.shutdownDeadline = r.clock() + int64(within)
+		inOrder := slices.SortedFunc(maps.Keys(r.requests), func(a, b *dispatch.Request) int {
+			return cmp.Compare(r.requests[a].number, r.requests[b].number)
 		})
 		for _, t := range inOrder {
-			n.module.SetDeadline(t, n.shutdownDeadline)
+			r.module.SetDeadline(t, r.shutdownDeadline)
 		}
 	})
 }
 
 // abandonRequest ends a txn whose client takes no answer any more.
-func (n *Router) abandonRequest(t *dispatch.Request) {
-	if l := n.removeRequest(t); l != nil {
-		n.module.Finish(t)
+func (r *Router) abandonRequest(t *dispatch.Request) {
+	if l := r.removeRequest(t); l != nil {
+		r.module.Finish(t)
 		l.response <- nil
 	}
 }
 
 // respond gives a txn its final answer, the first one that comes.
-func (n *Router) respond(t *dispatch.Request, a *protocol.Response) {
-	if l := n.removeRequest(t); l != nil {
+func (r *Router) respond(t *dispatch.Request, a *protocol.Response) {
+	if l := r.removeRequest(t); l != nil {
 		a.ClientClosed = l.clientClosed
 		l.response <- a
 	}
@@ -193,28 +193,28 @@
 }
 
 // runAttempt takes one posting to its executor and tells the module of its one outcome.
-func (n *Router) runAttempt(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Reservation) {
-	sent, gate := n.clock(), &sendGate{router: n, attempt: p, outgoing: job, ctx: ctx, reservation: charge}
+func (r *Router) runAttempt(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Reservation) {
+	sent, gate := r.clock(), &sendGate{router: r, attempt: p, outgoing: job, ctx: ctx, reservation: charge}
 	job.Gate = gate
 	defer withdraw()
 	began := int64(0) // when it told of its start
 	ended := func(e protocol.AttemptResult) {
-		n.log.Trace().Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
-			Int64("sent_us", sent/1e3).Int64("left_us", gate.sentAt.Load()/1e3).Int64("began_us", began/1e3).Int64("ended_us", n.clock()/1e3).Msg("posting")
+		r.log.Trace().Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
+			Int64("sent_us", sent/1e3).Int64("left_us", gate.sentAt.Load()/1e3).Int64("began_us", began/1e3).Int64("ended_us", r.clock()/1e3).Msg("posting")
 		if charge != nil {
 			charge.Release(e.Outcome == dispatch.Succeeded || e.Outcome == dispatch.Failed || e.Outcome == dispatch.Rejected)
 		}
-		n.attemptEnded(p, e, sent)
+		r.attemptEnded(p, e, sent)
 	}
 	// Danger: a fault in one posting's goroutine takes the node down; it may have run by then.
-	if err := n.recoverPanic(func() {
-		n.forwarder.Forward(ctx, job, func(line protocol.JobUpdate) {
-			n.event(func() {
+	if err := r.recoverPanic(func() {
+		r.forwarder.Forward(ctx, job, func(line protocol.JobUpdate) {
+			r.event(func() {
 				if line.State == protocol.Started {
-					began = n.clock()
-					n.module.AttemptStarted(p)
+					began = r.clock()
+					r.module.AttemptStarted(p)
 				} else {
-					n.module.AttemptProgressed(p)
+					r.module.AttemptProgressed(p)
 				}
 			})
 		}, ended)
@@ -224,28 +224,28 @@
 }
 
 // attemptEnded tells the module of a posting's one outcome.
-func (n *Router) attemptEnded(p *dispatch.Attempt, e protocol.AttemptResult, sent int64) {
-	n.event(func() {
-		if n.cancelFuncs[p] == nil {
+func (r *Router) attemptEnded(p *dispatch.Attempt, e protocol.AttemptResult, sent int64) {
+	r.event(func() {
+		if r.cancelFuncs[p] == nil {
 			return
 		}
-		delete(n.cancelFuncs, p)
+		delete(r.cancelFuncs, p)
 		if e.Outcome == dispatch.Succeeded {
-			n.respond(p.Request, &protocol.Response{Status: http.StatusOK, Body: e.Result})
+			r.respond(p.Request, &protocol.Response{Status: http.StatusOK, Body: e.Result})
 		}
 		p.FreeSlots = e.FreeSlots
-		n.module.AttemptEnded(p, e.Outcome, n.clock()-sent, n.requests[p.Request] == nil)
+		r.module.AttemptEnded(p, e.Outcome, r.clock()-sent, r.requests[p.Request] == nil)
 	})
-	if n.onOutcome != nil {
+	if r.onOutcome != nil {
 		switch e.Outcome {
 		case dispatch.Succeeded:
-			n.onOutcome(p.Server.Tag, false)
+			r.onOutcome(p.Server.Tag, false)
 		case dispatch.Failed, dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionLost:
-			n.onOutcome(p.Server.Tag, true)
+			r.onOutcome(p.Server.Tag, true)
 		}
 	}
 	if e.Cause != nil && e.Outcome != dispatch.Canceled {
-		n.log.Debug().Err(e.Cause).Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
-			Int64("lag_ms", n.delay.Delay()/1e6).Msg("posting ended")
+		r.log.Debug().Err(e.Cause).Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
+			Int64("lag_ms", r.delay.Delay()/1e6).Msg("posting ended")
 	}
 }
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -95,48 +95,48 @@
 
 // New starts the module on the list as it was last known. purse is nil where nodes share nothing.
 func New(terms *dispatch.Settings, seed uint64, known *protocol.EndpointList, c Forwarder, probe time.Duration, l EndpointSource, purse QuotaSource, log zerolog.Logger) *Router {
-	n := &Router{settings: terms, forwarder: c, probeTimeout: probe, endpointSource: l, initialEndpoints: known, log: log, startTime: time.Now(), delay: newDelayMonitor(), shutdownDeadline: math.MaxInt64, endpoints: map[string]*endpoint{}, listedIDs: map[string]bool{},
+	r := &Router{settings: terms, forwarder: c, probeTimeout: probe, endpointSource: l, initialEndpoints: known, log: log, startTime: time.Now(), delay: newDelayMonitor(), shutdownDeadline: math.MaxInt64, endpoints: map[string]*endpoint{}, listedIDs: map[string]bool{},
 		unansweredUpdate: make(chan struct{}), seenIDs: [2]map[string]int64{{}, {}}, requests: map[*dispatch.Request]*requestState{}, cancelFuncs: map[*dispatch.Attempt]context.CancelFunc{}, pollRequested: make(chan bool, 1), nextEndpointSource: make(chan EndpointSource, 1), endpointsChanged: make(chan struct{}, 1)}
-	n.firstUpdate = n.unansweredUpdate
+	r.firstUpdate = r.unansweredUpdate
 	for i := range terms.Classes {
-		n.longestIDWindow = max(n.longestIDWindow, n.idWindow(i))
+		r.longestIDWindow = max(r.longestIDWindow, r.idWindow(i))
 	}
-	if n.quotaSource = purse; purse != nil {
+	if r.quotaSource = purse; purse != nil {
 		own := *terms
-		own.Quotas, terms = n, &own
-		n.settings = terms
+		own.Quotas, terms = r, &own
+		r.settings = terms
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.module = dispatch.New(terms, seed, n, n.clock())
-	n.applyEndpoints(known)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.module = dispatch.New(terms, seed, r, r.clock())
+	r.applyEndpoints(known)
 	if !terms.PollForChanges {
-		n.module.StartPolling()
+		r.module.StartPolling()
 	}
-	return n
+	return r
 }
 
 // clock is Unix time that never goes back, the clock that discovery tells starts by.
-func (n *Router) clock() int64 { return n.startTime.UnixNano() + int64(time.Since(n.startTime)) }
+func (r *Router) clock() int64 { return r.startTime.UnixNano() + int64(time.Since(r.startTime)) }
 
 // event tells the module one thing.
-func (n *Router) event(step func()) error {
-	return n.recoverPanic(func() {
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		n.module.Advance(n.clock())
-		n.module.SetSchedulingDelay(n.delay.Delay())
+func (r *Router) event(step func()) error {
+	return r.recoverPanic(func() {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.module.Advance(r.clock())
+		r.module.SetSchedulingDelay(r.delay.Delay())
 		step()
-		n.module.ProcessQueue()
+		r.module.ProcessQueue()
 	})
 }
 
 // recoverPanic ends a panic with the step it came from, and tells of it with its stack.
-func (n *Router) recoverPanic(step func()) (err error) {
+func (r *Router) recoverPanic(step func()) (err error) {
 	defer func() {
-		if r := recover(); r != nil {
-			err = fmt.Errorf("panic: %v", r)
-			n.log.Error().Err(err).Bytes("stack", debug.Stack()).Msg("a step failed")
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("panic: %v", cause)
+			r.log.Error().Err(err).Bytes("stack", debug.Stack()).Msg("a step failed")
 		}
 	}()
 	step()
@@ -144,126 +144,126 @@
 }
 
 // Ready says whether the node can serve.
-func (n *Router) Ready() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return len(n.endpoints) > 0
+func (r *Router) Ready() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.endpoints) > 0
 }
 
 // SchedulingDelay is how long work of this process waits until it runs, in ns.
-func (n *Router) SchedulingDelay() int64 { return n.delay.Delay() }
+func (r *Router) SchedulingDelay() int64 { return r.delay.Delay() }
 
 // ServerCounts counts the executors of the list, and those that the draw leaves out.
-func (n *Router) ServerCounts() (known, excluded int) {
-	n.event(func() { known, excluded = n.module.ServerCounts() })
+func (r *Router) ServerCounts() (known, excluded int) {
+	r.event(func() { known, excluded = r.module.ServerCounts() })
 	return known, excluded
 }
 
 // SetSlowStartOwner says whether this process holds the node's part of cold executors' budgets. It does from the start.
-func (n *Router) SetSlowStartOwner(yes bool) { n.event(func() { n.module.SetSlowStartOwner(yes) }) }
+func (r *Router) SetSlowStartOwner(yes bool) { r.event(func() { r.module.SetSlowStartOwner(yes) }) }
 
 // Schedule implements dispatch.Door, as do the methods after it. All are called under the lock and none blocks.
-func (n *Router) Schedule(after int64, then func()) (forget func()) {
-	alarm := time.AfterFunc(time.Duration(after), func() { n.event(then) })
+func (r *Router) Schedule(after int64, then func()) (forget func()) {
+	alarm := time.AfterFunc(time.Duration(after), func() { r.event(then) })
 	return func() { alarm.Stop() }
 }
 
-func (n *Router) PollEndpoints(on bool) {
+func (r *Router) PollEndpoints(on bool) {
 	select {
-	case <-n.pollRequested:
+	case <-r.pollRequested:
 	default:
 	}
-	n.pollRequested <- on
+	r.pollRequested <- on
 }
 
 // ProbeCapacity asks an executor for its load. What does not come while the longest probe may last tells of no room.
-func (n *Router) ProbeCapacity(e *dispatch.Server) {
-	address := n.address(e)
+func (r *Router) ProbeCapacity(e *dispatch.Server) {
+	address := r.address(e)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), n.probeTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), r.probeTimeout)
 		defer cancel()
 		var load protocol.LoadReport
 		var err error
-		if fault := n.recoverPanic(func() { load, err = n.forwarder.Probe(ctx, address) }); fault != nil {
+		if fault := r.recoverPanic(func() { load, err = r.forwarder.Probe(ctx, address) }); fault != nil {
 			err = fault
 		}
-		n.event(func() { n.module.CapacityReported(e, err == nil, load.FreeSlots, load.FreeMemory) })
+		r.event(func() { r.module.CapacityReported(e, err == nil, load.FreeSlots, load.FreeMemory) })
 	}()
 }
 
 // NotifyPeers implements dispatch.Door. The protocol has no messages between nodes, so the module is told that there are none.
-func (n *Router) NotifyPeers(*dispatch.Server, float64) {}
+func (r *Router) NotifyPeers(*dispatch.Server, float64) {}
 
 // address is an executor's present address. Under mu.
 // Danger: one that came back elsewhere while a connection to where it was is still under way.
-func (n *Router) address(e *dispatch.Server) string {
-	if m := n.endpoints[e.Tag]; m != nil {
+func (r *Router) address(e *dispatch.Server) string {
+	if m := r.endpoints[e.Tag]; m != nil {
 		return m.address
 	}
 	return ""
 }
 
-func (n *Router) StartAttempt(p *dispatch.Attempt) {
+func (r *Router) StartAttempt(p *dispatch.Attempt) {
 	till := p.Request.Deadline
 	if p.Timeout > 0 {
-		till = min(till, n.clock()+p.Timeout)
+		till = min(till, r.clock()+p.Timeout)
 	}
-	deadline := time.Now().Add(time.Duration(till - n.clock()))
+	deadline := time.Now().Add(time.Duration(till - r.clock()))
 	ctx, withdraw := context.WithDeadline(context.Background(), deadline)
-	n.cancelFuncs[p] = withdraw
-	job := &protocol.Attempt{Request: n.requests[p.Request].request, Deadline: deadline, Address: n.address(p.Server)}
+	r.cancelFuncs[p] = withdraw
+	job := &protocol.Attempt{Request: r.requests[p.Request].request, Deadline: deadline, Address: r.address(p.Server)}
 	var charge Reservation
-	if n.quotaSource != nil {
-		if charge = n.quotaSource.Reserve(p.Server.Tag, n.tenantName(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
+	if r.quotaSource != nil {
+		if charge = r.quotaSource.Reserve(p.Server.Tag, r.tenantName(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
 			defer withdraw()
-			go n.attemptEnded(p, protocol.AttemptResult{Outcome: dispatch.NotSent}, n.clock())
+			go r.attemptEnded(p, protocol.AttemptResult{Outcome: dispatch.NotSent}, r.clock())
 			return
 		}
 	}
-	go n.runAttempt(ctx, withdraw, p, job, charge)
+	go r.runAttempt(ctx, withdraw, p, job, charge)
 }
 
 // Allow implements dispatch.Shares, under the lock as well.
-func (n *Router) Allow(b dispatch.Budget, e *dispatch.Server, t *dispatch.Request, units float64) bool {
+func (r *Router) Allow(b dispatch.Budget, e *dispatch.Server, t *dispatch.Request, units float64) bool {
 	switch b {
 	case dispatch.BudgetTenantAttempts:
-		return n.quotaSource.Allow(b, n.tenantName(t), units)
+		return r.quotaSource.Allow(b, r.tenantName(t), units)
 	case dispatch.BudgetRetries, dispatch.BudgetPolls:
-		return n.quotaSource.Allow(b, "", units)
+		return r.quotaSource.Allow(b, "", units)
 	}
-	return n.quotaSource.Allow(b, n.quotaKey(b, e), units)
+	return r.quotaSource.Allow(b, r.quotaKey(b, e), units)
 }
 
 // tenantName is the name of a txn's; empty where there are none.
-func (n *Router) tenantName(t *dispatch.Request) string {
-	if t.Tenant >= len(n.settings.Tenants) {
+func (r *Router) tenantName(t *dispatch.Request) string {
+	if t.Tenant >= len(r.settings.Tenants) {
 		return ""
 	}
-	return n.settings.Tenants[t.Tenant].Tag
+	return r.settings.Tenants[t.Tenant].Tag
 }
 
 // Quota implements dispatch.Shares, under the lock as well.
-func (n *Router) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
-	return n.quotaSource.Quota(b, n.quotaKey(b, e))
+func (r *Router) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
+	return r.quotaSource.Quota(b, r.quotaKey(b, e))
 }
 
-func (n *Router) quotaKey(b dispatch.Budget, e *dispatch.Server) string {
-	if m := n.endpoints[e.Tag]; b == dispatch.BudgetConnections && m != nil {
+func (r *Router) quotaKey(b dispatch.Budget, e *dispatch.Server) string {
+	if m := r.endpoints[e.Tag]; b == dispatch.BudgetConnections && m != nil {
 		return m.address
 	}
 	return e.Tag
 }
 
-func (n *Router) CancelAttempt(p *dispatch.Attempt) {
-	if withdraw := n.cancelFuncs[p]; withdraw != nil {
+func (r *Router) CancelAttempt(p *dispatch.Attempt) {
+	if withdraw := r.cancelFuncs[p]; withdraw != nil {
 		withdraw()
 	}
 }
 
-func (n *Router) Shed(t *dispatch.Request, returnIn int64) {
-	n.respond(t, &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Duration(returnIn)})
+func (r *Router) Shed(t *dispatch.Request, returnIn int64) {
+	r.respond(t, &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Duration(returnIn)})
 }
 
-func (n *Router) Compensate(t *dispatch.Request) {
-	n.respond(t, &protocol.Response{Status: http.StatusInternalServerError})
+func (r *Router) Compensate(t *dispatch.Request) {
+	r.respond(t, &protocol.Response{Status: http.StatusInternalServerError})
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -130,9 +130,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			c, settings := &carrier{script: serves(15 * time.Second)}, terms()
 			settings.Classes[1].DedupWindow = int64(window)
-			n := New(settings, 1, known("a", "b"), c, time.Second, &lister{}, nil, zerolog.Nop())
+			router := New(settings, 1, known("a", "b"), c, time.Second, &lister{}, nil, zerolog.Nop())
 			serve := func(id string, scheme int) int {
-				if a := n.Serve(t.Context(), ask(id, scheme, time.Minute)); a != nil {
+				if a := router.Serve(t.Context(), ask(id, scheme, time.Minute)); a != nil {
 					return a.Status
 				}
 				return 0
@@ -165,7 +165,7 @@
 			serve("other", 0)
 			time.Sleep(2 * time.Minute)
 			serve("another", 0)
-			if kept := len(n.seenIDs[0]) + len(n.seenIDs[1]); kept > 4 {
+			if kept := len(router.seenIDs[0]) + len(router.seenIDs[1]); kept > 4 {
 				t.Errorf("window %s: %d ids are kept", window, kept)
 			}
 		})
@@ -175,9 +175,9 @@
 func TestLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &carrier{script: serves(50 * time.Millisecond)}
-		n := New(terms(), 1, known("a", "b"), c, time.Second, &lister{}, nil, zerolog.Nop())
+		router := New(terms(), 1, known("a", "b"), c, time.Second, &lister{}, nil, zerolog.Nop())
 		start := time.Now()
-		if a := n.Serve(t.Context(), ask("j", 0, time.Second)); a == nil || a.Status != 200 || a.Body != "r" {
+		if a := router.Serve(t.Context(), ask("j", 0, time.Second)); a == nil || a.Status != 200 || a.Body != "r" {
 			t.Fatalf("%+v", a)
 		}
 		if j := c.jobs[0]; c.sent() != 1 || !strings.HasSuffix(j.Address, ":7") || j.Deadline.Sub(start) != time.Second {
@@ -185,7 +185,7 @@
 		}
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		if len(n.requests)+len(n.cancelFuncs) > 0 {
+		if len(router.requests)+len(router.cancelFuncs) > 0 {
 			t.Error("something of it is kept")
 		}
 	})
@@ -195,16 +195,16 @@
 func TestUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &carrier{script: serves(time.Hour)}
-		n := New(terms(), 1, known("a", "b"), c, time.Second, &lister{}, nil, zerolog.Nop())
+		router := New(terms(), 1, known("a", "b"), c, time.Second, &lister{}, nil, zerolog.Nop())
 		for scheme, status := range []int{503, 500} {
 			start := time.Now()
-			a := n.Serve(t.Context(), ask(fmt.Sprint(scheme), scheme, time.Second))
+			a := router.Serve(t.Context(), ask(fmt.Sprint(scheme), scheme, time.Second))
 			if a == nil || a.Status != status || time.Since(start) >= time.Second {
 				t.Errorf("scheme %d: %+v after %s", scheme, a, time.Since(start))
 			}
 		}
 		synctest.Wait()
-		if len(n.cancelFuncs) > 0 {
+		if len(router.cancelFuncs) > 0 {
 			t.Error("postings are out that nobody waits for")
 		}
 	})
@@ -215,14 +215,14 @@
 func TestClientLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &carrier{script: serves(time.Hour)}
-		n := New(terms(), 1, known("a"), c, time.Second, &lister{}, nil, zerolog.Nop())
+		router := New(terms(), 1, known("a"), c, time.Second, &lister{}, nil, zerolog.Nop())
 		for scheme, status := range []int{503, 500} {
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
-			if a := n.Serve(ctx, ask(fmt.Sprint(scheme), scheme, 5*time.Second)); a == nil || !a.ClientClosed || a.Status != status {
+			if a := router.Serve(ctx, ask(fmt.Sprint(scheme), scheme, 5*time.Second)); a == nil || !a.ClientClosed || a.Status != status {
 				t.Errorf("%+v", a)
 			}
-			if a := n.Serve(ctx, ask(fmt.Sprint("late", scheme), scheme, 5*time.Second)); a == nil || !a.ClientClosed || a.Status != 503 {
+			if a := router.Serve(ctx, ask(fmt.Sprint("late", scheme), scheme, 5*time.Second)); a == nil || !a.ClientClosed || a.Status != 503 {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -230,7 +230,7 @@
 			t.Errorf("%d attempts", c.sent())
 		}
 		synctest.Wait()
-		if len(n.requests)+len(n.cancelFuncs) > 0 {
+		if len(router.requests)+len(router.cancelFuncs) > 0 {
 			t.Error("the posting is still out")
 		}
 	})
@@ -239,12 +239,12 @@
 // TestEnd: a node that is told to end answers all that it has, and what still comes, within the time it is given.
 func TestEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := New(terms(), 1, known("a", "b", "c"), &carrier{script: serves(time.Hour)}, time.Second, &lister{}, nil, zerolog.Nop())
+		router := New(terms(), 1, known("a", "b", "c"), &carrier{script: serves(time.Hour)}, time.Second, &lister{}, nil, zerolog.Nop())
 		start, done := time.Now(), make(chan *protocol.Response, 2)
-		go func() { done <- n.Serve(t.Context(), ask("j", 1, time.Minute)) }()
+		go func() { done <- router.Serve(t.Context(), ask("j", 1, time.Minute)) }()
 		time.Sleep(100 * time.Millisecond)
-		n.Shutdown(time.Second)
-		go func() { done <- n.Serve(t.Context(), ask("k", 1, time.Minute)) }()
+		router.Shutdown(time.Second)
+		go func() { done <- router.Serve(t.Context(), ask("k", 1, time.Minute)) }()
 		for range 2 {
 			if a := <-done; a == nil || time.Since(start) >= 1100*time.Millisecond {
 				t.Errorf("%+v after %s", a, time.Since(start))
@@ -257,19 +257,19 @@
 func TestPanicEndsOneStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
-		n := New(terms(), 1, known("a"), &carrier{script: serves(time.Millisecond)}, time.Second, &lister{}, nil, zerolog.New(&log))
-		broken := *n.settings
+		router := New(terms(), 1, known("a"), &carrier{script: serves(time.Millisecond)}, time.Second, &lister{}, nil, zerolog.New(&log))
+		broken := *router.settings
 		broken.Classes = []*dispatch.Class{nil}
-		whole := n.settings
-		n.settings = &broken
-		if a := n.Serve(t.Context(), ask("j", 0, time.Second)); a == nil || a.Status != 500 {
+		whole := router.settings
+		router.settings = &broken
+		if a := router.Serve(t.Context(), ask("j", 0, time.Second)); a == nil || a.Status != 500 {
 			t.Errorf("%+v", a)
 		}
 		if !strings.Contains(log.String(), "life.go") {
 			t.Error(log.String())
 		}
-		n.settings = whole
-		if a := n.Serve(t.Context(), ask("k", 0, time.Second)); a == nil || a.Status != 200 {
+		router.settings = whole
+		if a := router.Serve(t.Context(), ask("k", 0, time.Second)); a == nil || a.Status != 200 {
 			t.Errorf("%+v", a)
 		}
 	})
@@ -281,9 +281,9 @@
 		c := &carrier{script: func(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
 			panic("odd")
 		}}
-		n := New(terms(), 1, known("a"), c, time.Second, &lister{}, nil, zerolog.Nop())
+		router := New(terms(), 1, known("a"), c, time.Second, &lister{}, nil, zerolog.Nop())
 		start := time.Now()
-		a := n.Serve(t.Context(), ask("j", 1, time.Second))
+		a := router.Serve(t.Context(), ask("j", 1, time.Second))
 		if took := time.Since(start); a == nil || a.Status != 500 || c.sent() != 1 || took > 100*time.Millisecond {
 			t.Errorf("%+v after %d postings and %s", a, c.sent(), took)
 		}
@@ -301,14 +301,14 @@
 			&protocol.EndpointList{Version: 3, Endpoints: []protocol.Endpoint{entry("a", dispatch.Up)}},
 			&protocol.EndpointList{Version: 2, Complete: true, Endpoints: []protocol.Endpoint{moved}},
 		}}
-		n := New(terms(), 1, known("old"), c, time.Second, l, nil, zerolog.Nop())
+		router := New(terms(), 1, known("old"), c, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		go n.WatchEndpoints(ctx)
+		go router.WatchEndpoints(ctx)
 		time.Sleep(2 * time.Second) // the first call for news comes by chance within that
 		synctest.Wait()
 		for i := range 20 {
-			n.Serve(t.Context(), ask(fmt.Sprint(i), 0, time.Second))
+			router.Serve(t.Context(), ask(fmt.Sprint(i), 0, time.Second))
 		}
 		for _, j := range c.jobs {
 			if j.Address != "elsewhere:7" {
@@ -324,8 +324,8 @@
 		if pause := l.at[3].Sub(l.at[2]); pause < 200*time.Millisecond || pause > time.Second {
 			t.Error(pause)
 		}
-		if len(n.endpoints) != 1 || n.endpoints["b"] == nil {
-			t.Error(n.endpoints)
+		if len(router.endpoints) != 1 || router.endpoints["b"] == nil {
+			t.Error(router.endpoints)
 		}
 		stop()
 	})
@@ -385,9 +385,9 @@
 				2: {Version: 2, Endpoints: []protocol.Endpoint{entry("b", dispatch.Draining)}}}
 			settings := terms()
 			settings.DrainGrace, settings.MaxPollInterval = 2e9, int64(protocol.PollRetryInterval)
-			n := New(settings, seed, known("a", "b"), c, time.Second, a, nil, zerolog.Nop())
+			router := New(settings, seed, known("a", "b"), c, time.Second, a, nil, zerolog.Nop())
 			ctx, stop := context.WithCancel(t.Context())
-			go n.WatchEndpoints(ctx)
+			go router.WatchEndpoints(ctx)
 			time.Sleep(time.Until(told))
 			if late := now.Add(time.Duration(a.stuck.Load()) + 5*time.Second); late.After(told) {
 				told = late
@@ -396,7 +396,7 @@
 			synctest.Wait()
 			before := c.sent()
 			for i := range 200 {
-				n.Serve(t.Context(), ask(fmt.Sprint(i), 0, time.Second))
+				router.Serve(t.Context(), ask(fmt.Sprint(i), 0, time.Second))
 			}
 			for _, j := range c.jobs[before:] {
 				if j.Address == "b:7" {
@@ -420,18 +420,18 @@
 			l.answers = append(l.answers, &protocol.EndpointList{Version: 3, Endpoints: known("gone").Endpoints})
 		}
 		l.answers = append(l.answers, stale)
-		n := New(terms(), 1, &protocol.EndpointList{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
+		router := New(terms(), 1, &protocol.EndpointList{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
-		go n.WatchEndpoints(ctx)
+		go router.WatchEndpoints(ctx)
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
-		if !n.IsListed("a") || n.IsListed("gone") {
+		if !router.IsListed("a") || router.IsListed("gone") {
 			t.Error("an old list was taken unasked")
 		}
 		time.Sleep(5 * time.Second)
 		stop()
 		synctest.Wait()
-		if got := strings.Join(l.asked[:5], ", "); got != "0 true, 7 false, 7 true, 7 true, 3 false" || !n.IsListed("gone") {
+		if got := strings.Join(l.asked[:5], ", "); got != "0 true, 7 false, 7 true, 7 true, 3 false" || !router.IsListed("gone") {
 			t.Error(got)
 		}
 		if len(l.asked) > 105 {
@@ -449,9 +449,9 @@
 	}{{&protocol.EndpointList{Version: 41, Complete: true, Endpoints: known("a").Endpoints}, "41 false"}, {&protocol.EndpointList{}, "0 true"}} {
 		synctest.Test(t, func(t *testing.T) {
 			l := &lister{}
-			n := New(terms(), 1, c.known, &carrier{}, time.Second, l, nil, zerolog.Nop())
+			router := New(terms(), 1, c.known, &carrier{}, time.Second, l, nil, zerolog.Nop())
 			ctx, stop := context.WithCancel(t.Context())
-			go n.WatchEndpoints(ctx)
+			go router.WatchEndpoints(ctx)
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
 			if got := strings.Join(l.asked, ", "); got != c.want {
@@ -478,9 +478,9 @@
 		}
 		hasty := terms()
 		hasty.MaxPollInterval = 0
-		n := New(hasty, 1, &protocol.EndpointList{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
+		router := New(hasty, 1, &protocol.EndpointList{}, &carrier{}, time.Second, l, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
-		go n.WatchEndpoints(ctx)
+		go router.WatchEndpoints(ctx)
 		time.Sleep(time.Second + time.Millisecond)
 		stop()
 		synctest.Wait()
@@ -497,20 +497,20 @@
 		old := &lister{answers: []any{&protocol.EndpointList{Version: 50, Complete: true, Endpoints: known("a", "b").Endpoints}}}
 		down := &lister{answers: []any{errors.New("refused")}}
 		fresh := &lister{answers: []any{&protocol.EndpointList{Version: 3, Complete: true, Endpoints: known("b", "c").Endpoints}}}
-		n := New(terms(), 1, known("a"), &carrier{script: serves(time.Millisecond)}, time.Second, old, nil, zerolog.Nop())
+		router := New(terms(), 1, known("a"), &carrier{script: serves(time.Millisecond)}, time.Second, old, nil, zerolog.Nop())
 		ctx, stop := context.WithCancel(t.Context())
-		go n.WatchEndpoints(ctx)
+		go router.WatchEndpoints(ctx)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		kept := n.endpoints["b"].server
+		kept := router.endpoints["b"].server
 		for _, l := range []*lister{down, fresh} {
-			n.SetEndpointSource(&lister{}) // the last one counts
-			n.SetEndpointSource(l)
+			router.SetEndpointSource(&lister{}) // the last one counts
+			router.SetEndpointSource(l)
 			synctest.Wait()
 		}
 		got := fmt.Sprint(old.asked, down.asked, fresh.asked)
-		if got != "[0 false 50 false] [0 true] [0 true 3 false]" || len(n.endpoints) != 2 || n.endpoints["b"].server != kept {
-			t.Error(got, n.endpoints)
+		if got != "[0 false 50 false] [0 true] [0 true 3 false]" || len(router.endpoints) != 2 || router.endpoints["b"].server != kept {
+			t.Error(got, router.endpoints)
 		}
 		stop()
 	})
@@ -568,14 +568,14 @@
 			}
 		}
 	}
-	n := New(terms(), r.Uint64(), known(ids...), c, time.Second, &lister{}, nil, zerolog.Nop())
+	router := New(terms(), r.Uint64(), known(ids...), c, time.Second, &lister{}, nil, zerolog.Nop())
 	var lives sync.WaitGroup
 	for i := range 60 {
 		time.Sleep(time.Duration(dice(100)) * time.Millisecond)
 		if dice(5) == 0 {
 			e, whole := entry(ids[dice(len(ids))], dispatch.EndpointState(dice(3))), dice(2) == 0
 			e.Started = time.Now().UnixNano() * int64(dice(2)) // it may have restarted
-			n.event(func() {
+			router.event(func() {
 				mu.Lock()
 				defer mu.Unlock()
 				states[e.ID] = e.State
@@ -589,7 +589,7 @@
 						}
 					}
 				}
-				n.applyEndpoints(l)
+				router.applyEndpoints(l)
 			})
 		}
 		if dice(6) == 0 {
@@ -601,7 +601,7 @@
 			mark()
 			now := slices.Sorted(maps.Keys(banned))
 			mu.Unlock()
-			n.SetExcluded(now)
+			router.SetExcluded(now)
 		}
 		id, scheme, budget := fmt.Sprint(i), dice(2), time.Duration(dice(3000)+20)*time.Millisecond
 		ctx, leave := context.WithCancel(t.Context())
@@ -611,7 +611,7 @@
 		lives.Go(func() {
 			defer leave()
 			start := time.Now()
-			a := n.Serve(ctx, ask(id, scheme, budget))
+			a := router.Serve(ctx, ask(id, scheme, budget))
 			mu.Lock()
 			defer mu.Unlock()
 			if answered[id] = true; a == nil && ctx.Err() == nil {
@@ -628,8 +628,8 @@
 	lives.Wait()
 	time.Sleep(time.Minute)
 	synctest.Wait()
-	if len(n.requests)+len(n.cancelFuncs) > 0 {
-		t.Errorf("%d txns and %d postings are left", len(n.requests), len(n.cancelFuncs))
+	if len(router.requests)+len(router.cancelFuncs) > 0 {
+		t.Errorf("%d txns and %d postings are left", len(router.requests), len(router.cancelFuncs))
 	}
 }
 
@@ -638,7 +638,7 @@
 func TestBan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &carrier{script: serves(50 * time.Millisecond)}
-		n := New(terms(), 1, known("a", "b"), c, time.Second, &lister{}, nil, zerolog.Nop())
+		router := New(terms(), 1, known("a", "b"), c, time.Second, &lister{}, nil, zerolog.Nop())
 		asked := 0
 		to := func(address string) (count int) {
 			c.jobs = nil
@@ -646,7 +646,7 @@
 			for range 8 { // at once, so that every executor is needed
 				asked++
 				q := ask(fmt.Sprint(asked), 0, time.Second)
-				all.Go(func() { n.Serve(t.Context(), q) })
+				all.Go(func() { router.Serve(t.Context(), q) })
 			}
 			all.Wait()
 			for _, j := range c.jobs {
@@ -659,8 +659,8 @@
 		if to("a:7") == 0 {
 			t.Fatal("not in use before")
 		}
-		n.SetExcluded([]string{"a", "never"})
-		if known, excluded := n.ServerCounts(); known != 2 || excluded != 1 {
+		router.SetExcluded([]string{"a", "never"})
+		if known, excluded := router.ServerCounts(); known != 2 || excluded != 1 {
 			t.Errorf("%d known, %d excluded", known, excluded)
 		}
 		restarted := protocol.Endpoint{ID: "a", Address: "elsewhere:7", Started: time.Now().UnixNano()}
@@ -668,24 +668,24 @@
 			"nothing": {}, "whole": known("a", "b"), "change": {Endpoints: []protocol.Endpoint{entry("a", dispatch.Up)}},
 			"away": known("b"), "back": known("a", "b"), "restarted": {Endpoints: []protocol.Endpoint{restarted}},
 		} {
-			n.event(func() { n.applyEndpoints(l) })
+			router.event(func() { router.applyEndpoints(l) })
 			if got := to("a:7") + to("elsewhere:7"); got > 0 {
 				t.Errorf("%s: %d went to a banned executor", name, got)
 			}
 		}
-		n.event(func() { n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{restarted}}) })
-		n.SetExcluded(nil)
+		router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{restarted}}) })
+		router.SetExcluded(nil)
 		if to("elsewhere:7") == 0 {
 			t.Error("not in use after")
 		}
-		if n.event(func() { n.applyEndpoints(known("b")) }); !n.WasListed("a") || n.WasListed("never") {
+		if router.event(func() { router.applyEndpoints(known("b")) }); !router.WasListed("a") || router.WasListed("never") {
 			t.Error("who was ever listed")
 		}
-		n.SetExcluded([]string{"b"})
-		n.event(func() {
-			n.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{entry("b", dispatch.Draining)}})
+		router.SetExcluded([]string{"b"})
+		router.event(func() {
+			router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{entry("b", dispatch.Draining)}})
 		})
-		if n.SetExcluded(nil); to("b:7") > 0 {
+		if router.SetExcluded(nil); to("b:7") > 0 {
 			t.Error("one that drains by discovery's word is in use")
 		}
 	})
@@ -704,19 +704,19 @@
 			<-ctx.Done()
 			return protocol.LoadReport{}, ctx.Err()
 		}}
-		n := New(asking, 1, known("a", "b", "c"), c, 300*time.Millisecond, &lister{}, nil, zerolog.Nop())
-		a := n.Serve(t.Context(), ask("j", 0, 5*time.Second))
+		router := New(asking, 1, known("a", "b", "c"), c, 300*time.Millisecond, &lister{}, nil, zerolog.Nop())
+		a := router.Serve(t.Context(), ask("j", 0, 5*time.Second))
 		synctest.Wait()
 		c.mu.Lock()
 		if a == nil || a.Status != 200 || c.jobs[0].Address != "b:7" || len(c.probed) != 3 {
 			t.Errorf("%+v %v", a, c.probed)
 		}
 		c.mu.Unlock()
-		n.event(func() {
-			n.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{entry("b", dispatch.Up)}})
+		router.event(func() {
+			router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{entry("b", dispatch.Up)}})
 		})
 		time.Sleep(time.Second)
-		if a := n.Serve(t.Context(), ask("k", 0, 5*time.Second)); a == nil || a.Status != 200 {
+		if a := router.Serve(t.Context(), ask("k", 0, 5*time.Second)); a == nil || a.Status != 200 {
 			t.Errorf("%+v", a)
 		}
 	})
