--- a/internal/routing/lag_test.go
+++ b/internal/routing/lag_test.go
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// TestLag: what is ready while another goroutine holds the only processor waits, and the meter says for how long, at once and for a
+// TestSchedulingDelay: what is ready while another goroutine holds the only processor waits, and the meter says for how long, at once and for a
 // while after. A process that is not short of it has next to none.
-func TestLag(t *testing.T) {
+func TestSchedulingDelay(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	m := newDelayMonitor()
 	if m.Delay() != 0 {
--- a/internal/routing/leave_test.go
+++ b/internal/routing/leave_test.go
@@ -48,7 +48,9 @@
 			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
 		"is left out of a whole list": func(router *Router) {
-			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
+			router.event(func() {
+				router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}})
+			})
 		},
 		"is banned": func(router *Router) {
 			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a}}) })
@@ -59,9 +61,13 @@
 			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{a, b}}) })
 		},
 		"goes and comes back as another": func(router *Router) {
-			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}}) })
+			router.event(func() {
+				router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a}})
+			})
 			b.Address = a.Address
-			router.event(func() { router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a, b}}) })
+			router.event(func() {
+				router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{a, b}})
+			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -79,11 +85,11 @@
 				}
 				return true
 			})
-			router := New(terms(), 1, &protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{b}}, x, time.Second, &lister{}, nil, zerolog.Nop())
+			router := New(testSettings(), 1, &protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{b}}, x, time.Second, &scriptedSource{}, nil, zerolog.Nop())
 			for _, scheme := range []int{0, 1} {
 				answer := make(chan *protocol.Response, 1)
 				go func() {
-					q := ask(fmt.Sprint(name, scheme), scheme, time.Minute)
+					q := testRequest(fmt.Sprint(name, scheme), scheme, time.Minute)
 					q.Target, q.Header = "/j", http.Header{"X-Call-Id": {q.ID}}
 					answer <- router.Serve(context.Background(), q)
 				}()
@@ -105,18 +111,18 @@
 	}
 }
 
-// slow is a carrier whose connections come up late: each posting asks at its first byte, some time after it was decided.
-type slow struct {
-	*carrier
-	chance *rand.Rand
-	left   func(address string, job *protocol.Attempt)
+// slowForwarder is a carrier whose connections come up late: each posting asks at its first byte, some time after it was decided.
+type slowForwarder struct {
+	*fakeForwarder
+	rand   *rand.Rand
+	onSend func(address string, job *protocol.Attempt)
 }
 
-func (s *slow) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate), ended func(protocol.AttemptResult)) {
+func (s *slowForwarder) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate), ended func(protocol.AttemptResult)) {
 	s.mu.Lock()
-	late := time.Duration(s.chance.Int64N(1e9))
+	late := time.Duration(s.rand.Int64N(1e9))
 	s.mu.Unlock()
-	if o, _ := wait(ctx, late, dispatch.Succeeded); o != dispatch.Succeeded {
+	if o, _ := finishAfter(ctx, late, dispatch.Succeeded); o != dispatch.Succeeded {
 		ended(protocol.AttemptResult{Outcome: o})
 		return
 	}
@@ -124,24 +130,24 @@
 		ended(protocol.AttemptResult{Outcome: dispatch.NotSent})
 		return
 	}
-	s.left(job.Address, job)
+	s.onSend(job.Address, job)
 	job.Gate.Sent()
-	o, result := wait(ctx, 50*time.Millisecond, dispatch.Succeeded)
+	o, result := finishAfter(ctx, 50*time.Millisecond, dispatch.Succeeded)
 	ended(protocol.AttemptResult{Outcome: o, Result: result})
 }
 
-// TestNothingLeavesLate: random histories of drains, returns, whole lists and bans while postings wait for up to a second: what
+// TestNothingIsSentLate: random histories of drains, returns, whole lists and bans while postings wait for up to a second: what
 // leaves goes to an executor that stands as up at that moment, for a txn that has no answer yet.
-func TestNothingLeavesLate(t *testing.T) {
+func TestNothingIsSentLate(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			chance := rand.New(rand.NewPCG(seed, 2))
 			ids := []string{"a", "b", "c", "d"}
-			s := &slow{carrier: &carrier{}, chance: rand.New(rand.NewPCG(seed, 3))}
-			router := New(terms(), seed, known(ids...), s, time.Second, &lister{}, nil, zerolog.Nop())
+			s := &slowForwarder{fakeForwarder: &fakeForwarder{}, rand: rand.New(rand.NewPCG(seed, 3))}
+			router := New(testSettings(), seed, completeList(ids...), s, time.Second, &scriptedSource{}, nil, zerolog.Nop())
 			up, answered, left := map[string]bool{"a": true, "b": true, "c": true, "d": true}, map[string]bool{}, 0
 			var mu sync.Mutex
-			s.left = func(address string, job *protocol.Attempt) {
+			s.onSend = func(address string, job *protocol.Attempt) {
 				mu.Lock()
 				defer mu.Unlock()
 				if left++; !up[address[:1]] || answered[job.Request.ID] {
@@ -150,7 +156,7 @@
 			}
 			for i := range 300 {
 				go func() {
-					q := ask(fmt.Sprint(i), chance.IntN(2), time.Duration(100+chance.IntN(3000))*time.Millisecond)
+					q := testRequest(fmt.Sprint(i), chance.IntN(2), time.Duration(100+chance.IntN(3000))*time.Millisecond)
 					ctx, gone := context.WithCancel(t.Context())
 					if chance.IntN(4) == 0 {
 						time.AfterFunc(time.Duration(chance.Int64N(1e9)), gone)
@@ -166,7 +172,7 @@
 					mu.Lock()
 					id := ids[1+chance.IntN(3)]
 					up[id] = !up[id]
-					e, all := entry(id, dispatch.Up), []protocol.Endpoint{}
+					e, all := testEndpoint(id, dispatch.Up), []protocol.Endpoint{}
 					if !up[id] {
 						e.State = dispatch.Draining
 					}
@@ -178,9 +184,9 @@
 						for _, id := range ids {
 							switch {
 							case up[id]:
-								all = append(all, entry(id, dispatch.Up))
+								all = append(all, testEndpoint(id, dispatch.Up))
 							case chance.IntN(2) == 0:
-								all, banned = append(all, entry(id, dispatch.Up)), append(banned, id)
+								all, banned = append(all, testEndpoint(id, dispatch.Up)), append(banned, id)
 							}
 						}
 						router.SetExcluded(banned)
