--- a/internal/routing/lag.go
+++ b/internal/routing/lag.go
@@ -65,7 +65,7 @@
 		runtime.Gosched()
 		lag := max(d.now()-due, 0)
 		if d.lastDelay.Store(lag); lag >= int64(delayLogThreshold) {
-			log.Warn().Int64("lag_ms", lag/1e6).Msg("this process is behind: ready work waits")
+			log.Warn().Int64("lag_ms", lag/1e6).Msg("process is short of CPU time; runnable work is delayed")
 		}
 	}
 }
--- a/internal/routing/life.go
+++ b/internal/routing/life.go
@@ -100,7 +100,7 @@
 		r.logUnserved(t, l, a)
 		return a
 	case <-ctx.Done():
-		r.log.Debug().Str("id", q.ID).Int64("lag_ms", r.delay.Delay()/1e6).Msg("client has gone")
+		r.log.Debug().Str("id", q.ID).Int64("lag_ms", r.delay.Delay()/1e6).Msg("client closed before its answer")
 		if r.event(func() { r.clientGone(t) }) != nil {
 			r.event(func() { r.abandonRequest(t) })
 		}
@@ -121,7 +121,7 @@
 func (r *Router) logUnserved(t *dispatch.Request, l *requestState, a *protocol.Response) {
 	if a != nil && a.Status != http.StatusOK && !a.ClientClosed {
 		r.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
-			Int64("age_ms", (r.clock()-l.arrivedAt)/1e6).Int64("lag_ms", r.delay.Delay()/1e6).Msg("not served")
+			Int64("age_ms", (r.clock()-l.arrivedAt)/1e6).Int64("lag_ms", r.delay.Delay()/1e6).Msg("request not served")
 	}
 }
 
@@ -246,6 +246,6 @@
 	}
 	if e.Cause != nil && e.Outcome != dispatch.Canceled {
 		r.log.Debug().Err(e.Cause).Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
-			Int64("lag_ms", r.delay.Delay()/1e6).Msg("posting ended")
+			Int64("lag_ms", r.delay.Delay()/1e6).Msg("attempt failed")
 	}
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -77,7 +77,7 @@
 		answer <- a
 		return
 	}
-	r.log.Debug().Int64("since", since).Bool("whole", whole).Msg("list asked for")
+	r.log.Debug().Int64("since", since).Bool("whole", whole).Msg("polling discovery")
 	if fault := r.recoverPanic(func() { a.list, a.err = l.Poll(ctx, since, whole) }); fault != nil {
 		a.err = fault
 	}
@@ -104,7 +104,7 @@
 	}
 	switch {
 	case a.err != nil:
-		r.log.Warn().Err(a.err).Int64("took_us", a.duration/1e3).Msg("discovery: list kept as it is")
+		r.log.Warn().Err(a.err).Int64("took_us", a.duration/1e3).Msg("discovery poll failed; keeping the current endpoint list")
 		spent := int64(0)
 		if errors.Is(a.err, protocol.ErrNoNews) {
 			spent = a.duration
--- a/internal/routing/node.go
+++ b/internal/routing/node.go
@@ -136,7 +136,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("panic: %v", cause)
-			r.log.Error().Err(err).Bytes("stack", debug.Stack()).Msg("a step failed")
+			r.log.Error().Err(err).Bytes("stack", debug.Stack()).Msg("recovered from a panic; only this step is lost")
 		}
 	}()
 	step()
