--- a/internal/routing/list.go
+++ b/internal/routing/endpoint_watcher.go
@@ -6,14 +6,19 @@
 	"context"
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
 	"time"
 
-	"fernrail/dispatch"
 	"fernrail/internal/protocol"
 )
 
+func (r *Router) PollEndpoints(on bool) {
+	select {
+	case <-r.pollRequested:
+	default:
+	}
+	r.pollRequested <- on
+}
+
 // SetEndpointSource has the list asked for elsewhere from now on. Of several new places the last one counts.
 func (r *Router) SetEndpointSource(to EndpointSource) {
 	r.mu.Lock()
@@ -147,141 +152,5 @@
 	return r.quotaSource.AllowPoll(overdue)
 }
 
-// applyEndpoints hands the list to the module and keeps the addresses.
-func (r *Router) applyEndpoints(l *protocol.EndpointList) {
-	var members []dispatch.Endpoint
-	for _, e := range l.Endpoints {
-		m := r.endpoints[e.ID]
-		if m == nil {
-			m = &endpoint{server: &dispatch.Server{Tag: e.ID, Hash: dispatch.HashName(e.ID), Distance: r.unplacedDistance, OutlierScore: r.outlierScores[e.ID]}}
-			r.endpoints[e.ID] = m
-			r.notifyEndpointsChanged()
-		}
-		if e.Address != "" {
-			m.address = e.Address
-		}
-		if m.listed = e; !r.listedIDs[e.ID] {
-			r.listedIDs[e.ID], r.listedOrder = true, append(r.listedOrder, e.ID)
-		}
-		members = append(members, r.moduleEndpoint(m))
-	}
-	r.module.UpdateEndpoints(l.Complete, members)
-	// Danger: a map of thousands that is walked at each change of one of them.
-	if !l.Complete {
-		for _, e := range l.Endpoints {
-			r.dropIfRemoved(e.ID)
-		}
-		return
-	}
-	for id := range r.endpoints {
-		r.dropIfRemoved(id)
-	}
-}
-
-// dropIfRemoved drops a server that is gone.
-func (r *Router) dropIfRemoved(id string) {
-	if m := r.endpoints[id]; m != nil && m.server.State == dispatch.Removed {
-		delete(r.endpoints, id)
-		r.notifyEndpointsChanged()
-	}
-}
-
-func (r *Router) notifyEndpointsChanged() {
-	select {
-	case r.endpointsChanged <- struct{}{}:
-	default:
-	}
-}
-
-// EndpointsChanged comes when other executors are listed than were when it came last.
-func (r *Router) EndpointsChanged() <-chan struct{} { return r.endpointsChanged }
-
-// Endpoints are the executors that are listed, as discovery told them last.
-func (r *Router) Endpoints() (entries []protocol.Endpoint) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-		entries = append(entries, r.endpoints[id].listed)
-	}
-	return entries
-}
-
-// SetDistances has the module use executors by how far they are from this node; those listed later come after the near ones until they are
-// placed. Danger: a new executor that all nodes use at once.
-func (r *Router) SetDistances(far map[string]int) {
-	r.event(func() {
-		r.unplacedDistance = 1
-		for id, m := range r.endpoints {
-			if at, is := far[id]; is {
-				m.server.Distance = at
-			}
-		}
-	})
-}
-
-// OnOutcome has each job's end told: whether its executor failed it. It is called before the node serves.
-func (r *Router) OnOutcome(tell func(executor string, failed bool)) { r.onOutcome = tell }
-
-// SetOutlierScores has the module know how bad many nodes say that executors are; nothing is said of the rest.
-func (r *Router) SetOutlierScores(bad map[string]float64) {
-	r.event(func() {
-		r.outlierScores = bad
-		for id, m := range r.endpoints {
-			m.server.OutlierScore = bad[id]
-		}
-	})
-}
-
-// moduleEndpoint is an executor as the module is told of it: a banned one drains, whatever discovery says.
-func (r *Router) moduleEndpoint(m *endpoint) dispatch.Endpoint {
-	e := &m.listed
-	state := e.State
-	if state == dispatch.Up && r.excluded[e.ID] {
-		state = dispatch.Draining
-	}
-	return dispatch.Endpoint{Server: m.server, State: state, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, StartedAt: e.Started, Capacity: e.Capacity}
-}
-
-// SetExcluded has these executors drain, and no others but those that discovery says do.
-func (r *Router) SetExcluded(ids []string) {
-	r.event(func() {
-		was := r.excluded
-		r.excluded = map[string]bool{}
-		var changed []dispatch.Endpoint
-		for _, id := range ids {
-			r.excluded[id] = true
-		}
-		for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-			if m := r.endpoints[id]; was[id] != r.excluded[id] {
-				changed = append(changed, r.moduleEndpoint(m))
-			}
-		}
-		if len(changed) > 0 {
-			r.module.UpdateEndpoints(false, changed)
-		}
-	})
-}
-
-// IsListed says whether an executor is in the list now.
-func (r *Router) IsListed(id string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.endpoints[id] != nil
-}
-
-// WasListed says whether an executor is in the list or ever was.
-func (r *Router) WasListed(id string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.listedIDs[id]
-}
-
-// EverListed gives the executors that were ever listed, but for the first so many.
-func (r *Router) EverListed(but int) []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return slices.Clone(r.listedOrder[but:])
-}
-
 // FirstUpdate is closed when discovery has first answered.
 func (r *Router) FirstUpdate() <-chan struct{} { return r.firstUpdate }
--- /dev/null
+++ b/internal/routing/router.go
@@ -0,0 +1,95 @@
+// SPDX-License-Identifier: Apache-2.0
+
+// Package routing runs the decision module of one node: under one lock, with a clock and alarms, it tells the
+// module what happens and carries out what it decides. It decides nothing itself.
+package routing
+
+import (
+	"context"
+	"math"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"fernrail/dispatch"
+	"fernrail/internal/protocol"
+)
+
+// Router is the module with all that it acts through. It is the module's Door.
+type Router struct {
+	settings           *dispatch.Settings
+	forwarder          Forwarder
+	probeTimeout       time.Duration  // how long the answer to a probe is waited for
+	endpointSource     EndpointSource // Follow alone uses it
+	initialEndpoints   *protocol.EndpointList
+	unansweredUpdate   chan struct{}       // closed and nil when discovery has first answered; Follow alone uses it
+	firstUpdate        <-chan struct{}     // the same, for others
+	nextEndpointSource chan EndpointSource // the latest new place to ask, at most one
+	log                zerolog.Logger
+	startTime          time.Time
+	quotaSource        QuotaSource // nil: nodes share nothing
+	delay              *delayMonitor
+
+	mu        sync.Mutex // round the module and all below; never held over a write, a dial or a log line
+	module    *dispatch.Dispatcher
+	endpoints map[string]*endpoint
+	excluded  map[string]bool // by operators; what is in it drains
+	// listedIDs holds every executor that was ever listed, so that one that is away is told from a slip of the pen
+	listedIDs        map[string]bool
+	listedOrder      []string            // the same in order
+	shutdownDeadline int64               // when the node ends
+	requestCount     int                 // txns, ever
+	seenIDs          [2]map[string]int64 // of txns taken, by when they may come again: since turned, and in the span before
+	idsRotatedAt     int64
+	longestIDWindow  int64                                    // the longest that an id is kept
+	requests         map[*dispatch.Request]*requestState      // txns without a final answer
+	cancelFuncs      map[*dispatch.Attempt]context.CancelFunc // postings without an outcome
+	pollRequested    chan bool                                // what the module wants of the list, at most one order
+	endpointsChanged chan struct{}                            // there are other executors than were; at most one word of it
+	outlierScores    map[string]float64                       // how bad others say that executors are
+	onOutcome        func(executor string, failed bool)       // hears how jobs ended; nil: nobody does
+	unplacedDistance int                                      // how far an executor is that was just listed
+}
+
+// New starts the module on the list as it was last known. purse is nil where nodes share nothing.
+func New(terms *dispatch.Settings, seed uint64, known *protocol.EndpointList, c Forwarder, probe time.Duration, l EndpointSource, purse QuotaSource, log zerolog.Logger) *Router {
+	r := &Router{settings: terms, forwarder: c, probeTimeout: probe, endpointSource: l, initialEndpoints: known, log: log, startTime: time.Now(), delay: newDelayMonitor(), shutdownDeadline: math.MaxInt64, endpoints: map[string]*endpoint{}, listedIDs: map[string]bool{},
+		unansweredUpdate: make(chan struct{}), seenIDs: [2]map[string]int64{{}, {}}, requests: map[*dispatch.Request]*requestState{}, cancelFuncs: map[*dispatch.Attempt]context.CancelFunc{}, pollRequested: make(chan bool, 1), nextEndpointSource: make(chan EndpointSource, 1), endpointsChanged: make(chan struct{}, 1)}
+	r.firstUpdate = r.unansweredUpdate
+	for i := range terms.Classes {
+		r.longestIDWindow = max(r.longestIDWindow, r.idWindow(i))
+	}
+	if r.quotaSource = purse; purse != nil {
+		own := *terms
+		own.Quotas, terms = r, &own
+		r.settings = terms
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.module = dispatch.New(terms, seed, r, r.clock())
+	r.applyEndpoints(known)
+	if !terms.PollForChanges {
+		r.module.StartPolling()
+	}
+	return r
+}
+
+// Ready says whether the node can serve.
+func (r *Router) Ready() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.endpoints) > 0
+}
+
+// SchedulingDelay is how long work of this process waits until it runs, in ns.
+func (r *Router) SchedulingDelay() int64 { return r.delay.Delay() }
+
+// ServerCounts counts the executors of the list, and those that the draw leaves out.
+func (r *Router) ServerCounts() (known, excluded int) {
+	r.event(func() { known, excluded = r.module.ServerCounts() })
+	return known, excluded
+}
+
+// SetSlowStartOwner says whether this process holds the node's part of cold executors' budgets. It does from the start.
+func (r *Router) SetSlowStartOwner(yes bool) { r.event(func() { r.module.SetSlowStartOwner(yes) }) }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -265,7 +265,7 @@
 		if a := router.Serve(t.Context(), testRequest("j", 0, time.Second)); a == nil || a.Status != 500 {
 			t.Errorf("%+v", a)
 		}
-		if !strings.Contains(log.String(), "life.go") {
+		if !strings.Contains(log.String(), "requests.go") {
 			t.Error(log.String())
 		}
 		router.settings = whole
