--- /dev/null
+++ b/internal/routing/endpoint_watcher_test.go
@@ -0,0 +1,166 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package routing
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"fernrail/dispatch"
+	"fernrail/internal/protocol"
+)
+
+func TestEndpointUpdates(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := &fakeForwarder{script: succeedAfter(time.Millisecond)}
+		moved := protocol.Endpoint{ID: "b", Address: "elsewhere:7"}
+		l := &scriptedSource{answers: []any{
+			&protocol.EndpointList{Version: 5, Complete: true, Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Up), testEndpoint("b", dispatch.Up)}},
+			&protocol.EndpointList{Version: 6, Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Draining), moved}},
+			errors.New("reset"),
+			&protocol.EndpointList{Version: 3, Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Up)}},
+			&protocol.EndpointList{Version: 2, Complete: true, Endpoints: []protocol.Endpoint{moved}},
+		}}
+		router := New(testSettings(), 1, completeList("old"), c, time.Second, l, nil, zerolog.Nop())
+		ctx, stop := context.WithCancel(t.Context())
+		defer stop()
+		go router.WatchEndpoints(ctx)
+		time.Sleep(2 * time.Second) // the first call for news comes by chance within that
+		synctest.Wait()
+		for i := range 20 {
+			router.Serve(t.Context(), testRequest(fmt.Sprint(i), 0, time.Second))
+		}
+		for _, j := range c.attempts {
+			if j.Address != "elsewhere:7" {
+				t.Errorf("sent to %s", j.Address)
+			}
+		}
+		time.Sleep(10 * time.Second)
+		synctest.Wait()
+		if got := strings.Join(l.polls, ", "); got != "0 false, 5 false, 6 false, 6 false, 6 true, 2 false" {
+			t.Error(got)
+		}
+		// Danger: a discovery in trouble is asked again and again.
+		if pause := l.polledAt[3].Sub(l.polledAt[2]); pause < 200*time.Millisecond || pause > time.Second {
+			t.Error(pause)
+		}
+		if len(router.endpoints) != 1 || router.endpoints["b"] == nil {
+			t.Error(router.endpoints)
+		}
+		stop()
+	})
+}
+
+// TestInvalidEndpointListsAreIgnored: an older version or half a list counts as a failed call: the list stays, the whole is asked for
+// where versions went back, and nothing is asked without end. What is told whole when asked for counts, whatever its version.
+func TestInvalidEndpointListsAreIgnored(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		old := &protocol.EndpointList{Version: 3, Complete: true, Endpoints: completeList("gone").Endpoints}
+		stale := &protocol.EndpointList{Version: 7, Endpoints: completeList("a").Endpoints}
+		l := &scriptedSource{answers: []any{&protocol.EndpointList{Version: 7, Complete: true, Endpoints: completeList("a").Endpoints}, old, errors.New("half a list"), old, old}}
+		for range 100 {
+			l.answers = append(l.answers, &protocol.EndpointList{Version: 3, Endpoints: completeList("gone").Endpoints})
+		}
+		l.answers = append(l.answers, stale)
+		router := New(testSettings(), 1, &protocol.EndpointList{}, &fakeForwarder{}, time.Second, l, nil, zerolog.Nop())
+		ctx, stop := context.WithCancel(t.Context())
+		go router.WatchEndpoints(ctx)
+		time.Sleep(time.Millisecond)
+		synctest.Wait()
+		if !router.IsListed("a") || router.IsListed("gone") {
+			t.Error("an old list was taken unasked")
+		}
+		time.Sleep(5 * time.Second)
+		stop()
+		synctest.Wait()
+		if got := strings.Join(l.polls[:5], ", "); got != "0 true, 7 false, 7 true, 7 true, 3 false" || !router.IsListed("gone") {
+			t.Error(got)
+		}
+		if len(l.polls) > 105 {
+			t.Errorf("asked %d times in five seconds", len(l.polls))
+		}
+	})
+}
+
+// TestKnownListIsWatched: a node asks for changes to the list it was handed at start, and for the whole only if it has none.
+// Danger: many nodes that start together and ask for whole lists are told nothing for as long as they go on.
+func TestKnownListIsWatched(t *testing.T) {
+	for _, c := range []struct {
+		known *protocol.EndpointList
+		want  string
+	}{{&protocol.EndpointList{Version: 41, Complete: true, Endpoints: completeList("a").Endpoints}, "41 false"}, {&protocol.EndpointList{}, "0 true"}} {
+		synctest.Test(t, func(t *testing.T) {
+			l := &scriptedSource{}
+			router := New(testSettings(), 1, c.known, &fakeForwarder{}, time.Second, l, nil, zerolog.Nop())
+			ctx, stop := context.WithCancel(t.Context())
+			go router.WatchEndpoints(ctx)
+			time.Sleep(2 * time.Second)
+			synctest.Wait()
+			if got := strings.Join(l.polls, ", "); got != c.want {
+				t.Errorf("asked %s, want %s", got, c.want)
+			}
+			stop()
+		})
+	}
+}
+
+// TestEmptyPollsAreSpaced: a place that answers at once, with nothing or a fault, is not asked without end, whatever the
+// settings say of pauses.
+func TestEmptyPollsAreSpaced(t *testing.T) {
+	for _, answer := range []any{&protocol.EndpointList{}, errors.New("refused")} {
+		checkPollSpacing(t, answer)
+	}
+}
+
+func checkPollSpacing(t *testing.T, answer any) {
+	synctest.Test(t, func(t *testing.T) {
+		l := &scriptedSource{answers: []any{completeList("a")}}
+		for range 50 {
+			l.answers = append(l.answers, answer)
+		}
+		hasty := testSettings()
+		hasty.MaxPollInterval = 0
+		router := New(hasty, 1, &protocol.EndpointList{}, &fakeForwarder{}, time.Second, l, nil, zerolog.Nop())
+		ctx, stop := context.WithCancel(t.Context())
+		go router.WatchEndpoints(ctx)
+		time.Sleep(time.Second + time.Millisecond)
+		stop()
+		synctest.Wait()
+		if len(l.polls) > 22 || len(l.polls) < 20 {
+			t.Errorf("asked %d times in a second", len(l.polls))
+		}
+	})
+}
+
+// TestEndpointSourceIsReplaced: a new place is asked at once, also while the old one waits or the next call there, and for the whole list,
+// however low its version. Executors that both name are the same.
+func TestEndpointSourceIsReplaced(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		old := &scriptedSource{answers: []any{&protocol.EndpointList{Version: 50, Complete: true, Endpoints: completeList("a", "b").Endpoints}}}
+		down := &scriptedSource{answers: []any{errors.New("refused")}}
+		fresh := &scriptedSource{answers: []any{&protocol.EndpointList{Version: 3, Complete: true, Endpoints: completeList("b", "c").Endpoints}}}
+		router := New(testSettings(), 1, completeList("a"), &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Second, old, nil, zerolog.Nop())
+		ctx, stop := context.WithCancel(t.Context())
+		go router.WatchEndpoints(ctx)
+		time.Sleep(2 * time.Second)
+		synctest.Wait()
+		kept := router.endpoints["b"].server
+		for _, l := range []*scriptedSource{down, fresh} {
+			router.SetEndpointSource(&scriptedSource{}) // the last one counts
+			router.SetEndpointSource(l)
+			synctest.Wait()
+		}
+		got := fmt.Sprint(old.polls, down.polls, fresh.polls)
+		if got != "[0 false 50 false] [0 true] [0 true 3 false]" || len(router.endpoints) != 2 || router.endpoints["b"].server != kept {
+			t.Error(got, router.endpoints)
+		}
+		stop()
+	})
+}
--- /dev/null
+++ b/internal/routing/event_loop_test.go
@@ -0,0 +1,54 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package routing
+
+import (
+	"bytes"
+	"context"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"fernrail/dispatch"
+	"fernrail/internal/protocol"
+)
+
+// TestPanicEndsOneStep: a fault of the module answers the txn it came with and is told with its stack; others go on.
+func TestPanicEndsOneStep(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var log bytes.Buffer
+		router := New(testSettings(), 1, completeList("a"), &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Second, &scriptedSource{}, nil, zerolog.New(&log))
+		broken := *router.settings
+		broken.Classes = []*dispatch.Class{nil}
+		whole := router.settings
+		router.settings = &broken
+		if a := router.Serve(t.Context(), testRequest("j", 0, time.Second)); a == nil || a.Status != 500 {
+			t.Errorf("%+v", a)
+		}
+		if !strings.Contains(log.String(), "requests.go") {
+			t.Error(log.String())
+		}
+		router.settings = whole
+		if a := router.Serve(t.Context(), testRequest("k", 0, time.Second)); a == nil || a.Status != 200 {
+			t.Errorf("%+v", a)
+		}
+	})
+}
+
+// TestPanicInAnAttempt: what a fault on the way to an executor leaves open may have run.
+func TestPanicInAnAttempt(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := &fakeForwarder{script: func(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
+			panic("odd")
+		}}
+		router := New(testSettings(), 1, completeList("a"), c, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+		start := time.Now()
+		a := router.Serve(t.Context(), testRequest("j", 1, time.Second))
+		if took := time.Since(start); a == nil || a.Status != 500 || c.attemptCount() != 1 || took > 100*time.Millisecond {
+			t.Errorf("%+v after %d postings and %s", a, c.attemptCount(), took)
+		}
+	})
+}
--- /dev/null
+++ b/internal/routing/exclusions_test.go
@@ -0,0 +1,74 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package routing
+
+import (
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"fernrail/dispatch"
+	"fernrail/internal/protocol"
+)
+
+// TestExcludedServerGetsNothing: whatever discovery tells of a banned executor, a whole list, a restart, another address or that it was away,
+// nothing goes to it; put back, it is in use again, as discovery has it now.
+func TestExcludedServerGetsNothing(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
+		router := New(testSettings(), 1, completeList("a", "b"), c, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+		asked := 0
+		to := func(address string) (count int) {
+			c.attempts = nil
+			var all sync.WaitGroup
+			for range 8 { // at once, so that every executor is needed
+				asked++
+				q := testRequest(fmt.Sprint(asked), 0, time.Second)
+				all.Go(func() { router.Serve(t.Context(), q) })
+			}
+			all.Wait()
+			for _, j := range c.attempts {
+				if j.Address == address {
+					count++
+				}
+			}
+			return count
+		}
+		if to("a:7") == 0 {
+			t.Fatal("not in use before")
+		}
+		router.SetExcluded([]string{"a", "never"})
+		if known, excluded := router.ServerCounts(); known != 2 || excluded != 1 {
+			t.Errorf("%d known, %d excluded", known, excluded)
+		}
+		restarted := protocol.Endpoint{ID: "a", Address: "elsewhere:7", Started: time.Now().UnixNano()}
+		for name, l := range map[string]*protocol.EndpointList{
+			"nothing": {}, "whole": completeList("a", "b"), "change": {Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Up)}},
+			"away": completeList("b"), "back": completeList("a", "b"), "restarted": {Endpoints: []protocol.Endpoint{restarted}},
+		} {
+			router.event(func() { router.applyEndpoints(l) })
+			if got := to("a:7") + to("elsewhere:7"); got > 0 {
+				t.Errorf("%s: %d went to a banned executor", name, got)
+			}
+		}
+		router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{restarted}}) })
+		router.SetExcluded(nil)
+		if to("elsewhere:7") == 0 {
+			t.Error("not in use after")
+		}
+		if router.event(func() { router.applyEndpoints(completeList("b")) }); !router.WasListed("a") || router.WasListed("never") {
+			t.Error("who was ever listed")
+		}
+		router.SetExcluded([]string{"b"})
+		router.event(func() {
+			router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{testEndpoint("b", dispatch.Draining)}})
+		})
+		if router.SetExcluded(nil); to("b:7") > 0 {
+			t.Error("one that drains by discovery's word is in use")
+		}
+	})
+}
--- /dev/null
+++ b/internal/routing/helpers_test.go
@@ -0,0 +1,111 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package routing
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"fernrail/dispatch"
+	"fernrail/internal/protocol"
+)
+
+// fakeForwarder stands in for the executors: a script says what comes of each posting. Time is that of a synctest bubble.
+type fakeForwarder struct {
+	mu              sync.Mutex
+	attempts        []*protocol.Attempt
+	probedAddresses []string
+	loadReport      func(ctx context.Context, address string) (protocol.LoadReport, error)
+	script          func(ctx context.Context, nth int, job *protocol.Attempt, heard func(protocol.JobUpdate)) (dispatch.Outcome, string)
+}
+
+func (c *fakeForwarder) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
+	ended func(protocol.AttemptResult)) {
+	c.mu.Lock()
+	c.attempts = append(c.attempts, job)
+	n := len(c.attempts)
+	c.mu.Unlock()
+	o, result := c.script(ctx, n, job, heard)
+	ended(protocol.AttemptResult{Outcome: o, Result: result})
+}
+
+// Probe is answered by load, after its delay.
+func (c *fakeForwarder) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
+	c.mu.Lock()
+	c.probedAddresses = append(c.probedAddresses, address)
+	c.mu.Unlock()
+	return c.loadReport(ctx, address)
+}
+
+func (c *fakeForwarder) attemptCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.attempts)
+}
+
+// finishAfter runs a job for a time; a posting given up ends as it would on sockets.
+func finishAfter(ctx context.Context, span time.Duration, o dispatch.Outcome) (dispatch.Outcome, string) {
+	select {
+	case <-time.After(span):
+		return o, "r"
+	case <-ctx.Done():
+	}
+	if errors.Is(ctx.Err(), context.Canceled) {
+		return dispatch.Canceled, ""
+	}
+	return dispatch.TimedOut, ""
+}
+
+func succeedAfter(span time.Duration) func(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
+	return func(ctx context.Context, _ int, _ *protocol.Attempt, heard func(protocol.JobUpdate)) (dispatch.Outcome, string) {
+		heard(protocol.JobUpdate{State: protocol.Started})
+		return finishAfter(ctx, span, dispatch.Succeeded)
+	}
+}
+
+// scriptedSource gives lists and faults in turn, and then waits.
+type scriptedSource struct {
+	answers  []any
+	polls    []string
+	polledAt []time.Time
+}
+
+func (l *scriptedSource) Poll(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
+	l.polls, l.polledAt = append(l.polls, fmt.Sprint(since, whole)), append(l.polledAt, time.Now())
+	if len(l.answers) == 0 {
+		<-ctx.Done()
+		return nil, ctx.Err()
+	}
+	a := l.answers[0]
+	l.answers = l.answers[1:]
+	if err, isFault := a.(error); isFault {
+		return nil, err
+	}
+	return a.(*protocol.EndpointList), nil
+}
+
+func testSettings() *dispatch.Settings {
+	return &dispatch.Settings{Nodes: 2, Tick: 5e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 3, AllowCancel: true,
+		AllowHedging: true, MaxRetryAfter: 2e9, IdleTimeout: 1e10, DrainGrace: 4e9, MaxPollInterval: 15e8, Classes: []*dispatch.Class{
+			{LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 3, LateShare: 0.3, MachineType: -1},
+			{Index: 1, LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1, Idempotency: dispatch.NonIdempotent}}}
+}
+
+func testEndpoint(id string, state dispatch.EndpointState) protocol.Endpoint {
+	return protocol.Endpoint{ID: id, Address: id + ":7", State: state}
+}
+
+func completeList(ids ...string) *protocol.EndpointList {
+	l := &protocol.EndpointList{Complete: true}
+	for _, id := range ids {
+		l.Endpoints = append(l.Endpoints, testEndpoint(id, dispatch.Up))
+	}
+	return l
+}
+
+func testRequest(id string, scheme int, budget time.Duration) *protocol.Request {
+	return &protocol.Request{ID: id, Class: scheme, Slots: 1, Timeout: budget}
+}
