--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -114,12 +114,12 @@
 		e := w.fleet[0].Server
 		w.fleet[0].StartedAt, w.d.models[0].slots = w.now+off*terms.StartTimeError, testSlots
 		w.list(false)
-		born, sent := w.now, []charge{}
+		born, sent := w.now, []timedAmount{}
 		for w.now < born+terms.SlowStart-terms.StartTimeError {
 			for range 8 {
 				for _, p := range w.arrive(0, 1, 1e8, 2e9).Attempts {
 					if p.Server == e {
-						sent = append(sent, charge{w.now, 1e8})
+						sent = append(sent, timedAmount{w.now, 1e8})
 					}
 				}
 			}
@@ -129,7 +129,7 @@
 			sum := 0.0
 			for _, c := range sent {
 				if w.now-c.at <= terms.OverloadWindow {
-					sum += c.work
+					sum += c.amount
 				}
 			}
 			if budget := terms.OverloadFactor * share * testSlots * float64(terms.OverloadWindow); sum > budget {
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -31,7 +31,7 @@
 				h.patient = int64(20 * mean)
 				h.pass(int64(max(30*mean, 3e9)), 2, 0.7*can/float64(nodes))
 				h.renew(0, 1)
-				h.sent = make([][]charge, len(h.since))
+				h.sent = make([][]timedAmount, len(h.since))
 				for range 4 {
 					h.pass(h.terms.SlowStart/8, 2, 2*can/float64(nodes))
 					for range max(nodes/10, 1) {
@@ -52,7 +52,7 @@
 						}
 						n := h.terms.OverloadFactor * h.able(i, first.at) * h.slots * h.speed[i] * float64(h.terms.OverloadWindow) / mean
 						worst, most = max(worst, sum/(n+2*math.Sqrt(n)+2)), max(most, sum/n)
-						used += first.work
+						used += first.amount
 					}
 				}
 				span, all := 4*h.terms.SlowStart/8, 0.0
@@ -86,7 +86,7 @@
 			w.settle()
 		}
 		before := len(w.sentAt)
-		w.coldWork = map[*Server][]charge{}
+		w.coldWork = map[*Server][]timedAmount{}
 		w.fleet[0].StartedAt = since
 		w.list(true)
 		for range 40 {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -65,26 +65,26 @@
 	lag                int64     // how long work of this process waits until it runs, ns
 	queue              []*Request
 	recent             map[family][]last
-	runs               []spread          // by scheme: running time over hint, or in seconds without one
-	large              float64           // what a large txn takes, in ns
-	works              spread            // size of txns, in seconds
-	models             map[int]*model    // by kind of machine
-	things             map[uint64]*thing // what txns are about
-	tenants, schemes   []ledger          // arrivals, and billing value
-	offs               []int64           // by which the latest txns were told less time than their schemes have
-	load, busy         float64           // held by all a unit of size, by the list; slots of all open postings
-	pumped             bool              // an alarm to look at the queue is out
-	cures              []ledger          // by scheme: txns that erred and went elsewhere; those served there
-	starts             map[bool]*ledger  // by whether at home: postings whose start was due; the prompt ones
+	runs               []histogram             // by scheme: running time over hint, or in seconds without one
+	large              float64                 // what a large txn takes, in ns
+	works              histogram               // size of txns, in seconds
+	models             map[int]*model          // by kind of machine
+	things             map[uint64]*thing       // what txns are about
+	tenants, schemes   []decayingRatio         // arrivals, and billing value
+	offs               []int64                 // by which the latest txns were told less time than their schemes have
+	load, busy         float64                 // held by all a unit of size, by the list; slots of all open postings
+	pumped             bool                    // an alarm to look at the queue is out
+	cures              []decayingRatio         // by scheme: txns that erred and went elsewhere; those served there
+	starts             map[bool]*decayingRatio // by whether at home: postings whose start was due; the prompt ones
 }
 
 func New(terms *Settings, seed uint64, door Actions, now int64) *Dispatcher {
 	d := &Dispatcher{terms: terms, door: door, born: now, now: now, by: now + terms.UnpolledEventAge,
 		chance: rand.New(rand.NewPCG(seed, 1)),
 		recent: map[family][]last{}, things: map[uint64]*thing{}, models: map[int]*model{},
-		starts: map[bool]*ledger{true: {}, false: {}}, cures: make([]ledger, len(terms.Classes)),
-		runs:    make([]spread, len(terms.Classes)),
-		tenants: make([]ledger, len(terms.Tenants)), schemes: make([]ledger, len(terms.Classes)),
+		starts: map[bool]*decayingRatio{true: {}, false: {}}, cures: make([]decayingRatio, len(terms.Classes)),
+		runs:    make([]histogram, len(terms.Classes)),
+		tenants: make([]decayingRatio, len(terms.Tenants)), schemes: make([]decayingRatio, len(terms.Classes)),
 		fleet:   serverSet{at: func(e *Server) *int { return &e.inFleet }},
 		kept:    serverSet{at: func(e *Server) *int { return &e.inKept }},
 		ramping: serverSet{at: func(e *Server) *int { return &e.inRamping }},
@@ -199,7 +199,7 @@
 	t.Deadline -= waited
 	t.Deadline, t.arrived, t.over = d.till(t), d.now-waited, len(d.terms.Tenants) > 0 && d.overShare(t)
 	// Danger: the first job that runs far longer than its hint would speak for all to come.
-	for r := &d.runs[t.Class.Index]; t.ExpectedWork > 0 && r.n < 3; {
+	for r := &d.runs[t.Class.Index]; t.ExpectedWork > 0 && r.count < 3; {
 		r.add(1)
 	}
 	work := cmp.Or(t.ExpectedWork, d.running(t, 0.5))
@@ -207,7 +207,7 @@
 	t.size = max(t.Slots, 1) * float64(work)
 	d.works.add(t.size / 1e9)
 	// Danger: of jobs of milliseconds many begin and end while a word of room is still taken for news.
-	d.large = d.works.at(highEnd, 0) * 1e9
+	d.large = d.works.quantile(highEnd, 0) * 1e9
 	d.fresh = min(askAgain, int64(d.large))
 	if t.value = t.Class.Weight; d.terms.WeightByWork {
 		t.value *= t.size
@@ -219,7 +219,7 @@
 			t.value = 0
 		}
 	}
-	d.schemes[t.Class.Index].fade(d.now).asked += t.value
+	d.schemes[t.Class.Index].decay(d.now).total += t.value
 	d.count(t)
 	d.SetDeadline(t, t.Deadline)
 	d.enqueue(t)
@@ -248,30 +248,30 @@
 	var others, shares float64
 	for i, tenant := range d.terms.Tenants {
 		if i != t.Tenant {
-			others, shares = others+d.tenants[i].fade(d.now).asked, shares+tenant.Quota
+			others, shares = others+d.tenants[i].decay(d.now).total, shares+tenant.Quota
 		}
 	}
-	own := d.tenants[t.Tenant].fade(d.now)
-	own.asked++
+	own := d.tenants[t.Tenant].decay(d.now)
+	own.total++
 	due := (others + 1) * d.terms.Tenants[t.Tenant].Quota / shares
-	return d.chance.Float64()*own.asked > overMark*due+2*math.Sqrt(due) // twice the spread of chance
+	return d.chance.Float64()*own.total > overMark*due+2*math.Sqrt(due) // twice the spread of chance
 }
 
 // favour is what a txn counts for over its value: more in the scheme served worst, by the terms.
 func (d *Dispatcher) favour(s *Class) float64 {
-	own, all := d.schemes[s.Index].fade(d.now), 0.0
+	own, all := d.schemes[s.Index].decay(d.now), 0.0
 	for i := range d.schemes {
-		l := d.schemes[i].fade(d.now)
-		if all += l.asked; l.earned*own.asked < own.earned*l.asked {
+		l := d.schemes[i].decay(d.now)
+		if all += l.total; l.hits*own.total < own.hits*l.total {
 			return 1
 		}
 	}
-	return 1 + d.terms.WorstClassWeight*all/max(own.asked, 1e-9)
+	return 1 + d.terms.WorstClassWeight*all/max(own.total, 1e-9)
 }
 
 // running is how long the txn is expected to run, at quantile q.
 func (d *Dispatcher) running(t *Request, q float64) int64 {
-	return max(int64(t.unit()*d.runs[t.Class.Index].at(q, float64(t.Class.LatencyObjective)/t.unit())), 1e6)
+	return max(int64(t.unit()*d.runs[t.Class.Index].quantile(q, float64(t.Class.LatencyObjective)/t.unit())), 1e6)
 }
 
 // place posts the txn or lets it wait at the node.
@@ -438,7 +438,7 @@
 // weight is the design's: mean score over the top score, times H; a cold executor counts by its age.
 func (d *Dispatcher) weight(t *Request, e *Server) float64 {
 	// Danger: one of many nodes meets most executors seldom or never; until then their kind's mean stands in.
-	score := (e.model.scores.earned + unscored) / (e.model.scores.asked + 1)
+	score := (e.model.scores.hits + unscored) / (e.model.scores.total + 1)
 	score = (float64(e.sum)/topScore + score*kindScores) / (float64(e.pooled) + kindScores)
 	if warmth := d.terms.warmth(e, d.now); warmth < 1 {
 		_, _, _, groups := d.part(e) // seldom in turn, it is taken as much likelier then
@@ -485,8 +485,8 @@
 
 // prompts is the share of postings that started promptly, at home or away; one while nothing is known.
 func (d *Dispatcher) prompts(home bool) float64 {
-	l := d.starts[home].fade(d.now)
-	return (l.earned + 1) / (l.asked + 1)
+	l := d.starts[home].decay(d.now)
+	return (l.hits + 1) / (l.total + 1)
 }
 
 // draw picks executors by chance and weight, idle and prompt ones before uncrowded ones before any with room,
@@ -699,7 +699,7 @@
 // adjust moves an executor's in-flight limit by how prompt a start was.
 func (d *Dispatcher) adjust(p *Attempt, busy float64, prompt bool) {
 	e := p.Server
-	if d.starts[e.zone == d.terms.Zone].fade(d.now).count(prompt); !prompt {
+	if d.starts[e.zone == d.terms.Zone].decay(d.now).record(prompt); !prompt {
 		d.halve(&e.gate, p.sent, busy)
 		d.lowered(e)
 		return
@@ -728,8 +728,8 @@
 
 // cured is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
 func (d *Dispatcher) cured(t *Request) float64 {
-	s, k := d.cures[t.Class.Index].fade(d.now), t.thing.cure.fade(d.now)
-	return (k.earned + (s.earned+1)/(s.asked+1)) / (k.asked + 1)
+	s, k := d.cures[t.Class.Index].decay(d.now), t.thing.cure.decay(d.now)
+	return (k.hits + (s.hits+1)/(s.total+1)) / (k.total + 1)
 }
 
 // jam moves a thing's limit in flight. Danger: what waits for a lock holds slots everywhere; others starve.
@@ -773,8 +773,8 @@
 		place = 3
 	}
 	score := places[place]
-	e.model.scores.fade(d.now).asked++
-	e.model.scores.earned += float64(score) / topScore
+	e.model.scores.decay(d.now).total++
+	e.model.scores.hits += float64(score) / topScore
 	e.pooled, e.sum = min(e.pooled+1, poolSize), e.sum+int(score)-int(e.pool[e.next])
 	e.pool[e.next], e.next = score, (e.next+1)%poolSize
 }
@@ -805,8 +805,8 @@
 		part, t.erred = cured, e
 	}
 	if again && (o == Succeeded || o == Failed) {
-		d.cures[t.Class.Index].fade(d.now).count(o == Succeeded)
-		t.thing.cure.fade(d.now).count(o == Succeeded)
+		d.cures[t.Class.Index].decay(d.now).record(o == Succeeded)
+		t.thing.cure.decay(d.now).record(o == Succeeded)
 	}
 	if (t.AffinityKey != 0 || len(d.terms.Tenants) > 1) && (o == Succeeded || o == Failed) {
 		far := float64(d.now-max(p.sent, p.started)) > overrun*float64(d.running(t, 0.5))
@@ -818,7 +818,7 @@
 	switch o {
 	case Succeeded:
 		if !t.Done && d.now <= t.aim {
-			d.schemes[t.Class.Index].earned += t.value
+			d.schemes[t.Class.Index].hits += t.value
 		}
 		if !p.blamed {
 			e.h, e.hAt, e.keptTill = min(d.health(e)+reward, 1), d.now, d.now+d.terms.IdleTimeout
@@ -951,7 +951,7 @@
 func (d *Dispatcher) onTime(t *Request, at int64) float64 {
 	room, runs := float64(t.arrived+t.Class.LatencyObjective-at), &d.runs[t.Class.Index]
 	if t.ExpectedWork > 0 {
-		return runs.below(room/float64(t.ExpectedWork) + t.Class.ObjectivePerWork)
+		return runs.shareBelow(room/float64(t.ExpectedWork) + t.Class.ObjectivePerWork)
 	}
-	return 1 - runs.below(-room/1e9/max(t.Class.ObjectivePerWork-1, 0.1))
+	return 1 - runs.shareBelow(-room/1e9/max(t.Class.ObjectivePerWork-1, 0.1))
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -267,16 +267,16 @@
 		t.Fatal("a copy went out while a txn waited")
 	}
 	w.d.queue = nil
-	*w.d.starts[true] = ledger{20, 0.5, w.now}
+	*w.d.starts[true] = decayingRatio{20, 0.5, w.now}
 	if w.d.copy(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though none of those left should find room")
 	}
 	w.terms.LoadReports = true
-	*w.d.starts[true] = ledger{10, 6, w.now}
+	*w.d.starts[true] = decayingRatio{10, 6, w.now}
 	if w.d.copy(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though four starts in ten were late, as other nodes' txns wait")
 	}
-	w.d.starts[true].earned = 10
+	w.d.starts[true].hits = 10
 	if w.d.copy(w.open[0]); len(w.open) != 2 {
 		t.Fatal("no copy though there is room")
 	}
@@ -420,7 +420,7 @@
 		terms.LoadReports, terms.OverQuotaWeight, terms.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 		w := newWorld(t, 1, terms)
 		w.join(40, false)
-		*w.d.starts[true] = ledger{400, prompt, w.now}
+		*w.d.starts[true] = decayingRatio{400, prompt, w.now}
 		for range 40 {
 			if w.arrive(0, 1, 1e8, 5e9).Done {
 				declined++
@@ -699,7 +699,7 @@
 	for seed := range uint64(100) {
 		w := newWorld(t, seed, terms)
 		w.join(4, false)
-		w.d.starts[true].asked, w.d.starts[true].at = 9, w.now
+		w.d.starts[true].total, w.d.starts[true].decayedAt = 9, w.now
 		tx := w.arrive(0, 1, 1e8, 9e9)
 		if w.d.CapacityReported(w.probes[0], true, 9, 9); len(tx.Attempts) > 0 {
 			taken++
@@ -931,7 +931,7 @@
 		}
 		w.d.counted = 100
 		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, thing: &thing{n: 1}}
-		*w.d.starts[true] = ledger{9, prompt, w.now}
+		*w.d.starts[true] = decayingRatio{9, prompt, w.now}
 		if homes := w.d.homes(tx, true); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
 		}
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -19,7 +19,7 @@
 	nodes   []*herdNode
 	since   []int64 // of each executor
 	off     []int64 // by which it is stamped
-	sent    [][]charge
+	sent    [][]timedAmount
 	slots   float64
 	hasty   bool // every posting is turned away at once, so that all that the nodes hold goes out again
 	settle  int64
@@ -62,7 +62,7 @@
 	if n.work != nil {
 		work = float64(n.works[p.Request])
 	}
-	n.sent[i] = append(n.sent[i], charge{n.now, work})
+	n.sent[i] = append(n.sent[i], timedAmount{n.now, work})
 	n.open, n.at[p] = append(n.open, p), n.now
 	n.tell(invariants.Event{Kind: invariants.AttemptSent, Request: p.Request.Tag, Attempt: p.Number, Server: strconv.Itoa(i), Work: work / 1e9})
 }
@@ -103,7 +103,7 @@
 	h := &herd{Rand: rand.New(rand.NewPCG(seed, 2)), now: 1e12, slots: testSlots, settle: 1e8}
 	h.terms = basicTerms()
 	h.terms.Nodes, h.terms.Classes, h.terms.Tick = nodes, h.terms.Classes[:1], 2e7
-	h.since, h.off, h.sent = make([]int64, executors), make([]int64, executors), make([][]charge, executors)
+	h.since, h.off, h.sent = make([]int64, executors), make([]int64, executors), make([][]timedAmount, executors)
 	places := map[string]invariants.ServerPlace{}
 	for i := range executors {
 		places[strconv.Itoa(i)] = invariants.ServerPlace{Slots: h.slots}
@@ -205,7 +205,7 @@
 			sum, last := 0.0, first
 			for _, c := range sends[from:] {
 				if c.at-first.at <= h.terms.OverloadWindow {
-					sum, last = sum+c.work, c
+					sum, last = sum+c.amount, c
 				}
 			}
 			age := max(first.at-h.since[i], 0) // capacity at the window's start: the least in it
@@ -261,7 +261,7 @@
 	work := 0.0
 	for _, sends := range h.sent {
 		for _, c := range sends {
-			work += c.work
+			work += c.amount
 		}
 	}
 	// what they can do meanwhile, if they warm as late as the terms allow
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -28,7 +28,7 @@
 	probes   []*Server // without an answer
 	fleet    []*Endpoint
 	stopped  map[*Server]bool // told that it drains or is gone
-	coldWork map[*Server][]charge
+	coldWork map[*Server][]timedAmount
 }
 
 type alarm struct {
@@ -54,7 +54,7 @@
 func newWorld(t *testing.T, seed uint64, terms *Settings) *world {
 	w := &world{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), terms: terms, now: 1e12, ended: map[*Request]int{},
 		mayRun: map[*Attempt]bool{}, sentAt: map[*Attempt]int64{}, stopped: map[*Server]bool{},
-		coldWork: map[*Server][]charge{}}
+		coldWork: map[*Server][]timedAmount{}}
 	w.d = New(terms, seed, w, w.now)
 	return w
 }
@@ -123,11 +123,11 @@
 	e := p.Server
 	i := slices.IndexFunc(w.fleet, func(m *Endpoint) bool { return m.Server == e })
 	if age := w.now - w.fleet[i].StartedAt; w.fleet[i].StartedAt > 0 && age < w.terms.SlowStart && w.terms.StartTimeError == 0 {
-		w.coldWork[e] = append(w.coldWork[e], charge{w.now, float64(p.Request.ExpectedWork) * p.Request.Slots})
+		w.coldWork[e] = append(w.coldWork[e], timedAmount{w.now, float64(p.Request.ExpectedWork) * p.Request.Slots})
 		sum, share := 0.0, w.terms.SlowStartShare+(1-w.terms.SlowStartShare)*float64(age)/float64(w.terms.SlowStart)
 		for _, c := range w.coldWork[e] {
 			if w.now-c.at <= w.terms.OverloadWindow {
-				sum += c.work
+				sum += c.amount
 			}
 		}
 		if sum > w.terms.OverloadFactor*share*testSlots*float64(w.terms.OverloadWindow) {
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -304,9 +304,9 @@
 	hAt         int64
 	keptTill    int64 // until then a connection should be open and unused
 
-	askers       []*Request // that wait for the answer to a probe
-	toldAt       int64      // of room
-	claims       charges    // slots taken since, by this node or others
+	askers       []*Request    // that wait for the answer to a probe
+	toldAt       int64         // of room
+	claims       recentAmounts // slots taken since, by this node or others
 	free, memory float64
 
 	size float64 // the most that the list told of it
@@ -316,49 +316,49 @@
 	atWork float64 // of these, slots of started ones
 	late   float64 // starts in a row that came late
 	room   float64 // what it was before refusals cut it, until a start is late
-	sends  charges
+	sends  recentAmounts
 }
 
-type charge struct {
-	at   int64
-	work float64
+type timedAmount struct {
+	at     int64
+	amount float64
 }
 
-// charges are in order of time.
-type charges []charge
+// recentAmounts are in order of time.
+type recentAmounts []timedAmount
 
 // add notes one more, and forgets those over a span old.
-func (c charges) add(at int64, work float64, span int64) charges {
-	return append(slices.DeleteFunc(c, func(o charge) bool { return at-o.at > span }), charge{at, work})
+func (c recentAmounts) add(at int64, work float64, span int64) recentAmounts {
+	return append(slices.DeleteFunc(c, func(o timedAmount) bool { return at-o.at > span }), timedAmount{at, work})
 }
 
 // sum adds those from a time on to what there is.
-func (c charges) sum(all float64, since int64) float64 {
+func (c recentAmounts) sum(all float64, since int64) float64 {
 	for _, o := range c {
 		if o.at >= since {
-			all += o.work
+			all += o.amount
 		}
 	}
 	return all
 }
 
-// ledger is what was asked for and what of it was earned, fading.
-type ledger struct {
-	asked, earned float64
-	at            int64
+// decayingRatio is what was asked for and what of it was earned, fading.
+type decayingRatio struct {
+	total, hits float64
+	decayedAt   int64
 }
 
-// fade lets what is old count less and less.
-func (l *ledger) fade(now int64) *ledger {
-	f := math.Exp(-float64(now-l.at) / recovery)
-	l.asked, l.earned, l.at = l.asked*f, l.earned*f, now
+// decay lets what is old count less and less.
+func (l *decayingRatio) decay(now int64) *decayingRatio {
+	f := math.Exp(-float64(now-l.decayedAt) / recovery)
+	l.total, l.hits, l.decayedAt = l.total*f, l.hits*f, now
 	return l
 }
 
-// count adds one that was asked for.
-func (l *ledger) count(earned bool) {
-	if l.asked++; earned {
-		l.earned++
+// record adds one that was asked for.
+func (l *decayingRatio) record(earned bool) {
+	if l.total++; earned {
+		l.hits++
 	}
 }
 
@@ -386,9 +386,9 @@
 // thing is what some txns are about.
 type thing struct {
 	gate
-	n    int     // of the txns counted
-	cure ledger  // its txns that erred and went elsewhere, and those of them served there
-	bad  *Server // where the last one ended badly, with none that ended well since
+	n    int           // of the txns counted
+	cure decayingRatio // its txns that erred and went elsewhere, and those of them served there
+	bad  *Server       // where the last one ended badly, with none that ended well since
 }
 
 // count adds a txn to those about one thing; without a key that is its tenant.
@@ -414,24 +414,24 @@
 
 // model is what is known of one kind of machine.
 type model struct {
-	scores ledger  // over the top score
-	ran    ledger  // how long jobs ran there when warm, over what is expected of all kinds in the middle
-	slots  float64 // the most seen at work in one executor, or told to be free
-	bound  bool    // some scheme can't do without it
+	scores decayingRatio // over the top score
+	ran    decayingRatio // how long jobs ran there when warm, over what is expected of all kinds in the middle
+	slots  float64       // the most seen at work in one executor, or told to be free
+	bound  bool          // some scheme can't do without it
 }
 
 // pace is the mean of what jobs take on a kind of machine, by what is expected of all kinds in the middle. Danger: where some
 // kinds are slow, or few jobs run far longer than most, what a cold one bears is taken for twice as much.
 func (m *model) pace(now int64) float64 {
-	l := m.ran.fade(now)
-	return (l.earned + kindScores) / (l.asked + kindScores)
+	l := m.ran.decay(now)
+	return (l.hits + kindScores) / (l.total + kindScores)
 }
 
 // ran notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
 func (d *Dispatcher) ran(p *Attempt, ran int64) {
 	if t, e := p.Request, p.Server; ran > 0 {
-		l := e.model.ran.fade(d.now)
-		l.asked, l.earned = l.asked+1, l.earned+float64(ran)*d.terms.warmth(e, p.sent)/float64(d.running(t, 0.5))
+		l := e.model.ran.decay(d.now)
+		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.terms.warmth(e, p.sent)/float64(d.running(t, 0.5))
 		d.runs[t.Class.Index].add(float64(ran) / t.unit())
 	}
 }
