--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -24,18 +24,18 @@
 // serverSet is a set of servers that is added to in any order, and from which some are drawn at random.
 type serverSet struct {
 	servers []*Server
-	at      func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
+	index   func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
 }
 
 func (s *serverSet) add(e *Server) {
-	if at := s.at(e); *at == 0 {
+	if at := s.index(e); *at == 0 {
 		s.servers = append(s.servers, e)
 		*at = len(s.servers)
 	}
 }
 
 func (s *serverSet) remove(e *Server) {
-	at := s.at(e)
+	at := s.index(e)
 	if *at == 0 {
 		return
 	}
@@ -48,7 +48,7 @@
 func (s *serverSet) swap(i, j int) {
 	a, b := s.servers[i], s.servers[j]
 	s.servers[i], s.servers[j] = b, a
-	*s.at(a), *s.at(b) = j+1, i+1
+	*s.index(a), *s.index(b) = j+1, i+1
 }
 
 // sample calls use with count servers of the set, drawn evenly, of which some may be the same; with each once if there are no more.
@@ -71,20 +71,20 @@
 	}
 }
 
-// search is one draw under way.
-type search struct {
-	t      *Request
-	count  int
-	run    int64
-	mean   float64 // load per server
-	roam   bool    // zones are alike
-	well   bool    // one that is not sick may be sent to
-	any    bool    // one may be sent to
-	number int     // of the draw
+// candidateSearch is one draw under way.
+type candidateSearch struct {
+	request      *Request
+	count        int
+	runtime      int64
+	meanInFlight float64 // load per server
+	anyZone      bool    // zones are alike
+	foundHealthy bool    // one that is not sick may be sent to
+	foundAllowed bool    // one may be sent to
+	draw         int     // of the draw
 }
 
 // look considers the candidates of a draw.
-func (d *Dispatcher) look(s *search) {
+func (d *Dispatcher) look(s *candidateSearch) {
 	if len(d.fleet.servers) <= sampleMost {
 		for _, e := range d.fleet.servers {
 			d.consider(s, e)
@@ -95,7 +95,7 @@
 		if !e.known || d.now >= e.keptTill {
 			return false
 		}
-		if e.busy == 0 {
+		if e.slotsInFlight == 0 {
 			d.consider(s, e)
 		}
 		return true
@@ -109,7 +109,7 @@
 		d.sample(&d.fleet, sampleFew, use)
 	}
 	for _, e := range d.fleet.servers {
-		if s.any {
+		if s.foundAllowed {
 			break
 		}
 		d.consider(s, e)
@@ -118,17 +118,17 @@
 
 // enough says whether a draw needs to look at no more: all that it found are idle ones with a connection, or, once others were looked
 // at, uncrowded ones.
-func (d *Dispatcher) enough(s *search, kept bool) bool {
+func (d *Dispatcher) enough(s *candidateSearch, kept bool) bool {
 	steps := 2.0
 	if kept {
 		steps = 1
 	}
 	found := len(d.drawn)
-	return s.well && found == s.count && d.drawn[found-1].wait < steps*firstStep
+	return s.foundHealthy && found == s.count && d.drawn[found-1].wait < steps*firstStep
 }
 
 // lookRamping considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
-func (d *Dispatcher) lookRamping(s *search) {
+func (d *Dispatcher) lookRamping(s *candidateSearch) {
 	for i := 0; i < len(d.ramping.servers); {
 		if e := d.ramping.servers[i]; e.known && d.terms.warmth(e, d.now) < 1 {
 			i++
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -112,7 +112,7 @@
 		w.join(2, false)
 		w.pass(2 * terms.OverloadWindow)
 		e := w.fleet[0].Server
-		w.fleet[0].StartedAt, w.d.models[0].slots = w.now+off*terms.StartTimeError, testSlots
+		w.fleet[0].StartedAt, w.d.models[0].maxSlots = w.now+off*terms.StartTimeError, testSlots
 		w.list(false)
 		born, sent := w.now, []timedAmount{}
 		for w.now < born+terms.SlowStart-terms.StartTimeError {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -64,31 +64,31 @@
 	draws              int       // so far
 	lag                int64     // how long work of this process waits until it runs, ns
 	queue              []*Request
-	recent             map[family][]last
-	runs               []histogram             // by scheme: running time over hint, or in seconds without one
-	large              float64                 // what a large txn takes, in ns
-	works              histogram               // size of txns, in seconds
-	models             map[int]*model          // by kind of machine
-	things             map[uint64]*thing       // what txns are about
-	tenants, schemes   []decayingRatio         // arrivals, and billing value
-	offs               []int64                 // by which the latest txns were told less time than their schemes have
-	load, busy         float64                 // held by all a unit of size, by the list; slots of all open postings
-	pumped             bool                    // an alarm to look at the queue is out
-	cures              []decayingRatio         // by scheme: txns that erred and went elsewhere; those served there
-	starts             map[bool]*decayingRatio // by whether at home: postings whose start was due; the prompt ones
+	recent             map[rankGroup][]recentResult
+	runs               []histogram               // by scheme: running time over hint, or in seconds without one
+	large              float64                   // what a large txn takes, in ns
+	works              histogram                 // size of txns, in seconds
+	models             map[int]*machineTypeStats // by kind of machine
+	things             map[uint64]*keyState      // what txns are about
+	tenants, schemes   []decayingRatio           // arrivals, and billing value
+	offs               []int64                   // by which the latest txns were told less time than their schemes have
+	load, busy         float64                   // held by all a unit of size, by the list; slots of all open postings
+	pumped             bool                      // an alarm to look at the queue is out
+	cures              []decayingRatio           // by scheme: txns that erred and went elsewhere; those served there
+	starts             map[bool]*decayingRatio   // by whether at home: postings whose start was due; the prompt ones
 }
 
 func New(terms *Settings, seed uint64, door Actions, now int64) *Dispatcher {
 	d := &Dispatcher{terms: terms, door: door, born: now, now: now, by: now + terms.UnpolledEventAge,
 		chance: rand.New(rand.NewPCG(seed, 1)),
-		recent: map[family][]last{}, things: map[uint64]*thing{}, models: map[int]*model{},
+		recent: map[rankGroup][]recentResult{}, things: map[uint64]*keyState{}, models: map[int]*machineTypeStats{},
 		starts: map[bool]*decayingRatio{true: {}, false: {}}, cures: make([]decayingRatio, len(terms.Classes)),
 		runs:    make([]histogram, len(terms.Classes)),
 		tenants: make([]decayingRatio, len(terms.Tenants)), schemes: make([]decayingRatio, len(terms.Classes)),
-		fleet:   serverSet{at: func(e *Server) *int { return &e.inFleet }},
-		kept:    serverSet{at: func(e *Server) *int { return &e.inKept }},
-		ramping: serverSet{at: func(e *Server) *int { return &e.inRamping }},
-		low:     serverSet{at: func(e *Server) *int { return &e.inLow }}}
+		fleet:   serverSet{index: func(e *Server) *int { return &e.inFleet }},
+		kept:    serverSet{index: func(e *Server) *int { return &e.inKept }},
+		ramping: serverSet{index: func(e *Server) *int { return &e.inRamping }},
+		low:     serverSet{index: func(e *Server) *int { return &e.inLow }}}
 	if terms.PollForChanges {
 		d.PollEndpoints()
 	}
@@ -111,7 +111,7 @@
 		}
 		d.fleet.add(e)
 		if d.models[m.MachineType] == nil {
-			d.models[m.MachineType] = &model{bound: d.terms.need(m.MachineType)}
+			d.models[m.MachineType] = &machineTypeStats{required: d.terms.need(m.MachineType)}
 		}
 		// Danger: of many nodes each sees next to nothing of load; the draw alone fills the small and the slow.
 		if e.left = 1; d.terms.LiveCapacity {
@@ -396,7 +396,7 @@
 // bears is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
 // It bears N jobs, two root N + 2 for chance; what is sent has that chance too, so that N / doubt follows.
 func (d *Dispatcher) bears(e *Server, at int64, parts float64) float64 {
-	work := d.terms.OverloadFactor * float64(d.terms.OverloadWindow) * max(e.model.slots, 1) / e.model.pace(d.now)
+	work := d.terms.OverloadFactor * float64(d.terms.OverloadWindow) * max(e.model.maxSlots, 1) / e.model.meanRuntimeRatio(d.now)
 	return work * (d.terms.warmth(e, at) / doubt / parts)
 }
 
@@ -445,24 +445,24 @@
 		score *= warmth * d.terms.oftener(e, groups)
 	}
 	// Danger: the rest crowd out a scheme that one kind alone can run.
-	if t.Class.MachineType < 0 && e.model.bound {
+	if t.Class.MachineType < 0 && e.model.required {
 		score *= leave
 	}
 	return max(score, 0.01) * d.standing(e) * e.left
 }
 
-// shut says whether so many slots more are over what an executor or a thing is thought to bear.
-func (g *gate) shut(slots float64, now, run int64) bool {
+// exceeded says whether so many slots more are over what an executor or a thing is thought to bear.
+func (g *concurrencyLimit) exceeded(slots float64, now, run int64) bool {
 	// Danger: one posting from each of many nodes fills a small machine. A limit under one is a pause.
-	return g.busy > 0 && g.busy+slots > g.limit ||
-		g.busy == 0 && float64(now-g.idleAt) < (1/min(g.limit, 1)-1)*float64(run)
+	return g.slotsInFlight > 0 && g.slotsInFlight+slots > g.limit ||
+		g.slotsInFlight == 0 && float64(now-g.lastEndedAt) < (1/min(g.limit, 1)-1)*float64(run)
 }
 
 // halve cuts a limit for a posting that found too much there; one slot stays for all nodes.
 // Danger: one pause makes all that is there late; cut for each, hardly a limit would be left.
-func (d *Dispatcher) halve(g *gate, sent int64, busy float64) {
-	if sent >= g.cutAt {
-		g.limit, g.cutAt = max(cut*min(g.limit, busy), 1/float64(max(d.terms.Nodes, 1))), d.now
+func (d *Dispatcher) halve(g *concurrencyLimit, sent int64, busy float64) {
+	if sent >= g.reducedAt {
+		g.limit, g.reducedAt = max(cut*min(g.limit, busy), 1/float64(max(d.terms.Nodes, 1))), d.now
 	}
 }
 
@@ -494,50 +494,50 @@
 func (d *Dispatcher) draw(t *Request, count int) []*Server {
 	mean := d.busy / float64(len(d.fleet.servers))
 	d.draws++
-	s := &search{t: t, count: count, run: d.running(t, 0.5), mean: mean, number: d.draws}
-	if d.drawn = d.drawn[:0]; t.thing.shut(t.Slots, d.now, s.run) {
+	s := &candidateSearch{request: t, count: count, runtime: d.running(t, 0.5), meanInFlight: mean, draw: d.draws}
+	if d.drawn = d.drawn[:0]; t.thing.exceeded(t.Slots, d.now, s.runtime) {
 		return nil
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
-	s.roam = d.terms.CrossZoneCost < dear || d.chance.Float64()*d.prompts(false) > d.prompts(true)
+	s.anyZone = d.terms.CrossZoneCost < dear || d.chance.Float64()*d.prompts(false) > d.prompts(true)
 	if t.AffinityKey == 0 {
 		d.look(s)
 		return d.drawn[:min(count, len(d.drawn))]
 	}
 	// Danger: what has homes in each zone is fetched as many times more, and others' make room.
-	s.roam = s.roam || d.terms.CrossZoneCost < d.terms.FetchCost
-	for _, e := range d.homes(t, s.roam) {
+	s.anyZone = s.anyZone || d.terms.CrossZoneCost < d.terms.FetchCost
+	for _, e := range d.homes(t, s.anyZone) {
 		d.consider(s, e)
 	}
 	return d.drawn[:min(count, len(d.drawn))]
 }
 
 // consider draws a wait for a server, if it may be sent to, and keeps it if that is among the least; each server once a draw.
-func (d *Dispatcher) consider(s *search, e *Server) {
-	if e.draw == s.number {
+func (d *Dispatcher) consider(s *candidateSearch, e *Server) {
+	if e.draw == s.draw {
 		return
 	}
-	e.draw = s.number
-	t, sick := s.t, d.sick(e)
-	if sick && s.well || !d.allowed(t, e) {
+	e.draw = s.draw
+	t, sick := s.request, d.sick(e)
+	if sick && s.foundHealthy || !d.allowed(t, e) {
 		return
 	}
-	s.any = true
+	s.foundAllowed = true
 	// The sick count only if none else remains, with or without room.
-	if !sick && !s.well {
-		s.well, d.drawn = true, d.drawn[:0]
+	if !sick && !s.foundHealthy {
+		s.foundHealthy, d.drawn = true, d.drawn[:0]
 	}
-	if e.shut(t.Slots, d.now, s.run) || d.full(t, e) {
+	if e.exceeded(t.Slots, d.now, s.runtime) || d.full(t, e) {
 		return
 	}
 	// One that was prompt and has a connection open still is likelier to have room, without a handshake.
 	step := 1.0
-	if e.busy == 0 && e.limit >= 1 && (d.now < e.keptTill || d.terms.warmth(e, d.now) < 1) {
+	if e.slotsInFlight == 0 && e.limit >= 1 && (d.now < e.keptTill || d.terms.warmth(e, d.now) < 1) {
 		step = 0
-	} else if e.busy >= margin+s.mean {
+	} else if e.slotsInFlight >= margin+s.meanInFlight {
 		step = 2
 	}
-	if !s.roam && e.zone != d.terms.Zone {
+	if !s.anyZone && e.zone != d.terms.Zone {
 		step += 3
 	}
 	// Danger: of many nodes each holds connections to all. What is beyond this one's part comes after the rest.
@@ -551,13 +551,13 @@
 // homes are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
 // Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
 func (d *Dispatcher) homes(t *Request, roam bool) []*Server {
-	count := 1 + int(d.prompts(true)+spare) + (len(d.fleet.servers)*max(t.thing.n-1, 0)+d.counted/2)/d.counted
+	count := 1 + int(d.prompts(true)+spare) + (len(d.fleet.servers)*max(t.thing.requests-1, 0)+d.counted/2)/d.counted
 	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
 	few := count
 	d.near, count = d.near[:0], count+1
 	for _, e := range d.fleet.servers {
 		luck := float64(rand.NewPCG(t.AffinityKey, e.Hash).Uint64()>>11+1) / (1 << 53)
-		if e.wait = -math.Log(luck) / e.size; t.Class.MachineType < 0 && e.model.bound {
+		if e.wait = -math.Log(luck) / e.size; t.Class.MachineType < 0 && e.model.required {
 			e.wait /= leave
 		}
 		// Danger: a few nodes at a time may send to a cold one; by key none of them ever would.
@@ -594,7 +594,7 @@
 func (d *Dispatcher) post(t *Request, e *Server) {
 	p := &Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true, sent: d.now}
 	t.Attempts = append(t.Attempts, p)
-	e.busy, d.busy, t.thing.busy, t.live = e.busy+t.Slots, d.busy+t.Slots, t.thing.busy+t.Slots, t.live+1
+	e.slotsInFlight, d.busy, t.thing.slotsInFlight, t.live = e.slotsInFlight+t.Slots, d.busy+t.Slots, t.thing.slotsInFlight+t.Slots, t.live+1
 	// Danger: a node that hears of a start late, and has sent to it as to a warm one since.
 	if e.sends = e.sends.add(d.now, t.size, d.terms.OverloadWindow); d.terms.warmth(e, d.now) < 1 {
 		p.SlowStartShare = t.size / d.bears(e, d.now-d.terms.OverloadWindow, 1)
@@ -633,8 +633,8 @@
 	d.judge(p, d.tolerated(p), func() {
 		if e := p.Server; p.started == 0 {
 			// Danger: many slots stand half empty, or one that slowed is judged by its best. Late in a row, ever less.
-			least := min(e.limit, e.model.slots/float64(max(d.terms.Nodes, 1))*math.Exp2(-e.late))
-			d.adjust(p, e.busy, false)
+			least := min(e.limit, e.model.maxSlots/float64(max(d.terms.Nodes, 1))*math.Exp2(-e.late))
+			d.adjust(p, e.slotsInFlight, false)
 			e.room, e.limit, e.late = 0, max(e.limit, least), e.late+1
 			d.lowered(e)
 			d.awaitStart(p)
@@ -700,7 +700,7 @@
 func (d *Dispatcher) adjust(p *Attempt, busy float64, prompt bool) {
 	e := p.Server
 	if d.starts[e.zone == d.terms.Zone].decay(d.now).record(prompt); !prompt {
-		d.halve(&e.gate, p.sent, busy)
+		d.halve(&e.concurrencyLimit, p.sent, busy)
 		d.lowered(e)
 		return
 	}
@@ -728,20 +728,20 @@
 
 // cured is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
 func (d *Dispatcher) cured(t *Request) float64 {
-	s, k := d.cures[t.Class.Index].decay(d.now), t.thing.cure.decay(d.now)
+	s, k := d.cures[t.Class.Index].decay(d.now), t.thing.retrySuccess.decay(d.now)
 	return (k.hits + (s.hits+1)/(s.total+1)) / (k.total + 1)
 }
 
 // jam moves a thing's limit in flight. Danger: what waits for a lock holds slots everywhere; others starve.
-func (d *Dispatcher) jam(h *thing, p *Attempt, bad bool) {
+func (d *Dispatcher) jam(h *keyState, p *Attempt, bad bool) {
 	if !bad {
-		if h.bad = nil; h.busy+p.Request.Slots+1 >= h.limit {
+		if h.failedServer = nil; h.slotsInFlight+p.Request.Slots+1 >= h.limit {
 			h.limit += growth * min(h.limit, 1)
 		}
-	} else if h.bad == nil || h.bad == p.Server {
-		h.bad = p.Server
+	} else if h.failedServer == nil || h.failedServer == p.Server {
+		h.failedServer = p.Server
 	} else { // two executors agree, so it is not theirs
-		d.halve(&h.gate, p.sent, h.busy+p.Request.Slots)
+		d.halve(&h.concurrencyLimit, p.sent, h.slotsInFlight+p.Request.Slots)
 	}
 }
 
@@ -755,14 +755,14 @@
 
 // rank scores a job against the last two of its family at other executors.
 func (d *Dispatcher) rank(p *Attempt, time float64, lost bool) {
-	e, key := p.Server, family{p.Request.Class, p.Request.Slots}
-	marks := slices.DeleteFunc(d.recent[key], func(m last) bool { return m.at == e })
-	d.recent[key] = append(marks[max(len(marks)-2, 0):], last{e, time, lost})
+	e, key := p.Server, rankGroup{p.Request.Class, p.Request.Slots}
+	marks := slices.DeleteFunc(d.recent[key], func(m recentResult) bool { return m.server == e })
+	d.recent[key] = append(marks[max(len(marks)-2, 0):], recentResult{e, time, lost})
 	place, lostToo := 0, 0
 	for _, m := range marks[max(len(marks)-2, 0):] {
 		if m.lost {
 			lostToo++
-		} else if m.time < time {
+		} else if m.duration < time {
 			place++
 		}
 	}
@@ -782,11 +782,11 @@
 // AttemptEnded takes the outcome of a posting; over says that the txn has ended by it or earlier.
 func (d *Dispatcher) AttemptEnded(p *Attempt, o Outcome, took int64, over bool) {
 	t, e := p.Request, p.Server
-	if p.InFlight, e.idleAt = false, d.now; p.started > 0 {
+	if p.InFlight, e.lastEndedAt = false, d.now; p.started > 0 {
 		e.atWork -= t.Slots
 	}
 	free := func() {
-		e.busy, d.busy, t.thing.busy, t.thing.idleAt = e.busy-t.Slots, d.busy-t.Slots, t.thing.busy-t.Slots, d.now
+		e.slotsInFlight, d.busy, t.thing.slotsInFlight, t.thing.lastEndedAt = e.slotsInFlight-t.Slots, d.busy-t.Slots, t.thing.slotsInFlight-t.Slots, d.now
 	}
 	// Danger: what was taken back may run all the same; with its place taken for free a jam outlives its cause.
 	if o == Canceled {
@@ -798,7 +798,7 @@
 		t.live--
 	}
 	// Danger: of many nodes none has more than one or two txns at an executor, and takes it for that small.
-	e.model.slots = max(e.model.slots, p.FreeSlots)
+	e.model.maxSlots = max(e.model.maxSlots, p.FreeSlots)
 	// Danger: a txn that errs wherever it goes, or what is behind all executors, takes the healthy ones out.
 	part, again, cured := 1.0, t.erred != nil && t.erred != e, d.cured(t)
 	if o == Failed {
@@ -806,7 +806,7 @@
 	}
 	if again && (o == Succeeded || o == Failed) {
 		d.cures[t.Class.Index].decay(d.now).record(o == Succeeded)
-		t.thing.cure.decay(d.now).record(o == Succeeded)
+		t.thing.retrySuccess.decay(d.now).record(o == Succeeded)
 	}
 	if (t.AffinityKey != 0 || len(d.terms.Tenants) > 1) && (o == Succeeded || o == Failed) {
 		far := float64(d.now-max(p.sent, p.started)) > overrun*float64(d.running(t, 0.5))
@@ -835,7 +835,7 @@
 	case Rejected:
 		// Danger: an executor that turns all away at once looks idle and draws everything; its limit falls as well.
 		e.room = max(e.room, e.limit)
-		d.adjust(p, e.busy+t.Slots, false)
+		d.adjust(p, e.slotsInFlight+t.Slots, false)
 	}
 	if over {
 		d.Finish(t)
@@ -890,9 +890,9 @@
 	t, e := p.Request, p.Server
 	p.started, d.prompt = d.now, min(cmp.Or(d.prompt, d.now-p.sent), d.now-p.sent)
 	e.atWork += t.Slots
-	e.model.slots = max(e.model.slots, e.atWork)
+	e.model.maxSlots = max(e.model.maxSlots, e.atWork)
 	if d.now-p.sent <= d.tolerated(p) {
-		d.adjust(p, e.busy, true)
+		d.adjust(p, e.slotsInFlight, true)
 	}
 	// Tied copies: the first to start is kept, the others are still waiting and cost nothing to take back.
 	for _, q := range t.Attempts {
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -33,8 +33,8 @@
 		}
 		w.pass(6e9) // what was taken back may run for a while
 		for _, m := range w.fleet {
-			if e := m.Server; e.busy != 0 || e.atWork != 0 {
-				t.Fatalf("executor keeps %v slots, %v at work", e.busy, e.atWork)
+			if e := m.Server; e.slotsInFlight != 0 || e.atWork != 0 {
+				t.Fatalf("executor keeps %v slots, %v at work", e.slotsInFlight, e.atWork)
 			}
 		}
 	})
@@ -51,15 +51,15 @@
 		w.d.Finish(w.txns[0])
 		w.ended[w.txns[0]] = 1
 		w.end(w.open[0], o)
-		if kept := e.busy == 1; kept != (o == Canceled) {
-			t.Errorf("%v: %v slots are taken", o, e.busy)
+		if kept := e.slotsInFlight == 1; kept != (o == Canceled) {
+			t.Errorf("%v: %v slots are taken", o, e.slotsInFlight)
 		}
 		w.pass(19e7)
-		if kept := e.busy == 1; kept != (o == Canceled) {
-			t.Errorf("%v: %v slots are taken just before it would have run", o, e.busy)
+		if kept := e.slotsInFlight == 1; kept != (o == Canceled) {
+			t.Errorf("%v: %v slots are taken just before it would have run", o, e.slotsInFlight)
 		}
-		if w.pass(2e8); e.busy != 0 {
-			t.Errorf("%v: %v slots are taken for good", o, e.busy)
+		if w.pass(2e8); e.slotsInFlight != 0 {
+			t.Errorf("%v: %v slots are taken for good", o, e.slotsInFlight)
 		}
 	}
 }
@@ -229,7 +229,7 @@
 		w.terms.Nodes = 20
 		w.join(1, false)
 		e := w.fleet[0].Server
-		e.model.slots = slots
+		e.model.maxSlots = slots
 		limit := func(late int64) float64 {
 			w.arrive(0, 1, 1e8, 5e9)
 			w.pass(late)
@@ -902,7 +902,7 @@
 	w := newWorld(t, 6, basicTerms())
 	w.join(2, false)
 	for _, m := range w.fleet {
-		m.Server.limit, m.Server.busy = 1, 1
+		m.Server.limit, m.Server.slotsInFlight = 1, 1
 	}
 	tx := w.arrive(0, 1, 2e9, 2e10)
 	for range 100 {
@@ -913,7 +913,7 @@
 		t.Errorf("looked for room %d times in 100 rounds", tx.looks)
 	}
 	for _, m := range w.fleet {
-		m.Server.busy = 0
+		m.Server.slotsInFlight = 0
 	}
 	if w.pass(32 * w.terms.Tick); len(tx.Attempts) != 1 {
 		t.Error("room is not found")
@@ -930,13 +930,13 @@
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
 		w.d.counted = 100
-		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, thing: &thing{n: 1}}
+		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, thing: &keyState{requests: 1}}
 		*w.d.starts[true] = decayingRatio{9, prompt, w.now}
 		if homes := w.d.homes(tx, true); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
 		}
 		// Danger: a txn that waits while the counts are halved away; it has a home all the same.
-		tx.thing.n, w.d.counted = 0, 5
+		tx.thing.requests, w.d.counted = 0, 5
 		if homes := w.d.homes(tx, true); len(homes) != want {
 			t.Errorf("no count left: %d homes", len(homes))
 		}
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -153,7 +153,7 @@
 	}
 	for _, n := range h.nodes {
 		n.list()
-		n.d.models[0].slots = h.slots - float64(h.IntN(unlike)) // nodes have seen more or less of it
+		n.d.models[0].maxSlots = h.slots - float64(h.IntN(unlike)) // nodes have seen more or less of it
 	}
 }
 
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -38,7 +38,7 @@
 
 const testSlots = 4
 
-var open = &thing{gate: gate{limit: math.Inf(1)}} // what txns are about that never were taken
+var open = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}} // what txns are about that never were taken
 
 func basicTerms() *Settings {
 	return &Settings{Nodes: 2, Tick: 4e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 4, AllowCancel: true,
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -212,16 +212,16 @@
 	Reason       Reason // why it was refused or failed, once it is
 
 	arrived, aim int64
-	value        float64 // billing value when in time
-	size         float64 // slots times expected work
-	earns        float64 // billing value for each unit of size that can be expected now
-	live         int     // postings out and not withdrawn
-	thing        *thing  // what it is about; nil: not told
-	erred        *Server // where it ended in an error last
-	rounds       int     // of asking for room
-	look, looks  int64   // when room is looked for again, and how often that was in vain
-	queued, over bool    // over: beyond its tenant's share
-	forget       func()  // releases the alarm of its expiry
+	value        float64   // billing value when in time
+	size         float64   // slots times expected work
+	earns        float64   // billing value for each unit of size that can be expected now
+	live         int       // postings out and not withdrawn
+	thing        *keyState // what it is about; nil: not told
+	erred        *Server   // where it ended in an error last
+	rounds       int       // of asking for room
+	look, looks  int64     // when room is looked for again, and how often that was in vain
+	queued, over bool      // over: beyond its tenant's share
+	forget       func()    // releases the alarm of its expiry
 }
 
 // Reason says why a request was refused or failed. It is for logs; nothing is decided by it.
@@ -287,7 +287,7 @@
 	Distance     int     // 0: one that this node is to use; else those of 1 come before those of 2, where the others can't serve
 
 	zone, kind, cell int
-	model            *model
+	model            *machineTypeStats
 	wait             float64 // drawn, for one txn; the least is picked
 	since            int64
 	known            bool
@@ -312,7 +312,7 @@
 	size float64 // the most that the list told of it
 	left float64 // what the list said last of its size less its load; one where that is not told
 
-	gate
+	concurrencyLimit
 	atWork float64 // of these, slots of started ones
 	late   float64 // starts in a row that came late
 	room   float64 // what it was before refusals cut it, until a start is late
@@ -362,47 +362,47 @@
 	}
 }
 
-// last is how a recent job of one scheme and slot count went at one executor.
-type last struct {
-	at   *Server
-	time float64
-	lost bool
+// recentResult is how a recent job of one scheme and slot count went at one executor.
+type recentResult struct {
+	server   *Server
+	duration float64
+	lost     bool
 }
 
-// family is what jobs have in common that are ranked together.
-type family struct {
-	scheme *Class
-	slots  float64
+// rankGroup is what jobs have in common that are ranked together.
+type rankGroup struct {
+	class *Class
+	slots float64
 }
 
-// gate bounds the slots in flight at an executor, or of the txns about one thing.
-type gate struct {
-	busy   float64 // slots of open postings
-	limit  float64
-	idleAt int64 // when the latest posting ended
-	cutAt  int64 // when the limit was last cut
+// concurrencyLimit bounds the slots in flight at an executor, or of the txns about one thing.
+type concurrencyLimit struct {
+	slotsInFlight float64 // slots of open postings
+	limit         float64
+	lastEndedAt   int64 // when the latest posting ended
+	reducedAt     int64 // when the limit was last cut
 }
 
-// thing is what some txns are about.
-type thing struct {
-	gate
-	n    int           // of the txns counted
-	cure decayingRatio // its txns that erred and went elsewhere, and those of them served there
-	bad  *Server       // where the last one ended badly, with none that ended well since
+// keyState is what some txns are about.
+type keyState struct {
+	concurrencyLimit
+	requests     int           // of the txns counted
+	retrySuccess decayingRatio // its txns that erred and went elsewhere, and those of them served there
+	failedServer *Server       // where the last one ended badly, with none that ended well since
 }
 
 // count adds a txn to those about one thing; without a key that is its tenant.
 func (d *Dispatcher) count(t *Request) {
 	if d.counted++; d.counted > keyCounts {
 		d.counted /= 2
-		maps.DeleteFunc(d.things, func(_ uint64, h *thing) bool { h.n /= 2; return h.n < 1 && h.busy == 0 })
+		maps.DeleteFunc(d.things, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
 	}
 	key := cmp.Or(t.AffinityKey, ^uint64(t.Tenant))
 	if t.thing = d.things[key]; t.thing == nil {
-		t.thing = &thing{gate: gate{limit: math.Inf(1)}}
+		t.thing = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
 		d.things[key] = t.thing
 	}
-	t.thing.n++
+	t.thing.requests++
 }
 
 // HashName turns a name that all nodes know an executor by into a number by chance that all of them share.
@@ -412,25 +412,25 @@
 	return h.Sum64()
 }
 
-// model is what is known of one kind of machine.
-type model struct {
-	scores decayingRatio // over the top score
-	ran    decayingRatio // how long jobs ran there when warm, over what is expected of all kinds in the middle
-	slots  float64       // the most seen at work in one executor, or told to be free
-	bound  bool          // some scheme can't do without it
+// machineTypeStats is what is known of one kind of machine.
+type machineTypeStats struct {
+	scores       decayingRatio // over the top score
+	runtimeRatio decayingRatio // how long jobs ran there when warm, over what is expected of all kinds in the middle
+	maxSlots     float64       // the most seen at work in one executor, or told to be free
+	required     bool          // some scheme can't do without it
 }
 
-// pace is the mean of what jobs take on a kind of machine, by what is expected of all kinds in the middle. Danger: where some
+// meanRuntimeRatio is the mean of what jobs take on a kind of machine, by what is expected of all kinds in the middle. Danger: where some
 // kinds are slow, or few jobs run far longer than most, what a cold one bears is taken for twice as much.
-func (m *model) pace(now int64) float64 {
-	l := m.ran.decay(now)
+func (m *machineTypeStats) meanRuntimeRatio(now int64) float64 {
+	l := m.runtimeRatio.decay(now)
 	return (l.hits + kindScores) / (l.total + kindScores)
 }
 
 // ran notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
 func (d *Dispatcher) ran(p *Attempt, ran int64) {
 	if t, e := p.Request, p.Server; ran > 0 {
-		l := e.model.ran.decay(d.now)
+		l := e.model.runtimeRatio.decay(d.now)
 		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.terms.warmth(e, p.sent)/float64(d.running(t, 0.5))
 		d.runs[t.Class.Index].add(float64(ran) / t.unit())
 	}
