--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -92,7 +92,7 @@
 		return
 	}
 	d.sample(&d.kept, sampleFew, func(e *Server) bool {
-		if !e.known || d.now >= e.keptTill {
+		if !e.listed || d.now >= e.idleUntil {
 			return false
 		}
 		if e.slotsInFlight == 0 {
@@ -124,13 +124,13 @@
 		steps = 1
 	}
 	found := len(d.drawn)
-	return s.foundHealthy && found == s.count && d.drawn[found-1].wait < steps*firstStep
+	return s.foundHealthy && found == s.count && d.drawn[found-1].sampleKey < steps*firstStep
 }
 
 // lookRamping considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
 func (d *Dispatcher) lookRamping(s *candidateSearch) {
 	for i := 0; i < len(d.ramping.servers); {
-		if e := d.ramping.servers[i]; e.known && d.terms.warmth(e, d.now) < 1 {
+		if e := d.ramping.servers[i]; e.listed && d.terms.warmUpFactor(e, d.now) < 1 {
 			i++
 		} else {
 			d.ramping.remove(e)
@@ -155,9 +155,9 @@
 	if d.terms.Quotas != nil {
 		return true
 	}
-	if d.now >= e.turnTill {
+	if d.now >= e.turnUntil {
 		_, since, turn, _ := d.part(e)
-		e.turn, e.turnTill = turn, since+max(d.terms.OverloadWindow/turns, 1)
+		e.inTurn, e.turnUntil = turn, since+max(d.terms.OverloadWindow/turns, 1)
 	}
-	return e.turn
+	return e.inTurn
 }
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -19,7 +19,7 @@
 // looked counts the servers that the last draw considered.
 func looked(d *Dispatcher) (n int) {
 	for _, e := range d.fleet.servers {
-		if e.draw == d.draws {
+		if e.lastDraw == d.draws {
 			n++
 		}
 	}
@@ -32,14 +32,14 @@
 	d, _, request := longList(t)
 	for i, e := range d.fleet.servers { // an hour in which it used them all
 		if i%2 == 0 {
-			e.keptTill = d.now + 1e9
+			e.idleUntil = d.now + 1e9
 			d.kept.add(e)
 		}
 	}
 	if d.draw(request, 1); looked(d) > 2*sampleMost {
 		t.Errorf("%d servers were considered", looked(d))
 	}
-	if d.drawn[0].keptTill == 0 {
+	if d.drawn[0].idleUntil == 0 {
 		t.Error("one without a connection was drawn")
 	}
 	for _, e := range d.fleet.servers { // none has room
@@ -55,11 +55,11 @@
 	const draws = 40000
 	d, _, request := longList(t)
 	want, all, got := map[int]float64{}, 0.0, map[int]float64{}
-	class := func(e *Server) int { return e.sum/poolSize*2 + int(2*e.h) }
+	class := func(e *Server) int { return e.scoreSum/poolSize*2 + int(2*e.reliability) }
 	for i, e := range d.fleet.servers {
-		e.pooled, e.sum = poolSize, poolSize*[...]int{10, 6, 2, 2}[i%4]
+		e.scoreCount, e.scoreSum = poolSize, poolSize*[...]int{10, 6, 2, 2}[i%4]
 		if i%5 == 0 {
-			e.h, e.hAt = 0.5, d.now
+			e.reliability, e.reliabilityAt = 0.5, d.now
 		}
 		want[class(e)] += d.weight(request, e)
 		all += d.weight(request, e)
@@ -84,7 +84,7 @@
 	request := &Request{Class: terms.Classes[1], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
 	d.Arrive(request)
 	home := d.fleet.servers[1001]
-	request.Attempts = append(request.Attempts, &Attempt{Request: request, Server: home, sent: d.now})
+	request.Attempts = append(request.Attempts, &Attempt{Request: request, Server: home, sentAt: d.now})
 	for range 20 {
 		if drawn := d.draw(request, 1); len(drawn) != 1 || drawn[0].cell != home.cell {
 			t.Fatalf("%d servers of its group were found", len(drawn))
@@ -110,8 +110,8 @@
 		}
 	}
 	drawn := d.draw(request, 1)
-	if may == 0 || may > 320 || looked(d) > 2*sampleMost+may || d.terms.warmth(drawn[0], d.now) == 1 {
-		t.Errorf("%d may be sent to now, and the one drawn has warmth %v", may, d.terms.warmth(drawn[0], d.now))
+	if may == 0 || may > 320 || looked(d) > 2*sampleMost+may || d.terms.warmUpFactor(drawn[0], d.now) == 1 {
+		t.Errorf("%d may be sent to now, and the one drawn has warmth %v", may, d.terms.warmUpFactor(drawn[0], d.now))
 	}
 	terms.Nodes = 1 // it is always its turn
 	if d.draw(request, 1); looked(d) > 2*sampleMost {
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -136,8 +136,8 @@
 				t.Fatalf("stamped %d s off: %.2f of its budget after %d ms", off*4, sum/budget, (w.now-born)/1e6)
 			}
 		}
-		if len(sent) == 0 || w.d.terms.warmth(e, w.now) == 1 {
-			t.Errorf("stamped %d s off: %d sent, warmth %.2f", off*4, len(sent), w.d.terms.warmth(e, w.now))
+		if len(sent) == 0 || w.d.terms.warmUpFactor(e, w.now) == 1 {
+			t.Errorf("stamped %d s off: %d sent, warmth %.2f", off*4, len(sent), w.d.terms.warmUpFactor(e, w.now))
 		}
 	}
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -85,10 +85,10 @@
 		starts: map[bool]*decayingRatio{true: {}, false: {}}, cures: make([]decayingRatio, len(terms.Classes)),
 		runs:    make([]histogram, len(terms.Classes)),
 		tenants: make([]decayingRatio, len(terms.Tenants)), schemes: make([]decayingRatio, len(terms.Classes)),
-		fleet:   serverSet{index: func(e *Server) *int { return &e.inFleet }},
-		kept:    serverSet{index: func(e *Server) *int { return &e.inKept }},
-		ramping: serverSet{index: func(e *Server) *int { return &e.inRamping }},
-		low:     serverSet{index: func(e *Server) *int { return &e.inLow }}}
+		fleet:   serverSet{index: func(e *Server) *int { return &e.indexInAll }},
+		kept:    serverSet{index: func(e *Server) *int { return &e.indexInIdle }},
+		ramping: serverSet{index: func(e *Server) *int { return &e.indexInSlowStart }},
+		low:     serverSet{index: func(e *Server) *int { return &e.indexInLowLimit }}}
 	if terms.PollForChanges {
 		d.PollEndpoints()
 	}
@@ -106,21 +106,21 @@
 	}
 	for _, m := range members {
 		e := m.Server
-		if !e.known || m.StartedAt > e.since {
-			e.h, e.hAt, e.limit, e.size = 1, d.now, firstRoom, 1
+		if !e.listed || m.StartedAt > e.startedAt {
+			e.reliability, e.reliabilityAt, e.limit, e.size = 1, d.now, firstRoom, 1
 		}
 		d.fleet.add(e)
 		if d.models[m.MachineType] == nil {
-			d.models[m.MachineType] = &machineTypeStats{required: d.terms.need(m.MachineType)}
+			d.models[m.MachineType] = &machineTypeStats{required: d.terms.requiresMachineType(m.MachineType)}
 		}
 		// Danger: of many nodes each sees next to nothing of load; the draw alone fills the small and the slow.
-		if e.left = 1; d.terms.LiveCapacity {
-			e.left, e.size = max(m.Capacity, 0.01), max(m.Capacity, e.size)
+		if e.spareFactor = 1; d.terms.LiveCapacity {
+			e.spareFactor, e.size = max(m.Capacity, 0.01), max(m.Capacity, e.size)
 		}
-		e.known, e.State, e.since, e.model = true, m.State, m.StartedAt, d.models[m.MachineType]
-		e.zone, e.kind, e.cell = m.Zone, m.MachineType, m.Cell
-		if gone = gone || m.State == Removed; d.terms.warmth(e, d.now) < 1 {
-			e.turnTill = 0
+		e.listed, e.State, e.startedAt, e.typeStats = true, m.State, m.StartedAt, d.models[m.MachineType]
+		e.zone, e.machineType, e.cell = m.Zone, m.MachineType, m.Cell
+		if gone = gone || m.State == Removed; d.terms.warmUpFactor(e, d.now) < 1 {
+			e.turnUntil = 0
 			d.ramping.add(e)
 		}
 	}
@@ -131,7 +131,7 @@
 	d.load = 0
 	for i := 0; d.terms.LiveCapacity && i < len(d.fleet.servers); i++ {
 		e := d.fleet.servers[i]
-		d.load += e.size/e.left - 1
+		d.load += e.size/e.spareFactor - 1
 	}
 }
 
@@ -139,11 +139,11 @@
 func (d *Dispatcher) forget() {
 	left := d.fleet.servers[:0]
 	for _, e := range d.fleet.servers {
-		if e.known = e.State != Removed; e.known {
+		if e.listed = e.State != Removed; e.listed {
 			left = append(left, e)
-			e.inFleet = len(left)
+			e.indexInAll = len(left)
 		} else {
-			e.inFleet = 0
+			e.indexInAll = 0
 			d.kept.remove(e)
 			d.ramping.remove(e)
 			d.low.remove(e)
@@ -197,29 +197,29 @@
 	}
 	waited := max(t.UnreadTime-waitSlack, 0)
 	t.Deadline -= waited
-	t.Deadline, t.arrived, t.over = d.till(t), d.now-waited, len(d.terms.Tenants) > 0 && d.overShare(t)
+	t.Deadline, t.arrivedAt, t.overQuota = d.till(t), d.now-waited, len(d.terms.Tenants) > 0 && d.overShare(t)
 	// Danger: the first job that runs far longer than its hint would speak for all to come.
 	for r := &d.runs[t.Class.Index]; t.ExpectedWork > 0 && r.count < 3; {
 		r.add(1)
 	}
 	work := cmp.Or(t.ExpectedWork, d.running(t, 0.5))
-	t.aim = min(d.now+t.Class.LatencyObjective+int64(t.Class.ObjectivePerWork*float64(work)), t.Deadline)
+	t.objectiveAt = min(d.now+t.Class.LatencyObjective+int64(t.Class.ObjectivePerWork*float64(work)), t.Deadline)
 	t.size = max(t.Slots, 1) * float64(work)
 	d.works.add(t.size / 1e9)
 	// Danger: of jobs of milliseconds many begin and end while a word of room is still taken for news.
 	d.large = d.works.quantile(highEnd, 0) * 1e9
 	d.fresh = min(askAgain, int64(d.large))
-	if t.value = t.Class.Weight; d.terms.WeightByWork {
-		t.value *= t.size
+	if t.priorityWeight = t.Class.Weight; d.terms.WeightByWork {
+		t.priorityWeight *= t.size
 	}
-	if t.over {
-		t.value *= d.terms.OverQuotaWeight
+	if t.overQuota {
+		t.priorityWeight *= d.terms.OverQuotaWeight
 		// Danger: many quiet nodes hold no queue to sort; what is worth little then jams the machines for all.
 		if d.terms.LoadReports && d.chance.Float64() > d.prompts(true) {
-			t.value = 0
+			t.priorityWeight = 0
 		}
 	}
-	d.schemes[t.Class.Index].decay(d.now).total += t.value
+	d.schemes[t.Class.Index].decay(d.now).total += t.priorityWeight
 	d.count(t)
 	d.SetDeadline(t, t.Deadline)
 	d.enqueue(t)
@@ -240,7 +240,7 @@
 // Danger: a txn that is forgotten. This alarm answers it whatever else happens.
 func (d *Dispatcher) SetDeadline(t *Request, at int64) {
 	t.Deadline = min(t.Deadline, at)
-	t.forget = d.door.Schedule(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
+	t.cancelDeadline = d.door.Schedule(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
 }
 
 // overShare tells by chance whether a txn lies beyond its tenant's share, by the other tenants' arrivals.
@@ -271,27 +271,27 @@
 
 // running is how long the txn is expected to run, at quantile q.
 func (d *Dispatcher) running(t *Request, q float64) int64 {
-	return max(int64(t.unit()*d.runs[t.Class.Index].quantile(q, float64(t.Class.LatencyObjective)/t.unit())), 1e6)
+	return max(int64(t.workUnit()*d.runs[t.Class.Index].quantile(q, float64(t.Class.LatencyObjective)/t.workUnit())), 1e6)
 }
 
 // place posts the txn or lets it wait at the node.
 func (d *Dispatcher) place(t *Request) {
-	if t.Done || t.live > 0 {
+	if t.Done || t.activeAttempts > 0 {
 		return
 	}
 	// Danger: executors that never answer probes. What has heard nothing for some rounds goes out blindly.
-	asking, count := d.terms.CapacityProbes && !d.terms.LiveCapacity && (t.rounds < asks || d.toldAt >= t.arrived), 1
+	asking, count := d.terms.CapacityProbes && !d.terms.LiveCapacity && (t.probeRounds < asks || d.toldAt >= t.arrivedAt), 1
 	if asking {
 		count = asks
 	}
-	if len(t.Attempts) >= d.terms.MaxAttempts || t.anchor() != nil && d.spanOver(t) {
+	if len(t.Attempts) >= d.terms.MaxAttempts || t.firstPossibleRun() != nil && d.spanOver(t) {
 		d.finish(t, AttemptsExhausted)
 	} else if d.stale() {
-		t.look = d.now + leastLag*d.terms.Tick
+		t.retryAt = d.now + leastLag*d.terms.Tick
 		d.enqueue(t)
 	} else if drawn := d.draw(t, count); len(drawn) == 0 {
 		// Danger: in a jam a node spends its processor time on looking for room that is not there.
-		t.look, t.looks = d.now+d.terms.Tick*min(t.looks, 16), t.looks+1
+		t.retryAt, t.fruitlessDraws = d.now+d.terms.Tick*min(t.fruitlessDraws, 16), t.fruitlessDraws+1
 		d.enqueue(t)
 	} else if asking {
 		d.ask(t, drawn)
@@ -304,15 +304,15 @@
 // Danger: of many nodes each sees next to nothing of load, and a long job's late start can't be made good.
 func (d *Dispatcher) ask(t *Request, drawn []*Server) {
 	for _, e := range drawn {
-		if len(e.askers) == 0 {
+		if len(e.probeWaiters) == 0 {
 			d.door.ProbeCapacity(e)
 		}
-		e.askers = append(e.askers, t)
+		e.probeWaiters = append(e.probeWaiters, t)
 	}
-	t.rounds++
-	round := t.rounds
+	t.probeRounds++
+	round := t.probeRounds
 	d.door.Schedule(int64(round)*d.fresh, func() {
-		if !t.Done && t.live == 0 && t.rounds == round {
+		if !t.Done && t.activeAttempts == 0 && t.probeRounds == round {
 			d.enqueue(t)
 		}
 	})
@@ -321,19 +321,19 @@
 // CapacityReported takes what an executor told of its room, if it told of any.
 // Danger: what many nodes were told they all take at once; so with the chance that starts are prompt.
 func (d *Dispatcher) CapacityReported(e *Server, told bool, free, memory float64) {
-	askers := e.askers
-	e.free = e.claims.sum(free, d.now-4*d.fresh)
-	if e.askers, e.toldAt, e.memory = nil, d.now, memory; told {
+	askers := e.probeWaiters
+	e.freeSlots = e.reservations.sum(free, d.now-4*d.fresh)
+	if e.probeWaiters, e.capacityReportedAt, e.freeMemory = nil, d.now, memory; told {
 		d.toldAt = d.now
 	}
 	for _, t := range askers {
 		// Danger: an answer that comes late; the executor may be gone, and the txn out or over.
-		if !t.Done && t.live == 0 && !d.full(t, e) && d.allowed(t, e) &&
+		if !t.Done && t.activeAttempts == 0 && !d.full(t, e) && d.allowed(t, e) &&
 			d.chance.Float64() < d.prompts(e.zone == d.terms.Zone) {
-			e.memory -= t.Memory
+			e.freeMemory -= t.Memory
 			d.post(t, e)
 			d.SlotsReserved(e, t.Slots)
-			if d.terms.PeerMessages && t.rounds > 1 {
+			if d.terms.PeerMessages && t.probeRounds > 1 {
 				d.door.NotifyPeers(e, t.Slots)
 			}
 		}
@@ -342,33 +342,33 @@
 
 // SlotsReserved notes slots that this or another node took at an executor, for as long as reports may lack them.
 func (d *Dispatcher) SlotsReserved(e *Server, slots float64) {
-	e.claims = e.claims.add(d.now, -slots, 4*d.fresh)
-	e.free -= slots
+	e.reservations = e.reservations.add(d.now, -slots, 4*d.fresh)
+	e.freeSlots -= slots
 }
 
 // full says whether the executor told lately that the txn finds no room there.
 func (d *Dispatcher) full(t *Request, e *Server) bool {
-	return e.toldAt > 0 && d.now-e.toldAt < d.fresh && (e.free < t.Slots || e.memory < t.Memory)
+	return e.capacityReportedAt > 0 && d.now-e.capacityReportedAt < d.fresh && (e.freeSlots < t.Slots || e.freeMemory < t.Memory)
 }
 
 // spanOver says whether a txn that may have run must not go again at all.
 func (d *Dispatcher) spanOver(t *Request) bool {
 	return t.Class.Idempotency == NonIdempotent ||
-		t.Class.Idempotency == IdempotentInGroup && d.now-t.anchor().sent >= t.Class.DedupWindow-d.terms.Tick
+		t.Class.Idempotency == IdempotentInGroup && d.now-t.firstPossibleRun().sentAt >= t.Class.DedupWindow-d.terms.Tick
 }
 
 // allowed says whether the rules let the txn go to the executor now.
 func (d *Dispatcher) allowed(t *Request, e *Server) bool {
 	// Danger: a drained or gone executor that still gets work; the list's word counts at once.
-	if e.State != Up || !e.known || t.Class.MachineType >= 0 && t.Class.MachineType != e.kind {
+	if e.State != Up || !e.listed || t.Class.MachineType >= 0 && t.Class.MachineType != e.machineType {
 		return false
 	}
 	for _, p := range t.Attempts {
-		if p.withdrawn && p.Server == e || p.InFlight && (p.Server == e || !d.terms.AllowHedging) {
+		if p.canceled && p.Server == e || p.InFlight && (p.Server == e || !d.terms.AllowHedging) {
 			return false
 		}
 	}
-	if a := t.anchor(); a != nil {
+	if a := t.firstPossibleRun(); a != nil {
 		// Danger: an effect twice. Only the group that holds the mark drops the repeat, and not for ever.
 		s, f := t.Class, a.Server
 		if d.spanOver(t) || s.Idempotency == IdempotentInGroup &&
@@ -377,56 +377,56 @@
 		}
 	}
 	// Danger: what all nodes hold together, used beyond this one's share of it.
-	return d.terms.mayPost(t, e) && d.warmEnough(t, e)
+	return d.terms.withinQuotas(t, e) && d.warmEnough(t, e)
 }
 
 // warmEnough keeps this node's part of a cold executor's budget, by all that was sent, refused or not.
 // Danger: one pushed over by all nodes together, or by a new node that knows nothing of what it sent before.
 func (d *Dispatcher) warmEnough(t *Request, e *Server) bool {
-	if d.terms.warmth(e, d.now) == 1 {
+	if d.terms.warmUpFactor(e, d.now) == 1 {
 		return true
 	}
 	if d.terms.Quotas != nil { // it counts as it is sent
 		return d.terms.Quotas.Allow(BudgetSlowStart, e, t, t.size/d.bears(e, d.now-d.terms.OverloadWindow, 1))
 	}
 	part, since, turn, _ := d.part(e)
-	return turn && d.born < since && e.sends.sum(t.size, since) <= part
+	return turn && d.born < since && e.recentSends.sum(t.size, since) <= part
 }
 
 // bears is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
 // It bears N jobs, two root N + 2 for chance; what is sent has that chance too, so that N / doubt follows.
 func (d *Dispatcher) bears(e *Server, at int64, parts float64) float64 {
-	work := d.terms.OverloadFactor * float64(d.terms.OverloadWindow) * max(e.model.maxSlots, 1) / e.model.meanRuntimeRatio(d.now)
-	return work * (d.terms.warmth(e, at) / doubt / parts)
+	work := d.terms.OverloadFactor * float64(d.terms.OverloadWindow) * max(e.typeStats.maxSlots, 1) / e.typeStats.meanRuntimeRatio(d.now)
+	return work * (d.terms.warmUpFactor(e, at) / doubt / parts)
 }
 
 // part is what this node may send a cold executor, since when, whether now, and how many groups take turns.
 // Danger: an even part of many is less than one txn, and what was swapped stands empty. So a few take turns.
 func (d *Dispatcher) part(e *Server) (part float64, since int64, turn bool, of float64) {
-	nodes, length := d.terms.inTurn(), max(d.terms.OverloadWindow/turns, 1)
+	nodes, length := d.terms.nodesInRotation(), max(d.terms.OverloadWindow/turns, 1)
 	// Danger: a start that is stamped too late lies ahead, and nothing sent since then would count.
-	first := e.since - d.terms.StartTimeError
+	first := e.startedAt - d.terms.StartTimeError
 	n := max(d.now-first, 0) / length
 	since = first + n*length
 	all := d.bears(e, since, turns+1) // a window meets one turn more than it is long
 	members := max(int64(min(all/d.large, float64(nodes))), 1)
 	groups := (int64(nodes) + members - 1) / members
-	return all / float64(members), since, (n+int64(d.terms.NodeIndex)+e.since/1e6)%groups == 0, float64(groups)
+	return all / float64(members), since, (n+int64(d.terms.NodeIndex)+e.startedAt/1e6)%groups == 0, float64(groups)
 }
 
 // health is H, drifted back towards 1 up to now.
 func (d *Dispatcher) health(e *Server) float64 {
 	// Danger: nearly all executors are well; working out a drift for each at every draw is the dearest step.
-	if e.h == 1 || float64(d.now-e.hAt) > 7*recovery {
+	if e.reliability == 1 || float64(d.now-e.reliabilityAt) > 7*recovery {
 		return 1
 	}
-	return 1 - (1-e.h)*math.Exp(-float64(d.now-e.hAt)/recovery)
+	return 1 - (1-e.reliability)*math.Exp(-float64(d.now-e.reliabilityAt)/recovery)
 }
 
 // standing is H, or less where many other nodes say so and no job of this one ended well there of late.
 // Danger: old news that beats a fresh outcome; or each of many nodes finds out for itself, at its txns' cost.
 func (d *Dispatcher) standing(e *Server) float64 {
-	if e.OutlierScore > 0 && d.now-e.keptTill+d.terms.IdleTimeout > heed {
+	if e.OutlierScore > 0 && d.now-e.idleUntil+d.terms.IdleTimeout > heed {
 		return min(d.health(e), 1-e.OutlierScore)
 	}
 	return d.health(e)
@@ -438,17 +438,17 @@
 // weight is the design's: mean score over the top score, times H; a cold executor counts by its age.
 func (d *Dispatcher) weight(t *Request, e *Server) float64 {
 	// Danger: one of many nodes meets most executors seldom or never; until then their kind's mean stands in.
-	score := (e.model.scores.hits + unscored) / (e.model.scores.total + 1)
-	score = (float64(e.sum)/topScore + score*kindScores) / (float64(e.pooled) + kindScores)
-	if warmth := d.terms.warmth(e, d.now); warmth < 1 {
+	score := (e.typeStats.scores.hits + unscored) / (e.typeStats.scores.total + 1)
+	score = (float64(e.scoreSum)/topScore + score*kindScores) / (float64(e.scoreCount) + kindScores)
+	if warmth := d.terms.warmUpFactor(e, d.now); warmth < 1 {
 		_, _, _, groups := d.part(e) // seldom in turn, it is taken as much likelier then
-		score *= warmth * d.terms.oftener(e, groups)
+		score *= warmth * d.terms.slowStartShareFactor(e, groups)
 	}
 	// Danger: the rest crowd out a scheme that one kind alone can run.
-	if t.Class.MachineType < 0 && e.model.required {
+	if t.Class.MachineType < 0 && e.typeStats.required {
 		score *= leave
 	}
-	return max(score, 0.01) * d.standing(e) * e.left
+	return max(score, 0.01) * d.standing(e) * e.spareFactor
 }
 
 // exceeded says whether so many slots more are over what an executor or a thing is thought to bear.
@@ -475,12 +475,12 @@
 	if !d.terms.LoadReports {
 		return d.patience()
 	}
-	return max(d.patience(), d.slack(p.Request, p.sent)/4)
+	return max(d.patience(), d.slack(p.Request, p.sentAt)/4)
 }
 
 // slack is the time left to start in. Without a hint a long job's SLA time is long too; the middle one tells.
 func (d *Dispatcher) slack(t *Request, from int64) int64 {
-	return t.aim - d.running(t, [2]float64{0.5, highEnd}[min(max(t.ExpectedWork, 0), 1)]) - from
+	return t.objectiveAt - d.running(t, [2]float64{0.5, highEnd}[min(max(t.ExpectedWork, 0), 1)]) - from
 }
 
 // prompts is the share of postings that started promptly, at home or away; one while nothing is known.
@@ -495,7 +495,7 @@
 	mean := d.busy / float64(len(d.fleet.servers))
 	d.draws++
 	s := &candidateSearch{request: t, count: count, runtime: d.running(t, 0.5), meanInFlight: mean, draw: d.draws}
-	if d.drawn = d.drawn[:0]; t.thing.exceeded(t.Slots, d.now, s.runtime) {
+	if d.drawn = d.drawn[:0]; t.keyState.exceeded(t.Slots, d.now, s.runtime) {
 		return nil
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
@@ -514,10 +514,10 @@
 
 // consider draws a wait for a server, if it may be sent to, and keeps it if that is among the least; each server once a draw.
 func (d *Dispatcher) consider(s *candidateSearch, e *Server) {
-	if e.draw == s.draw {
+	if e.lastDraw == s.draw {
 		return
 	}
-	e.draw = s.draw
+	e.lastDraw = s.draw
 	t, sick := s.request, d.sick(e)
 	if sick && s.foundHealthy || !d.allowed(t, e) {
 		return
@@ -532,7 +532,7 @@
 	}
 	// One that was prompt and has a connection open still is likelier to have room, without a handshake.
 	step := 1.0
-	if e.slotsInFlight == 0 && e.limit >= 1 && (d.now < e.keptTill || d.terms.warmth(e, d.now) < 1) {
+	if e.slotsInFlight == 0 && e.limit >= 1 && (d.now < e.idleUntil || d.terms.warmUpFactor(e, d.now) < 1) {
 		step = 0
 	} else if e.slotsInFlight >= margin+s.meanInFlight {
 		step = 2
@@ -541,8 +541,8 @@
 		step += 3
 	}
 	// Danger: of many nodes each holds connections to all. What is beyond this one's part comes after the rest.
-	step += 6 * float64(d.terms.farther(t, e, d.now))
-	e.wait = step*firstStep - math.Log(1-d.chance.Float64())/d.weight(t, e)
+	step += 6 * float64(d.terms.distanceFor(t, e, d.now))
+	e.sampleKey = step*firstStep - math.Log(1-d.chance.Float64())/d.weight(t, e)
 	if i, _ := slices.BinarySearchFunc(d.drawn, e, byWait); i < s.count {
 		d.drawn = slices.Insert(d.drawn, i, e)
 	}
@@ -551,25 +551,25 @@
 // homes are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
 // Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
 func (d *Dispatcher) homes(t *Request, roam bool) []*Server {
-	count := 1 + int(d.prompts(true)+spare) + (len(d.fleet.servers)*max(t.thing.requests-1, 0)+d.counted/2)/d.counted
+	count := 1 + int(d.prompts(true)+spare) + (len(d.fleet.servers)*max(t.keyState.requests-1, 0)+d.counted/2)/d.counted
 	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
 	few := count
 	d.near, count = d.near[:0], count+1
 	for _, e := range d.fleet.servers {
 		luck := float64(rand.NewPCG(t.AffinityKey, e.Hash).Uint64()>>11+1) / (1 << 53)
-		if e.wait = -math.Log(luck) / e.size; t.Class.MachineType < 0 && e.model.required {
-			e.wait /= leave
+		if e.sampleKey = -math.Log(luck) / e.size; t.Class.MachineType < 0 && e.typeStats.required {
+			e.sampleKey /= leave
 		}
 		// Danger: a few nodes at a time may send to a cold one; by key none of them ever would.
-		if d.terms.warmth(e, d.now) < 1 {
-			e.wait = 0
+		if d.terms.warmUpFactor(e, d.now) < 1 {
+			e.sampleKey = 0
 		} else if !roam && e.zone != d.terms.Zone {
-			e.wait += 1e9
+			e.sampleKey += 1e9
 		}
-		if len(d.near) >= count && e.wait > d.near[count-1].wait || d.sick(e) || !d.allowed(t, e) {
+		if len(d.near) >= count && e.sampleKey > d.near[count-1].sampleKey || d.sick(e) || !d.allowed(t, e) {
 			continue
 		}
-		if e.wait == 0 {
+		if e.sampleKey == 0 {
 			count, few = count+1, few+1
 		}
 		i, _ := slices.BinarySearchFunc(d.near, e, byWait)
@@ -580,33 +580,33 @@
 	}
 	d.near = d.near[:min(count, len(d.near))]
 	for _, e := range d.near {
-		if d.terms.LiveCapacity && e.wait > 0 && e.size/e.left-1 > max(crowded*d.load/float64(len(d.fleet.servers)), 1) {
-			e.wait += 2e9
+		if d.terms.LiveCapacity && e.sampleKey > 0 && e.size/e.spareFactor-1 > max(crowded*d.load/float64(len(d.fleet.servers)), 1) {
+			e.sampleKey += 2e9
 		}
 	}
 	slices.SortStableFunc(d.near, byWait)
 	return d.near[:min(few, len(d.near))]
 }
 
-func byWait(a, b *Server) int { return cmp.Compare(a.wait, b.wait) }
+func byWait(a, b *Server) int { return cmp.Compare(a.sampleKey, b.sampleKey) }
 
 // post sends the txn and leaves behind what its outcome leads to.
 func (d *Dispatcher) post(t *Request, e *Server) {
-	p := &Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true, sent: d.now}
+	p := &Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true, sentAt: d.now}
 	t.Attempts = append(t.Attempts, p)
-	e.slotsInFlight, d.busy, t.thing.slotsInFlight, t.live = e.slotsInFlight+t.Slots, d.busy+t.Slots, t.thing.slotsInFlight+t.Slots, t.live+1
+	e.slotsInFlight, d.busy, t.keyState.slotsInFlight, t.activeAttempts = e.slotsInFlight+t.Slots, d.busy+t.Slots, t.keyState.slotsInFlight+t.Slots, t.activeAttempts+1
 	// Danger: a node that hears of a start late, and has sent to it as to a warm one since.
-	if e.sends = e.sends.add(d.now, t.size, d.terms.OverloadWindow); d.terms.warmth(e, d.now) < 1 {
+	if e.recentSends = e.recentSends.add(d.now, t.size, d.terms.OverloadWindow); d.terms.warmUpFactor(e, d.now) < 1 {
 		p.SlowStartShare = t.size / d.bears(e, d.now-d.terms.OverloadWindow, 1)
 	}
-	p.then = func() { d.place(t) }
+	p.afterEnd = func() { d.place(t) }
 	d.door.StartAttempt(p)
 	d.watch(p)
 }
 
 // MaySend says at a posting's first byte whether it may still leave. Danger: news that came while it waited.
 func (d *Dispatcher) MaySend(p *Attempt) bool {
-	return p.Server.State == Up && !p.Request.Done && !p.withdrawn && !d.stale()
+	return p.Server.State == Up && !p.Request.Done && !p.canceled && !d.stale()
 }
 
 // judge looks after a while at a posting that is still out.
@@ -626,16 +626,16 @@
 
 // watch sees to a posting's start, where executors tell of it, and then to its end.
 func (d *Dispatcher) watch(p *Attempt) {
-	if p.started > 0 || !d.terms.StartNotices {
+	if p.startedAt > 0 || !d.terms.StartNotices {
 		d.awaitEnd(p, d.terms.Tick)
 		return
 	}
 	d.judge(p, d.tolerated(p), func() {
-		if e := p.Server; p.started == 0 {
+		if e := p.Server; p.startedAt == 0 {
 			// Danger: many slots stand half empty, or one that slowed is judged by its best. Late in a row, ever less.
-			least := min(e.limit, e.model.maxSlots/float64(max(d.terms.Nodes, 1))*math.Exp2(-e.late))
+			least := min(e.limit, e.typeStats.maxSlots/float64(max(d.terms.Nodes, 1))*math.Exp2(-e.lateStarts))
 			d.adjust(p, e.slotsInFlight, false)
-			e.room, e.limit, e.late = 0, max(e.limit, least), e.late+1
+			e.limitBeforeRejections, e.limit, e.lateStarts = 0, max(e.limit, least), e.lateStarts+1
 			d.lowered(e)
 			d.awaitStart(p)
 		}
@@ -646,7 +646,7 @@
 func (d *Dispatcher) awaitStart(p *Attempt) {
 	wait, s := d.slack(p.Request, d.now)/2, p.Request.Class
 	switch {
-	case p.started > 0:
+	case p.startedAt > 0:
 		return
 	// Danger: what is declined here may run all the same and comes back as a retry, so that a jam never ends.
 	case s.Idempotency == Idempotent && s.LateShare == 0 && d.earns(p.Request) <= 0:
@@ -654,7 +654,7 @@
 		return
 	case !d.terms.LoadReports || wait <= d.patience():
 		d.copy(p)
-		wait = max((d.now-p.sent)/2, d.patience())
+		wait = max((d.now-p.sentAt)/2, d.patience())
 	}
 	d.judge(p, wait, func() { d.awaitStart(p) })
 }
@@ -662,8 +662,8 @@
 // awaitEnd decides what becomes of a posting that runs too long or stands still.
 func (d *Dispatcher) awaitEnd(p *Attempt, wait int64) {
 	run, period := d.running(p.Request, highEnd), d.terms.ProgressInterval
-	still := period > 0 && d.now-max(p.told, p.started, p.sent) > int64(missing*float64(period))
-	if still || d.now-max(p.sent, p.started) > int64(overrun*float64(run)) {
+	still := period > 0 && d.now-max(p.progressAt, p.startedAt, p.sentAt) > int64(missing*float64(period))
+	if still || d.now-max(p.sentAt, p.startedAt) > int64(overrun*float64(run)) {
 		if d.blame(p, 1); still || d.terms.AllowHedging {
 			d.copy(p)
 		}
@@ -678,8 +678,8 @@
 	if !d.terms.AllowHedging {
 		// Danger: what is taken back may run all the same, for nobody. Who stands still runs none of it; a list
 		// that tells of load promises room elsewhere.
-		late := d.terms.LiveCapacity && d.now-p.sent >= d.slack(t, p.sent)/4
-		if left > 0 && !d.spanOver(t) && (p.started > 0 || late || d.standing(p.Server) < hopeless) {
+		late := d.terms.LiveCapacity && d.now-p.sentAt >= d.slack(t, p.sentAt)/4
+		if left > 0 && !d.spanOver(t) && (p.startedAt > 0 || late || d.standing(p.Server) < hopeless) {
 			d.withdraw(p)
 		}
 		return
@@ -690,7 +690,7 @@
 	// Danger: copies in a full fleet take the room of txns that wait for it, here or at many other nodes.
 	for _, e := range d.draw(t, 1) {
 		hit, gain := d.prompts(e.zone == d.terms.Zone), 1-t.Class.LateShare+d.terms.MissedObjectiveCost
-		if len(d.queue) == 0 && left > 0 && t.live <= 1 && hit*gain >= (1-hit)*behind {
+		if len(d.queue) == 0 && left > 0 && t.activeAttempts <= 1 && hit*gain >= (1-hit)*behind {
 			d.post(t, e)
 		}
 	}
@@ -700,12 +700,12 @@
 func (d *Dispatcher) adjust(p *Attempt, busy float64, prompt bool) {
 	e := p.Server
 	if d.starts[e.zone == d.terms.Zone].decay(d.now).record(prompt); !prompt {
-		d.halve(&e.concurrencyLimit, p.sent, busy)
+		d.halve(&e.concurrencyLimit, p.sentAt, busy)
 		d.lowered(e)
 		return
 	}
 	// Danger: executors that turn part away though not full stand empty. A full one would not start at once.
-	e.limit, e.room, e.late = max(e.limit, e.room), 0, 0
+	e.limit, e.limitBeforeRejections, e.lateStarts = max(e.limit, e.limitBeforeRejections), 0, 0
 	if busy+1 >= e.limit {
 		e.limit += growth * min(e.limit, 1)
 	}
@@ -721,14 +721,14 @@
 
 // lowered notes a server whose limit is under the one that all start with.
 func (d *Dispatcher) lowered(e *Server) {
-	if e.known && e.limit < firstRoom {
+	if e.listed && e.limit < firstRoom {
 		d.low.add(e)
 	}
 }
 
 // cured is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
 func (d *Dispatcher) cured(t *Request) float64 {
-	s, k := d.cures[t.Class.Index].decay(d.now), t.thing.retrySuccess.decay(d.now)
+	s, k := d.cures[t.Class.Index].decay(d.now), t.keyState.retrySuccess.decay(d.now)
 	return (k.hits + (s.hits+1)/(s.total+1)) / (k.total + 1)
 }
 
@@ -741,14 +741,14 @@
 	} else if h.failedServer == nil || h.failedServer == p.Server {
 		h.failedServer = p.Server
 	} else { // two executors agree, so it is not theirs
-		d.halve(&h.concurrencyLimit, p.sent, h.slotsInFlight+p.Request.Slots)
+		d.halve(&h.concurrencyLimit, p.sentAt, h.slotsInFlight+p.Request.Slots)
 	}
 }
 
 // blame counts a posting as lost, once; in part where the executor is at fault by that part.
 func (d *Dispatcher) blame(p *Attempt, part float64) {
-	if e := p.Server; !p.blamed {
-		p.blamed, e.h, e.hAt = true, d.health(e)*(1-(1-penalty)*part), d.now
+	if e := p.Server; !p.failureRecorded {
+		p.failureRecorded, e.reliability, e.reliabilityAt = true, d.health(e)*(1-(1-penalty)*part), d.now
 		d.rank(p, 0, true)
 	}
 }
@@ -773,20 +773,20 @@
 		place = 3
 	}
 	score := places[place]
-	e.model.scores.decay(d.now).total++
-	e.model.scores.hits += float64(score) / topScore
-	e.pooled, e.sum = min(e.pooled+1, poolSize), e.sum+int(score)-int(e.pool[e.next])
-	e.pool[e.next], e.next = score, (e.next+1)%poolSize
+	e.typeStats.scores.decay(d.now).total++
+	e.typeStats.scores.hits += float64(score) / topScore
+	e.scoreCount, e.scoreSum = min(e.scoreCount+1, poolSize), e.scoreSum+int(score)-int(e.scores[e.nextScore])
+	e.scores[e.nextScore], e.nextScore = score, (e.nextScore+1)%poolSize
 }
 
 // AttemptEnded takes the outcome of a posting; over says that the txn has ended by it or earlier.
 func (d *Dispatcher) AttemptEnded(p *Attempt, o Outcome, took int64, over bool) {
 	t, e := p.Request, p.Server
-	if p.InFlight, e.lastEndedAt = false, d.now; p.started > 0 {
-		e.atWork -= t.Slots
+	if p.InFlight, e.lastEndedAt = false, d.now; p.startedAt > 0 {
+		e.startedSlots -= t.Slots
 	}
 	free := func() {
-		e.slotsInFlight, d.busy, t.thing.slotsInFlight, t.thing.lastEndedAt = e.slotsInFlight-t.Slots, d.busy-t.Slots, t.thing.slotsInFlight-t.Slots, d.now
+		e.slotsInFlight, d.busy, t.keyState.slotsInFlight, t.keyState.lastEndedAt = e.slotsInFlight-t.Slots, d.busy-t.Slots, t.keyState.slotsInFlight-t.Slots, d.now
 	}
 	// Danger: what was taken back may run all the same; with its place taken for free a jam outlives its cause.
 	if o == Canceled {
@@ -794,47 +794,47 @@
 	} else {
 		free()
 	}
-	if p.unrun = o == Rejected || o == ConnectFailed || o == NotSent; !p.withdrawn {
-		t.live--
+	if p.provedNotRun = o == Rejected || o == ConnectFailed || o == NotSent; !p.canceled {
+		t.activeAttempts--
 	}
 	// Danger: of many nodes none has more than one or two txns at an executor, and takes it for that small.
-	e.model.maxSlots = max(e.model.maxSlots, p.FreeSlots)
+	e.typeStats.maxSlots = max(e.typeStats.maxSlots, p.FreeSlots)
 	// Danger: a txn that errs wherever it goes, or what is behind all executors, takes the healthy ones out.
-	part, again, cured := 1.0, t.erred != nil && t.erred != e, d.cured(t)
+	part, again, cured := 1.0, t.failedServer != nil && t.failedServer != e, d.cured(t)
 	if o == Failed {
-		part, t.erred = cured, e
+		part, t.failedServer = cured, e
 	}
 	if again && (o == Succeeded || o == Failed) {
 		d.cures[t.Class.Index].decay(d.now).record(o == Succeeded)
-		t.thing.retrySuccess.decay(d.now).record(o == Succeeded)
+		t.keyState.retrySuccess.decay(d.now).record(o == Succeeded)
 	}
 	if (t.AffinityKey != 0 || len(d.terms.Tenants) > 1) && (o == Succeeded || o == Failed) {
-		far := float64(d.now-max(p.sent, p.started)) > overrun*float64(d.running(t, 0.5))
+		far := float64(d.now-max(p.sentAt, p.startedAt)) > overrun*float64(d.running(t, 0.5))
 		// What is about one thing is alike; of a tenant's long runs alone say nothing.
 		if bad := far && cured < hopeless || t.AffinityKey != 0 && (far || part < hopeless); bad || o == Succeeded {
-			d.jam(t.thing, p, bad)
+			d.jam(t.keyState, p, bad)
 		}
 	}
 	switch o {
 	case Succeeded:
-		if !t.Done && d.now <= t.aim {
-			d.schemes[t.Class.Index].hits += t.value
+		if !t.Done && d.now <= t.objectiveAt {
+			d.schemes[t.Class.Index].hits += t.priorityWeight
 		}
-		if !p.blamed {
-			e.h, e.hAt, e.keptTill = min(d.health(e)+reward, 1), d.now, d.now+d.terms.IdleTimeout
-			if e.known {
+		if !p.failureRecorded {
+			e.reliability, e.reliabilityAt, e.idleUntil = min(d.health(e)+reward, 1), d.now, d.now+d.terms.IdleTimeout
+			if e.listed {
 				d.kept.add(e)
 			}
-			d.rank(p, float64(took)/t.unit(), false)
+			d.rank(p, float64(took)/t.workUnit(), false)
 		}
-		d.ran(p, d.now-max(p.sent, p.started))
+		d.ran(p, d.now-max(p.sentAt, p.startedAt))
 	case Failed, TimedOut, ConnectFailed, ConnectionLost, StaleConnection: // Danger: a gone connection, at once, is no sick executor
-		if !p.withdrawn && (o != StaleConnection || took > d.patience()) {
+		if !p.canceled && (o != StaleConnection || took > d.patience()) {
 			d.blame(p, part)
 		}
 	case Rejected:
 		// Danger: an executor that turns all away at once looks idle and draws everything; its limit falls as well.
-		e.room = max(e.room, e.limit)
+		e.limitBeforeRejections = max(e.limitBeforeRejections, e.limit)
 		d.adjust(p, e.slotsInFlight+t.Slots, false)
 	}
 	if over {
@@ -844,7 +844,7 @@
 	} else if again && o == Failed && part < incurable {
 		d.finish(t, FailsEverywhere)
 	}
-	p.then()
+	p.afterEnd()
 }
 
 // ClientClosed ends a txn whose client has closed, or shut its sending side and may still read: it gets the final answer that the rules allow.
@@ -852,8 +852,8 @@
 
 // Finish ends a txn that is answered, or whose client has gone.
 func (d *Dispatcher) Finish(t *Request) {
-	if t.Done = true; t.forget != nil {
-		t.forget()
+	if t.Done = true; t.cancelDeadline != nil {
+		t.cancelDeadline()
 	}
 	for _, p := range t.Attempts {
 		d.withdraw(p)
@@ -861,8 +861,8 @@
 }
 
 func (d *Dispatcher) withdraw(p *Attempt) {
-	if p.InFlight && !p.withdrawn && d.terms.AllowCancel {
-		p.withdrawn, p.Request.live = true, p.Request.live-1
+	if p.InFlight && !p.canceled && d.terms.AllowCancel {
+		p.canceled, p.Request.activeAttempts = true, p.Request.activeAttempts-1
 		d.door.CancelAttempt(p)
 	}
 }
@@ -876,7 +876,7 @@
 	d.Finish(t)
 	// Danger: a decline tells the client that trying again is harmless; where it might not be, reverse.
 	s := t.Class
-	if t.anchor() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
+	if t.firstPossibleRun() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
 		d.door.Shed(t, d.terms.MaxRetryAfter)
 	} else {
 		d.door.Compensate(t)
@@ -884,40 +884,40 @@
 }
 
 func (d *Dispatcher) AttemptStarted(p *Attempt) {
-	if !p.InFlight || p.started > 0 {
+	if !p.InFlight || p.startedAt > 0 {
 		return
 	}
 	t, e := p.Request, p.Server
-	p.started, d.prompt = d.now, min(cmp.Or(d.prompt, d.now-p.sent), d.now-p.sent)
-	e.atWork += t.Slots
-	e.model.maxSlots = max(e.model.maxSlots, e.atWork)
-	if d.now-p.sent <= d.tolerated(p) {
+	p.startedAt, d.prompt = d.now, min(cmp.Or(d.prompt, d.now-p.sentAt), d.now-p.sentAt)
+	e.startedSlots += t.Slots
+	e.typeStats.maxSlots = max(e.typeStats.maxSlots, e.startedSlots)
+	if d.now-p.sentAt <= d.tolerated(p) {
 		d.adjust(p, e.slotsInFlight, true)
 	}
 	// Tied copies: the first to start is kept, the others are still waiting and cost nothing to take back.
 	for _, q := range t.Attempts {
-		if q != p && q.started == 0 {
+		if q != p && q.startedAt == 0 {
 			d.withdraw(q)
 		}
 	}
 	d.watch(p)
 }
 
-func (d *Dispatcher) AttemptProgressed(p *Attempt) { p.told = d.now }
+func (d *Dispatcher) AttemptProgressed(p *Attempt) { p.progressAt = d.now }
 
 // ProcessQueue ends a round of events: it places waiting txns, the worthiest first, or gives them up.
 func (d *Dispatcher) ProcessQueue() {
 	waiting := d.queue
 	d.queue = nil
 	for _, t := range waiting {
-		t.queued, t.earns = false, d.earns(t)
+		t.queued, t.expectedValue = false, d.earns(t)
 	}
-	slices.SortStableFunc(waiting, func(a, b *Request) int { return cmp.Compare(b.earns, a.earns) })
+	slices.SortStableFunc(waiting, func(a, b *Request) int { return cmp.Compare(b.expectedValue, a.expectedValue) })
 	for _, t := range waiting {
 		switch {
-		case t.earns <= 0:
+		case t.expectedValue <= 0:
 			d.finish(t, QueueTimeout)
-		case d.now < t.look:
+		case d.now < t.retryAt:
 			d.enqueue(t)
 		default:
 			d.place(t)
@@ -939,17 +939,17 @@
 // earns is the billing value a slot and second to be expected of a waiting txn; 0: give it up now.
 func (d *Dispatcher) earns(t *Request) float64 {
 	late := t.Class.LateShare
-	part, atOnce, age := late+(1-late)*d.onTime(t, d.now), late+(1-late)*d.onTime(t, t.arrived), d.now-t.arrived
+	part, atOnce, age := late+(1-late)*d.onTime(t, d.now), late+(1-late)*d.onTime(t, t.arrivedAt), d.now-t.arrivedAt
 	// Danger: hints that are off make the best of chances look slim. It is the wait that takes a txn's hope.
-	if part < hopeless*atOnce || d.now+d.running(t, lowEnd) >= t.Deadline || age > 2*(t.aim-t.arrived) {
+	if part < hopeless*atOnce || d.now+d.running(t, lowEnd) >= t.Deadline || age > 2*(t.objectiveAt-t.arrivedAt) {
 		return 0
 	}
-	return part * t.value / t.size * d.favour(t.Class)
+	return part * t.priorityWeight / t.size * d.favour(t.Class)
 }
 
 // onTime is the chance that a txn started then ends in time; without a hint only long jobs make up for waits.
 func (d *Dispatcher) onTime(t *Request, at int64) float64 {
-	room, runs := float64(t.arrived+t.Class.LatencyObjective-at), &d.runs[t.Class.Index]
+	room, runs := float64(t.arrivedAt+t.Class.LatencyObjective-at), &d.runs[t.Class.Index]
 	if t.ExpectedWork > 0 {
 		return runs.shareBelow(room/float64(t.ExpectedWork) + t.Class.ObjectivePerWork)
 	}
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -33,8 +33,8 @@
 		}
 		w.pass(6e9) // what was taken back may run for a while
 		for _, m := range w.fleet {
-			if e := m.Server; e.slotsInFlight != 0 || e.atWork != 0 {
-				t.Fatalf("executor keeps %v slots, %v at work", e.slotsInFlight, e.atWork)
+			if e := m.Server; e.slotsInFlight != 0 || e.startedSlots != 0 {
+				t.Fatalf("executor keeps %v slots, %v at work", e.slotsInFlight, e.startedSlots)
 			}
 		}
 	})
@@ -114,7 +114,7 @@
 	}
 	job(fast, 1, false)
 	job(mid, 2, false)
-	if fast.pooled+mid.pooled != 0 {
+	if fast.scoreCount+mid.scoreCount != 0 {
 		t.Fatal("scored without two others")
 	}
 	for range 60 {
@@ -122,12 +122,12 @@
 		job(fast, 1, false)
 		job(mid, 2, false)
 	}
-	if fast.sum != 10*poolSize || mid.sum != 6*poolSize || slow.sum != 2*poolSize {
-		t.Fatalf("sums %d %d %d", fast.sum, mid.sum, slow.sum)
+	if fast.scoreSum != 10*poolSize || mid.scoreSum != 6*poolSize || slow.scoreSum != 2*poolSize {
+		t.Fatalf("sums %d %d %d", fast.scoreSum, mid.scoreSum, slow.scoreSum)
 	}
 	job(fast, 0, true)
-	if fast.sum != 10*(poolSize-1) {
-		t.Fatalf("a lost job must earn 0: sum %d", fast.sum)
+	if fast.scoreSum != 10*(poolSize-1) {
+		t.Fatalf("a lost job must earn 0: sum %d", fast.scoreSum)
 	}
 }
 
@@ -137,19 +137,19 @@
 	w := newWorld(t, 1, terms)
 	w.join(2, false)
 	good, bad := w.fleet[0].Server, w.fleet[1].Server
-	good.pooled, good.sum, bad.pooled, bad.sum = 50, 475, 50, 125
+	good.scoreCount, good.scoreSum, bad.scoreCount, bad.scoreSum = 50, 475, 50, 125
 	count := 0
 	for range 4000 {
-		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0] == good {
+		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0] == good {
 			count++
 		}
 	}
 	if count < 3000 || count > 3220 { // 3111 by the scores and what its kind adds
 		t.Fatalf("%d of 4000 draws for 0.78 of the weight", count)
 	}
-	bad.h, bad.hAt = 0.05, w.now
+	bad.reliability, bad.reliabilityAt = 0.05, w.now
 	for range 100 {
-		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0] == bad {
+		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0] == bad {
 			t.Fatal("drawn below the least H though another remains")
 		}
 	}
@@ -229,7 +229,7 @@
 		w.terms.Nodes = 20
 		w.join(1, false)
 		e := w.fleet[0].Server
-		e.model.maxSlots = slots
+		e.typeStats.maxSlots = slots
 		limit := func(late int64) float64 {
 			w.arrive(0, 1, 1e8, 5e9)
 			w.pass(late)
@@ -373,12 +373,12 @@
 	w.join(8, false)
 	for _, m := range w.fleet {
 		for range 20 {
-			w.d.adjust(&Attempt{Server: m.Server, sent: w.now}, 0, m.Zone != 0)
+			w.d.adjust(&Attempt{Server: m.Server, sentAt: w.now}, 0, m.Zone != 0)
 		}
 		m.Server.limit = firstRoom
 	}
 	for range 200 {
-		far += w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0].zone
+		far += w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0].zone
 	}
 	if far < 80 {
 		t.Fatalf("%d of 200 went to the zone with room", far)
@@ -404,7 +404,7 @@
 	}
 	again := 0
 	for range 40 {
-		if met[w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0]] {
+		if met[w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0]] {
 			again++
 		}
 	}
@@ -755,7 +755,7 @@
 		w.join(12, false)
 		for range 600 {
 			w.arrive(0, 1, 1e8, 9e9)
-			if w.open[0].Server.kind == 1 {
+			if w.open[0].Server.machineType == 1 {
 				n++
 			}
 			w.settle()
@@ -909,8 +909,8 @@
 		w.pass(w.terms.Tick)
 		w.d.ProcessQueue()
 	}
-	if tx.looks == 0 || tx.looks > 20 {
-		t.Errorf("looked for room %d times in 100 rounds", tx.looks)
+	if tx.fruitlessDraws == 0 || tx.fruitlessDraws > 20 {
+		t.Errorf("looked for room %d times in 100 rounds", tx.fruitlessDraws)
 	}
 	for _, m := range w.fleet {
 		m.Server.slotsInFlight = 0
@@ -930,13 +930,13 @@
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
 		w.d.counted = 100
-		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, thing: &keyState{requests: 1}}
+		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, keyState: &keyState{requests: 1}}
 		*w.d.starts[true] = decayingRatio{9, prompt, w.now}
 		if homes := w.d.homes(tx, true); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
 		}
 		// Danger: a txn that waits while the counts are halved away; it has a home all the same.
-		tx.thing.requests, w.d.counted = 0, 5
+		tx.keyState.requests, w.d.counted = 0, 5
 		if homes := w.d.homes(tx, true); len(homes) != want {
 			t.Errorf("no count left: %d homes", len(homes))
 		}
--- a/dispatch/figures_test.go
+++ b/dispatch/figures_test.go
@@ -20,7 +20,7 @@
 	check(1)
 	for i, want := range []int{2, 3, 4, 5, 1} {
 		e := w.fleet[1+i].Server
-		e.h, e.hAt = leastH/2, w.now
+		e.reliability, e.reliabilityAt = leastH/2, w.now
 		check(want)
 	}
 	w.pass(10 * recovery)
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -226,7 +226,7 @@
 		w.end(w.open[w.IntN(len(w.open))], Outcome(w.IntN(int(StaleConnection)+1)))
 	case n < 14 && len(w.open) > 0:
 		p := w.open[w.IntN(len(w.open))]
-		if busy := p.Server.atWork; busy+p.Request.Slots <= testSlots {
+		if busy := p.Server.startedSlots; busy+p.Request.Slots <= testSlots {
 			w.d.AttemptStarted(p)
 		}
 		w.d.AttemptProgressed(p)
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -26,7 +26,7 @@
 }
 
 func (p *purse) StartAttempt(q *Attempt) {
-	cold := p.d.terms.warmth(q.Server, p.now) < 1
+	cold := p.d.terms.warmUpFactor(q.Server, p.now) < 1
 	if q.Number > 0 && p.none[BudgetRetries] || p.none[BudgetConnections] || p.none[BudgetTenantAttempts] || cold && p.none[BudgetSlowStart] {
 		p.Fatalf("posting %d is sent, cold: %v, while %v is denied", q.Number, cold, p.none)
 	}
@@ -106,13 +106,13 @@
 	}
 	said.OutlierScore = 1
 	used(11e8) // what it did well a moment ago counts for a second after the last of it
-	for n := 0; n < 100 && w.now-said.keptTill+terms.IdleTimeout <= heed; n++ {
+	for n := 0; n < 100 && w.now-said.idleUntil+terms.IdleTimeout <= heed; n++ {
 		w.pass(1e8)
 	}
 	if n := used(1e9); n > 0 {
 		t.Errorf("%d jobs though many say that it is bad", n)
 	}
-	said.keptTill = w.now + terms.IdleTimeout
+	said.idleUntil = w.now + terms.IdleTimeout
 	if used(5e8) == 0 {
 		t.Error("an own job that ended well does not count")
 	}
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -105,27 +105,27 @@
 	Quota(b Budget, e *Server) float64
 }
 
-// inTurn is how many nodes take turns at what is cold; leases take the place of turns.
-func (t *Settings) inTurn() int {
+// nodesInRotation is how many nodes take turns at what is cold; leases take the place of turns.
+func (t *Settings) nodesInRotation() int {
 	if t.Quotas != nil {
 		return 1
 	}
 	return max(t.Nodes, 1)
 }
 
-// oftener is how much likelier a node takes a cold executor than others do, as few may send to it: by the groups that take
+// slowStartShareFactor is how much likelier a node takes a cold executor than others do, as few may send to it: by the groups that take
 // turns at it, or by this node's part of what all have. Danger: who may send to it draws it as seldom as if all could.
-func (t *Settings) oftener(e *Server, groups float64) float64 {
+func (t *Settings) slowStartShareFactor(e *Server, groups float64) float64 {
 	if t.Quotas == nil {
 		return groups
 	}
 	return t.Quotas.Quota(BudgetSlowStart, e) * float64(max(t.Nodes, 1))
 }
 
-// warmth is the share of its capacity that an executor has at least, at a time; its stamp may be too early.
-func (t *Settings) warmth(e *Server, at int64) float64 {
-	age := float64(at - e.since - t.StartTimeError)
-	if e.since == 0 || age >= float64(t.SlowStart) {
+// warmUpFactor is the share of its capacity that an executor has at least, at a time; its stamp may be too early.
+func (t *Settings) warmUpFactor(e *Server, at int64) float64 {
+	age := float64(at - e.startedAt - t.StartTimeError)
+	if e.startedAt == 0 || age >= float64(t.SlowStart) {
 		return 1
 	}
 	return t.SlowStartShare + (1-t.SlowStartShare)*max(age, 0)/float64(t.SlowStart)
@@ -136,13 +136,13 @@
 	return min(t.UnpolledEventAge+t.DrainGrace/2, t.MaxPollInterval)
 }
 
-// need says whether some scheme runs on that kind of machine alone.
-func (t *Settings) need(kind int) bool {
+// requiresMachineType says whether some scheme runs on that kind of machine alone.
+func (t *Settings) requiresMachineType(kind int) bool {
 	return slices.ContainsFunc(t.Classes, func(s *Class) bool { return s.MachineType == kind })
 }
 
-// mayPost says whether one more posting of a txn to an executor that is warm fits into this node's shares.
-func (t *Settings) mayPost(x *Request, e *Server) bool {
+// withinQuotas says whether one more posting of a txn to an executor that is warm fits into this node's shares.
+func (t *Settings) withinQuotas(x *Request, e *Server) bool {
 	s := t.Quotas
 	return s == nil || (len(x.Attempts) == 0 || s.Allow(BudgetRetries, e, x, 1)) && s.Allow(BudgetTenantAttempts, e, x, 1) && s.Allow(BudgetConnections, e, x, 1)
 }
@@ -211,17 +211,17 @@
 	Done         bool   // the final answer is given, or the client has left
 	Reason       Reason // why it was refused or failed, once it is
 
-	arrived, aim int64
-	value        float64   // billing value when in time
-	size         float64   // slots times expected work
-	earns        float64   // billing value for each unit of size that can be expected now
-	live         int       // postings out and not withdrawn
-	thing        *keyState // what it is about; nil: not told
-	erred        *Server   // where it ended in an error last
-	rounds       int       // of asking for room
-	look, looks  int64     // when room is looked for again, and how often that was in vain
-	queued, over bool      // over: beyond its tenant's share
-	forget       func()    // releases the alarm of its expiry
+	arrivedAt, objectiveAt  int64
+	priorityWeight          float64   // billing value when in time
+	size                    float64   // slots times expected work
+	expectedValue           float64   // billing value for each unit of size that can be expected now
+	activeAttempts          int       // postings out and not withdrawn
+	keyState                *keyState // what it is about; nil: not told
+	failedServer            *Server   // where it ended in an error last
+	probeRounds             int       // of asking for room
+	retryAt, fruitlessDraws int64     // when room is looked for again, and how often that was in vain
+	queued, overQuota       bool      // over: beyond its tenant's share
+	cancelDeadline          func()    // releases the alarm of its expiry
 }
 
 // Reason says why a request was refused or failed. It is for logs; nothing is decided by it.
@@ -243,24 +243,24 @@
 	return [...]string{"", "deadline", "no attempt left", "no hope", "late at a server", "client's time is over", "errs anywhere", "overloaded", "client has gone"}[r]
 }
 
-// anchor is the first posting that may have run or still may.
-func (t *Request) anchor() *Attempt {
-	if i := slices.IndexFunc(t.Attempts, func(p *Attempt) bool { return !p.unrun }); i >= 0 {
+// firstPossibleRun is the first posting that may have run or still may.
+func (t *Request) firstPossibleRun() *Attempt {
+	if i := slices.IndexFunc(t.Attempts, func(p *Attempt) bool { return !p.provedNotRun }); i >= 0 {
 		return t.Attempts[i]
 	}
 	return nil
 }
 
-// farther is how far an executor is from this node for a txn; one that has homes goes by these.
+// distanceFor is how far an executor is from this node for a txn; one that has homes goes by these.
 // Danger: few nodes at a time may send to a cold one, and those that it is near to are other ones.
-func (t *Settings) farther(x *Request, e *Server, now int64) int {
-	if x.AffinityKey != 0 || e.Distance == 0 || t.warmth(e, now) < 1 {
+func (t *Settings) distanceFor(x *Request, e *Server, now int64) int {
+	if x.AffinityKey != 0 || e.Distance == 0 || t.warmUpFactor(e, now) < 1 {
 		return 0
 	}
 	return e.Distance
 }
 
-func (t *Request) unit() float64 { return float64(cmp.Or(t.ExpectedWork, 1e9)) }
+func (t *Request) workUnit() float64 { return float64(cmp.Or(t.ExpectedWork, 1e9)) }
 
 // Attempt is one sending of a txn to an executor.
 type Attempt struct {
@@ -272,10 +272,10 @@
 	SlowStartShare float64 // of a cold executor's budget that it takes; 0: the executor is warm
 	FreeSlots      float64 // free slots that the executor reported with the outcome; 0: none, or not told
 
-	sent, started, told int64
-	blamed, withdrawn   bool
-	unrun               bool   // proved not to have run
-	then                func() // what the outcome leads to
+	sentAt, startedAt, progressAt int64
+	failureRecorded, canceled     bool
+	provedNotRun                  bool   // proved not to have run
+	afterEnd                      func() // what the outcome leads to
 }
 
 // Server is a worker that runs jobs.
@@ -286,37 +286,37 @@
 	OutlierScore float64 // how bad many nodes together say that it is, from 0 to 1; 0: nothing is said
 	Distance     int     // 0: one that this node is to use; else those of 1 come before those of 2, where the others can't serve
 
-	zone, kind, cell int
-	model            *machineTypeStats
-	wait             float64 // drawn, for one txn; the least is picked
-	since            int64
-	known            bool
+	zone, machineType, cell int
+	typeStats               *machineTypeStats
+	sampleKey               float64 // drawn, for one txn; the least is picked
+	startedAt               int64
+	listed                  bool
 
-	inFleet, inKept, inRamping, inLow int // places in the dispatcher's sets, counted from one
-	draw                              int // the last draw that considered it
-	turn                              bool
-	turnTill                          int64 // until when turn holds: whether this node may send to it in slow start
+	indexInAll, indexInIdle, indexInSlowStart, indexInLowLimit int // places in the dispatcher's sets, counted from one
+	lastDraw                                                   int // the last draw that considered it
+	inTurn                                                     bool
+	turnUntil                                                  int64 // until when turn holds: whether this node may send to it in slow start
 
-	pool        [poolSize]uint8
-	pooled, sum int
-	next        int
-	h           float64
-	hAt         int64
-	keptTill    int64 // until then a connection should be open and unused
+	scores               [poolSize]uint8
+	scoreCount, scoreSum int
+	nextScore            int
+	reliability          float64
+	reliabilityAt        int64
+	idleUntil            int64 // until then a connection should be open and unused
 
-	askers       []*Request    // that wait for the answer to a probe
-	toldAt       int64         // of room
-	claims       recentAmounts // slots taken since, by this node or others
-	free, memory float64
+	probeWaiters          []*Request    // that wait for the answer to a probe
+	capacityReportedAt    int64         // of room
+	reservations          recentAmounts // slots taken since, by this node or others
+	freeSlots, freeMemory float64
 
-	size float64 // the most that the list told of it
-	left float64 // what the list said last of its size less its load; one where that is not told
+	size        float64 // the most that the list told of it
+	spareFactor float64 // what the list said last of its size less its load; one where that is not told
 
 	concurrencyLimit
-	atWork float64 // of these, slots of started ones
-	late   float64 // starts in a row that came late
-	room   float64 // what it was before refusals cut it, until a start is late
-	sends  recentAmounts
+	startedSlots          float64 // of these, slots of started ones
+	lateStarts            float64 // starts in a row that came late
+	limitBeforeRejections float64 // what it was before refusals cut it, until a start is late
+	recentSends           recentAmounts
 }
 
 type timedAmount struct {
@@ -398,11 +398,11 @@
 		maps.DeleteFunc(d.things, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
 	}
 	key := cmp.Or(t.AffinityKey, ^uint64(t.Tenant))
-	if t.thing = d.things[key]; t.thing == nil {
-		t.thing = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
-		d.things[key] = t.thing
+	if t.keyState = d.things[key]; t.keyState == nil {
+		t.keyState = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
+		d.things[key] = t.keyState
 	}
-	t.thing.requests++
+	t.keyState.requests++
 }
 
 // HashName turns a name that all nodes know an executor by into a number by chance that all of them share.
@@ -430,8 +430,8 @@
 // ran notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
 func (d *Dispatcher) ran(p *Attempt, ran int64) {
 	if t, e := p.Request, p.Server; ran > 0 {
-		l := e.model.runtimeRatio.decay(d.now)
-		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.terms.warmth(e, p.sent)/float64(d.running(t, 0.5))
-		d.runs[t.Class.Index].add(float64(ran) / t.unit())
+		l := e.typeStats.runtimeRatio.decay(d.now)
+		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.terms.warmUpFactor(e, p.sentAt)/float64(d.running(t, 0.5))
+		d.runs[t.Class.Index].add(float64(ran) / t.workUnit())
 	}
 }
