--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -56,7 +56,7 @@
 			b.Run(fmt.Sprintf("%d/%d", executors, waiting), func(b *testing.B) {
 				d, _, terms := stillWorld(executors)
 				d.Advance(1e12)
-				for _, e := range d.fleet.servers {
+				for _, e := range d.servers.servers {
 					e.limit = 0
 				}
 				for range waiting {
--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -65,7 +65,7 @@
 		return
 	}
 	for ; count > 0 && len(s.servers) > 0; count-- {
-		if e := s.servers[d.chance.IntN(len(s.servers))]; !use(e) {
+		if e := s.servers[d.random.IntN(len(s.servers))]; !use(e) {
 			s.remove(e)
 		}
 	}
@@ -85,13 +85,13 @@
 
 // look considers the candidates of a draw.
 func (d *Dispatcher) look(s *candidateSearch) {
-	if len(d.fleet.servers) <= sampleMost {
-		for _, e := range d.fleet.servers {
+	if len(d.servers.servers) <= sampleMost {
+		for _, e := range d.servers.servers {
 			d.consider(s, e)
 		}
 		return
 	}
-	d.sample(&d.kept, sampleFew, func(e *Server) bool {
+	d.sample(&d.withIdleConnection, sampleFew, func(e *Server) bool {
 		if !e.listed || d.now >= e.idleUntil {
 			return false
 		}
@@ -106,9 +106,9 @@
 		return true
 	}
 	for left := sampleMost; left > 0 && !d.enough(s, left == sampleMost); left -= sampleFew {
-		d.sample(&d.fleet, sampleFew, use)
+		d.sample(&d.servers, sampleFew, use)
 	}
-	for _, e := range d.fleet.servers {
+	for _, e := range d.servers.servers {
 		if s.foundAllowed {
 			break
 		}
@@ -123,26 +123,26 @@
 	if kept {
 		steps = 1
 	}
-	found := len(d.drawn)
-	return s.foundHealthy && found == s.count && d.drawn[found-1].sampleKey < steps*firstStep
+	found := len(d.candidates)
+	return s.foundHealthy && found == s.count && d.candidates[found-1].sampleKey < steps*firstStep
 }
 
 // lookRamping considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
 func (d *Dispatcher) lookRamping(s *candidateSearch) {
-	for i := 0; i < len(d.ramping.servers); {
-		if e := d.ramping.servers[i]; e.listed && d.terms.warmUpFactor(e, d.now) < 1 {
+	for i := 0; i < len(d.inSlowStart.servers); {
+		if e := d.inSlowStart.servers[i]; e.listed && d.settings.warmUpFactor(e, d.now) < 1 {
 			i++
 		} else {
-			d.ramping.remove(e)
+			d.inSlowStart.remove(e)
 		}
 	}
-	count := len(d.ramping.servers)
+	count := len(d.inSlowStart.servers)
 	if count == 0 {
 		return
 	}
-	first, considered := d.chance.IntN(count), 0
+	first, considered := d.random.IntN(count), 0
 	for i := 0; i < count && considered < sampleMost; i++ {
-		if e := d.ramping.servers[(first+i)%count]; d.mayRamp(e) {
+		if e := d.inSlowStart.servers[(first+i)%count]; d.mayRamp(e) {
 			d.consider(s, e)
 			considered++
 		}
@@ -152,12 +152,12 @@
 // mayRamp says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
 // the budget by warmEnough.
 func (d *Dispatcher) mayRamp(e *Server) bool {
-	if d.terms.Quotas != nil {
+	if d.settings.Quotas != nil {
 		return true
 	}
 	if d.now >= e.turnUntil {
 		_, since, turn, _ := d.part(e)
-		e.inTurn, e.turnUntil = turn, since+max(d.terms.OverloadWindow/turns, 1)
+		e.inTurn, e.turnUntil = turn, since+max(d.settings.OverloadWindow/turns, 1)
 	}
 	return e.inTurn
 }
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -18,8 +18,8 @@
 
 // looked counts the servers that the last draw considered.
 func looked(d *Dispatcher) (n int) {
-	for _, e := range d.fleet.servers {
-		if e.lastDraw == d.draws {
+	for _, e := range d.servers.servers {
+		if e.lastDraw == d.drawCount {
 			n++
 		}
 	}
@@ -30,19 +30,19 @@
 // servers, and what it took is answered too late.
 func TestDrawLooksAtFew(t *testing.T) {
 	d, _, request := longList(t)
-	for i, e := range d.fleet.servers { // an hour in which it used them all
+	for i, e := range d.servers.servers { // an hour in which it used them all
 		if i%2 == 0 {
 			e.idleUntil = d.now + 1e9
-			d.kept.add(e)
+			d.withIdleConnection.add(e)
 		}
 	}
 	if d.draw(request, 1); looked(d) > 2*sampleMost {
 		t.Errorf("%d servers were considered", looked(d))
 	}
-	if d.drawn[0].idleUntil == 0 {
+	if d.candidates[0].idleUntil == 0 {
 		t.Error("one without a connection was drawn")
 	}
-	for _, e := range d.fleet.servers { // none has room
+	for _, e := range d.servers.servers { // none has room
 		e.limit = 0
 	}
 	if drawn := d.draw(request, 1); len(drawn) > 0 || looked(d) > 2*sampleMost {
@@ -56,7 +56,7 @@
 	d, _, request := longList(t)
 	want, all, got := map[int]float64{}, 0.0, map[int]float64{}
 	class := func(e *Server) int { return e.scoreSum/poolSize*2 + int(2*e.reliability) }
-	for i, e := range d.fleet.servers {
+	for i, e := range d.servers.servers {
 		e.scoreCount, e.scoreSum = poolSize, poolSize*[...]int{10, 6, 2, 2}[i%4]
 		if i%5 == 0 {
 			e.reliability, e.reliabilityAt = 0.5, d.now
@@ -78,12 +78,12 @@
 // Danger: a repeat that may go to one small group of servers alone, and finds none of them among those that were looked at.
 func TestNarrowChoiceIsFound(t *testing.T) {
 	d, terms, _ := longList(t)
-	for i, e := range d.fleet.servers {
+	for i, e := range d.servers.servers {
 		e.cell = i / 2
 	}
 	request := &Request{Class: terms.Classes[1], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
 	d.Arrive(request)
-	home := d.fleet.servers[1001]
+	home := d.servers.servers[1001]
 	request.Attempts = append(request.Attempts, &Attempt{Request: request, Server: home, sentAt: d.now})
 	for range 20 {
 		if drawn := d.draw(request, 1); len(drawn) != 1 || drawn[0].cell != home.cell {
@@ -95,9 +95,9 @@
 // Danger: half of a long list is new and stands empty, since a draw seldom meets those that it is this node's turn at.
 func TestLongListUsesServersInTurn(t *testing.T) {
 	d, terms, request := longList(t)
-	terms.Nodes, d.born, request.size = 300, 0, request.size/2
+	terms.Nodes, d.slowStartOwnerSince, request.size = 300, 0, request.size/2
 	var members []Endpoint
-	for i, e := range d.fleet.servers {
+	for i, e := range d.servers.servers {
 		if i%2 == 0 {
 			members = append(members, Endpoint{Server: e, StartedAt: d.now - 2e9 - int64(i)*1e6})
 		}
@@ -110,15 +110,15 @@
 		}
 	}
 	drawn := d.draw(request, 1)
-	if may == 0 || may > 320 || looked(d) > 2*sampleMost+may || d.terms.warmUpFactor(drawn[0], d.now) == 1 {
-		t.Errorf("%d may be sent to now, and the one drawn has warmth %v", may, d.terms.warmUpFactor(drawn[0], d.now))
+	if may == 0 || may > 320 || looked(d) > 2*sampleMost+may || d.settings.warmUpFactor(drawn[0], d.now) == 1 {
+		t.Errorf("%d may be sent to now, and the one drawn has warmth %v", may, d.settings.warmUpFactor(drawn[0], d.now))
 	}
 	terms.Nodes = 1 // it is always its turn
 	if d.draw(request, 1); looked(d) > 2*sampleMost {
 		t.Errorf("%d servers were considered, most of them in slow start", looked(d))
 	}
 	d.UpdateEndpoints(true, members[:10])
-	if n := len(d.fleet.servers) + len(d.kept.servers) + len(d.ramping.servers); n != 20 {
+	if n := len(d.servers.servers) + len(d.withIdleConnection.servers) + len(d.inSlowStart.servers); n != 20 {
 		t.Errorf("%d places are kept for ten servers", n)
 	}
 }
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -112,7 +112,7 @@
 		w.join(2, false)
 		w.pass(2 * terms.OverloadWindow)
 		e := w.fleet[0].Server
-		w.fleet[0].StartedAt, w.d.models[0].maxSlots = w.now+off*terms.StartTimeError, testSlots
+		w.fleet[0].StartedAt, w.d.machineTypes[0].maxSlots = w.now+off*terms.StartTimeError, testSlots
 		w.list(false)
 		born, sent := w.now, []timedAmount{}
 		for w.now < born+terms.SlowStart-terms.StartTimeError {
@@ -136,8 +136,8 @@
 				t.Fatalf("stamped %d s off: %.2f of its budget after %d ms", off*4, sum/budget, (w.now-born)/1e6)
 			}
 		}
-		if len(sent) == 0 || w.d.terms.warmUpFactor(e, w.now) == 1 {
-			t.Errorf("stamped %d s off: %d sent, warmth %.2f", off*4, len(sent), w.d.terms.warmUpFactor(e, w.now))
+		if len(sent) == 0 || w.d.settings.warmUpFactor(e, w.now) == 1 {
+			t.Errorf("stamped %d s off: %d sent, warmth %.2f", off*4, len(sent), w.d.settings.warmUpFactor(e, w.now))
 		}
 	}
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -51,44 +51,44 @@
 
 // Dispatcher is the decision module of one node.
 type Dispatcher struct {
-	terms              *Settings
-	door               Actions
-	born, now, by      int64 // by: when a call for the list goes out at the latest
-	toldAt, fresh      int64 // when an executor last told of its room; how long that counts
-	failed, counted    int   // calls for the list since one succeeded; txns counted in things
-	spent, prompt      int64 // on the last of those calls; least time seen from sending to the note of the start
-	chance             *rand.Rand
-	fleet              serverSet // all that are listed
-	kept, ramping, low serverSet // of these: with an idle connection; in slow start; whose limit is under firstRoom
-	drawn, near        []*Server // scratch space of homes and draw
-	draws              int       // so far
-	lag                int64     // how long work of this process waits until it runs, ns
-	queue              []*Request
-	recent             map[rankGroup][]recentResult
-	runs               []histogram               // by scheme: running time over hint, or in seconds without one
-	large              float64                   // what a large txn takes, in ns
-	works              histogram                 // size of txns, in seconds
-	models             map[int]*machineTypeStats // by kind of machine
-	things             map[uint64]*keyState      // what txns are about
-	tenants, schemes   []decayingRatio           // arrivals, and billing value
-	offs               []int64                   // by which the latest txns were told less time than their schemes have
-	load, busy         float64                   // held by all a unit of size, by the list; slots of all open postings
-	pumped             bool                      // an alarm to look at the queue is out
-	cures              []decayingRatio           // by scheme: txns that erred and went elsewhere; those served there
-	starts             map[bool]*decayingRatio   // by whether at home: postings whose start was due; the prompt ones
+	settings                                  *Settings
+	actions                                   Actions
+	slowStartOwnerSince, now, pollDeadline    int64 // by: when a call for the list goes out at the latest
+	capacityReportedAt, reportLifetime        int64 // when an executor last told of its room; how long that counts
+	failedPolls, keyedRequests                int   // calls for the list since one succeeded; txns counted in things
+	lastPollCost, minStartDelay               int64 // on the last of those calls; least time seen from sending to the note of the start
+	random                                    *rand.Rand
+	servers                                   serverSet // all that are listed
+	withIdleConnection, inSlowStart, lowLimit serverSet // of these: with an idle connection; in slow start; whose limit is under firstRoom
+	candidates, preferred                     []*Server // scratch space of homes and draw
+	drawCount                                 int       // so far
+	schedulingDelay                           int64     // how long work of this process waits until it runs, ns
+	queue                                     []*Request
+	recentResults                             map[rankGroup][]recentResult
+	runtimes                                  []histogram               // by scheme: running time over hint, or in seconds without one
+	largeSize                                 float64                   // what a large txn takes, in ns
+	sizes                                     histogram                 // size of txns, in seconds
+	machineTypes                              map[int]*machineTypeStats // by kind of machine
+	keyStates                                 map[uint64]*keyState      // what txns are about
+	tenantArrivals, classValues               []decayingRatio           // arrivals, and billing value
+	deadlineOffsets                           []int64                   // by which the latest txns were told less time than their schemes have
+	load, slotsInFlight                       float64                   // held by all a unit of size, by the list; slots of all open postings
+	queueTimerSet                             bool                      // an alarm to look at the queue is out
+	retrySuccess                              []decayingRatio           // by scheme: txns that erred and went elsewhere; those served there
+	startPromptness                           map[bool]*decayingRatio   // by whether at home: postings whose start was due; the prompt ones
 }
 
 func New(terms *Settings, seed uint64, door Actions, now int64) *Dispatcher {
-	d := &Dispatcher{terms: terms, door: door, born: now, now: now, by: now + terms.UnpolledEventAge,
-		chance: rand.New(rand.NewPCG(seed, 1)),
-		recent: map[rankGroup][]recentResult{}, things: map[uint64]*keyState{}, models: map[int]*machineTypeStats{},
-		starts: map[bool]*decayingRatio{true: {}, false: {}}, cures: make([]decayingRatio, len(terms.Classes)),
-		runs:    make([]histogram, len(terms.Classes)),
-		tenants: make([]decayingRatio, len(terms.Tenants)), schemes: make([]decayingRatio, len(terms.Classes)),
-		fleet:   serverSet{index: func(e *Server) *int { return &e.indexInAll }},
-		kept:    serverSet{index: func(e *Server) *int { return &e.indexInIdle }},
-		ramping: serverSet{index: func(e *Server) *int { return &e.indexInSlowStart }},
-		low:     serverSet{index: func(e *Server) *int { return &e.indexInLowLimit }}}
+	d := &Dispatcher{settings: terms, actions: door, slowStartOwnerSince: now, now: now, pollDeadline: now + terms.UnpolledEventAge,
+		random:        rand.New(rand.NewPCG(seed, 1)),
+		recentResults: map[rankGroup][]recentResult{}, keyStates: map[uint64]*keyState{}, machineTypes: map[int]*machineTypeStats{},
+		startPromptness: map[bool]*decayingRatio{true: {}, false: {}}, retrySuccess: make([]decayingRatio, len(terms.Classes)),
+		runtimes:       make([]histogram, len(terms.Classes)),
+		tenantArrivals: make([]decayingRatio, len(terms.Tenants)), classValues: make([]decayingRatio, len(terms.Classes)),
+		servers:            serverSet{index: func(e *Server) *int { return &e.indexInAll }},
+		withIdleConnection: serverSet{index: func(e *Server) *int { return &e.indexInIdle }},
+		inSlowStart:        serverSet{index: func(e *Server) *int { return &e.indexInSlowStart }},
+		lowLimit:           serverSet{index: func(e *Server) *int { return &e.indexInLowLimit }}}
 	if terms.PollForChanges {
 		d.PollEndpoints()
 	}
@@ -99,29 +99,29 @@
 
 // UpdateEndpoints takes the list or changes to it; whole says that absent executors are gone.
 func (d *Dispatcher) UpdateEndpoints(whole bool, members []Endpoint) {
-	d.failed, d.spent = 0, 0
+	d.failedPolls, d.lastPollCost = 0, 0
 	gone := whole
-	for i := 0; whole && i < len(d.fleet.servers); i++ {
-		d.fleet.servers[i].State = Removed
+	for i := 0; whole && i < len(d.servers.servers); i++ {
+		d.servers.servers[i].State = Removed
 	}
 	for _, m := range members {
 		e := m.Server
 		if !e.listed || m.StartedAt > e.startedAt {
 			e.reliability, e.reliabilityAt, e.limit, e.size = 1, d.now, firstRoom, 1
 		}
-		d.fleet.add(e)
-		if d.models[m.MachineType] == nil {
-			d.models[m.MachineType] = &machineTypeStats{required: d.terms.requiresMachineType(m.MachineType)}
+		d.servers.add(e)
+		if d.machineTypes[m.MachineType] == nil {
+			d.machineTypes[m.MachineType] = &machineTypeStats{required: d.settings.requiresMachineType(m.MachineType)}
 		}
 		// Danger: of many nodes each sees next to nothing of load; the draw alone fills the small and the slow.
-		if e.spareFactor = 1; d.terms.LiveCapacity {
+		if e.spareFactor = 1; d.settings.LiveCapacity {
 			e.spareFactor, e.size = max(m.Capacity, 0.01), max(m.Capacity, e.size)
 		}
-		e.listed, e.State, e.startedAt, e.typeStats = true, m.State, m.StartedAt, d.models[m.MachineType]
+		e.listed, e.State, e.startedAt, e.typeStats = true, m.State, m.StartedAt, d.machineTypes[m.MachineType]
 		e.zone, e.machineType, e.cell = m.Zone, m.MachineType, m.Cell
-		if gone = gone || m.State == Removed; d.terms.warmUpFactor(e, d.now) < 1 {
+		if gone = gone || m.State == Removed; d.settings.warmUpFactor(e, d.now) < 1 {
 			e.turnUntil = 0
-			d.ramping.add(e)
+			d.inSlowStart.add(e)
 		}
 	}
 	if gone {
@@ -129,66 +129,68 @@
 	}
 	// Danger: a list of thousands that is walked at each change of one of them. Load is told where weights are live.
 	d.load = 0
-	for i := 0; d.terms.LiveCapacity && i < len(d.fleet.servers); i++ {
-		e := d.fleet.servers[i]
+	for i := 0; d.settings.LiveCapacity && i < len(d.servers.servers); i++ {
+		e := d.servers.servers[i]
 		d.load += e.size/e.spareFactor - 1
 	}
 }
 
 // forget drops the servers that are gone.
 func (d *Dispatcher) forget() {
-	left := d.fleet.servers[:0]
-	for _, e := range d.fleet.servers {
+	left := d.servers.servers[:0]
+	for _, e := range d.servers.servers {
 		if e.listed = e.State != Removed; e.listed {
 			left = append(left, e)
 			e.indexInAll = len(left)
 		} else {
 			e.indexInAll = 0
-			d.kept.remove(e)
-			d.ramping.remove(e)
-			d.low.remove(e)
+			d.withIdleConnection.remove(e)
+			d.inSlowStart.remove(e)
+			d.lowLimit.remove(e)
 		}
 	}
-	clear(d.fleet.servers[len(left):])
-	d.fleet.servers = left
+	clear(d.servers.servers[len(left):])
+	d.servers.servers = left
 }
 
 // quiet is how long no call for the list may be out. Danger: longer, and what counts as told is unknown.
-func (d *Dispatcher) quiet() float64 { return float64(d.terms.UnpolledEventAge + d.terms.DrainGrace/2) }
+func (d *Dispatcher) quiet() float64 {
+	return float64(d.settings.UnpolledEventAge + d.settings.DrainGrace/2)
+}
 
 // StartPolling asks for news of the list for the first time; where there is a list to go by, at a time by chance.
 // Danger: nodes that start or fail together ask together; a service that falls behind serves none of them.
 func (d *Dispatcher) StartPolling() {
-	d.call(d.quiet()*d.chance.Float64()*float64(min(len(d.fleet.servers), 1)), d.quiet())
+	d.call(d.quiet()*d.random.Float64()*float64(min(len(d.servers.servers), 1)), d.quiet())
 }
 
 // PollFailed takes a failed call for the list; the next waits, for the same danger, by what two of them cost.
 // Danger: an agent that could be asked again as the call was out has news that counts some time after that.
 func (d *Dispatcher) PollFailed(took, spent int64) {
-	part := min(max(d.quiet()/3, float64(min(spent, d.spent))), float64(max(d.terms.MaxPollInterval-took, 0))/3)
-	d.failed, d.spent = min(d.failed+1, 2), spent
-	d.call(part*float64(d.failed)*(0.5+d.chance.Float64()), 3*part)
+	part := min(max(d.quiet()/3, float64(min(spent, d.lastPollCost))), float64(max(d.settings.MaxPollInterval-took, 0))/3)
+	d.failedPolls, d.lastPollCost = min(d.failedPolls+1, 2), spent
+	d.call(part*float64(d.failedPolls)*(0.5+d.random.Float64()), 3*part)
 }
 
 // PollSucceeded ends a call that brought something, where nodes hold calls together; the next goes in its turn.
 func (d *Dispatcher) PollSucceeded() { d.call(0, d.quiet()) }
 
 func (d *Dispatcher) call(after, by float64) {
-	d.by = d.now + int64(by)
-	d.door.Schedule(int64(after), d.PollEndpoints)
+	d.pollDeadline = d.now + int64(by)
+	d.actions.Schedule(int64(after), d.PollEndpoints)
 }
 
 // PollEndpoints has the list asked for, or waits for this node's share.
 func (d *Dispatcher) PollEndpoints() {
-	if d.terms.Quotas == nil || d.PollOverdue() || d.terms.Quotas.Allow(BudgetPolls, nil, nil, 1) {
-		d.door.PollEndpoints(true)
+	if d.settings.Quotas == nil || d.PollOverdue() || d.settings.Quotas.Allow(BudgetPolls, nil, nil, 1) {
+		d.actions.PollEndpoints(true)
 	} else {
-		d.door.Schedule(d.terms.Tick, d.PollEndpoints)
+		d.actions.Schedule(d.settings.Tick, d.PollEndpoints)
 	}
 }
 
 // PollOverdue says that a call goes out whatever shares say. Danger: work for what drained, as no news is heard.
-func (d *Dispatcher) PollOverdue() bool { return d.now >= d.by }
+func (d *Dispatcher) PollOverdue() bool { return d.now >= d.pollDeadline }
 
 func (d *Dispatcher) Arrive(t *Request) {
 	if d.overloaded(t) {
@@ -197,29 +199,29 @@
 	}
 	waited := max(t.UnreadTime-waitSlack, 0)
 	t.Deadline -= waited
-	t.Deadline, t.arrivedAt, t.overQuota = d.till(t), d.now-waited, len(d.terms.Tenants) > 0 && d.overShare(t)
+	t.Deadline, t.arrivedAt, t.overQuota = d.till(t), d.now-waited, len(d.settings.Tenants) > 0 && d.overShare(t)
 	// Danger: the first job that runs far longer than its hint would speak for all to come.
-	for r := &d.runs[t.Class.Index]; t.ExpectedWork > 0 && r.count < 3; {
+	for r := &d.runtimes[t.Class.Index]; t.ExpectedWork > 0 && r.count < 3; {
 		r.add(1)
 	}
 	work := cmp.Or(t.ExpectedWork, d.running(t, 0.5))
 	t.objectiveAt = min(d.now+t.Class.LatencyObjective+int64(t.Class.ObjectivePerWork*float64(work)), t.Deadline)
 	t.size = max(t.Slots, 1) * float64(work)
-	d.works.add(t.size / 1e9)
+	d.sizes.add(t.size / 1e9)
 	// Danger: of jobs of milliseconds many begin and end while a word of room is still taken for news.
-	d.large = d.works.quantile(highEnd, 0) * 1e9
-	d.fresh = min(askAgain, int64(d.large))
-	if t.priorityWeight = t.Class.Weight; d.terms.WeightByWork {
+	d.largeSize = d.sizes.quantile(highEnd, 0) * 1e9
+	d.reportLifetime = min(askAgain, int64(d.largeSize))
+	if t.priorityWeight = t.Class.Weight; d.settings.WeightByWork {
 		t.priorityWeight *= t.size
 	}
 	if t.overQuota {
-		t.priorityWeight *= d.terms.OverQuotaWeight
+		t.priorityWeight *= d.settings.OverQuotaWeight
 		// Danger: many quiet nodes hold no queue to sort; what is worth little then jams the machines for all.
-		if d.terms.LoadReports && d.chance.Float64() > d.prompts(true) {
+		if d.settings.LoadReports && d.random.Float64() > d.prompts(true) {
 			t.priorityWeight = 0
 		}
 	}
-	d.schemes[t.Class.Index].decay(d.now).total += t.priorityWeight
+	d.classValues[t.Class.Index].decay(d.now).total += t.priorityWeight
 	d.count(t)
 	d.SetDeadline(t, t.Deadline)
 	d.enqueue(t)
@@ -228,11 +230,11 @@
 // till is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
 // or earlier by what the latest first tries lacked. Danger: all is declined at once, or answered too late.
 func (d *Dispatcher) till(t *Request) int64 {
-	if d.terms.DeadlineMargin == 0 || t.Class.MaxDeadline == 0 {
+	if d.settings.DeadlineMargin == 0 || t.Class.MaxDeadline == 0 {
 		return t.Deadline
 	}
-	d.offs = append(d.offs[max(len(d.offs)-lefts+1, 0):], t.Class.MaxDeadline-t.Deadline+d.now)
-	off := min(max(slices.Min(d.offs), -d.terms.DeadlineMargin), d.terms.DeadlineMargin)
+	d.deadlineOffsets = append(d.deadlineOffsets[max(len(d.deadlineOffsets)-lefts+1, 0):], t.Class.MaxDeadline-t.Deadline+d.now)
+	off := min(max(slices.Min(d.deadlineOffsets), -d.settings.DeadlineMargin), d.settings.DeadlineMargin)
 	return t.Deadline + min(off, max(off-t.Class.MaxDeadline/way, 0))
 }
 
@@ -240,38 +242,38 @@
 // Danger: a txn that is forgotten. This alarm answers it whatever else happens.
 func (d *Dispatcher) SetDeadline(t *Request, at int64) {
 	t.Deadline = min(t.Deadline, at)
-	t.cancelDeadline = d.door.Schedule(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
+	t.cancelDeadline = d.actions.Schedule(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
 }
 
 // overShare tells by chance whether a txn lies beyond its tenant's share, by the other tenants' arrivals.
 func (d *Dispatcher) overShare(t *Request) bool {
 	var others, shares float64
-	for i, tenant := range d.terms.Tenants {
+	for i, tenant := range d.settings.Tenants {
 		if i != t.Tenant {
-			others, shares = others+d.tenants[i].decay(d.now).total, shares+tenant.Quota
+			others, shares = others+d.tenantArrivals[i].decay(d.now).total, shares+tenant.Quota
 		}
 	}
-	own := d.tenants[t.Tenant].decay(d.now)
+	own := d.tenantArrivals[t.Tenant].decay(d.now)
 	own.total++
-	due := (others + 1) * d.terms.Tenants[t.Tenant].Quota / shares
-	return d.chance.Float64()*own.total > overMark*due+2*math.Sqrt(due) // twice the spread of chance
+	due := (others + 1) * d.settings.Tenants[t.Tenant].Quota / shares
+	return d.random.Float64()*own.total > overMark*due+2*math.Sqrt(due) // twice the spread of chance
 }
 
 // favour is what a txn counts for over its value: more in the scheme served worst, by the terms.
 func (d *Dispatcher) favour(s *Class) float64 {
-	own, all := d.schemes[s.Index].decay(d.now), 0.0
-	for i := range d.schemes {
-		l := d.schemes[i].decay(d.now)
+	own, all := d.classValues[s.Index].decay(d.now), 0.0
+	for i := range d.classValues {
+		l := d.classValues[i].decay(d.now)
 		if all += l.total; l.hits*own.total < own.hits*l.total {
 			return 1
 		}
 	}
-	return 1 + d.terms.WorstClassWeight*all/max(own.total, 1e-9)
+	return 1 + d.settings.WorstClassWeight*all/max(own.total, 1e-9)
 }
 
 // running is how long the txn is expected to run, at quantile q.
 func (d *Dispatcher) running(t *Request, q float64) int64 {
-	return max(int64(t.workUnit()*d.runs[t.Class.Index].quantile(q, float64(t.Class.LatencyObjective)/t.workUnit())), 1e6)
+	return max(int64(t.workUnit()*d.runtimes[t.Class.Index].quantile(q, float64(t.Class.LatencyObjective)/t.workUnit())), 1e6)
 }
 
 // place posts the txn or lets it wait at the node.
@@ -280,18 +282,18 @@
 		return
 	}
 	// Danger: executors that never answer probes. What has heard nothing for some rounds goes out blindly.
-	asking, count := d.terms.CapacityProbes && !d.terms.LiveCapacity && (t.probeRounds < asks || d.toldAt >= t.arrivedAt), 1
+	asking, count := d.settings.CapacityProbes && !d.settings.LiveCapacity && (t.probeRounds < asks || d.capacityReportedAt >= t.arrivedAt), 1
 	if asking {
 		count = asks
 	}
-	if len(t.Attempts) >= d.terms.MaxAttempts || t.firstPossibleRun() != nil && d.spanOver(t) {
+	if len(t.Attempts) >= d.settings.MaxAttempts || t.firstPossibleRun() != nil && d.spanOver(t) {
 		d.finish(t, AttemptsExhausted)
 	} else if d.stale() {
-		t.retryAt = d.now + leastLag*d.terms.Tick
+		t.retryAt = d.now + leastLag*d.settings.Tick
 		d.enqueue(t)
 	} else if drawn := d.draw(t, count); len(drawn) == 0 {
 		// Danger: in a jam a node spends its processor time on looking for room that is not there.
-		t.retryAt, t.fruitlessDraws = d.now+d.terms.Tick*min(t.fruitlessDraws, 16), t.fruitlessDraws+1
+		t.retryAt, t.fruitlessDraws = d.now+d.settings.Tick*min(t.fruitlessDraws, 16), t.fruitlessDraws+1
 		d.enqueue(t)
 	} else if asking {
 		d.ask(t, drawn)
@@ -305,13 +307,13 @@
 func (d *Dispatcher) ask(t *Request, drawn []*Server) {
 	for _, e := range drawn {
 		if len(e.probeWaiters) == 0 {
-			d.door.ProbeCapacity(e)
+			d.actions.ProbeCapacity(e)
 		}
 		e.probeWaiters = append(e.probeWaiters, t)
 	}
 	t.probeRounds++
 	round := t.probeRounds
-	d.door.Schedule(int64(round)*d.fresh, func() {
+	d.actions.Schedule(int64(round)*d.reportLifetime, func() {
 		if !t.Done && t.activeAttempts == 0 && t.probeRounds == round {
 			d.enqueue(t)
 		}
@@ -322,19 +324,19 @@
 // Danger: what many nodes were told they all take at once; so with the chance that starts are prompt.
 func (d *Dispatcher) CapacityReported(e *Server, told bool, free, memory float64) {
 	askers := e.probeWaiters
-	e.freeSlots = e.reservations.sum(free, d.now-4*d.fresh)
+	e.freeSlots = e.reservations.sum(free, d.now-4*d.reportLifetime)
 	if e.probeWaiters, e.capacityReportedAt, e.freeMemory = nil, d.now, memory; told {
-		d.toldAt = d.now
+		d.capacityReportedAt = d.now
 	}
 	for _, t := range askers {
 		// Danger: an answer that comes late; the executor may be gone, and the txn out or over.
 		if !t.Done && t.activeAttempts == 0 && !d.full(t, e) && d.allowed(t, e) &&
-			d.chance.Float64() < d.prompts(e.zone == d.terms.Zone) {
+			d.random.Float64() < d.prompts(e.zone == d.settings.Zone) {
 			e.freeMemory -= t.Memory
 			d.post(t, e)
 			d.SlotsReserved(e, t.Slots)
-			if d.terms.PeerMessages && t.probeRounds > 1 {
-				d.door.NotifyPeers(e, t.Slots)
+			if d.settings.PeerMessages && t.probeRounds > 1 {
+				d.actions.NotifyPeers(e, t.Slots)
 			}
 		}
 	}
@@ -342,19 +344,19 @@
 
 // SlotsReserved notes slots that this or another node took at an executor, for as long as reports may lack them.
 func (d *Dispatcher) SlotsReserved(e *Server, slots float64) {
-	e.reservations = e.reservations.add(d.now, -slots, 4*d.fresh)
+	e.reservations = e.reservations.add(d.now, -slots, 4*d.reportLifetime)
 	e.freeSlots -= slots
 }
 
 // full says whether the executor told lately that the txn finds no room there.
 func (d *Dispatcher) full(t *Request, e *Server) bool {
-	return e.capacityReportedAt > 0 && d.now-e.capacityReportedAt < d.fresh && (e.freeSlots < t.Slots || e.freeMemory < t.Memory)
+	return e.capacityReportedAt > 0 && d.now-e.capacityReportedAt < d.reportLifetime && (e.freeSlots < t.Slots || e.freeMemory < t.Memory)
 }
 
 // spanOver says whether a txn that may have run must not go again at all.
 func (d *Dispatcher) spanOver(t *Request) bool {
 	return t.Class.Idempotency == NonIdempotent ||
-		t.Class.Idempotency == IdempotentInGroup && d.now-t.firstPossibleRun().sentAt >= t.Class.DedupWindow-d.terms.Tick
+		t.Class.Idempotency == IdempotentInGroup && d.now-t.firstPossibleRun().sentAt >= t.Class.DedupWindow-d.settings.Tick
 }
 
 // allowed says whether the rules let the txn go to the executor now.
@@ -364,7 +366,7 @@
 		return false
 	}
 	for _, p := range t.Attempts {
-		if p.canceled && p.Server == e || p.InFlight && (p.Server == e || !d.terms.AllowHedging) {
+		if p.canceled && p.Server == e || p.InFlight && (p.Server == e || !d.settings.AllowHedging) {
 			return false
 		}
 	}
@@ -377,41 +379,41 @@
 		}
 	}
 	// Danger: what all nodes hold together, used beyond this one's share of it.
-	return d.terms.withinQuotas(t, e) && d.warmEnough(t, e)
+	return d.settings.withinQuotas(t, e) && d.warmEnough(t, e)
 }
 
 // warmEnough keeps this node's part of a cold executor's budget, by all that was sent, refused or not.
 // Danger: one pushed over by all nodes together, or by a new node that knows nothing of what it sent before.
 func (d *Dispatcher) warmEnough(t *Request, e *Server) bool {
-	if d.terms.warmUpFactor(e, d.now) == 1 {
+	if d.settings.warmUpFactor(e, d.now) == 1 {
 		return true
 	}
-	if d.terms.Quotas != nil { // it counts as it is sent
-		return d.terms.Quotas.Allow(BudgetSlowStart, e, t, t.size/d.bears(e, d.now-d.terms.OverloadWindow, 1))
+	if d.settings.Quotas != nil { // it counts as it is sent
+		return d.settings.Quotas.Allow(BudgetSlowStart, e, t, t.size/d.bears(e, d.now-d.settings.OverloadWindow, 1))
 	}
 	part, since, turn, _ := d.part(e)
-	return turn && d.born < since && e.recentSends.sum(t.size, since) <= part
+	return turn && d.slowStartOwnerSince < since && e.recentSends.sum(t.size, since) <= part
 }
 
 // bears is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
 // It bears N jobs, two root N + 2 for chance; what is sent has that chance too, so that N / doubt follows.
 func (d *Dispatcher) bears(e *Server, at int64, parts float64) float64 {
-	work := d.terms.OverloadFactor * float64(d.terms.OverloadWindow) * max(e.typeStats.maxSlots, 1) / e.typeStats.meanRuntimeRatio(d.now)
-	return work * (d.terms.warmUpFactor(e, at) / doubt / parts)
+	work := d.settings.OverloadFactor * float64(d.settings.OverloadWindow) * max(e.typeStats.maxSlots, 1) / e.typeStats.meanRuntimeRatio(d.now)
+	return work * (d.settings.warmUpFactor(e, at) / doubt / parts)
 }
 
 // part is what this node may send a cold executor, since when, whether now, and how many groups take turns.
 // Danger: an even part of many is less than one txn, and what was swapped stands empty. So a few take turns.
 func (d *Dispatcher) part(e *Server) (part float64, since int64, turn bool, of float64) {
-	nodes, length := d.terms.nodesInRotation(), max(d.terms.OverloadWindow/turns, 1)
+	nodes, length := d.settings.nodesInRotation(), max(d.settings.OverloadWindow/turns, 1)
 	// Danger: a start that is stamped too late lies ahead, and nothing sent since then would count.
-	first := e.startedAt - d.terms.StartTimeError
+	first := e.startedAt - d.settings.StartTimeError
 	n := max(d.now-first, 0) / length
 	since = first + n*length
 	all := d.bears(e, since, turns+1) // a window meets one turn more than it is long
-	members := max(int64(min(all/d.large, float64(nodes))), 1)
+	members := max(int64(min(all/d.largeSize, float64(nodes))), 1)
 	groups := (int64(nodes) + members - 1) / members
-	return all / float64(members), since, (n+int64(d.terms.NodeIndex)+e.startedAt/1e6)%groups == 0, float64(groups)
+	return all / float64(members), since, (n+int64(d.settings.NodeIndex)+e.startedAt/1e6)%groups == 0, float64(groups)
 }
 
 // health is H, drifted back towards 1 up to now.
@@ -426,7 +428,7 @@
 // standing is H, or less where many other nodes say so and no job of this one ended well there of late.
 // Danger: old news that beats a fresh outcome; or each of many nodes finds out for itself, at its txns' cost.
 func (d *Dispatcher) standing(e *Server) float64 {
-	if e.OutlierScore > 0 && d.now-e.idleUntil+d.terms.IdleTimeout > heed {
+	if e.OutlierScore > 0 && d.now-e.idleUntil+d.settings.IdleTimeout > heed {
 		return min(d.health(e), 1-e.OutlierScore)
 	}
 	return d.health(e)
@@ -440,9 +442,9 @@
 	// Danger: one of many nodes meets most executors seldom or never; until then their kind's mean stands in.
 	score := (e.typeStats.scores.hits + unscored) / (e.typeStats.scores.total + 1)
 	score = (float64(e.scoreSum)/topScore + score*kindScores) / (float64(e.scoreCount) + kindScores)
-	if warmth := d.terms.warmUpFactor(e, d.now); warmth < 1 {
+	if warmth := d.settings.warmUpFactor(e, d.now); warmth < 1 {
 		_, _, _, groups := d.part(e) // seldom in turn, it is taken as much likelier then
-		score *= warmth * d.terms.slowStartShareFactor(e, groups)
+		score *= warmth * d.settings.slowStartShareFactor(e, groups)
 	}
 	// Danger: the rest crowd out a scheme that one kind alone can run.
 	if t.Class.MachineType < 0 && e.typeStats.required {
@@ -462,17 +464,17 @@
 // Danger: one pause makes all that is there late; cut for each, hardly a limit would be left.
 func (d *Dispatcher) halve(g *concurrencyLimit, sent int64, busy float64) {
 	if sent >= g.reducedAt {
-		g.limit, g.reducedAt = max(cut*min(g.limit, busy), 1/float64(max(d.terms.Nodes, 1))), d.now
+		g.limit, g.reducedAt = max(cut*min(g.limit, busy), 1/float64(max(d.settings.Nodes, 1))), d.now
 	}
 }
 
 // patience is how long the note of a start is waited for.
 // Danger: measured from common delays it would grow with every jam, so that no limit ever fell.
-func (d *Dispatcher) patience() int64 { return 4 * (d.terms.Tick + d.prompt) }
+func (d *Dispatcher) patience() int64 { return 4 * (d.settings.Tick + d.minStartDelay) }
 
 // tolerated is how long a posting may wait at its executor before that counts as full: a part of its slack.
 func (d *Dispatcher) tolerated(p *Attempt) int64 {
-	if !d.terms.LoadReports {
+	if !d.settings.LoadReports {
 		return d.patience()
 	}
 	return max(d.patience(), d.slack(p.Request, p.sentAt)/4)
@@ -485,31 +487,31 @@
 
 // prompts is the share of postings that started promptly, at home or away; one while nothing is known.
 func (d *Dispatcher) prompts(home bool) float64 {
-	l := d.starts[home].decay(d.now)
+	l := d.startPromptness[home].decay(d.now)
 	return (l.hits + 1) / (l.total + 1)
 }
 
 // draw picks executors by chance and weight, idle and prompt ones before uncrowded ones before any with room,
 // home first where crossing is dear. The least of waits drawn at rates of weights is a draw by weight.
 func (d *Dispatcher) draw(t *Request, count int) []*Server {
-	mean := d.busy / float64(len(d.fleet.servers))
-	d.draws++
-	s := &candidateSearch{request: t, count: count, runtime: d.running(t, 0.5), meanInFlight: mean, draw: d.draws}
-	if d.drawn = d.drawn[:0]; t.keyState.exceeded(t.Slots, d.now, s.runtime) {
+	mean := d.slotsInFlight / float64(len(d.servers.servers))
+	d.drawCount++
+	s := &candidateSearch{request: t, count: count, runtime: d.running(t, 0.5), meanInFlight: mean, draw: d.drawCount}
+	if d.candidates = d.candidates[:0]; t.keyState.exceeded(t.Slots, d.now, s.runtime) {
 		return nil
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
-	s.anyZone = d.terms.CrossZoneCost < dear || d.chance.Float64()*d.prompts(false) > d.prompts(true)
+	s.anyZone = d.settings.CrossZoneCost < dear || d.random.Float64()*d.prompts(false) > d.prompts(true)
 	if t.AffinityKey == 0 {
 		d.look(s)
-		return d.drawn[:min(count, len(d.drawn))]
+		return d.candidates[:min(count, len(d.candidates))]
 	}
 	// Danger: what has homes in each zone is fetched as many times more, and others' make room.
-	s.anyZone = s.anyZone || d.terms.CrossZoneCost < d.terms.FetchCost
+	s.anyZone = s.anyZone || d.settings.CrossZoneCost < d.settings.FetchCost
 	for _, e := range d.homes(t, s.anyZone) {
 		d.consider(s, e)
 	}
-	return d.drawn[:min(count, len(d.drawn))]
+	return d.candidates[:min(count, len(d.candidates))]
 }
 
 // consider draws a wait for a server, if it may be sent to, and keeps it if that is among the least; each server once a draw.
@@ -525,67 +527,67 @@
 	s.foundAllowed = true
 	// The sick count only if none else remains, with or without room.
 	if !sick && !s.foundHealthy {
-		s.foundHealthy, d.drawn = true, d.drawn[:0]
+		s.foundHealthy, d.candidates = true, d.candidates[:0]
 	}
 	if e.exceeded(t.Slots, d.now, s.runtime) || d.full(t, e) {
 		return
 	}
 	// One that was prompt and has a connection open still is likelier to have room, without a handshake.
 	step := 1.0
-	if e.slotsInFlight == 0 && e.limit >= 1 && (d.now < e.idleUntil || d.terms.warmUpFactor(e, d.now) < 1) {
+	if e.slotsInFlight == 0 && e.limit >= 1 && (d.now < e.idleUntil || d.settings.warmUpFactor(e, d.now) < 1) {
 		step = 0
 	} else if e.slotsInFlight >= margin+s.meanInFlight {
 		step = 2
 	}
-	if !s.anyZone && e.zone != d.terms.Zone {
+	if !s.anyZone && e.zone != d.settings.Zone {
 		step += 3
 	}
 	// Danger: of many nodes each holds connections to all. What is beyond this one's part comes after the rest.
-	step += 6 * float64(d.terms.distanceFor(t, e, d.now))
-	e.sampleKey = step*firstStep - math.Log(1-d.chance.Float64())/d.weight(t, e)
-	if i, _ := slices.BinarySearchFunc(d.drawn, e, byWait); i < s.count {
-		d.drawn = slices.Insert(d.drawn, i, e)
+	step += 6 * float64(d.settings.distanceFor(t, e, d.now))
+	e.sampleKey = step*firstStep - math.Log(1-d.random.Float64())/d.weight(t, e)
+	if i, _ := slices.BinarySearchFunc(d.candidates, e, byWait); i < s.count {
+		d.candidates = slices.Insert(d.candidates, i, e)
 	}
 }
 
 // homes are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
 // Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
 func (d *Dispatcher) homes(t *Request, roam bool) []*Server {
-	count := 1 + int(d.prompts(true)+spare) + (len(d.fleet.servers)*max(t.keyState.requests-1, 0)+d.counted/2)/d.counted
+	count := 1 + int(d.prompts(true)+spare) + (len(d.servers.servers)*max(t.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
 	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
 	few := count
-	d.near, count = d.near[:0], count+1
-	for _, e := range d.fleet.servers {
+	d.preferred, count = d.preferred[:0], count+1
+	for _, e := range d.servers.servers {
 		luck := float64(rand.NewPCG(t.AffinityKey, e.Hash).Uint64()>>11+1) / (1 << 53)
 		if e.sampleKey = -math.Log(luck) / e.size; t.Class.MachineType < 0 && e.typeStats.required {
 			e.sampleKey /= leave
 		}
 		// Danger: a few nodes at a time may send to a cold one; by key none of them ever would.
-		if d.terms.warmUpFactor(e, d.now) < 1 {
+		if d.settings.warmUpFactor(e, d.now) < 1 {
 			e.sampleKey = 0
-		} else if !roam && e.zone != d.terms.Zone {
+		} else if !roam && e.zone != d.settings.Zone {
 			e.sampleKey += 1e9
 		}
-		if len(d.near) >= count && e.sampleKey > d.near[count-1].sampleKey || d.sick(e) || !d.allowed(t, e) {
+		if len(d.preferred) >= count && e.sampleKey > d.preferred[count-1].sampleKey || d.sick(e) || !d.allowed(t, e) {
 			continue
 		}
 		if e.sampleKey == 0 {
 			count, few = count+1, few+1
 		}
-		i, _ := slices.BinarySearchFunc(d.near, e, byWait)
-		d.near = slices.Insert(d.near, i, e)
+		i, _ := slices.BinarySearchFunc(d.preferred, e, byWait)
+		d.preferred = slices.Insert(d.preferred, i, e)
 	}
-	if len(d.near) == 0 {
-		return d.fleet.servers
+	if len(d.preferred) == 0 {
+		return d.servers.servers
 	}
-	d.near = d.near[:min(count, len(d.near))]
-	for _, e := range d.near {
-		if d.terms.LiveCapacity && e.sampleKey > 0 && e.size/e.spareFactor-1 > max(crowded*d.load/float64(len(d.fleet.servers)), 1) {
+	d.preferred = d.preferred[:min(count, len(d.preferred))]
+	for _, e := range d.preferred {
+		if d.settings.LiveCapacity && e.sampleKey > 0 && e.size/e.spareFactor-1 > max(crowded*d.load/float64(len(d.servers.servers)), 1) {
 			e.sampleKey += 2e9
 		}
 	}
-	slices.SortStableFunc(d.near, byWait)
-	return d.near[:min(few, len(d.near))]
+	slices.SortStableFunc(d.preferred, byWait)
+	return d.preferred[:min(few, len(d.preferred))]
 }
 
 func byWait(a, b *Server) int { return cmp.Compare(a.sampleKey, b.sampleKey) }
@@ -594,13 +596,13 @@
 func (d *Dispatcher) post(t *Request, e *Server) {
 	p := &Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true, sentAt: d.now}
 	t.Attempts = append(t.Attempts, p)
-	e.slotsInFlight, d.busy, t.keyState.slotsInFlight, t.activeAttempts = e.slotsInFlight+t.Slots, d.busy+t.Slots, t.keyState.slotsInFlight+t.Slots, t.activeAttempts+1
+	e.slotsInFlight, d.slotsInFlight, t.keyState.slotsInFlight, t.activeAttempts = e.slotsInFlight+t.Slots, d.slotsInFlight+t.Slots, t.keyState.slotsInFlight+t.Slots, t.activeAttempts+1
 	// Danger: a node that hears of a start late, and has sent to it as to a warm one since.
-	if e.recentSends = e.recentSends.add(d.now, t.size, d.terms.OverloadWindow); d.terms.warmUpFactor(e, d.now) < 1 {
-		p.SlowStartShare = t.size / d.bears(e, d.now-d.terms.OverloadWindow, 1)
+	if e.recentSends = e.recentSends.add(d.now, t.size, d.settings.OverloadWindow); d.settings.warmUpFactor(e, d.now) < 1 {
+		p.SlowStartShare = t.size / d.bears(e, d.now-d.settings.OverloadWindow, 1)
 	}
 	p.afterEnd = func() { d.place(t) }
-	d.door.StartAttempt(p)
+	d.actions.StartAttempt(p)
 	d.watch(p)
 }
 
@@ -613,11 +615,11 @@
 // Danger: a node that stood still finds alarms and notes at once; its lateness looks like its executors'.
 func (d *Dispatcher) judge(p *Attempt, after int64, then func()) {
 	due := d.now + after + d.patience()
-	d.door.Schedule(after, func() {
+	d.actions.Schedule(after, func() {
 		switch {
 		case !p.InFlight || p.Request.Done:
 		case d.now > due:
-			d.judge(p, d.terms.Tick, then)
+			d.judge(p, d.settings.Tick, then)
 		default:
 			then()
 		}
@@ -626,14 +628,14 @@
 
 // watch sees to a posting's start, where executors tell of it, and then to its end.
 func (d *Dispatcher) watch(p *Attempt) {
-	if p.startedAt > 0 || !d.terms.StartNotices {
-		d.awaitEnd(p, d.terms.Tick)
+	if p.startedAt > 0 || !d.settings.StartNotices {
+		d.awaitEnd(p, d.settings.Tick)
 		return
 	}
 	d.judge(p, d.tolerated(p), func() {
 		if e := p.Server; p.startedAt == 0 {
 			// Danger: many slots stand half empty, or one that slowed is judged by its best. Late in a row, ever less.
-			least := min(e.limit, e.typeStats.maxSlots/float64(max(d.terms.Nodes, 1))*math.Exp2(-e.lateStarts))
+			least := min(e.limit, e.typeStats.maxSlots/float64(max(d.settings.Nodes, 1))*math.Exp2(-e.lateStarts))
 			d.adjust(p, e.slotsInFlight, false)
 			e.limitBeforeRejections, e.limit, e.lateStarts = 0, max(e.limit, least), e.lateStarts+1
 			d.lowered(e)
@@ -652,7 +654,7 @@
 	case s.Idempotency == Idempotent && s.LateShare == 0 && d.earns(p.Request) <= 0:
 		d.finish(p.Request, LateAtServer)
 		return
-	case !d.terms.LoadReports || wait <= d.patience():
+	case !d.settings.LoadReports || wait <= d.patience():
 		d.copy(p)
 		wait = max((d.now-p.sentAt)/2, d.patience())
 	}
@@ -661,10 +663,10 @@
 
 // awaitEnd decides what becomes of a posting that runs too long or stands still.
 func (d *Dispatcher) awaitEnd(p *Attempt, wait int64) {
-	run, period := d.running(p.Request, highEnd), d.terms.ProgressInterval
+	run, period := d.running(p.Request, highEnd), d.settings.ProgressInterval
 	still := period > 0 && d.now-max(p.progressAt, p.startedAt, p.sentAt) > int64(missing*float64(period))
 	if still || d.now-max(p.sentAt, p.startedAt) > int64(overrun*float64(run)) {
-		if d.blame(p, 1); still || d.terms.AllowHedging {
+		if d.blame(p, 1); still || d.settings.AllowHedging {
 			d.copy(p)
 		}
 	}
@@ -674,11 +676,11 @@
 
 // copy sends a late posting's txn to a second executor, or takes it back to go again where that is forbidden.
 func (d *Dispatcher) copy(p *Attempt) {
-	t, left := p.Request, d.terms.MaxAttempts-len(p.Request.Attempts)
-	if !d.terms.AllowHedging {
+	t, left := p.Request, d.settings.MaxAttempts-len(p.Request.Attempts)
+	if !d.settings.AllowHedging {
 		// Danger: what is taken back may run all the same, for nobody. Who stands still runs none of it; a list
 		// that tells of load promises room elsewhere.
-		late := d.terms.LiveCapacity && d.now-p.sentAt >= d.slack(t, p.sentAt)/4
+		late := d.settings.LiveCapacity && d.now-p.sentAt >= d.slack(t, p.sentAt)/4
 		if left > 0 && !d.spanOver(t) && (p.startedAt > 0 || late || d.standing(p.Server) < hopeless) {
 			d.withdraw(p)
 		}
@@ -689,7 +691,7 @@
 	}
 	// Danger: copies in a full fleet take the room of txns that wait for it, here or at many other nodes.
 	for _, e := range d.draw(t, 1) {
-		hit, gain := d.prompts(e.zone == d.terms.Zone), 1-t.Class.LateShare+d.terms.MissedObjectiveCost
+		hit, gain := d.prompts(e.zone == d.settings.Zone), 1-t.Class.LateShare+d.settings.MissedObjectiveCost
 		if len(d.queue) == 0 && left > 0 && t.activeAttempts <= 1 && hit*gain >= (1-hit)*behind {
 			d.post(t, e)
 		}
@@ -699,7 +701,7 @@
 // adjust moves an executor's in-flight limit by how prompt a start was.
 func (d *Dispatcher) adjust(p *Attempt, busy float64, prompt bool) {
 	e := p.Server
-	if d.starts[e.zone == d.terms.Zone].decay(d.now).record(prompt); !prompt {
+	if d.startPromptness[e.zone == d.settings.Zone].decay(d.now).record(prompt); !prompt {
 		d.halve(&e.concurrencyLimit, p.sentAt, busy)
 		d.lowered(e)
 		return
@@ -710,10 +712,10 @@
 		e.limit += growth * min(e.limit, 1)
 	}
 	// Danger: limits that only an executor's own starts raise keep machines empty that had one long job.
-	for i := 0; i < len(d.low.servers); i++ {
-		x := d.low.servers[i]
-		if x.limit = max(x.limit, min(x.limit+growth/2*min(x.limit, 1)/float64(len(d.fleet.servers)), firstRoom)); x.limit >= firstRoom {
-			d.low.remove(x)
+	for i := 0; i < len(d.lowLimit.servers); i++ {
+		x := d.lowLimit.servers[i]
+		if x.limit = max(x.limit, min(x.limit+growth/2*min(x.limit, 1)/float64(len(d.servers.servers)), firstRoom)); x.limit >= firstRoom {
+			d.lowLimit.remove(x)
 			i--
 		}
 	}
@@ -722,13 +724,13 @@
 // lowered notes a server whose limit is under the one that all start with.
 func (d *Dispatcher) lowered(e *Server) {
 	if e.listed && e.limit < firstRoom {
-		d.low.add(e)
+		d.lowLimit.add(e)
 	}
 }
 
 // cured is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
 func (d *Dispatcher) cured(t *Request) float64 {
-	s, k := d.cures[t.Class.Index].decay(d.now), t.keyState.retrySuccess.decay(d.now)
+	s, k := d.retrySuccess[t.Class.Index].decay(d.now), t.keyState.retrySuccess.decay(d.now)
 	return (k.hits + (s.hits+1)/(s.total+1)) / (k.total + 1)
 }
 
@@ -756,8 +758,8 @@
 // rank scores a job against the last two of its family at other executors.
 func (d *Dispatcher) rank(p *Attempt, time float64, lost bool) {
 	e, key := p.Server, rankGroup{p.Request.Class, p.Request.Slots}
-	marks := slices.DeleteFunc(d.recent[key], func(m recentResult) bool { return m.server == e })
-	d.recent[key] = append(marks[max(len(marks)-2, 0):], recentResult{e, time, lost})
+	marks := slices.DeleteFunc(d.recentResults[key], func(m recentResult) bool { return m.server == e })
+	d.recentResults[key] = append(marks[max(len(marks)-2, 0):], recentResult{e, time, lost})
 	place, lostToo := 0, 0
 	for _, m := range marks[max(len(marks)-2, 0):] {
 		if m.lost {
@@ -786,11 +788,11 @@
 		e.startedSlots -= t.Slots
 	}
 	free := func() {
-		e.slotsInFlight, d.busy, t.keyState.slotsInFlight, t.keyState.lastEndedAt = e.slotsInFlight-t.Slots, d.busy-t.Slots, t.keyState.slotsInFlight-t.Slots, d.now
+		e.slotsInFlight, d.slotsInFlight, t.keyState.slotsInFlight, t.keyState.lastEndedAt = e.slotsInFlight-t.Slots, d.slotsInFlight-t.Slots, t.keyState.slotsInFlight-t.Slots, d.now
 	}
 	// Danger: what was taken back may run all the same; with its place taken for free a jam outlives its cause.
 	if o == Canceled {
-		d.door.Schedule(d.running(t, 0.5), free)
+		d.actions.Schedule(d.running(t, 0.5), free)
 	} else {
 		free()
 	}
@@ -805,10 +807,10 @@
 		part, t.failedServer = cured, e
 	}
 	if again && (o == Succeeded || o == Failed) {
-		d.cures[t.Class.Index].decay(d.now).record(o == Succeeded)
+		d.retrySuccess[t.Class.Index].decay(d.now).record(o == Succeeded)
 		t.keyState.retrySuccess.decay(d.now).record(o == Succeeded)
 	}
-	if (t.AffinityKey != 0 || len(d.terms.Tenants) > 1) && (o == Succeeded || o == Failed) {
+	if (t.AffinityKey != 0 || len(d.settings.Tenants) > 1) && (o == Succeeded || o == Failed) {
 		far := float64(d.now-max(p.sentAt, p.startedAt)) > overrun*float64(d.running(t, 0.5))
 		// What is about one thing is alike; of a tenant's long runs alone say nothing.
 		if bad := far && cured < hopeless || t.AffinityKey != 0 && (far || part < hopeless); bad || o == Succeeded {
@@ -818,12 +820,12 @@
 	switch o {
 	case Succeeded:
 		if !t.Done && d.now <= t.objectiveAt {
-			d.schemes[t.Class.Index].hits += t.priorityWeight
+			d.classValues[t.Class.Index].hits += t.priorityWeight
 		}
 		if !p.failureRecorded {
-			e.reliability, e.reliabilityAt, e.idleUntil = min(d.health(e)+reward, 1), d.now, d.now+d.terms.IdleTimeout
+			e.reliability, e.reliabilityAt, e.idleUntil = min(d.health(e)+reward, 1), d.now, d.now+d.settings.IdleTimeout
 			if e.listed {
-				d.kept.add(e)
+				d.withIdleConnection.add(e)
 			}
 			d.rank(p, float64(took)/t.workUnit(), false)
 		}
@@ -861,9 +863,9 @@
 }
 
 func (d *Dispatcher) withdraw(p *Attempt) {
-	if p.InFlight && !p.canceled && d.terms.AllowCancel {
+	if p.InFlight && !p.canceled && d.settings.AllowCancel {
 		p.canceled, p.Request.activeAttempts = true, p.Request.activeAttempts-1
-		d.door.CancelAttempt(p)
+		d.actions.CancelAttempt(p)
 	}
 }
 
@@ -877,9 +879,9 @@
 	// Danger: a decline tells the client that trying again is harmless; where it might not be, reverse.
 	s := t.Class
 	if t.firstPossibleRun() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
-		d.door.Shed(t, d.terms.MaxRetryAfter)
+		d.actions.Shed(t, d.settings.MaxRetryAfter)
 	} else {
-		d.door.Compensate(t)
+		d.actions.Compensate(t)
 	}
 }
 
@@ -888,7 +890,7 @@
 		return
 	}
 	t, e := p.Request, p.Server
-	p.startedAt, d.prompt = d.now, min(cmp.Or(d.prompt, d.now-p.sentAt), d.now-p.sentAt)
+	p.startedAt, d.minStartDelay = d.now, min(cmp.Or(d.minStartDelay, d.now-p.sentAt), d.now-p.sentAt)
 	e.startedSlots += t.Slots
 	e.typeStats.maxSlots = max(e.typeStats.maxSlots, e.startedSlots)
 	if d.now-p.sentAt <= d.tolerated(p) {
@@ -923,9 +925,9 @@
 			d.place(t)
 		}
 	}
-	if len(d.queue) > 0 && !d.pumped {
-		d.pumped = true
-		d.door.Schedule(2*d.terms.Tick, func() { d.pumped = false })
+	if len(d.queue) > 0 && !d.queueTimerSet {
+		d.queueTimerSet = true
+		d.actions.Schedule(2*d.settings.Tick, func() { d.queueTimerSet = false })
 	}
 }
 
@@ -949,7 +951,7 @@
 
 // onTime is the chance that a txn started then ends in time; without a hint only long jobs make up for waits.
 func (d *Dispatcher) onTime(t *Request, at int64) float64 {
-	room, runs := float64(t.arrivedAt+t.Class.LatencyObjective-at), &d.runs[t.Class.Index]
+	room, runs := float64(t.arrivedAt+t.Class.LatencyObjective-at), &d.runtimes[t.Class.Index]
 	if t.ExpectedWork > 0 {
 		return runs.shareBelow(room/float64(t.ExpectedWork) + t.Class.ObjectivePerWork)
 	}
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -267,16 +267,16 @@
 		t.Fatal("a copy went out while a txn waited")
 	}
 	w.d.queue = nil
-	*w.d.starts[true] = decayingRatio{20, 0.5, w.now}
+	*w.d.startPromptness[true] = decayingRatio{20, 0.5, w.now}
 	if w.d.copy(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though none of those left should find room")
 	}
 	w.terms.LoadReports = true
-	*w.d.starts[true] = decayingRatio{10, 6, w.now}
+	*w.d.startPromptness[true] = decayingRatio{10, 6, w.now}
 	if w.d.copy(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though four starts in ten were late, as other nodes' txns wait")
 	}
-	w.d.starts[true].hits = 10
+	w.d.startPromptness[true].hits = 10
 	if w.d.copy(w.open[0]); len(w.open) != 2 {
 		t.Fatal("no copy though there is room")
 	}
@@ -420,7 +420,7 @@
 		terms.LoadReports, terms.OverQuotaWeight, terms.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 		w := newWorld(t, 1, terms)
 		w.join(40, false)
-		*w.d.starts[true] = decayingRatio{400, prompt, w.now}
+		*w.d.startPromptness[true] = decayingRatio{400, prompt, w.now}
 		for range 40 {
 			if w.arrive(0, 1, 1e8, 5e9).Done {
 				declined++
@@ -699,7 +699,7 @@
 	for seed := range uint64(100) {
 		w := newWorld(t, seed, terms)
 		w.join(4, false)
-		w.d.starts[true].total, w.d.starts[true].decayedAt = 9, w.now
+		w.d.startPromptness[true].total, w.d.startPromptness[true].decayedAt = 9, w.now
 		tx := w.arrive(0, 1, 1e8, 9e9)
 		if w.d.CapacityReported(w.probes[0], true, 9, 9); len(tx.Attempts) > 0 {
 			taken++
@@ -874,7 +874,7 @@
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
 		w.pass(3e9)
-		w.d.counted = 200 // others are about other things
+		w.d.keyedRequests = 200 // others are about other things
 		cold := w.fleet[7]
 		cold.StartedAt = w.now - w.terms.SlowStart/2
 		w.list(true)
@@ -929,14 +929,14 @@
 		for i, m := range w.fleet {
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
-		w.d.counted = 100
+		w.d.keyedRequests = 100
 		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, keyState: &keyState{requests: 1}}
-		*w.d.starts[true] = decayingRatio{9, prompt, w.now}
+		*w.d.startPromptness[true] = decayingRatio{9, prompt, w.now}
 		if homes := w.d.homes(tx, true); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
 		}
 		// Danger: a txn that waits while the counts are halved away; it has a home all the same.
-		tx.keyState.requests, w.d.counted = 0, 5
+		tx.keyState.requests, w.d.keyedRequests = 0, 5
 		if homes := w.d.homes(tx, true); len(homes) != want {
 			t.Errorf("no count left: %d homes", len(homes))
 		}
--- a/dispatch/figures.go
+++ b/dispatch/figures.go
@@ -8,7 +8,7 @@
 // while others remain.
 func (d *Dispatcher) ServerCounts() (known, excluded int) {
 	sick := 0
-	for _, e := range d.fleet.servers {
+	for _, e := range d.servers.servers {
 		switch {
 		case e.State != Up:
 			excluded++
@@ -16,16 +16,16 @@
 			sick++
 		}
 	}
-	if sick+excluded < len(d.fleet.servers) {
+	if sick+excluded < len(d.servers.servers) {
 		excluded += sick
 	}
-	return len(d.fleet.servers), excluded
+	return len(d.servers.servers), excluded
 }
 
 // SetSlowStartOwner says whether this node's part of cold executors' budgets is this module's to use. Taken over from another process
 // of the node it counts as one that knows nothing of what was sent before.
 func (d *Dispatcher) SetSlowStartOwner(yes bool) {
-	if d.born = math.MaxInt64; yes {
-		d.born = d.now
+	if d.slowStartOwnerSince = math.MaxInt64; yes {
+		d.slowStartOwnerSince = d.now
 	}
 }
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -153,7 +153,7 @@
 	}
 	for _, n := range h.nodes {
 		n.list()
-		n.d.models[0].maxSlots = h.slots - float64(h.IntN(unlike)) // nodes have seen more or less of it
+		n.d.machineTypes[0].maxSlots = h.slots - float64(h.IntN(unlike)) // nodes have seen more or less of it
 	}
 }
 
@@ -176,7 +176,7 @@
 				if h.work != nil {
 					t.ExpectedWork, t.Deadline, h.works[t] = 0, h.now+h.patient, h.work()
 				}
-				h.tell(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.terms.NodeIndex), Request: t.Tag, Class: "s", Deadline: t.Deadline})
+				h.tell(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.settings.NodeIndex), Request: t.Tag, Class: "s", Deadline: t.Deadline})
 				n.d.Arrive(t)
 			}
 			n.d.ProcessQueue()
@@ -230,7 +230,7 @@
 		h.hasty = hasty
 		h.terms.StartTimeError = []int64{0, h.terms.OverloadWindow, h.terms.SlowStart}[seed%3]
 		for _, n := range h.nodes {
-			n.d.terms.StartTimeError = h.terms.StartTimeError
+			n.d.settings.StartTimeError = h.terms.StartTimeError
 		}
 		size := int64(2e7) << (seed % 5)
 		h.pass(h.terms.OverloadWindow, size, 0)
@@ -302,7 +302,7 @@
 		bound := within + 1e9
 		var per [8]int
 		for _, node := range h.nodes {
-			node.alarms, node.d.terms = nil, h.terms
+			node.alarms, node.d.settings = nil, h.terms
 			node.d.StartPolling()
 			if after := node.alarms[0].at - h.now; after >= bound {
 				t.Fatalf("a call after %d ms, %d at most", after/1e6, bound/1e6)
@@ -330,7 +330,7 @@
 		most := func(rounds int) (n int, last int64) {
 			var per [16]int
 			for _, node := range h.nodes {
-				node.alarms, node.d.terms = nil, h.terms
+				node.alarms, node.d.settings = nil, h.terms
 				for range rounds {
 					node.d.PollFailed(c.spent, c.spent)
 				}
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -23,16 +23,16 @@
 )
 
 // SetSchedulingDelay tells how long work of this process waits until it runs, in ns. It is measured outside and holds until it is told again.
-func (d *Dispatcher) SetSchedulingDelay(lag int64) { d.lag = lag }
+func (d *Dispatcher) SetSchedulingDelay(lag int64) { d.schedulingDelay = lag }
 
 // bearable is the longest wait at which a request with that time to its deadline can still be served, and updates of the server list
 // are known in time: either may take half of its time to wait in all its turns.
 func (d *Dispatcher) bearable(left int64) int64 {
 	longest := left / (2 * requestTurns)
-	if d.terms.DrainGrace > 0 {
-		longest = min(longest, d.terms.DrainGrace/(2*updateTurns))
+	if d.settings.DrainGrace > 0 {
+		longest = min(longest, d.settings.DrainGrace/(2*updateTurns))
 	}
-	return max(longest, leastLag*d.terms.Tick)
+	return max(longest, leastLag*d.settings.Tick)
 }
 
 // overloaded says whether a request that has just been read has to be shed.
@@ -43,11 +43,11 @@
 // stale says whether this process is so far behind that updates of the server list may wait unread for longer than drains allow.
 // Danger: a process that stood still sends what it had decided before, and reads only then that the server has left.
 func (d *Dispatcher) stale() bool {
-	return d.terms.DrainGrace > 0 && d.lag > max(d.terms.DrainGrace/updateTurns, leastLag*d.terms.Tick)
+	return d.settings.DrainGrace > 0 && d.schedulingDelay > max(d.settings.DrainGrace/updateTurns, leastLag*d.settings.Tick)
 }
 
 // hedges says whether this process can afford second attempts. Danger: late by itself, it takes all servers for late.
-func (d *Dispatcher) hedges() bool { return d.lag <= leastLag*d.terms.Tick }
+func (d *Dispatcher) hedges() bool { return d.schedulingDelay <= leastLag*d.settings.Tick }
 
 // headroom is how long before a deadline an answer has to be decided on: it waits to be decided, and to be written.
-func (d *Dispatcher) headroom() int64 { return 2 * (d.terms.Tick + d.lag) }
+func (d *Dispatcher) headroom() int64 { return 2 * (d.settings.Tick + d.schedulingDelay) }
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -26,7 +26,7 @@
 }
 
 func (p *purse) StartAttempt(q *Attempt) {
-	cold := p.d.terms.warmUpFactor(q.Server, p.now) < 1
+	cold := p.d.settings.warmUpFactor(q.Server, p.now) < 1
 	if q.Number > 0 && p.none[BudgetRetries] || p.none[BudgetConnections] || p.none[BudgetTenantAttempts] || cold && p.none[BudgetSlowStart] {
 		p.Fatalf("posting %d is sent, cold: %v, while %v is denied", q.Number, cold, p.none)
 	}
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -393,14 +393,14 @@
 
 // count adds a txn to those about one thing; without a key that is its tenant.
 func (d *Dispatcher) count(t *Request) {
-	if d.counted++; d.counted > keyCounts {
-		d.counted /= 2
-		maps.DeleteFunc(d.things, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
+	if d.keyedRequests++; d.keyedRequests > keyCounts {
+		d.keyedRequests /= 2
+		maps.DeleteFunc(d.keyStates, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
 	}
 	key := cmp.Or(t.AffinityKey, ^uint64(t.Tenant))
-	if t.keyState = d.things[key]; t.keyState == nil {
+	if t.keyState = d.keyStates[key]; t.keyState == nil {
 		t.keyState = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
-		d.things[key] = t.keyState
+		d.keyStates[key] = t.keyState
 	}
 	t.keyState.requests++
 }
@@ -431,7 +431,7 @@
 func (d *Dispatcher) ran(p *Attempt, ran int64) {
 	if t, e := p.Request, p.Server; ran > 0 {
 		l := e.typeStats.runtimeRatio.decay(d.now)
-		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.terms.warmUpFactor(e, p.sentAt)/float64(d.running(t, 0.5))
-		d.runs[t.Class.Index].add(float64(ran) / t.workUnit())
+		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.settings.warmUpFactor(e, p.sentAt)/float64(d.running(t, 0.5))
+		d.runtimes[t.Class.Index].add(float64(ran) / t.workUnit())
 	}
 }
