--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -83,8 +83,8 @@
 	draw         int     // of the draw
 }
 
-// look considers the candidates of a draw.
-func (d *Dispatcher) look(s *candidateSearch) {
+// findCandidates considers the candidates of a draw.
+func (d *Dispatcher) findCandidates(s *candidateSearch) {
 	if len(d.servers.servers) <= sampleMost {
 		for _, e := range d.servers.servers {
 			d.consider(s, e)
@@ -100,12 +100,12 @@
 		}
 		return true
 	})
-	d.lookRamping(s)
+	d.considerSlowStart(s)
 	use := func(e *Server) bool {
 		d.consider(s, e)
 		return true
 	}
-	for left := sampleMost; left > 0 && !d.enough(s, left == sampleMost); left -= sampleFew {
+	for left := sampleMost; left > 0 && !d.enoughCandidates(s, left == sampleMost); left -= sampleFew {
 		d.sample(&d.servers, sampleFew, use)
 	}
 	for _, e := range d.servers.servers {
@@ -116,9 +116,9 @@
 	}
 }
 
-// enough says whether a draw needs to look at no more: all that it found are idle ones with a connection, or, once others were looked
+// enoughCandidates says whether a draw needs to look at no more: all that it found are idle ones with a connection, or, once others were looked
 // at, uncrowded ones.
-func (d *Dispatcher) enough(s *candidateSearch, kept bool) bool {
+func (d *Dispatcher) enoughCandidates(s *candidateSearch, kept bool) bool {
 	steps := 2.0
 	if kept {
 		steps = 1
@@ -127,8 +127,8 @@
 	return s.foundHealthy && found == s.count && d.candidates[found-1].sampleKey < steps*firstStep
 }
 
-// lookRamping considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
-func (d *Dispatcher) lookRamping(s *candidateSearch) {
+// considerSlowStart considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
+func (d *Dispatcher) considerSlowStart(s *candidateSearch) {
 	for i := 0; i < len(d.inSlowStart.servers); {
 		if e := d.inSlowStart.servers[i]; e.listed && d.settings.warmUpFactor(e, d.now) < 1 {
 			i++
@@ -142,21 +142,21 @@
 	}
 	first, considered := d.random.IntN(count), 0
 	for i := 0; i < count && considered < sampleMost; i++ {
-		if e := d.inSlowStart.servers[(first+i)%count]; d.mayRamp(e) {
+		if e := d.inSlowStart.servers[(first+i)%count]; d.inSlowStartTurn(e) {
 			d.consider(s, e)
 			considered++
 		}
 	}
 }
 
-// mayRamp says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
+// inSlowStartTurn says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
 // the budget by warmEnough.
-func (d *Dispatcher) mayRamp(e *Server) bool {
+func (d *Dispatcher) inSlowStartTurn(e *Server) bool {
 	if d.settings.Quotas != nil {
 		return true
 	}
 	if d.now >= e.turnUntil {
-		_, since, turn, _ := d.part(e)
+		_, since, turn, _ := d.quotaShare(e)
 		e.inTurn, e.turnUntil = turn, since+max(d.settings.OverloadWindow/turns, 1)
 	}
 	return e.inTurn
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -96,7 +96,7 @@
 		t.Errorf("%d of 200 served", served)
 	}
 	w.pass(recovery)
-	if w.d.sick(ahead) {
+	if w.d.outlier(ahead) {
 		t.Error("left out for good")
 	}
 	w.finish()
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -125,7 +125,7 @@
 		}
 	}
 	if gone {
-		d.forget()
+		d.removeGone()
 	}
 	// Danger: a list of thousands that is walked at each change of one of them. Load is told where weights are live.
 	d.load = 0
@@ -135,8 +135,8 @@
 	}
 }
 
-// forget drops the servers that are gone.
-func (d *Dispatcher) forget() {
+// removeGone drops the servers that are gone.
+func (d *Dispatcher) removeGone() {
 	left := d.servers.servers[:0]
 	for _, e := range d.servers.servers {
 		if e.listed = e.State != Removed; e.listed {
@@ -153,29 +153,29 @@
 	d.servers.servers = left
 }
 
-// quiet is how long no call for the list may be out. Danger: longer, and what counts as told is unknown.
-func (d *Dispatcher) quiet() float64 {
+// maxPollSilence is how long no call for the list may be out. Danger: longer, and what counts as told is unknown.
+func (d *Dispatcher) maxPollSilence() float64 {
 	return float64(d.settings.UnpolledEventAge + d.settings.DrainGrace/2)
 }
 
 // StartPolling asks for news of the list for the first time; where there is a list to go by, at a time by chance.
 // Danger: nodes that start or fail together ask together; a service that falls behind serves none of them.
 func (d *Dispatcher) StartPolling() {
-	d.call(d.quiet()*d.random.Float64()*float64(min(len(d.servers.servers), 1)), d.quiet())
+	d.schedulePoll(d.maxPollSilence()*d.random.Float64()*float64(min(len(d.servers.servers), 1)), d.maxPollSilence())
 }
 
 // PollFailed takes a failed call for the list; the next waits, for the same danger, by what two of them cost.
 // Danger: an agent that could be asked again as the call was out has news that counts some time after that.
 func (d *Dispatcher) PollFailed(took, spent int64) {
-	part := min(max(d.quiet()/3, float64(min(spent, d.lastPollCost))), float64(max(d.settings.MaxPollInterval-took, 0))/3)
+	part := min(max(d.maxPollSilence()/3, float64(min(spent, d.lastPollCost))), float64(max(d.settings.MaxPollInterval-took, 0))/3)
 	d.failedPolls, d.lastPollCost = min(d.failedPolls+1, 2), spent
-	d.call(part*float64(d.failedPolls)*(0.5+d.random.Float64()), 3*part)
+	d.schedulePoll(part*float64(d.failedPolls)*(0.5+d.random.Float64()), 3*part)
 }
 
 // PollSucceeded ends a call that brought something, where nodes hold calls together; the next goes in its turn.
-func (d *Dispatcher) PollSucceeded() { d.call(0, d.quiet()) }
+func (d *Dispatcher) PollSucceeded() { d.schedulePoll(0, d.maxPollSilence()) }
 
-func (d *Dispatcher) call(after, by float64) {
+func (d *Dispatcher) schedulePoll(after, by float64) {
 	d.pollDeadline = d.now + int64(by)
 	d.actions.Schedule(int64(after), d.PollEndpoints)
 }
@@ -194,17 +194,17 @@
 
 func (d *Dispatcher) Arrive(t *Request) {
 	if d.overloaded(t) {
-		d.finish(t, Overloaded)
+		d.giveUp(t, Overloaded)
 		return
 	}
 	waited := max(t.UnreadTime-waitSlack, 0)
 	t.Deadline -= waited
-	t.Deadline, t.arrivedAt, t.overQuota = d.till(t), d.now-waited, len(d.settings.Tenants) > 0 && d.overShare(t)
+	t.Deadline, t.arrivedAt, t.overQuota = d.adjustedDeadline(t), d.now-waited, len(d.settings.Tenants) > 0 && d.overQuota(t)
 	// Danger: the first job that runs far longer than its hint would speak for all to come.
 	for r := &d.runtimes[t.Class.Index]; t.ExpectedWork > 0 && r.count < 3; {
 		r.add(1)
 	}
-	work := cmp.Or(t.ExpectedWork, d.running(t, 0.5))
+	work := cmp.Or(t.ExpectedWork, d.expectedRuntime(t, 0.5))
 	t.objectiveAt = min(d.now+t.Class.LatencyObjective+int64(t.Class.ObjectivePerWork*float64(work)), t.Deadline)
 	t.size = max(t.Slots, 1) * float64(work)
 	d.sizes.add(t.size / 1e9)
@@ -217,19 +217,19 @@
 	if t.overQuota {
 		t.priorityWeight *= d.settings.OverQuotaWeight
 		// Danger: many quiet nodes hold no queue to sort; what is worth little then jams the machines for all.
-		if d.settings.LoadReports && d.random.Float64() > d.prompts(true) {
+		if d.settings.LoadReports && d.random.Float64() > d.promptShare(true) {
 			t.priorityWeight = 0
 		}
 	}
 	d.classValues[t.Class.Index].decay(d.now).total += t.priorityWeight
-	d.count(t)
+	d.recordKey(t)
 	d.SetDeadline(t, t.Deadline)
 	d.enqueue(t)
 }
 
-// till is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
+// adjustedDeadline is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
 // or earlier by what the latest first tries lacked. Danger: all is declined at once, or answered too late.
-func (d *Dispatcher) till(t *Request) int64 {
+func (d *Dispatcher) adjustedDeadline(t *Request) int64 {
 	if d.settings.DeadlineMargin == 0 || t.Class.MaxDeadline == 0 {
 		return t.Deadline
 	}
@@ -242,11 +242,11 @@
 // Danger: a txn that is forgotten. This alarm answers it whatever else happens.
 func (d *Dispatcher) SetDeadline(t *Request, at int64) {
 	t.Deadline = min(t.Deadline, at)
-	t.cancelDeadline = d.actions.Schedule(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
+	t.cancelDeadline = d.actions.Schedule(t.Deadline-d.now-d.headroom(), func() { d.giveUp(t, DeadlineReached) })
 }
 
-// overShare tells by chance whether a txn lies beyond its tenant's share, by the other tenants' arrivals.
-func (d *Dispatcher) overShare(t *Request) bool {
+// overQuota tells by chance whether a txn lies beyond its tenant's share, by the other tenants' arrivals.
+func (d *Dispatcher) overQuota(t *Request) bool {
 	var others, shares float64
 	for i, tenant := range d.settings.Tenants {
 		if i != t.Tenant {
@@ -259,8 +259,8 @@
 	return d.random.Float64()*own.total > overMark*due+2*math.Sqrt(due) // twice the spread of chance
 }
 
-// favour is what a txn counts for over its value: more in the scheme served worst, by the terms.
-func (d *Dispatcher) favour(s *Class) float64 {
+// classPreference is what a txn counts for over its value: more in the scheme served worst, by the terms.
+func (d *Dispatcher) classPreference(s *Class) float64 {
 	own, all := d.classValues[s.Index].decay(d.now), 0.0
 	for i := range d.classValues {
 		l := d.classValues[i].decay(d.now)
@@ -271,13 +271,13 @@
 	return 1 + d.settings.WorstClassWeight*all/max(own.total, 1e-9)
 }
 
-// running is how long the txn is expected to run, at quantile q.
-func (d *Dispatcher) running(t *Request, q float64) int64 {
+// expectedRuntime is how long the txn is expected to run, at quantile q.
+func (d *Dispatcher) expectedRuntime(t *Request, q float64) int64 {
 	return max(int64(t.workUnit()*d.runtimes[t.Class.Index].quantile(q, float64(t.Class.LatencyObjective)/t.workUnit())), 1e6)
 }
 
-// place posts the txn or lets it wait at the node.
-func (d *Dispatcher) place(t *Request) {
+// assign posts the txn or lets it wait at the node.
+func (d *Dispatcher) assign(t *Request) {
 	if t.Done || t.activeAttempts > 0 {
 		return
 	}
@@ -286,9 +286,9 @@
 	if asking {
 		count = asks
 	}
-	if len(t.Attempts) >= d.settings.MaxAttempts || t.firstPossibleRun() != nil && d.spanOver(t) {
-		d.finish(t, AttemptsExhausted)
-	} else if d.stale() {
+	if len(t.Attempts) >= d.settings.MaxAttempts || t.firstPossibleRun() != nil && d.mayNotRepeat(t) {
+		d.giveUp(t, AttemptsExhausted)
+	} else if d.endpointsMayBeStale() {
 		t.retryAt = d.now + leastLag*d.settings.Tick
 		d.enqueue(t)
 	} else if drawn := d.draw(t, count); len(drawn) == 0 {
@@ -296,15 +296,15 @@
 		t.retryAt, t.fruitlessDraws = d.now+d.settings.Tick*min(t.fruitlessDraws, 16), t.fruitlessDraws+1
 		d.enqueue(t)
 	} else if asking {
-		d.ask(t, drawn)
+		d.probeCapacity(t, drawn)
 	} else {
-		d.post(t, drawn[0])
+		d.startAttempt(t, drawn[0])
 	}
 }
 
-// ask looks for room at a few executors drawn; the first to tell of some gets the txn.
+// probeCapacity looks for room at a few executors drawn; the first to tell of some gets the txn.
 // Danger: of many nodes each sees next to nothing of load, and a long job's late start can't be made good.
-func (d *Dispatcher) ask(t *Request, drawn []*Server) {
+func (d *Dispatcher) probeCapacity(t *Request, drawn []*Server) {
 	for _, e := range drawn {
 		if len(e.probeWaiters) == 0 {
 			d.actions.ProbeCapacity(e)
@@ -330,10 +330,10 @@
 	}
 	for _, t := range askers {
 		// Danger: an answer that comes late; the executor may be gone, and the txn out or over.
-		if !t.Done && t.activeAttempts == 0 && !d.full(t, e) && d.allowed(t, e) &&
-			d.random.Float64() < d.prompts(e.zone == d.settings.Zone) {
+		if !t.Done && t.activeAttempts == 0 && !d.reportedFull(t, e) && d.allowed(t, e) &&
+			d.random.Float64() < d.promptShare(e.zone == d.settings.Zone) {
 			e.freeMemory -= t.Memory
-			d.post(t, e)
+			d.startAttempt(t, e)
 			d.SlotsReserved(e, t.Slots)
 			if d.settings.PeerMessages && t.probeRounds > 1 {
 				d.actions.NotifyPeers(e, t.Slots)
@@ -348,13 +348,13 @@
 	e.freeSlots -= slots
 }
 
-// full says whether the executor told lately that the txn finds no room there.
-func (d *Dispatcher) full(t *Request, e *Server) bool {
+// reportedFull says whether the executor told lately that the txn finds no room there.
+func (d *Dispatcher) reportedFull(t *Request, e *Server) bool {
 	return e.capacityReportedAt > 0 && d.now-e.capacityReportedAt < d.reportLifetime && (e.freeSlots < t.Slots || e.freeMemory < t.Memory)
 }
 
-// spanOver says whether a txn that may have run must not go again at all.
-func (d *Dispatcher) spanOver(t *Request) bool {
+// mayNotRepeat says whether a txn that may have run must not go again at all.
+func (d *Dispatcher) mayNotRepeat(t *Request) bool {
 	return t.Class.Idempotency == NonIdempotent ||
 		t.Class.Idempotency == IdempotentInGroup && d.now-t.firstPossibleRun().sentAt >= t.Class.DedupWindow-d.settings.Tick
 }
@@ -373,51 +373,51 @@
 	if a := t.firstPossibleRun(); a != nil {
 		// Danger: an effect twice. Only the group that holds the mark drops the repeat, and not for ever.
 		s, f := t.Class, a.Server
-		if d.spanOver(t) || s.Idempotency == IdempotentInGroup &&
+		if d.mayNotRepeat(t) || s.Idempotency == IdempotentInGroup &&
 			(s.DedupScope == DedupZone && e.zone != f.zone || s.DedupScope == DedupCell && e.cell != f.cell) {
 			return false
 		}
 	}
 	// Danger: what all nodes hold together, used beyond this one's share of it.
-	return d.settings.withinQuotas(t, e) && d.warmEnough(t, e)
+	return d.settings.withinQuotas(t, e) && d.withinSlowStartBudget(t, e)
 }
 
-// warmEnough keeps this node's part of a cold executor's budget, by all that was sent, refused or not.
+// withinSlowStartBudget keeps this node's part of a cold executor's budget, by all that was sent, refused or not.
 // Danger: one pushed over by all nodes together, or by a new node that knows nothing of what it sent before.
-func (d *Dispatcher) warmEnough(t *Request, e *Server) bool {
+func (d *Dispatcher) withinSlowStartBudget(t *Request, e *Server) bool {
 	if d.settings.warmUpFactor(e, d.now) == 1 {
 		return true
 	}
 	if d.settings.Quotas != nil { // it counts as it is sent
-		return d.settings.Quotas.Allow(BudgetSlowStart, e, t, t.size/d.bears(e, d.now-d.settings.OverloadWindow, 1))
+		return d.settings.Quotas.Allow(BudgetSlowStart, e, t, t.size/d.slowStartBudget(e, d.now-d.settings.OverloadWindow, 1))
 	}
-	part, since, turn, _ := d.part(e)
+	part, since, turn, _ := d.quotaShare(e)
 	return turn && d.slowStartOwnerSince < since && e.recentSends.sum(t.size, since) <= part
 }
 
-// bears is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
+// slowStartBudget is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
 // It bears N jobs, two root N + 2 for chance; what is sent has that chance too, so that N / doubt follows.
-func (d *Dispatcher) bears(e *Server, at int64, parts float64) float64 {
+func (d *Dispatcher) slowStartBudget(e *Server, at int64, parts float64) float64 {
 	work := d.settings.OverloadFactor * float64(d.settings.OverloadWindow) * max(e.typeStats.maxSlots, 1) / e.typeStats.meanRuntimeRatio(d.now)
 	return work * (d.settings.warmUpFactor(e, at) / doubt / parts)
 }
 
-// part is what this node may send a cold executor, since when, whether now, and how many groups take turns.
+// quotaShare is what this node may send a cold executor, since when, whether now, and how many groups take turns.
 // Danger: an even part of many is less than one txn, and what was swapped stands empty. So a few take turns.
-func (d *Dispatcher) part(e *Server) (part float64, since int64, turn bool, of float64) {
+func (d *Dispatcher) quotaShare(e *Server) (part float64, since int64, turn bool, of float64) {
 	nodes, length := d.settings.nodesInRotation(), max(d.settings.OverloadWindow/turns, 1)
 	// Danger: a start that is stamped too late lies ahead, and nothing sent since then would count.
 	first := e.startedAt - d.settings.StartTimeError
 	n := max(d.now-first, 0) / length
 	since = first + n*length
-	all := d.bears(e, since, turns+1) // a window meets one turn more than it is long
+	all := d.slowStartBudget(e, since, turns+1) // a window meets one turn more than it is long
 	members := max(int64(min(all/d.largeSize, float64(nodes))), 1)
 	groups := (int64(nodes) + members - 1) / members
 	return all / float64(members), since, (n+int64(d.settings.NodeIndex)+e.startedAt/1e6)%groups == 0, float64(groups)
 }
 
-// health is H, drifted back towards 1 up to now.
-func (d *Dispatcher) health(e *Server) float64 {
+// reliability is H, drifted back towards 1 up to now.
+func (d *Dispatcher) reliability(e *Server) float64 {
 	// Danger: nearly all executors are well; working out a drift for each at every draw is the dearest step.
 	if e.reliability == 1 || float64(d.now-e.reliabilityAt) > 7*recovery {
 		return 1
@@ -425,17 +425,17 @@
 	return 1 - (1-e.reliability)*math.Exp(-float64(d.now-e.reliabilityAt)/recovery)
 }
 
-// standing is H, or less where many other nodes say so and no job of this one ended well there of late.
+// effectiveReliability is H, or less where many other nodes say so and no job of this one ended well there of late.
 // Danger: old news that beats a fresh outcome; or each of many nodes finds out for itself, at its txns' cost.
-func (d *Dispatcher) standing(e *Server) float64 {
+func (d *Dispatcher) effectiveReliability(e *Server) float64 {
 	if e.OutlierScore > 0 && d.now-e.idleUntil+d.settings.IdleTimeout > heed {
-		return min(d.health(e), 1-e.OutlierScore)
+		return min(d.reliability(e), 1-e.OutlierScore)
 	}
-	return d.health(e)
+	return d.reliability(e)
 }
 
-// sick says whether the executor is left out while others remain.
-func (d *Dispatcher) sick(e *Server) bool { return d.standing(e) < leastH }
+// outlier says whether the executor is left out while others remain.
+func (d *Dispatcher) outlier(e *Server) bool { return d.effectiveReliability(e) < leastH }
 
 // weight is the design's: mean score over the top score, times H; a cold executor counts by its age.
 func (d *Dispatcher) weight(t *Request, e *Server) float64 {
@@ -443,14 +443,14 @@
 	score := (e.typeStats.scores.hits + unscored) / (e.typeStats.scores.total + 1)
 	score = (float64(e.scoreSum)/topScore + score*kindScores) / (float64(e.scoreCount) + kindScores)
 	if warmth := d.settings.warmUpFactor(e, d.now); warmth < 1 {
-		_, _, _, groups := d.part(e) // seldom in turn, it is taken as much likelier then
+		_, _, _, groups := d.quotaShare(e) // seldom in turn, it is taken as much likelier then
 		score *= warmth * d.settings.slowStartShareFactor(e, groups)
 	}
 	// Danger: the rest crowd out a scheme that one kind alone can run.
 	if t.Class.MachineType < 0 && e.typeStats.required {
 		score *= leave
 	}
-	return max(score, 0.01) * d.standing(e) * e.spareFactor
+	return max(score, 0.01) * d.effectiveReliability(e) * e.spareFactor
 }
 
 // exceeded says whether so many slots more are over what an executor or a thing is thought to bear.
@@ -460,33 +460,33 @@
 		g.slotsInFlight == 0 && float64(now-g.lastEndedAt) < (1/min(g.limit, 1)-1)*float64(run)
 }
 
-// halve cuts a limit for a posting that found too much there; one slot stays for all nodes.
+// reduceLimit cuts a limit for a posting that found too much there; one slot stays for all nodes.
 // Danger: one pause makes all that is there late; cut for each, hardly a limit would be left.
-func (d *Dispatcher) halve(g *concurrencyLimit, sent int64, busy float64) {
+func (d *Dispatcher) reduceLimit(g *concurrencyLimit, sent int64, busy float64) {
 	if sent >= g.reducedAt {
 		g.limit, g.reducedAt = max(cut*min(g.limit, busy), 1/float64(max(d.settings.Nodes, 1))), d.now
 	}
 }
 
-// patience is how long the note of a start is waited for.
+// minStartTimeout is how long the note of a start is waited for.
 // Danger: measured from common delays it would grow with every jam, so that no limit ever fell.
-func (d *Dispatcher) patience() int64 { return 4 * (d.settings.Tick + d.minStartDelay) }
+func (d *Dispatcher) minStartTimeout() int64 { return 4 * (d.settings.Tick + d.minStartDelay) }
 
-// tolerated is how long a posting may wait at its executor before that counts as full: a part of its slack.
-func (d *Dispatcher) tolerated(p *Attempt) int64 {
+// startTimeout is how long a posting may wait at its executor before that counts as full: a part of its slack.
+func (d *Dispatcher) startTimeout(p *Attempt) int64 {
 	if !d.settings.LoadReports {
-		return d.patience()
+		return d.minStartTimeout()
 	}
-	return max(d.patience(), d.slack(p.Request, p.sentAt)/4)
+	return max(d.minStartTimeout(), d.slack(p.Request, p.sentAt)/4)
 }
 
 // slack is the time left to start in. Without a hint a long job's SLA time is long too; the middle one tells.
 func (d *Dispatcher) slack(t *Request, from int64) int64 {
-	return t.objectiveAt - d.running(t, [2]float64{0.5, highEnd}[min(max(t.ExpectedWork, 0), 1)]) - from
+	return t.objectiveAt - d.expectedRuntime(t, [2]float64{0.5, highEnd}[min(max(t.ExpectedWork, 0), 1)]) - from
 }
 
-// prompts is the share of postings that started promptly, at home or away; one while nothing is known.
-func (d *Dispatcher) prompts(home bool) float64 {
+// promptShare is the share of postings that started promptly, at home or away; one while nothing is known.
+func (d *Dispatcher) promptShare(home bool) float64 {
 	l := d.startPromptness[home].decay(d.now)
 	return (l.hits + 1) / (l.total + 1)
 }
@@ -496,19 +496,19 @@
 func (d *Dispatcher) draw(t *Request, count int) []*Server {
 	mean := d.slotsInFlight / float64(len(d.servers.servers))
 	d.drawCount++
-	s := &candidateSearch{request: t, count: count, runtime: d.running(t, 0.5), meanInFlight: mean, draw: d.drawCount}
+	s := &candidateSearch{request: t, count: count, runtime: d.expectedRuntime(t, 0.5), meanInFlight: mean, draw: d.drawCount}
 	if d.candidates = d.candidates[:0]; t.keyState.exceeded(t.Slots, d.now, s.runtime) {
 		return nil
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
-	s.anyZone = d.settings.CrossZoneCost < dear || d.random.Float64()*d.prompts(false) > d.prompts(true)
+	s.anyZone = d.settings.CrossZoneCost < dear || d.random.Float64()*d.promptShare(false) > d.promptShare(true)
 	if t.AffinityKey == 0 {
-		d.look(s)
+		d.findCandidates(s)
 		return d.candidates[:min(count, len(d.candidates))]
 	}
 	// Danger: what has homes in each zone is fetched as many times more, and others' make room.
 	s.anyZone = s.anyZone || d.settings.CrossZoneCost < d.settings.FetchCost
-	for _, e := range d.homes(t, s.anyZone) {
+	for _, e := range d.preferredServers(t, s.anyZone) {
 		d.consider(s, e)
 	}
 	return d.candidates[:min(count, len(d.candidates))]
@@ -520,7 +520,7 @@
 		return
 	}
 	e.lastDraw = s.draw
-	t, sick := s.request, d.sick(e)
+	t, sick := s.request, d.outlier(e)
 	if sick && s.foundHealthy || !d.allowed(t, e) {
 		return
 	}
@@ -529,7 +529,7 @@
 	if !sick && !s.foundHealthy {
 		s.foundHealthy, d.candidates = true, d.candidates[:0]
 	}
-	if e.exceeded(t.Slots, d.now, s.runtime) || d.full(t, e) {
+	if e.exceeded(t.Slots, d.now, s.runtime) || d.reportedFull(t, e) {
 		return
 	}
 	// One that was prompt and has a connection open still is likelier to have room, without a handshake.
@@ -545,15 +545,15 @@
 	// Danger: of many nodes each holds connections to all. What is beyond this one's part comes after the rest.
 	step += 6 * float64(d.settings.distanceFor(t, e, d.now))
 	e.sampleKey = step*firstStep - math.Log(1-d.random.Float64())/d.weight(t, e)
-	if i, _ := slices.BinarySearchFunc(d.candidates, e, byWait); i < s.count {
+	if i, _ := slices.BinarySearchFunc(d.candidates, e, bySampleKey); i < s.count {
 		d.candidates = slices.Insert(d.candidates, i, e)
 	}
 }
 
-// homes are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
+// preferredServers are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
 // Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
-func (d *Dispatcher) homes(t *Request, roam bool) []*Server {
-	count := 1 + int(d.prompts(true)+spare) + (len(d.servers.servers)*max(t.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
+func (d *Dispatcher) preferredServers(t *Request, roam bool) []*Server {
+	count := 1 + int(d.promptShare(true)+spare) + (len(d.servers.servers)*max(t.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
 	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
 	few := count
 	d.preferred, count = d.preferred[:0], count+1
@@ -568,13 +568,13 @@
 		} else if !roam && e.zone != d.settings.Zone {
 			e.sampleKey += 1e9
 		}
-		if len(d.preferred) >= count && e.sampleKey > d.preferred[count-1].sampleKey || d.sick(e) || !d.allowed(t, e) {
+		if len(d.preferred) >= count && e.sampleKey > d.preferred[count-1].sampleKey || d.outlier(e) || !d.allowed(t, e) {
 			continue
 		}
 		if e.sampleKey == 0 {
 			count, few = count+1, few+1
 		}
-		i, _ := slices.BinarySearchFunc(d.preferred, e, byWait)
+		i, _ := slices.BinarySearchFunc(d.preferred, e, bySampleKey)
 		d.preferred = slices.Insert(d.preferred, i, e)
 	}
 	if len(d.preferred) == 0 {
@@ -586,59 +586,59 @@
 			e.sampleKey += 2e9
 		}
 	}
-	slices.SortStableFunc(d.preferred, byWait)
+	slices.SortStableFunc(d.preferred, bySampleKey)
 	return d.preferred[:min(few, len(d.preferred))]
 }
 
-func byWait(a, b *Server) int { return cmp.Compare(a.sampleKey, b.sampleKey) }
+func bySampleKey(a, b *Server) int { return cmp.Compare(a.sampleKey, b.sampleKey) }
 
-// post sends the txn and leaves behind what its outcome leads to.
-func (d *Dispatcher) post(t *Request, e *Server) {
+// startAttempt sends the txn and leaves behind what its outcome leads to.
+func (d *Dispatcher) startAttempt(t *Request, e *Server) {
 	p := &Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true, sentAt: d.now}
 	t.Attempts = append(t.Attempts, p)
 	e.slotsInFlight, d.slotsInFlight, t.keyState.slotsInFlight, t.activeAttempts = e.slotsInFlight+t.Slots, d.slotsInFlight+t.Slots, t.keyState.slotsInFlight+t.Slots, t.activeAttempts+1
 	// Danger: a node that hears of a start late, and has sent to it as to a warm one since.
 	if e.recentSends = e.recentSends.add(d.now, t.size, d.settings.OverloadWindow); d.settings.warmUpFactor(e, d.now) < 1 {
-		p.SlowStartShare = t.size / d.bears(e, d.now-d.settings.OverloadWindow, 1)
+		p.SlowStartShare = t.size / d.slowStartBudget(e, d.now-d.settings.OverloadWindow, 1)
 	}
-	p.afterEnd = func() { d.place(t) }
+	p.afterEnd = func() { d.assign(t) }
 	d.actions.StartAttempt(p)
-	d.watch(p)
+	d.superviseAttempt(p)
 }
 
 // MaySend says at a posting's first byte whether it may still leave. Danger: news that came while it waited.
 func (d *Dispatcher) MaySend(p *Attempt) bool {
-	return p.Server.State == Up && !p.Request.Done && !p.canceled && !d.stale()
+	return p.Server.State == Up && !p.Request.Done && !p.canceled && !d.endpointsMayBeStale()
 }
 
-// judge looks after a while at a posting that is still out.
+// checkLater looks after a while at a posting that is still out.
 // Danger: a node that stood still finds alarms and notes at once; its lateness looks like its executors'.
-func (d *Dispatcher) judge(p *Attempt, after int64, then func()) {
-	due := d.now + after + d.patience()
+func (d *Dispatcher) checkLater(p *Attempt, after int64, then func()) {
+	due := d.now + after + d.minStartTimeout()
 	d.actions.Schedule(after, func() {
 		switch {
 		case !p.InFlight || p.Request.Done:
 		case d.now > due:
-			d.judge(p, d.settings.Tick, then)
+			d.checkLater(p, d.settings.Tick, then)
 		default:
 			then()
 		}
 	})
 }
 
-// watch sees to a posting's start, where executors tell of it, and then to its end.
-func (d *Dispatcher) watch(p *Attempt) {
+// superviseAttempt sees to a posting's start, where executors tell of it, and then to its end.
+func (d *Dispatcher) superviseAttempt(p *Attempt) {
 	if p.startedAt > 0 || !d.settings.StartNotices {
 		d.awaitEnd(p, d.settings.Tick)
 		return
 	}
-	d.judge(p, d.tolerated(p), func() {
+	d.checkLater(p, d.startTimeout(p), func() {
 		if e := p.Server; p.startedAt == 0 {
 			// Danger: many slots stand half empty, or one that slowed is judged by its best. Late in a row, ever less.
 			least := min(e.limit, e.typeStats.maxSlots/float64(max(d.settings.Nodes, 1))*math.Exp2(-e.lateStarts))
-			d.adjust(p, e.slotsInFlight, false)
+			d.adjustLimit(p, e.slotsInFlight, false)
 			e.limitBeforeRejections, e.limit, e.lateStarts = 0, max(e.limit, least), e.lateStarts+1
-			d.lowered(e)
+			d.recordLowLimit(e)
 			d.awaitStart(p)
 		}
 	})
@@ -651,59 +651,59 @@
 	case p.startedAt > 0:
 		return
 	// Danger: what is declined here may run all the same and comes back as a retry, so that a jam never ends.
-	case s.Idempotency == Idempotent && s.LateShare == 0 && d.earns(p.Request) <= 0:
-		d.finish(p.Request, LateAtServer)
+	case s.Idempotency == Idempotent && s.LateShare == 0 && d.expectedValue(p.Request) <= 0:
+		d.giveUp(p.Request, LateAtServer)
 		return
-	case !d.settings.LoadReports || wait <= d.patience():
-		d.copy(p)
-		wait = max((d.now-p.sentAt)/2, d.patience())
+	case !d.settings.LoadReports || wait <= d.minStartTimeout():
+		d.hedge(p)
+		wait = max((d.now-p.sentAt)/2, d.minStartTimeout())
 	}
-	d.judge(p, wait, func() { d.awaitStart(p) })
+	d.checkLater(p, wait, func() { d.awaitStart(p) })
 }
 
 // awaitEnd decides what becomes of a posting that runs too long or stands still.
 func (d *Dispatcher) awaitEnd(p *Attempt, wait int64) {
-	run, period := d.running(p.Request, highEnd), d.settings.ProgressInterval
+	run, period := d.expectedRuntime(p.Request, highEnd), d.settings.ProgressInterval
 	still := period > 0 && d.now-max(p.progressAt, p.startedAt, p.sentAt) > int64(missing*float64(period))
 	if still || d.now-max(p.sentAt, p.startedAt) > int64(overrun*float64(run)) {
-		if d.blame(p, 1); still || d.settings.AllowHedging {
-			d.copy(p)
+		if d.recordFailure(p, 1); still || d.settings.AllowHedging {
+			d.hedge(p)
 		}
 	}
 	wait = min(max(run/2, wait), cmp.Or(period, run))
-	d.judge(p, wait, func() { d.awaitEnd(p, 2*wait) })
+	d.checkLater(p, wait, func() { d.awaitEnd(p, 2*wait) })
 }
 
-// copy sends a late posting's txn to a second executor, or takes it back to go again where that is forbidden.
-func (d *Dispatcher) copy(p *Attempt) {
+// hedge sends a late posting's txn to a second executor, or takes it back to go again where that is forbidden.
+func (d *Dispatcher) hedge(p *Attempt) {
 	t, left := p.Request, d.settings.MaxAttempts-len(p.Request.Attempts)
 	if !d.settings.AllowHedging {
 		// Danger: what is taken back may run all the same, for nobody. Who stands still runs none of it; a list
 		// that tells of load promises room elsewhere.
 		late := d.settings.LiveCapacity && d.now-p.sentAt >= d.slack(t, p.sentAt)/4
-		if left > 0 && !d.spanOver(t) && (p.startedAt > 0 || late || d.standing(p.Server) < hopeless) {
-			d.withdraw(p)
+		if left > 0 && !d.mayNotRepeat(t) && (p.startedAt > 0 || late || d.effectiveReliability(p.Server) < hopeless) {
+			d.cancelAttempt(p)
 		}
 		return
 	}
-	if !d.hedges() {
+	if !d.mayHedge() {
 		return
 	}
 	// Danger: copies in a full fleet take the room of txns that wait for it, here or at many other nodes.
 	for _, e := range d.draw(t, 1) {
-		hit, gain := d.prompts(e.zone == d.settings.Zone), 1-t.Class.LateShare+d.settings.MissedObjectiveCost
+		hit, gain := d.promptShare(e.zone == d.settings.Zone), 1-t.Class.LateShare+d.settings.MissedObjectiveCost
 		if len(d.queue) == 0 && left > 0 && t.activeAttempts <= 1 && hit*gain >= (1-hit)*behind {
-			d.post(t, e)
+			d.startAttempt(t, e)
 		}
 	}
 }
 
-// adjust moves an executor's in-flight limit by how prompt a start was.
-func (d *Dispatcher) adjust(p *Attempt, busy float64, prompt bool) {
+// adjustLimit moves an executor's in-flight limit by how prompt a start was.
+func (d *Dispatcher) adjustLimit(p *Attempt, busy float64, prompt bool) {
 	e := p.Server
 	if d.startPromptness[e.zone == d.settings.Zone].decay(d.now).record(prompt); !prompt {
-		d.halve(&e.concurrencyLimit, p.sentAt, busy)
-		d.lowered(e)
+		d.reduceLimit(&e.concurrencyLimit, p.sentAt, busy)
+		d.recordLowLimit(e)
 		return
 	}
 	// Danger: executors that turn part away though not full stand empty. A full one would not start at once.
@@ -721,21 +721,21 @@
 	}
 }
 
-// lowered notes a server whose limit is under the one that all start with.
-func (d *Dispatcher) lowered(e *Server) {
+// recordLowLimit notes a server whose limit is under the one that all start with.
+func (d *Dispatcher) recordLowLimit(e *Server) {
 	if e.listed && e.limit < firstRoom {
 		d.lowLimit.add(e)
 	}
 }
 
-// cured is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
-func (d *Dispatcher) cured(t *Request) float64 {
+// retrySuccessRate is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
+func (d *Dispatcher) retrySuccessRate(t *Request) float64 {
 	s, k := d.retrySuccess[t.Class.Index].decay(d.now), t.keyState.retrySuccess.decay(d.now)
 	return (k.hits + (s.hits+1)/(s.total+1)) / (k.total + 1)
 }
 
-// jam moves a thing's limit in flight. Danger: what waits for a lock holds slots everywhere; others starve.
-func (d *Dispatcher) jam(h *keyState, p *Attempt, bad bool) {
+// reduceKeyLimit moves a thing's limit in flight. Danger: what waits for a lock holds slots everywhere; others starve.
+func (d *Dispatcher) reduceKeyLimit(h *keyState, p *Attempt, bad bool) {
 	if !bad {
 		if h.failedServer = nil; h.slotsInFlight+p.Request.Slots+1 >= h.limit {
 			h.limit += growth * min(h.limit, 1)
@@ -743,20 +743,20 @@
 	} else if h.failedServer == nil || h.failedServer == p.Server {
 		h.failedServer = p.Server
 	} else { // two executors agree, so it is not theirs
-		d.halve(&h.concurrencyLimit, p.sentAt, h.slotsInFlight+p.Request.Slots)
+		d.reduceLimit(&h.concurrencyLimit, p.sentAt, h.slotsInFlight+p.Request.Slots)
 	}
 }
 
-// blame counts a posting as lost, once; in part where the executor is at fault by that part.
-func (d *Dispatcher) blame(p *Attempt, part float64) {
+// recordFailure counts a posting as lost, once; in part where the executor is at fault by that part.
+func (d *Dispatcher) recordFailure(p *Attempt, part float64) {
 	if e := p.Server; !p.failureRecorded {
-		p.failureRecorded, e.reliability, e.reliabilityAt = true, d.health(e)*(1-(1-penalty)*part), d.now
-		d.rank(p, 0, true)
+		p.failureRecorded, e.reliability, e.reliabilityAt = true, d.reliability(e)*(1-(1-penalty)*part), d.now
+		d.recordRank(p, 0, true)
 	}
 }
 
-// rank scores a job against the last two of its family at other executors.
-func (d *Dispatcher) rank(p *Attempt, time float64, lost bool) {
+// recordRank scores a job against the last two of its family at other executors.
+func (d *Dispatcher) recordRank(p *Attempt, time float64, lost bool) {
 	e, key := p.Server, rankGroup{p.Request.Class, p.Request.Slots}
 	marks := slices.DeleteFunc(d.recentResults[key], func(m recentResult) bool { return m.server == e })
 	d.recentResults[key] = append(marks[max(len(marks)-2, 0):], recentResult{e, time, lost})
@@ -792,7 +792,7 @@
 	}
 	// Danger: what was taken back may run all the same; with its place taken for free a jam outlives its cause.
 	if o == Canceled {
-		d.actions.Schedule(d.running(t, 0.5), free)
+		d.actions.Schedule(d.expectedRuntime(t, 0.5), free)
 	} else {
 		free()
 	}
@@ -802,7 +802,7 @@
 	// Danger: of many nodes none has more than one or two txns at an executor, and takes it for that small.
 	e.typeStats.maxSlots = max(e.typeStats.maxSlots, p.FreeSlots)
 	// Danger: a txn that errs wherever it goes, or what is behind all executors, takes the healthy ones out.
-	part, again, cured := 1.0, t.failedServer != nil && t.failedServer != e, d.cured(t)
+	part, again, cured := 1.0, t.failedServer != nil && t.failedServer != e, d.retrySuccessRate(t)
 	if o == Failed {
 		part, t.failedServer = cured, e
 	}
@@ -811,10 +811,10 @@
 		t.keyState.retrySuccess.decay(d.now).record(o == Succeeded)
 	}
 	if (t.AffinityKey != 0 || len(d.settings.Tenants) > 1) && (o == Succeeded || o == Failed) {
-		far := float64(d.now-max(p.sentAt, p.startedAt)) > overrun*float64(d.running(t, 0.5))
+		far := float64(d.now-max(p.sentAt, p.startedAt)) > overrun*float64(d.expectedRuntime(t, 0.5))
 		// What is about one thing is alike; of a tenant's long runs alone say nothing.
 		if bad := far && cured < hopeless || t.AffinityKey != 0 && (far || part < hopeless); bad || o == Succeeded {
-			d.jam(t.keyState, p, bad)
+			d.reduceKeyLimit(t.keyState, p, bad)
 		}
 	}
 	switch o {
@@ -823,34 +823,34 @@
 			d.classValues[t.Class.Index].hits += t.priorityWeight
 		}
 		if !p.failureRecorded {
-			e.reliability, e.reliabilityAt, e.idleUntil = min(d.health(e)+reward, 1), d.now, d.now+d.settings.IdleTimeout
+			e.reliability, e.reliabilityAt, e.idleUntil = min(d.reliability(e)+reward, 1), d.now, d.now+d.settings.IdleTimeout
 			if e.listed {
 				d.withIdleConnection.add(e)
 			}
-			d.rank(p, float64(took)/t.workUnit(), false)
+			d.recordRank(p, float64(took)/t.workUnit(), false)
 		}
-		d.ran(p, d.now-max(p.sentAt, p.startedAt))
+		d.recordRuntime(p, d.now-max(p.sentAt, p.startedAt))
 	case Failed, TimedOut, ConnectFailed, ConnectionLost, StaleConnection: // Danger: a gone connection, at once, is no sick executor
-		if !p.canceled && (o != StaleConnection || took > d.patience()) {
-			d.blame(p, part)
+		if !p.canceled && (o != StaleConnection || took > d.minStartTimeout()) {
+			d.recordFailure(p, part)
 		}
 	case Rejected:
 		// Danger: an executor that turns all away at once looks idle and draws everything; its limit falls as well.
 		e.limitBeforeRejections = max(e.limitBeforeRejections, e.limit)
-		d.adjust(p, e.slotsInFlight+t.Slots, false)
+		d.adjustLimit(p, e.slotsInFlight+t.Slots, false)
 	}
 	if over {
 		d.Finish(t)
 	} else if o == TimedOut && p.Timeout == 0 { // its client has given up, whatever was told
-		d.finish(t, ClientTimeout)
+		d.giveUp(t, ClientTimeout)
 	} else if again && o == Failed && part < incurable {
-		d.finish(t, FailsEverywhere)
+		d.giveUp(t, FailsEverywhere)
 	}
 	p.afterEnd()
 }
 
 // ClientClosed ends a txn whose client has closed, or shut its sending side and may still read: it gets the final answer that the rules allow.
-func (d *Dispatcher) ClientClosed(t *Request) { d.finish(t, ClientGone) }
+func (d *Dispatcher) ClientClosed(t *Request) { d.giveUp(t, ClientGone) }
 
 // Finish ends a txn that is answered, or whose client has gone.
 func (d *Dispatcher) Finish(t *Request) {
@@ -858,19 +858,19 @@
 		t.cancelDeadline()
 	}
 	for _, p := range t.Attempts {
-		d.withdraw(p)
+		d.cancelAttempt(p)
 	}
 }
 
-func (d *Dispatcher) withdraw(p *Attempt) {
+func (d *Dispatcher) cancelAttempt(p *Attempt) {
 	if p.InFlight && !p.canceled && d.settings.AllowCancel {
 		p.canceled, p.Request.activeAttempts = true, p.Request.activeAttempts-1
 		d.actions.CancelAttempt(p)
 	}
 }
 
-// finish gives the final answer that the rules allow.
-func (d *Dispatcher) finish(t *Request, why Reason) {
+// giveUp gives the final answer that the rules allow.
+func (d *Dispatcher) giveUp(t *Request, why Reason) {
 	if t.Done {
 		return
 	}
@@ -893,16 +893,16 @@
 	p.startedAt, d.minStartDelay = d.now, min(cmp.Or(d.minStartDelay, d.now-p.sentAt), d.now-p.sentAt)
 	e.startedSlots += t.Slots
 	e.typeStats.maxSlots = max(e.typeStats.maxSlots, e.startedSlots)
-	if d.now-p.sentAt <= d.tolerated(p) {
-		d.adjust(p, e.slotsInFlight, true)
+	if d.now-p.sentAt <= d.startTimeout(p) {
+		d.adjustLimit(p, e.slotsInFlight, true)
 	}
 	// Tied copies: the first to start is kept, the others are still waiting and cost nothing to take back.
 	for _, q := range t.Attempts {
 		if q != p && q.startedAt == 0 {
-			d.withdraw(q)
+			d.cancelAttempt(q)
 		}
 	}
-	d.watch(p)
+	d.superviseAttempt(p)
 }
 
 func (d *Dispatcher) AttemptProgressed(p *Attempt) { p.progressAt = d.now }
@@ -912,17 +912,17 @@
 	waiting := d.queue
 	d.queue = nil
 	for _, t := range waiting {
-		t.queued, t.expectedValue = false, d.earns(t)
+		t.queued, t.expectedValue = false, d.expectedValue(t)
 	}
 	slices.SortStableFunc(waiting, func(a, b *Request) int { return cmp.Compare(b.expectedValue, a.expectedValue) })
 	for _, t := range waiting {
 		switch {
 		case t.expectedValue <= 0:
-			d.finish(t, QueueTimeout)
+			d.giveUp(t, QueueTimeout)
 		case d.now < t.retryAt:
 			d.enqueue(t)
 		default:
-			d.place(t)
+			d.assign(t)
 		}
 	}
 	if len(d.queue) > 0 && !d.queueTimerSet {
@@ -938,15 +938,15 @@
 	}
 }
 
-// earns is the billing value a slot and second to be expected of a waiting txn; 0: give it up now.
-func (d *Dispatcher) earns(t *Request) float64 {
+// expectedValue is the billing value a slot and second to be expected of a waiting txn; 0: give it up now.
+func (d *Dispatcher) expectedValue(t *Request) float64 {
 	late := t.Class.LateShare
 	part, atOnce, age := late+(1-late)*d.onTime(t, d.now), late+(1-late)*d.onTime(t, t.arrivedAt), d.now-t.arrivedAt
 	// Danger: hints that are off make the best of chances look slim. It is the wait that takes a txn's hope.
-	if part < hopeless*atOnce || d.now+d.running(t, lowEnd) >= t.Deadline || age > 2*(t.objectiveAt-t.arrivedAt) {
+	if part < hopeless*atOnce || d.now+d.expectedRuntime(t, lowEnd) >= t.Deadline || age > 2*(t.objectiveAt-t.arrivedAt) {
 		return 0
 	}
-	return part * t.priorityWeight / t.size * d.favour(t.Class)
+	return part * t.priorityWeight / t.size * d.classPreference(t.Class)
 }
 
 // onTime is the chance that a txn started then ends in time; without a hint only long jobs make up for waits.
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -70,7 +70,7 @@
 	e := w.fleet[0].Server
 	near := func(want float64) {
 		t.Helper()
-		if got := w.d.health(e); got < want-0.02 || got > want+0.02 {
+		if got := w.d.reliability(e); got < want-0.02 || got > want+0.02 {
 			t.Fatalf("H is %v, want %v", got, want)
 		}
 	}
@@ -83,11 +83,11 @@
 	w.end(w.open[0], ConnectFailed)
 	near(penalty)
 	again()
-	before := w.d.health(e)
+	before := w.d.reliability(e)
 	w.end(w.open[0], Rejected)
 	near(before)
 	again()
-	before = w.d.health(e)
+	before = w.d.reliability(e)
 	w.end(w.open[0], Succeeded)
 	near(before + reward)
 	w.pass(recovery)
@@ -99,7 +99,7 @@
 		p := w.open[len(w.open)-1]
 		w.now += took
 		w.d.Advance(w.now)
-		before = w.d.health(e)
+		before = w.d.reliability(e)
 		w.end(p, StaleConnection)
 		near(before * map[int64]float64{0: 1, 1e9: penalty}[took])
 	}
@@ -110,7 +110,7 @@
 	w.join(3, false)
 	fast, mid, slow := w.fleet[0].Server, w.fleet[1].Server, w.fleet[2].Server
 	job := func(e *Server, time float64, lost bool) {
-		w.d.rank(&Attempt{Request: &Request{Class: w.terms.Classes[0], Slots: 1}, Server: e}, time, lost)
+		w.d.recordRank(&Attempt{Request: &Request{Class: w.terms.Classes[0], Slots: 1}, Server: e}, time, lost)
 	}
 	job(fast, 1, false)
 	job(mid, 2, false)
@@ -263,21 +263,21 @@
 	w.join(2, false)
 	w.arrive(0, 1, 1e8, 5e9)
 	w.d.queue = []*Request{{Class: w.terms.Classes[0]}}
-	if w.d.copy(w.open[0]); len(w.open) != 1 {
+	if w.d.hedge(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out while a txn waited")
 	}
 	w.d.queue = nil
 	*w.d.startPromptness[true] = decayingRatio{20, 0.5, w.now}
-	if w.d.copy(w.open[0]); len(w.open) != 1 {
+	if w.d.hedge(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though none of those left should find room")
 	}
 	w.terms.LoadReports = true
 	*w.d.startPromptness[true] = decayingRatio{10, 6, w.now}
-	if w.d.copy(w.open[0]); len(w.open) != 1 {
+	if w.d.hedge(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though four starts in ten were late, as other nodes' txns wait")
 	}
 	w.d.startPromptness[true].hits = 10
-	if w.d.copy(w.open[0]); len(w.open) != 2 {
+	if w.d.hedge(w.open[0]); len(w.open) != 2 {
 		t.Fatal("no copy though there is room")
 	}
 }
@@ -289,7 +289,7 @@
 	w := newWorld(t, 1, terms)
 	over := func(n, burst int) (count int) {
 		for i := range n {
-			if tenant := min(i%burst, 1); w.d.overShare(&Request{Tenant: tenant}) && tenant == 1 {
+			if tenant := min(i%burst, 1); w.d.overQuota(&Request{Tenant: tenant}) && tenant == 1 {
 				count++
 			}
 		}
@@ -373,7 +373,7 @@
 	w.join(8, false)
 	for _, m := range w.fleet {
 		for range 20 {
-			w.d.adjust(&Attempt{Server: m.Server, sentAt: w.now}, 0, m.Zone != 0)
+			w.d.adjustLimit(&Attempt{Server: m.Server, sentAt: w.now}, 0, m.Zone != 0)
 		}
 		m.Server.limit = firstRoom
 	}
@@ -858,8 +858,8 @@
 	w.d.AttemptStarted(waiting)
 	w.d.ProcessQueue()
 	w.pass(1e8)
-	if w.d.health(e) < 1 || e.limit < limit || len(w.open) != 2 {
-		t.Errorf("H %v, limit %v of %v, %d out", w.d.health(e), e.limit, limit, len(w.open))
+	if w.d.reliability(e) < 1 || e.limit < limit || len(w.open) != 2 {
+		t.Errorf("H %v, limit %v of %v, %d out", w.d.reliability(e), e.limit, limit, len(w.open))
 	}
 }
 
@@ -932,12 +932,12 @@
 		w.d.keyedRequests = 100
 		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, keyState: &keyState{requests: 1}}
 		*w.d.startPromptness[true] = decayingRatio{9, prompt, w.now}
-		if homes := w.d.homes(tx, true); len(homes) != want {
+		if homes := w.d.preferredServers(tx, true); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
 		}
 		// Danger: a txn that waits while the counts are halved away; it has a home all the same.
 		tx.keyState.requests, w.d.keyedRequests = 0, 5
-		if homes := w.d.homes(tx, true); len(homes) != want {
+		if homes := w.d.preferredServers(tx, true); len(homes) != want {
 			t.Errorf("no count left: %d homes", len(homes))
 		}
 	}
--- a/dispatch/figures.go
+++ b/dispatch/figures.go
@@ -12,7 +12,7 @@
 		switch {
 		case e.State != Up:
 			excluded++
-		case d.sick(e):
+		case d.outlier(e):
 			sick++
 		}
 	}
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -285,7 +285,7 @@
 		w.settle()
 		w.fleet[0].StartedAt = w.now
 		w.list(true)
-		part, _, _, _ := w.d.part(w.fleet[0].Server)
+		part, _, _, _ := w.d.quotaShare(w.fleet[0].Server)
 		return part
 	}
 	if untold, told := part(0), part(4); told <= untold {
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -25,9 +25,9 @@
 // SetSchedulingDelay tells how long work of this process waits until it runs, in ns. It is measured outside and holds until it is told again.
 func (d *Dispatcher) SetSchedulingDelay(lag int64) { d.schedulingDelay = lag }
 
-// bearable is the longest wait at which a request with that time to its deadline can still be served, and updates of the server list
+// maxUnreadTime is the longest wait at which a request with that time to its deadline can still be served, and updates of the server list
 // are known in time: either may take half of its time to wait in all its turns.
-func (d *Dispatcher) bearable(left int64) int64 {
+func (d *Dispatcher) maxUnreadTime(left int64) int64 {
 	longest := left / (2 * requestTurns)
 	if d.settings.DrainGrace > 0 {
 		longest = min(longest, d.settings.DrainGrace/(2*updateTurns))
@@ -37,17 +37,17 @@
 
 // overloaded says whether a request that has just been read has to be shed.
 func (d *Dispatcher) overloaded(t *Request) bool {
-	return t.UnreadTime > d.bearable(t.Deadline-d.now)
+	return t.UnreadTime > d.maxUnreadTime(t.Deadline-d.now)
 }
 
-// stale says whether this process is so far behind that updates of the server list may wait unread for longer than drains allow.
+// endpointsMayBeStale says whether this process is so far behind that updates of the server list may wait unread for longer than drains allow.
 // Danger: a process that stood still sends what it had decided before, and reads only then that the server has left.
-func (d *Dispatcher) stale() bool {
+func (d *Dispatcher) endpointsMayBeStale() bool {
 	return d.settings.DrainGrace > 0 && d.schedulingDelay > max(d.settings.DrainGrace/updateTurns, leastLag*d.settings.Tick)
 }
 
-// hedges says whether this process can afford second attempts. Danger: late by itself, it takes all servers for late.
-func (d *Dispatcher) hedges() bool { return d.schedulingDelay <= leastLag*d.settings.Tick }
+// mayHedge says whether this process can afford second attempts. Danger: late by itself, it takes all servers for late.
+func (d *Dispatcher) mayHedge() bool { return d.schedulingDelay <= leastLag*d.settings.Tick }
 
 // headroom is how long before a deadline an answer has to be decided on: it waits to be decided, and to be written.
 func (d *Dispatcher) headroom() int64 { return 2 * (d.settings.Tick + d.schedulingDelay) }
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -391,8 +391,8 @@
 	failedServer *Server       // where the last one ended badly, with none that ended well since
 }
 
-// count adds a txn to those about one thing; without a key that is its tenant.
-func (d *Dispatcher) count(t *Request) {
+// recordKey adds a txn to those about one thing; without a key that is its tenant.
+func (d *Dispatcher) recordKey(t *Request) {
 	if d.keyedRequests++; d.keyedRequests > keyCounts {
 		d.keyedRequests /= 2
 		maps.DeleteFunc(d.keyStates, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
@@ -427,11 +427,11 @@
 	return (l.hits + kindScores) / (l.total + kindScores)
 }
 
-// ran notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
-func (d *Dispatcher) ran(p *Attempt, ran int64) {
+// recordRuntime notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
+func (d *Dispatcher) recordRuntime(p *Attempt, ran int64) {
 	if t, e := p.Request, p.Server; ran > 0 {
 		l := e.typeStats.runtimeRatio.decay(d.now)
-		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.settings.warmUpFactor(e, p.sentAt)/float64(d.running(t, 0.5))
+		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.settings.warmUpFactor(e, p.sentAt)/float64(d.expectedRuntime(t, 0.5))
 		d.runtimes[t.Class.Index].add(float64(ran) / t.workUnit())
 	}
 }
