--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -14,11 +14,11 @@
 // its weight, but for a part of about the relative variance of weights over sampleFew.
 
 const (
-	// sampleMost is the length of a list up to which all of it is looked at. The share of healthy servers may be as small as one in
+	// maxSample is the length of a list up to which all of it is looked at. The share of healthy servers may be as small as one in
 	// fifty and a sample still holds one but for one time in a hundred and seventy.
-	sampleMost = 256
-	// sampleFew is how many are looked at where any of them will do. Of a long list each is likely to be out of the processor's cache.
-	sampleFew = 64
+	maxSample = 256
+	// sampleSize is how many are looked at where any of them will do. Of a long list each is likely to be out of the processor's cache.
+	sampleSize = 64
 )
 
 // serverSet is a set of servers that is added to in any order, and from which some are drawn at random.
@@ -85,13 +85,13 @@
 
 // findCandidates considers the candidates of a draw.
 func (d *Dispatcher) findCandidates(s *candidateSearch) {
-	if len(d.servers.servers) <= sampleMost {
+	if len(d.servers.servers) <= maxSample {
 		for _, e := range d.servers.servers {
 			d.consider(s, e)
 		}
 		return
 	}
-	d.sample(&d.withIdleConnection, sampleFew, func(e *Server) bool {
+	d.sample(&d.withIdleConnection, sampleSize, func(e *Server) bool {
 		if !e.listed || d.now >= e.idleUntil {
 			return false
 		}
@@ -105,8 +105,8 @@
 		d.consider(s, e)
 		return true
 	}
-	for left := sampleMost; left > 0 && !d.enoughCandidates(s, left == sampleMost); left -= sampleFew {
-		d.sample(&d.servers, sampleFew, use)
+	for left := maxSample; left > 0 && !d.enoughCandidates(s, left == maxSample); left -= sampleSize {
+		d.sample(&d.servers, sampleSize, use)
 	}
 	for _, e := range d.servers.servers {
 		if s.foundAllowed {
@@ -124,7 +124,7 @@
 		steps = 1
 	}
 	found := len(d.candidates)
-	return s.foundHealthy && found == s.count && d.candidates[found-1].sampleKey < steps*firstStep
+	return s.foundHealthy && found == s.count && d.candidates[found-1].sampleKey < steps*preferenceStep
 }
 
 // considerSlowStart considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
@@ -141,7 +141,7 @@
 		return
 	}
 	first, considered := d.random.IntN(count), 0
-	for i := 0; i < count && considered < sampleMost; i++ {
+	for i := 0; i < count && considered < maxSample; i++ {
 		if e := d.inSlowStart.servers[(first+i)%count]; d.inSlowStartTurn(e) {
 			d.consider(s, e)
 			considered++
@@ -157,7 +157,7 @@
 	}
 	if d.now >= e.turnUntil {
 		_, since, turn, _ := d.quotaShare(e)
-		e.inTurn, e.turnUntil = turn, since+max(d.settings.OverloadWindow/turns, 1)
+		e.inTurn, e.turnUntil = turn, since+max(d.settings.OverloadWindow/turnsPerWindow, 1)
 	}
 	return e.inTurn
 }
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -36,7 +36,7 @@
 			d.withIdleConnection.add(e)
 		}
 	}
-	if d.draw(request, 1); looked(d) > 2*sampleMost {
+	if d.draw(request, 1); looked(d) > 2*maxSample {
 		t.Errorf("%d servers were considered", looked(d))
 	}
 	if d.candidates[0].idleUntil == 0 {
@@ -45,7 +45,7 @@
 	for _, e := range d.servers.servers { // none has room
 		e.limit = 0
 	}
-	if drawn := d.draw(request, 1); len(drawn) > 0 || looked(d) > 2*sampleMost {
+	if drawn := d.draw(request, 1); len(drawn) > 0 || looked(d) > 2*maxSample {
 		t.Errorf("%d servers were considered in vain", looked(d))
 	}
 }
@@ -55,9 +55,9 @@
 	const draws = 40000
 	d, _, request := longList(t)
 	want, all, got := map[int]float64{}, 0.0, map[int]float64{}
-	class := func(e *Server) int { return e.scoreSum/poolSize*2 + int(2*e.reliability) }
+	class := func(e *Server) int { return e.scoreSum/scoreWindow*2 + int(2*e.reliability) }
 	for i, e := range d.servers.servers {
-		e.scoreCount, e.scoreSum = poolSize, poolSize*[...]int{10, 6, 2, 2}[i%4]
+		e.scoreCount, e.scoreSum = scoreWindow, scoreWindow*[...]int{10, 6, 2, 2}[i%4]
 		if i%5 == 0 {
 			e.reliability, e.reliabilityAt = 0.5, d.now
 		}
@@ -110,11 +110,11 @@
 		}
 	}
 	drawn := d.draw(request, 1)
-	if may == 0 || may > 320 || looked(d) > 2*sampleMost+may || d.settings.warmUpFactor(drawn[0], d.now) == 1 {
+	if may == 0 || may > 320 || looked(d) > 2*maxSample+may || d.settings.warmUpFactor(drawn[0], d.now) == 1 {
 		t.Errorf("%d may be sent to now, and the one drawn has warmth %v", may, d.settings.warmUpFactor(drawn[0], d.now))
 	}
 	terms.Nodes = 1 // it is always its turn
-	if d.draw(request, 1); looked(d) > 2*sampleMost {
+	if d.draw(request, 1); looked(d) > 2*maxSample {
 		t.Errorf("%d servers were considered, most of them in slow start", looked(d))
 	}
 	d.UpdateEndpoints(true, members[:10])
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -95,7 +95,7 @@
 	if served < 195 {
 		t.Errorf("%d of 200 served", served)
 	}
-	w.pass(recovery)
+	w.pass(decayTime)
 	if w.d.outlier(ahead) {
 		t.Error("left out for good")
 	}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	poolSize   = 50   // scores; the design's pool
-	topScore   = 10.0 // points; the design's first place, also what a mean score is divided by
-	unscored   = 0.5  // share of the top score for a kind without scores; the design's start
-	kindScores = 3.0  // scores that the mean of its kind counts for beside an executor's own; a few outweigh it
-	penalty    = 0.3  // factor on H for a time-out, failed connection or error; the design's
-	reward     = 0.15 // added to H by a success; the design's
-	leastH     = 0.1  // H under which an executor is left out; the design's
-	recovery   = 10e9 // ns; time constant of H on its way back to 1, the design's start, and of all that fades
-	margin     = 1.0  // jobs over its fair part that make an executor crowded; the least that is not noise
-	growth     = 0.25 // slots for a prompt start, less under a limit of one; with cut, one in three may wait
-	firstRoom  = 4.0  // slots in flight allowed before anything is known; a small machine's worth
-	cut        = 0.5  // share of the in-flight limit kept when a posting was seen to wait; the usual halving
-	overrun    = 4.0  // times the high end of measured running time that make a job overdue; beyond long jobs
-	highEnd    = 0.9  // quantile taken as high end; the histograms are too small to know more
-	lowEnd     = 0.25 // quantile taken as low end, by which it is too late for a txn; a fast machine's
-	missing    = 1.5  // progress periods without a note that mean standing still; one late note is no proof
-	doubt      = 1.5  // times that nodes of other minds sent what each reckoned with, the most of 800 histories
-	hopeless   = 0.5  // part of the billing value to be expected for a txn to wait on; an even chance
-	incurable  = 0.1  // chance to be served elsewhere under which two errors end a txn; a third is not worth it
-	behind     = 3.0  // jobs made late by one more job where there is no room; a short queue of them
-	overMark   = 1.3  // times the others' measure that a tenant may send; usage differs by tens of percent
-	turns      = 4    // parts of a fall window in which nodes take turns at the cold; a fifth is lost
-	crowded    = 1.2  // times the mean load by the list from which a home gives way; word is a second old
-	dear       = 0.02 // price of a crossing from which home goes first; under it a late answer costs more
-	leave      = 0.5  // factor on executors of a kind that other schemes need, which can go nowhere else
-	spare      = 0.25 // share of late starts up to which a thing has a second home; one in a jam, or all fetch
-	asks       = 4    // executors asked for room at a time; with one in two full, one in sixteen finds none
-	lefts      = 16   // latest txns of which one at least counts as a client's first try; some try three times
-	way        = 64   // part of an expiry that is left for the way to the client; ours must come before it goes
-	heed       = 1e9  // ns; for so long an own job that ended well beats what others say; news takes about that
-	askAgain   = 1e8  // ns, at most; that word of room counts, and until others are asked; some reports a second
-	firstStep  = 1e9  // between the waits of two steps of preference, more than any draw gives
-	keyCounts  = 256  // txns after which counts by key are halved; tells a tenth of all from a hundredth
+	scoreWindow           = 50   // scores; the design's pool
+	topScore              = 10.0 // points; the design's first place, also what a mean score is divided by
+	initialScore          = 0.5  // share of the top score for a kind without scores; the design's start
+	typeScoreWeight       = 3.0  // scores that the mean of its kind counts for beside an executor's own; a few outweigh it
+	failureFactor         = 0.3  // factor on H for a time-out, failed connection or error; the design's
+	successBonus          = 0.15 // added to H by a success; the design's
+	minReliability        = 0.1  // H under which an executor is left out; the design's
+	decayTime             = 10e9 // ns; time constant of H on its way back to 1, the design's start, and of all that fades
+	crowdedMargin         = 1.0  // jobs over its fair part that make an executor crowded; the least that is not noise
+	limitGrowth           = 0.25 // slots for a prompt start, less under a limit of one; with cut, one in three may wait
+	initialLimit          = 4.0  // slots in flight allowed before anything is known; a small machine's worth
+	limitReduction        = 0.5  // share of the in-flight limit kept when a posting was seen to wait; the usual halving
+	overdueFactor         = 4.0  // times the high end of measured running time that make a job overdue; beyond long jobs
+	highQuantile          = 0.9  // quantile taken as high end; the histograms are too small to know more
+	lowQuantile           = 0.25 // quantile taken as low end, by which it is too late for a txn; a fast machine's
+	missedProgressPeriods = 1.5  // progress periods without a note that mean standing still; one late note is no proof
+	slowStartMargin       = 1.5  // times that nodes of other minds sent what each reckoned with, the most of 800 histories
+	minChance             = 0.5  // part of the billing value to be expected for a txn to wait on; an even chance
+	minRetrySuccess       = 0.1  // chance to be served elsewhere under which two errors end a txn; a third is not worth it
+	delayedByHedge        = 3.0  // jobs made late by one more job where there is no room; a short queue of them
+	overQuotaFactor       = 1.3  // times the others' measure that a tenant may send; usage differs by tens of percent
+	turnsPerWindow        = 4    // parts of a fall window in which nodes take turns at the cold; a fifth is lost
+	crowdedFactor         = 1.2  // times the mean load by the list from which a home gives way; word is a second old
+	localZoneCost         = 0.02 // price of a crossing from which home goes first; under it a late answer costs more
+	requiredTypeFactor    = 0.5  // factor on executors of a kind that other schemes need, which can go nowhere else
+	spareServerShare      = 0.25 // share of late starts up to which a thing has a second home; one in a jam, or all fetch
+	probesPerRound        = 4    // executors asked for room at a time; with one in two full, one in sixteen finds none
+	deadlineSamples       = 16   // latest txns of which one at least counts as a client's first try; some try three times
+	responseFraction      = 64   // part of an expiry that is left for the way to the client; ours must come before it goes
+	ownResultLifetime     = 1e9  // ns; for so long an own job that ended well beats what others say; news takes about that
+	maxReportLifetime     = 1e8  // ns, at most; that word of room counts, and until others are asked; some reports a second
+	preferenceStep        = 1e9  // between the waits of two steps of preference, more than any draw gives
+	maxKeyedRequests      = 256  // txns after which counts by key are halved; tells a tenth of all from a hundredth
 )
 
-var places = [4]uint8{10, 6, 2, 0} // scores by rank and for a loss; the design's start
+var rankScores = [4]uint8{10, 6, 2, 0} // scores by rank and for a loss; the design's start
 
 // Dispatcher is the decision module of one node.
 type Dispatcher struct {
@@ -107,7 +107,7 @@
 	for _, m := range members {
 		e := m.Server
 		if !e.listed || m.StartedAt > e.startedAt {
-			e.reliability, e.reliabilityAt, e.limit, e.size = 1, d.now, firstRoom, 1
+			e.reliability, e.reliabilityAt, e.limit, e.size = 1, d.now, initialLimit, 1
 		}
 		d.servers.add(e)
 		if d.machineTypes[m.MachineType] == nil {
@@ -197,7 +197,7 @@
 		d.giveUp(t, Overloaded)
 		return
 	}
-	waited := max(t.UnreadTime-waitSlack, 0)
+	waited := max(t.UnreadTime-uncountedDelay, 0)
 	t.Deadline -= waited
 	t.Deadline, t.arrivedAt, t.overQuota = d.adjustedDeadline(t), d.now-waited, len(d.settings.Tenants) > 0 && d.overQuota(t)
 	// Danger: the first job that runs far longer than its hint would speak for all to come.
@@ -209,8 +209,8 @@
 	t.size = max(t.Slots, 1) * float64(work)
 	d.sizes.add(t.size / 1e9)
 	// Danger: of jobs of milliseconds many begin and end while a word of room is still taken for news.
-	d.largeSize = d.sizes.quantile(highEnd, 0) * 1e9
-	d.reportLifetime = min(askAgain, int64(d.largeSize))
+	d.largeSize = d.sizes.quantile(highQuantile, 0) * 1e9
+	d.reportLifetime = min(maxReportLifetime, int64(d.largeSize))
 	if t.priorityWeight = t.Class.Weight; d.settings.WeightByWork {
 		t.priorityWeight *= t.size
 	}
@@ -233,9 +233,9 @@
 	if d.settings.DeadlineMargin == 0 || t.Class.MaxDeadline == 0 {
 		return t.Deadline
 	}
-	d.deadlineOffsets = append(d.deadlineOffsets[max(len(d.deadlineOffsets)-lefts+1, 0):], t.Class.MaxDeadline-t.Deadline+d.now)
+	d.deadlineOffsets = append(d.deadlineOffsets[max(len(d.deadlineOffsets)-deadlineSamples+1, 0):], t.Class.MaxDeadline-t.Deadline+d.now)
 	off := min(max(slices.Min(d.deadlineOffsets), -d.settings.DeadlineMargin), d.settings.DeadlineMargin)
-	return t.Deadline + min(off, max(off-t.Class.MaxDeadline/way, 0))
+	return t.Deadline + min(off, max(off-t.Class.MaxDeadline/responseFraction, 0))
 }
 
 // SetDeadline sets when the txn has to be answered at the latest; a node that is told to end brings it forward.
@@ -256,7 +256,7 @@
 	own := d.tenantArrivals[t.Tenant].decay(d.now)
 	own.total++
 	due := (others + 1) * d.settings.Tenants[t.Tenant].Quota / shares
-	return d.random.Float64()*own.total > overMark*due+2*math.Sqrt(due) // twice the spread of chance
+	return d.random.Float64()*own.total > overQuotaFactor*due+2*math.Sqrt(due) // twice the spread of chance
 }
 
 // classPreference is what a txn counts for over its value: more in the scheme served worst, by the terms.
@@ -282,14 +282,14 @@
 		return
 	}
 	// Danger: executors that never answer probes. What has heard nothing for some rounds goes out blindly.
-	asking, count := d.settings.CapacityProbes && !d.settings.LiveCapacity && (t.probeRounds < asks || d.capacityReportedAt >= t.arrivedAt), 1
+	asking, count := d.settings.CapacityProbes && !d.settings.LiveCapacity && (t.probeRounds < probesPerRound || d.capacityReportedAt >= t.arrivedAt), 1
 	if asking {
-		count = asks
+		count = probesPerRound
 	}
 	if len(t.Attempts) >= d.settings.MaxAttempts || t.firstPossibleRun() != nil && d.mayNotRepeat(t) {
 		d.giveUp(t, AttemptsExhausted)
 	} else if d.endpointsMayBeStale() {
-		t.retryAt = d.now + leastLag*d.settings.Tick
+		t.retryAt = d.now + minDelayTicks*d.settings.Tick
 		d.enqueue(t)
 	} else if drawn := d.draw(t, count); len(drawn) == 0 {
 		// Danger: in a jam a node spends its processor time on looking for room that is not there.
@@ -399,18 +399,18 @@
 // It bears N jobs, two root N + 2 for chance; what is sent has that chance too, so that N / doubt follows.
 func (d *Dispatcher) slowStartBudget(e *Server, at int64, parts float64) float64 {
 	work := d.settings.OverloadFactor * float64(d.settings.OverloadWindow) * max(e.typeStats.maxSlots, 1) / e.typeStats.meanRuntimeRatio(d.now)
-	return work * (d.settings.warmUpFactor(e, at) / doubt / parts)
+	return work * (d.settings.warmUpFactor(e, at) / slowStartMargin / parts)
 }
 
 // quotaShare is what this node may send a cold executor, since when, whether now, and how many groups take turns.
 // Danger: an even part of many is less than one txn, and what was swapped stands empty. So a few take turns.
 func (d *Dispatcher) quotaShare(e *Server) (part float64, since int64, turn bool, of float64) {
-	nodes, length := d.settings.nodesInRotation(), max(d.settings.OverloadWindow/turns, 1)
+	nodes, length := d.settings.nodesInRotation(), max(d.settings.OverloadWindow/turnsPerWindow, 1)
 	// Danger: a start that is stamped too late lies ahead, and nothing sent since then would count.
 	first := e.startedAt - d.settings.StartTimeError
 	n := max(d.now-first, 0) / length
 	since = first + n*length
-	all := d.slowStartBudget(e, since, turns+1) // a window meets one turn more than it is long
+	all := d.slowStartBudget(e, since, turnsPerWindow+1) // a window meets one turn more than it is long
 	members := max(int64(min(all/d.largeSize, float64(nodes))), 1)
 	groups := (int64(nodes) + members - 1) / members
 	return all / float64(members), since, (n+int64(d.settings.NodeIndex)+e.startedAt/1e6)%groups == 0, float64(groups)
@@ -419,36 +419,36 @@
 // reliability is H, drifted back towards 1 up to now.
 func (d *Dispatcher) reliability(e *Server) float64 {
 	// Danger: nearly all executors are well; working out a drift for each at every draw is the dearest step.
-	if e.reliability == 1 || float64(d.now-e.reliabilityAt) > 7*recovery {
+	if e.reliability == 1 || float64(d.now-e.reliabilityAt) > 7*decayTime {
 		return 1
 	}
-	return 1 - (1-e.reliability)*math.Exp(-float64(d.now-e.reliabilityAt)/recovery)
+	return 1 - (1-e.reliability)*math.Exp(-float64(d.now-e.reliabilityAt)/decayTime)
 }
 
 // effectiveReliability is H, or less where many other nodes say so and no job of this one ended well there of late.
 // Danger: old news that beats a fresh outcome; or each of many nodes finds out for itself, at its txns' cost.
 func (d *Dispatcher) effectiveReliability(e *Server) float64 {
-	if e.OutlierScore > 0 && d.now-e.idleUntil+d.settings.IdleTimeout > heed {
+	if e.OutlierScore > 0 && d.now-e.idleUntil+d.settings.IdleTimeout > ownResultLifetime {
 		return min(d.reliability(e), 1-e.OutlierScore)
 	}
 	return d.reliability(e)
 }
 
 // outlier says whether the executor is left out while others remain.
-func (d *Dispatcher) outlier(e *Server) bool { return d.effectiveReliability(e) < leastH }
+func (d *Dispatcher) outlier(e *Server) bool { return d.effectiveReliability(e) < minReliability }
 
 // weight is the design's: mean score over the top score, times H; a cold executor counts by its age.
 func (d *Dispatcher) weight(t *Request, e *Server) float64 {
 	// Danger: one of many nodes meets most executors seldom or never; until then their kind's mean stands in.
-	score := (e.typeStats.scores.hits + unscored) / (e.typeStats.scores.total + 1)
-	score = (float64(e.scoreSum)/topScore + score*kindScores) / (float64(e.scoreCount) + kindScores)
+	score := (e.typeStats.scores.hits + initialScore) / (e.typeStats.scores.total + 1)
+	score = (float64(e.scoreSum)/topScore + score*typeScoreWeight) / (float64(e.scoreCount) + typeScoreWeight)
 	if warmth := d.settings.warmUpFactor(e, d.now); warmth < 1 {
 		_, _, _, groups := d.quotaShare(e) // seldom in turn, it is taken as much likelier then
 		score *= warmth * d.settings.slowStartShareFactor(e, groups)
 	}
 	// Danger: the rest crowd out a scheme that one kind alone can run.
 	if t.Class.MachineType < 0 && e.typeStats.required {
-		score *= leave
+		score *= requiredTypeFactor
 	}
 	return max(score, 0.01) * d.effectiveReliability(e) * e.spareFactor
 }
@@ -464,7 +464,7 @@
 // Danger: one pause makes all that is there late; cut for each, hardly a limit would be left.
 func (d *Dispatcher) reduceLimit(g *concurrencyLimit, sent int64, busy float64) {
 	if sent >= g.reducedAt {
-		g.limit, g.reducedAt = max(cut*min(g.limit, busy), 1/float64(max(d.settings.Nodes, 1))), d.now
+		g.limit, g.reducedAt = max(limitReduction*min(g.limit, busy), 1/float64(max(d.settings.Nodes, 1))), d.now
 	}
 }
 
@@ -482,7 +482,7 @@
 
 // slack is the time left to start in. Without a hint a long job's SLA time is long too; the middle one tells.
 func (d *Dispatcher) slack(t *Request, from int64) int64 {
-	return t.objectiveAt - d.expectedRuntime(t, [2]float64{0.5, highEnd}[min(max(t.ExpectedWork, 0), 1)]) - from
+	return t.objectiveAt - d.expectedRuntime(t, [2]float64{0.5, highQuantile}[min(max(t.ExpectedWork, 0), 1)]) - from
 }
 
 // promptShare is the share of postings that started promptly, at home or away; one while nothing is known.
@@ -501,7 +501,7 @@
 		return nil
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
-	s.anyZone = d.settings.CrossZoneCost < dear || d.random.Float64()*d.promptShare(false) > d.promptShare(true)
+	s.anyZone = d.settings.CrossZoneCost < localZoneCost || d.random.Float64()*d.promptShare(false) > d.promptShare(true)
 	if t.AffinityKey == 0 {
 		d.findCandidates(s)
 		return d.candidates[:min(count, len(d.candidates))]
@@ -536,7 +536,7 @@
 	step := 1.0
 	if e.slotsInFlight == 0 && e.limit >= 1 && (d.now < e.idleUntil || d.settings.warmUpFactor(e, d.now) < 1) {
 		step = 0
-	} else if e.slotsInFlight >= margin+s.meanInFlight {
+	} else if e.slotsInFlight >= crowdedMargin+s.meanInFlight {
 		step = 2
 	}
 	if !s.anyZone && e.zone != d.settings.Zone {
@@ -544,7 +544,7 @@
 	}
 	// Danger: of many nodes each holds connections to all. What is beyond this one's part comes after the rest.
 	step += 6 * float64(d.settings.distanceFor(t, e, d.now))
-	e.sampleKey = step*firstStep - math.Log(1-d.random.Float64())/d.weight(t, e)
+	e.sampleKey = step*preferenceStep - math.Log(1-d.random.Float64())/d.weight(t, e)
 	if i, _ := slices.BinarySearchFunc(d.candidates, e, bySampleKey); i < s.count {
 		d.candidates = slices.Insert(d.candidates, i, e)
 	}
@@ -553,14 +553,14 @@
 // preferredServers are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
 // Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
 func (d *Dispatcher) preferredServers(t *Request, roam bool) []*Server {
-	count := 1 + int(d.promptShare(true)+spare) + (len(d.servers.servers)*max(t.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
+	count := 1 + int(d.promptShare(true)+spareServerShare) + (len(d.servers.servers)*max(t.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
 	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
 	few := count
 	d.preferred, count = d.preferred[:0], count+1
 	for _, e := range d.servers.servers {
 		luck := float64(rand.NewPCG(t.AffinityKey, e.Hash).Uint64()>>11+1) / (1 << 53)
 		if e.sampleKey = -math.Log(luck) / e.size; t.Class.MachineType < 0 && e.typeStats.required {
-			e.sampleKey /= leave
+			e.sampleKey /= requiredTypeFactor
 		}
 		// Danger: a few nodes at a time may send to a cold one; by key none of them ever would.
 		if d.settings.warmUpFactor(e, d.now) < 1 {
@@ -582,7 +582,7 @@
 	}
 	d.preferred = d.preferred[:min(count, len(d.preferred))]
 	for _, e := range d.preferred {
-		if d.settings.LiveCapacity && e.sampleKey > 0 && e.size/e.spareFactor-1 > max(crowded*d.load/float64(len(d.servers.servers)), 1) {
+		if d.settings.LiveCapacity && e.sampleKey > 0 && e.size/e.spareFactor-1 > max(crowdedFactor*d.load/float64(len(d.servers.servers)), 1) {
 			e.sampleKey += 2e9
 		}
 	}
@@ -663,9 +663,9 @@
 
 // awaitEnd decides what becomes of a posting that runs too long or stands still.
 func (d *Dispatcher) awaitEnd(p *Attempt, wait int64) {
-	run, period := d.expectedRuntime(p.Request, highEnd), d.settings.ProgressInterval
-	still := period > 0 && d.now-max(p.progressAt, p.startedAt, p.sentAt) > int64(missing*float64(period))
-	if still || d.now-max(p.sentAt, p.startedAt) > int64(overrun*float64(run)) {
+	run, period := d.expectedRuntime(p.Request, highQuantile), d.settings.ProgressInterval
+	still := period > 0 && d.now-max(p.progressAt, p.startedAt, p.sentAt) > int64(missedProgressPeriods*float64(period))
+	if still || d.now-max(p.sentAt, p.startedAt) > int64(overdueFactor*float64(run)) {
 		if d.recordFailure(p, 1); still || d.settings.AllowHedging {
 			d.hedge(p)
 		}
@@ -681,7 +681,7 @@
 		// Danger: what is taken back may run all the same, for nobody. Who stands still runs none of it; a list
 		// that tells of load promises room elsewhere.
 		late := d.settings.LiveCapacity && d.now-p.sentAt >= d.slack(t, p.sentAt)/4
-		if left > 0 && !d.mayNotRepeat(t) && (p.startedAt > 0 || late || d.effectiveReliability(p.Server) < hopeless) {
+		if left > 0 && !d.mayNotRepeat(t) && (p.startedAt > 0 || late || d.effectiveReliability(p.Server) < minChance) {
 			d.cancelAttempt(p)
 		}
 		return
@@ -692,7 +692,7 @@
 	// Danger: copies in a full fleet take the room of txns that wait for it, here or at many other nodes.
 	for _, e := range d.draw(t, 1) {
 		hit, gain := d.promptShare(e.zone == d.settings.Zone), 1-t.Class.LateShare+d.settings.MissedObjectiveCost
-		if len(d.queue) == 0 && left > 0 && t.activeAttempts <= 1 && hit*gain >= (1-hit)*behind {
+		if len(d.queue) == 0 && left > 0 && t.activeAttempts <= 1 && hit*gain >= (1-hit)*delayedByHedge {
 			d.startAttempt(t, e)
 		}
 	}
@@ -709,12 +709,12 @@
 	// Danger: executors that turn part away though not full stand empty. A full one would not start at once.
 	e.limit, e.limitBeforeRejections, e.lateStarts = max(e.limit, e.limitBeforeRejections), 0, 0
 	if busy+1 >= e.limit {
-		e.limit += growth * min(e.limit, 1)
+		e.limit += limitGrowth * min(e.limit, 1)
 	}
 	// Danger: limits that only an executor's own starts raise keep machines empty that had one long job.
 	for i := 0; i < len(d.lowLimit.servers); i++ {
 		x := d.lowLimit.servers[i]
-		if x.limit = max(x.limit, min(x.limit+growth/2*min(x.limit, 1)/float64(len(d.servers.servers)), firstRoom)); x.limit >= firstRoom {
+		if x.limit = max(x.limit, min(x.limit+limitGrowth/2*min(x.limit, 1)/float64(len(d.servers.servers)), initialLimit)); x.limit >= initialLimit {
 			d.lowLimit.remove(x)
 			i--
 		}
@@ -723,7 +723,7 @@
 
 // recordLowLimit notes a server whose limit is under the one that all start with.
 func (d *Dispatcher) recordLowLimit(e *Server) {
-	if e.listed && e.limit < firstRoom {
+	if e.listed && e.limit < initialLimit {
 		d.lowLimit.add(e)
 	}
 }
@@ -738,7 +738,7 @@
 func (d *Dispatcher) reduceKeyLimit(h *keyState, p *Attempt, bad bool) {
 	if !bad {
 		if h.failedServer = nil; h.slotsInFlight+p.Request.Slots+1 >= h.limit {
-			h.limit += growth * min(h.limit, 1)
+			h.limit += limitGrowth * min(h.limit, 1)
 		}
 	} else if h.failedServer == nil || h.failedServer == p.Server {
 		h.failedServer = p.Server
@@ -750,7 +750,7 @@
 // recordFailure counts a posting as lost, once; in part where the executor is at fault by that part.
 func (d *Dispatcher) recordFailure(p *Attempt, part float64) {
 	if e := p.Server; !p.failureRecorded {
-		p.failureRecorded, e.reliability, e.reliabilityAt = true, d.reliability(e)*(1-(1-penalty)*part), d.now
+		p.failureRecorded, e.reliability, e.reliabilityAt = true, d.reliability(e)*(1-(1-failureFactor)*part), d.now
 		d.recordRank(p, 0, true)
 	}
 }
@@ -774,11 +774,11 @@
 	if lost {
 		place = 3
 	}
-	score := places[place]
+	score := rankScores[place]
 	e.typeStats.scores.decay(d.now).total++
 	e.typeStats.scores.hits += float64(score) / topScore
-	e.scoreCount, e.scoreSum = min(e.scoreCount+1, poolSize), e.scoreSum+int(score)-int(e.scores[e.nextScore])
-	e.scores[e.nextScore], e.nextScore = score, (e.nextScore+1)%poolSize
+	e.scoreCount, e.scoreSum = min(e.scoreCount+1, scoreWindow), e.scoreSum+int(score)-int(e.scores[e.nextScore])
+	e.scores[e.nextScore], e.nextScore = score, (e.nextScore+1)%scoreWindow
 }
 
 // AttemptEnded takes the outcome of a posting; over says that the txn has ended by it or earlier.
@@ -811,9 +811,9 @@
 		t.keyState.retrySuccess.decay(d.now).record(o == Succeeded)
 	}
 	if (t.AffinityKey != 0 || len(d.settings.Tenants) > 1) && (o == Succeeded || o == Failed) {
-		far := float64(d.now-max(p.sentAt, p.startedAt)) > overrun*float64(d.expectedRuntime(t, 0.5))
+		far := float64(d.now-max(p.sentAt, p.startedAt)) > overdueFactor*float64(d.expectedRuntime(t, 0.5))
 		// What is about one thing is alike; of a tenant's long runs alone say nothing.
-		if bad := far && cured < hopeless || t.AffinityKey != 0 && (far || part < hopeless); bad || o == Succeeded {
+		if bad := far && cured < minChance || t.AffinityKey != 0 && (far || part < minChance); bad || o == Succeeded {
 			d.reduceKeyLimit(t.keyState, p, bad)
 		}
 	}
@@ -823,7 +823,7 @@
 			d.classValues[t.Class.Index].hits += t.priorityWeight
 		}
 		if !p.failureRecorded {
-			e.reliability, e.reliabilityAt, e.idleUntil = min(d.reliability(e)+reward, 1), d.now, d.now+d.settings.IdleTimeout
+			e.reliability, e.reliabilityAt, e.idleUntil = min(d.reliability(e)+successBonus, 1), d.now, d.now+d.settings.IdleTimeout
 			if e.listed {
 				d.withIdleConnection.add(e)
 			}
@@ -843,7 +843,7 @@
 		d.Finish(t)
 	} else if o == TimedOut && p.Timeout == 0 { // its client has given up, whatever was told
 		d.giveUp(t, ClientTimeout)
-	} else if again && o == Failed && part < incurable {
+	} else if again && o == Failed && part < minRetrySuccess {
 		d.giveUp(t, FailsEverywhere)
 	}
 	p.afterEnd()
@@ -943,7 +943,7 @@
 	late := t.Class.LateShare
 	part, atOnce, age := late+(1-late)*d.onTime(t, d.now), late+(1-late)*d.onTime(t, t.arrivedAt), d.now-t.arrivedAt
 	// Danger: hints that are off make the best of chances look slim. It is the wait that takes a txn's hope.
-	if part < hopeless*atOnce || d.now+d.expectedRuntime(t, lowEnd) >= t.Deadline || age > 2*(t.objectiveAt-t.arrivedAt) {
+	if part < minChance*atOnce || d.now+d.expectedRuntime(t, lowQuantile) >= t.Deadline || age > 2*(t.objectiveAt-t.arrivedAt) {
 		return 0
 	}
 	return part * t.priorityWeight / t.size * d.classPreference(t.Class)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -75,13 +75,13 @@
 		}
 	}
 	again := func() {
-		e.limit = firstRoom
+		e.limit = initialLimit
 		w.pass(8 * w.terms.Tick)
 	}
 	near(1)
 	w.arrive(0, 1, 1e8, 2e10)
 	w.end(w.open[0], ConnectFailed)
-	near(penalty)
+	near(failureFactor)
 	again()
 	before := w.d.reliability(e)
 	w.end(w.open[0], Rejected)
@@ -89,9 +89,9 @@
 	again()
 	before = w.d.reliability(e)
 	w.end(w.open[0], Succeeded)
-	near(before + reward)
-	w.pass(recovery)
-	near(1 - (1-before-reward)*0.37)
+	near(before + successBonus)
+	w.pass(decayTime)
+	near(1 - (1-before-successBonus)*0.37)
 	// A kept connection that was gone shows at once; what breaks later, the executor broke.
 	for _, took := range []int64{0, 1e9} {
 		again()
@@ -101,7 +101,7 @@
 		w.d.Advance(w.now)
 		before = w.d.reliability(e)
 		w.end(p, StaleConnection)
-		near(before * map[int64]float64{0: 1, 1e9: penalty}[took])
+		near(before * map[int64]float64{0: 1, 1e9: failureFactor}[took])
 	}
 }
 
@@ -122,11 +122,11 @@
 		job(fast, 1, false)
 		job(mid, 2, false)
 	}
-	if fast.scoreSum != 10*poolSize || mid.scoreSum != 6*poolSize || slow.scoreSum != 2*poolSize {
+	if fast.scoreSum != 10*scoreWindow || mid.scoreSum != 6*scoreWindow || slow.scoreSum != 2*scoreWindow {
 		t.Fatalf("sums %d %d %d", fast.scoreSum, mid.scoreSum, slow.scoreSum)
 	}
 	job(fast, 0, true)
-	if fast.scoreSum != 10*(poolSize-1) {
+	if fast.scoreSum != 10*(scoreWindow-1) {
 		t.Fatalf("a lost job must earn 0: sum %d", fast.scoreSum)
 	}
 }
@@ -215,7 +215,7 @@
 	for range 4 {
 		w.arrive(0, 1, 1e8, 5e9)
 	}
-	if w.pass(3e8); len(w.open) < 4 || e.limit != cut*4 {
+	if w.pass(3e8); len(w.open) < 4 || e.limit != limitReduction*4 {
 		t.Fatalf("%d out, limit is %v", len(w.open), e.limit)
 	}
 }
@@ -375,7 +375,7 @@
 		for range 20 {
 			w.d.adjustLimit(&Attempt{Server: m.Server, sentAt: w.now}, 0, m.Zone != 0)
 		}
-		m.Server.limit = firstRoom
+		m.Server.limit = initialLimit
 	}
 	for range 200 {
 		far += w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0].zone
@@ -643,7 +643,7 @@
 	w := newWorld(t, 9, terms)
 	w.join(8, false)
 	tx := w.arrive(0, 2, 1e8, 9e9)
-	if len(tx.Attempts) > 0 || len(w.probes) != asks {
+	if len(tx.Attempts) > 0 || len(w.probes) != probesPerRound {
 		t.Fatalf("%d postings, %d probes", len(tx.Attempts), len(w.probes))
 	}
 	tx.Memory = 2
@@ -813,7 +813,7 @@
 	if len(second.Attempts) > 0 {
 		t.Fatal("the slot that this node has just taken is taken again")
 	}
-	w.pass(6 * askAgain)
+	w.pass(6 * maxReportLifetime)
 	w.d.CapacityReported(e, true, 1, 9)
 	if len(second.Attempts) != 1 || len(w.told) != 1 {
 		t.Fatalf("%d postings, %d told", len(second.Attempts), len(w.told))
@@ -824,7 +824,7 @@
 	if other.d.CapacityReported(e, true, 1, 9); len(held.Attempts) > 0 {
 		t.Error("a slot that another node told it has taken is taken again")
 	}
-	other.pass(6 * askAgain)
+	other.pass(6 * maxReportLifetime)
 	if other.d.CapacityReported(e, true, 1, 9); len(held.Attempts) != 1 {
 		t.Error("what was told once counts for ever")
 	}
--- a/dispatch/figures_test.go
+++ b/dispatch/figures_test.go
@@ -20,10 +20,10 @@
 	check(1)
 	for i, want := range []int{2, 3, 4, 5, 1} {
 		e := w.fleet[1+i].Server
-		e.reliability, e.reliabilityAt = leastH/2, w.now
+		e.reliability, e.reliabilityAt = minReliability/2, w.now
 		check(want)
 	}
-	w.pass(10 * recovery)
+	w.pass(10 * decayTime)
 	check(1)
 }
 
@@ -37,7 +37,7 @@
 	w.fleet[0].StartedAt = w.now
 	w.list(true)
 	sent := func() int { return len(w.coldWork[w.fleet[0].Server]) }
-	turn := terms.OverloadWindow / turns
+	turn := terms.OverloadWindow / turnsPerWindow
 	w.pass(8 * turn)
 	w.d.SetSlowStartOwner(false)
 	within := func(span int64) (count int) {
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -106,7 +106,7 @@
 	}
 	said.OutlierScore = 1
 	used(11e8) // what it did well a moment ago counts for a second after the last of it
-	for n := 0; n < 100 && w.now-said.idleUntil+terms.IdleTimeout <= heed; n++ {
+	for n := 0; n < 100 && w.now-said.idleUntil+terms.IdleTimeout <= ownResultLifetime; n++ {
 		w.pass(1e8)
 	}
 	if n := used(1e9); n > 0 {
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -297,7 +297,7 @@
 	inTurn                                                     bool
 	turnUntil                                                  int64 // until when turn holds: whether this node may send to it in slow start
 
-	scores               [poolSize]uint8
+	scores               [scoreWindow]uint8
 	scoreCount, scoreSum int
 	nextScore            int
 	reliability          float64
@@ -350,7 +350,7 @@
 
 // decay lets what is old count less and less.
 func (l *decayingRatio) decay(now int64) *decayingRatio {
-	f := math.Exp(-float64(now-l.decayedAt) / recovery)
+	f := math.Exp(-float64(now-l.decayedAt) / decayTime)
 	l.total, l.hits, l.decayedAt = l.total*f, l.hits*f, now
 	return l
 }
@@ -393,7 +393,7 @@
 
 // recordKey adds a txn to those about one thing; without a key that is its tenant.
 func (d *Dispatcher) recordKey(t *Request) {
-	if d.keyedRequests++; d.keyedRequests > keyCounts {
+	if d.keyedRequests++; d.keyedRequests > maxKeyedRequests {
 		d.keyedRequests /= 2
 		maps.DeleteFunc(d.keyStates, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
 	}
@@ -424,7 +424,7 @@
 // kinds are slow, or few jobs run far longer than most, what a cold one bears is taken for twice as much.
 func (m *machineTypeStats) meanRuntimeRatio(now int64) float64 {
 	l := m.runtimeRatio.decay(now)
-	return (l.hits + kindScores) / (l.total + kindScores)
+	return (l.hits + typeScoreWeight) / (l.total + typeScoreWeight)
 }
 
 // recordRuntime notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
