--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -14,28 +14,28 @@
 // its weight, but for a part of about the relative variance of weights over sampleFew.
 
 const (
-	// sampleMost is the length of a list up to which all of it is looked at. The share of healthy servers may be as small as one in
+	// maxSample is the length of a list up to which all of it is looked at. The share of healthy servers may be as small as one in
 	// fifty and a sample still holds one but for one time in a hundred and seventy.
-	sampleMost = 256
-	// sampleFew is how many are looked at where any of them will do. Of a long list each is likely to be out of the processor's cache.
-	sampleFew = 64
+	maxSample = 256
+	// sampleSize is how many are looked at where any of them will do. Of a long list each is likely to be out of the processor's cache.
+	sampleSize = 64
 )
 
 // serverSet is a set of servers that is added to in any order, and from which some are drawn at random.
 type serverSet struct {
 	servers []*Server
-	at      func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
+	index   func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
 }
 
 func (s *serverSet) add(e *Server) {
-	if at := s.at(e); *at == 0 {
+	if at := s.index(e); *at == 0 {
 		s.servers = append(s.servers, e)
 		*at = len(s.servers)
 	}
 }
 
 func (s *serverSet) remove(e *Server) {
-	at := s.at(e)
+	at := s.index(e)
 	if *at == 0 {
 		return
 	}
@@ -48,7 +48,7 @@
 func (s *serverSet) swap(i, j int) {
 	a, b := s.servers[i], s.servers[j]
 	s.servers[i], s.servers[j] = b, a
-	*s.at(a), *s.at(b) = j+1, i+1
+	*s.index(a), *s.index(b) = j+1, i+1
 }
 
 // sample calls use with count servers of the set, drawn evenly, of which some may be the same; with each once if there are no more.
@@ -65,99 +65,99 @@
 		return
 	}
 	for ; count > 0 && len(s.servers) > 0; count-- {
-		if e := s.servers[d.chance.IntN(len(s.servers))]; !use(e) {
+		if e := s.servers[d.random.IntN(len(s.servers))]; !use(e) {
 			s.remove(e)
 		}
 	}
 }
 
-// search is one draw under way.
-type search struct {
-	t      *Request
-	count  int
-	run    int64
-	mean   float64 // load per server
-	roam   bool    // zones are alike
-	well   bool    // one that is not sick may be sent to
-	any    bool    // one may be sent to
-	number int     // of the draw
+// candidateSearch is one draw under way.
+type candidateSearch struct {
+	request      *Request
+	count        int
+	runtime      int64
+	meanInFlight float64 // load per server
+	anyZone      bool    // zones are alike
+	foundHealthy bool    // one that is not sick may be sent to
+	foundAllowed bool    // one may be sent to
+	draw         int     // of the draw
 }
 
-// look considers the candidates of a draw.
-func (d *Dispatcher) look(s *search) {
-	if len(d.fleet.servers) <= sampleMost {
-		for _, e := range d.fleet.servers {
+// findCandidates considers the candidates of a draw.
+func (d *Dispatcher) findCandidates(s *candidateSearch) {
+	if len(d.servers.servers) <= maxSample {
+		for _, e := range d.servers.servers {
 			d.consider(s, e)
 		}
 		return
 	}
-	d.sample(&d.kept, sampleFew, func(e *Server) bool {
-		if !e.known || d.now >= e.keptTill {
+	d.sample(&d.withIdleConnection, sampleSize, func(e *Server) bool {
+		if !e.listed || d.now >= e.idleUntil {
 			return false
 		}
-		if e.busy == 0 {
+		if e.slotsInFlight == 0 {
 			d.consider(s, e)
 		}
 		return true
 	})
-	d.lookRamping(s)
+	d.considerSlowStart(s)
 	use := func(e *Server) bool {
 		d.consider(s, e)
 		return true
 	}
-	for left := sampleMost; left > 0 && !d.enough(s, left == sampleMost); left -= sampleFew {
-		d.sample(&d.fleet, sampleFew, use)
+	for left := maxSample; left > 0 && !d.enoughCandidates(s, left == maxSample); left -= sampleSize {
+		d.sample(&d.servers, sampleSize, use)
 	}
-	for _, e := range d.fleet.servers {
-		if s.any {
+	for _, e := range d.servers.servers {
+		if s.foundAllowed {
 			break
 		}
 		d.consider(s, e)
 	}
 }
 
-// enough says whether a draw needs to look at no more: all that it found are idle ones with a connection, or, once others were looked
+// enoughCandidates says whether a draw needs to look at no more: all that it found are idle ones with a connection, or, once others were looked
 // at, uncrowded ones.
-func (d *Dispatcher) enough(s *search, kept bool) bool {
+func (d *Dispatcher) enoughCandidates(s *candidateSearch, kept bool) bool {
 	steps := 2.0
 	if kept {
 		steps = 1
 	}
-	found := len(d.drawn)
-	return s.well && found == s.count && d.drawn[found-1].wait < steps*firstStep
+	found := len(d.candidates)
+	return s.foundHealthy && found == s.count && d.candidates[found-1].sampleKey < steps*preferenceStep
 }
 
-// lookRamping considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
-func (d *Dispatcher) lookRamping(s *search) {
-	for i := 0; i < len(d.ramping.servers); {
-		if e := d.ramping.servers[i]; e.known && d.terms.warmth(e, d.now) < 1 {
+// considerSlowStart considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
+func (d *Dispatcher) considerSlowStart(s *candidateSearch) {
+	for i := 0; i < len(d.inSlowStart.servers); {
+		if e := d.inSlowStart.servers[i]; e.listed && d.settings.warmUpFactor(e, d.now) < 1 {
 			i++
 		} else {
-			d.ramping.remove(e)
+			d.inSlowStart.remove(e)
 		}
 	}
-	count := len(d.ramping.servers)
+	count := len(d.inSlowStart.servers)
 	if count == 0 {
 		return
 	}
-	first, considered := d.chance.IntN(count), 0
-	for i := 0; i < count && considered < sampleMost; i++ {
-		if e := d.ramping.servers[(first+i)%count]; d.mayRamp(e) {
+	first, considered := d.random.IntN(count), 0
+	for i := 0; i < count && considered < maxSample; i++ {
+		if e := d.inSlowStart.servers[(first+i)%count]; d.inSlowStartTurn(e) {
 			d.consider(s, e)
 			considered++
 		}
 	}
 }
 
-// mayRamp says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
+// inSlowStartTurn says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
 // the budget by warmEnough.
-func (d *Dispatcher) mayRamp(e *Server) bool {
-	if d.terms.Quotas != nil {
+func (d *Dispatcher) inSlowStartTurn(e *Server) bool {
+	if d.settings.Quotas != nil {
 		return true
 	}
-	if d.now >= e.turnTill {
-		_, since, turn, _ := d.part(e)
-		e.turn, e.turnTill = turn, since+max(d.terms.OverloadWindow/turns, 1)
+	if d.now >= e.turnUntil {
+		_, since, turn, _ := d.quotaShare(e)
+		e.inTurn, e.turnUntil = turn, since+max(d.settings.OverloadWindow/turnsPerWindow, 1)
 	}
-	return e.turn
+	return e.inTurn
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -12,83 +12,83 @@
 )
 
 const (
-	poolSize   = 50   // scores; the design's pool
-	topScore   = 10.0 // points; the design's first place, also what a mean score is divided by
-	unscored   = 0.5  // share of the top score for a kind without scores; the design's start
-	kindScores = 3.0  // scores that the mean of its kind counts for beside an executor's own; a few outweigh it
-	penalty    = 0.3  // factor on H for a time-out, failed connection or error; the design's
-	reward     = 0.15 // added to H by a success; the design's
-	leastH     = 0.1  // H under which an executor is left out; the design's
-	recovery   = 10e9 // ns; time constant of H on its way back to 1, the design's start, and of all that fades
-	margin     = 1.0  // jobs over its fair part that make an executor crowded; the least that is not noise
-	growth     = 0.25 // slots for a prompt start, less under a limit of one; with cut, one in three may wait
-	firstRoom  = 4.0  // slots in flight allowed before anything is known; a small machine's worth
-	cut        = 0.5  // share of the in-flight limit kept when a posting was seen to wait; the usual halving
-	overrun    = 4.0  // times the high end of measured running time that make a job overdue; beyond long jobs
-	highEnd    = 0.9  // quantile taken as high end; the histograms are too small to know more
-	lowEnd     = 0.25 // quantile taken as low end, by which it is too late for a txn; a fast machine's
-	missing    = 1.5  // progress periods without a note that mean standing still; one late note is no proof
-	doubt      = 1.5  // times that nodes of other minds sent what each reckoned with, the most of 800 histories
-	hopeless   = 0.5  // part of the billing value to be expected for a txn to wait on; an even chance
-	incurable  = 0.1  // chance to be served elsewhere under which two errors end a txn; a third is not worth it
-	behind     = 3.0  // jobs made late by one more job where there is no room; a short queue of them
-	overMark   = 1.3  // times the others' measure that a tenant may send; usage differs by tens of percent
-	turns      = 4    // parts of a fall window in which nodes take turns at the cold; a fifth is lost
-	crowded    = 1.2  // times the mean load by the list from which a home gives way; word is a second old
-	dear       = 0.02 // price of a crossing from which home goes first; under it a late answer costs more
-	leave      = 0.5  // factor on executors of a kind that other schemes need, which can go nowhere else
-	spare      = 0.25 // share of late starts up to which a thing has a second home; one in a jam, or all fetch
-	asks       = 4    // executors asked for room at a time; with one in two full, one in sixteen finds none
-	lefts      = 16   // latest txns of which one at least counts as a client's first try; some try three times
-	way        = 64   // part of an expiry that is left for the way to the client; ours must come before it goes
-	heed       = 1e9  // ns; for so long an own job that ended well beats what others say; news takes about that
-	askAgain   = 1e8  // ns, at most; that word of room counts, and until others are asked; some reports a second
-	firstStep  = 1e9  // between the waits of two steps of preference, more than any draw gives
-	keyCounts  = 256  // txns after which counts by key are halved; tells a tenth of all from a hundredth
+	scoreWindow           = 50   // scores; the design's pool
+	topScore              = 10.0 // points; the design's first place, also what a mean score is divided by
+	initialScore          = 0.5  // share of the top score for a kind without scores; the design's start
+	typeScoreWeight       = 3.0  // scores that the mean of its kind counts for beside an executor's own; a few outweigh it
+	failureFactor         = 0.3  // factor on H for a time-out, failed connection or error; the design's
+	successBonus          = 0.15 // added to H by a success; the design's
+	minReliability        = 0.1  // H under which an executor is left out; the design's
+	decayTime             = 10e9 // ns; time constant of H on its way back to 1, the design's start, and of all that fades
+	crowdedMargin         = 1.0  // jobs over its fair part that make an executor crowded; the least that is not noise
+	limitGrowth           = 0.25 // slots for a prompt start, less under a limit of one; with cut, one in three may wait
+	initialLimit          = 4.0  // slots in flight allowed before anything is known; a small machine's worth
+	limitReduction        = 0.5  // share of the in-flight limit kept when a posting was seen to wait; the usual halving
+	overdueFactor         = 4.0  // times the high end of measured running time that make a job overdue; beyond long jobs
+	highQuantile          = 0.9  // quantile taken as high end; the histograms are too small to know more
+	lowQuantile           = 0.25 // quantile taken as low end, by which it is too late for a txn; a fast machine's
+	missedProgressPeriods = 1.5  // progress periods without a note that mean standing still; one late note is no proof
+	slowStartMargin       = 1.5  // times that nodes of other minds sent what each reckoned with, the most of 800 histories
+	minChance             = 0.5  // part of the billing value to be expected for a txn to wait on; an even chance
+	minRetrySuccess       = 0.1  // chance to be served elsewhere under which two errors end a txn; a third is not worth it
+	delayedByHedge        = 3.0  // jobs made late by one more job where there is no room; a short queue of them
+	overQuotaFactor       = 1.3  // times the others' measure that a tenant may send; usage differs by tens of percent
+	turnsPerWindow        = 4    // parts of a fall window in which nodes take turns at the cold; a fifth is lost
+	crowdedFactor         = 1.2  // times the mean load by the list from which a home gives way; word is a second old
+	localZoneCost         = 0.02 // price of a crossing from which home goes first; under it a late answer costs more
+	requiredTypeFactor    = 0.5  // factor on executors of a kind that other schemes need, which can go nowhere else
+	spareServerShare      = 0.25 // share of late starts up to which a thing has a second home; one in a jam, or all fetch
+	probesPerRound        = 4    // executors asked for room at a time; with one in two full, one in sixteen finds none
+	deadlineSamples       = 16   // latest txns of which one at least counts as a client's first try; some try three times
+	responseFraction      = 64   // part of an expiry that is left for the way to the client; ours must come before it goes
+	ownResultLifetime     = 1e9  // ns; for so long an own job that ended well beats what others say; news takes about that
+	maxReportLifetime     = 1e8  // ns, at most; that word of room counts, and until others are asked; some reports a second
+	preferenceStep        = 1e9  // between the waits of two steps of preference, more than any draw gives
+	maxKeyedRequests      = 256  // txns after which counts by key are halved; tells a tenth of all from a hundredth
 )
 
-var places = [4]uint8{10, 6, 2, 0} // scores by rank and for a loss; the design's start
+var rankScores = [4]uint8{10, 6, 2, 0} // scores by rank and for a loss; the design's start
 
 // Dispatcher is the decision module of one node.
 type Dispatcher struct {
-	terms              *Settings
-	door               Actions
-	born, now, by      int64 // by: when a call for the list goes out at the latest
-	toldAt, fresh      int64 // when an executor last told of its room; how long that counts
-	failed, counted    int   // calls for the list since one succeeded; txns counted in things
-	spent, prompt      int64 // on the last of those calls; least time seen from sending to the note of the start
-	chance             *rand.Rand
-	fleet              serverSet // all that are listed
-	kept, ramping, low serverSet // of these: with an idle connection; in slow start; whose limit is under firstRoom
-	drawn, near        []*Server // scratch space of homes and draw
-	draws              int       // so far
-	lag                int64     // how long work of this process waits until it runs, ns
-	queue              []*Request
-	recent             map[family][]last
-	runs               []spread          // by scheme: running time over hint, or in seconds without one
-	large              float64           // what a large txn takes, in ns
-	works              spread            // size of txns, in seconds
-	models             map[int]*model    // by kind of machine
-	things             map[uint64]*thing // what txns are about
-	tenants, schemes   []ledger          // arrivals, and billing value
-	offs               []int64           // by which the latest txns were told less time than their schemes have
-	load, busy         float64           // held by all a unit of size, by the list; slots of all open postings
-	pumped             bool              // an alarm to look at the queue is out
-	cures              []ledger          // by scheme: txns that erred and went elsewhere; those served there
-	starts             map[bool]*ledger  // by whether at home: postings whose start was due; the prompt ones
+	settings                                  *Settings
+	actions                                   Actions
+	slowStartOwnerSince, now, pollDeadline    int64 // by: when a call for the list goes out at the latest
+	capacityReportedAt, reportLifetime        int64 // when an executor last told of its room; how long that counts
+	failedPolls, keyedRequests                int   // calls for the list since one succeeded; txns counted in things
+	lastPollCost, minStartDelay               int64 // on the last of those calls; least time seen from sending to the note of the start
+	random                                    *rand.Rand
+	servers                                   serverSet // all that are listed
+	withIdleConnection, inSlowStart, lowLimit serverSet // of these: with an idle connection; in slow start; whose limit is under firstRoom
+	candidates, preferred                     []*Server // scratch space of homes and draw
+	drawCount                                 int       // so far
+	schedulingDelay                           int64     // how long work of this process waits until it runs, ns
+	queue                                     []*Request
+	recentResults                             map[rankGroup][]recentResult
+	runtimes                                  []histogram               // by scheme: running time over hint, or in seconds without one
+	largeSize                                 float64                   // what a large txn takes, in ns
+	sizes                                     histogram                 // size of txns, in seconds
+	machineTypes                              map[int]*machineTypeStats // by kind of machine
+	keyStates                                 map[uint64]*keyState      // what txns are about
+	tenantArrivals, classValues               []decayingRatio           // arrivals, and billing value
+	deadlineOffsets                           []int64                   // by which the latest txns were told less time than their schemes have
+	load, slotsInFlight                       float64                   // held by all a unit of size, by the list; slots of all open postings
+	queueTimerSet                             bool                      // an alarm to look at the queue is out
+	retrySuccess                              []decayingRatio           // by scheme: txns that erred and went elsewhere; those served there
+	startPromptness                           map[bool]*decayingRatio   // by whether at home: postings whose start was due; the prompt ones
 }
 
 func New(terms *Settings, seed uint64, door Actions, now int64) *Dispatcher {
-	d := &Dispatcher{terms: terms, door: door, born: now, now: now, by: now + terms.UnpolledEventAge,
-		chance: rand.New(rand.NewPCG(seed, 1)),
-		recent: map[family][]last{}, things: map[uint64]*thing{}, models: map[int]*model{},
-		starts: map[bool]*ledger{true: {}, false: {}}, cures: make([]ledger, len(terms.Classes)),
-		runs:    make([]spread, len(terms.Classes)),
-		tenants: make([]ledger, len(terms.Tenants)), schemes: make([]ledger, len(terms.Classes)),
-		fleet:   serverSet{at: func(e *Server) *int { return &e.inFleet }},
-		kept:    serverSet{at: func(e *Server) *int { return &e.inKept }},
-		ramping: serverSet{at: func(e *Server) *int { return &e.inRamping }},
-		low:     serverSet{at: func(e *Server) *int { return &e.inLow }}}
+	d := &Dispatcher{settings: terms, actions: door, slowStartOwnerSince: now, now: now, pollDeadline: now + terms.UnpolledEventAge,
+		random:        rand.New(rand.NewPCG(seed, 1)),
+		recentResults: map[rankGroup][]recentResult{}, keyStates: map[uint64]*keyState{}, machineTypes: map[int]*machineTypeStats{},
+		startPromptness: map[bool]*decayingRatio{true: {}, false: {}}, retrySuccess: make([]decayingRatio, len(terms.Classes)),
+		runtimes:       make([]histogram, len(terms.Classes)),
+		tenantArrivals: make([]decayingRatio, len(terms.Tenants)), classValues: make([]decayingRatio, len(terms.Classes)),
+		servers:            serverSet{index: func(e *Server) *int { return &e.indexInAll }},
+		withIdleConnection: serverSet{index: func(e *Server) *int { return &e.indexInIdle }},
+		inSlowStart:        serverSet{index: func(e *Server) *int { return &e.indexInSlowStart }},
+		lowLimit:           serverSet{index: func(e *Server) *int { return &e.indexInLowLimit }}}
 	if terms.PollForChanges {
 		d.PollEndpoints()
 	}
@@ -99,220 +99,222 @@
 
 // UpdateEndpoints takes the list or changes to it; whole says that absent executors are gone.
 func (d *Dispatcher) UpdateEndpoints(whole bool, members []Endpoint) {
-	d.failed, d.spent = 0, 0
+	d.failedPolls, d.lastPollCost = 0, 0
 	gone := whole
-	for i := 0; whole && i < len(d.fleet.servers); i++ {
-		d.fleet.servers[i].State = Removed
+	for i := 0; whole && i < len(d.servers.servers); i++ {
+		d.servers.servers[i].State = Removed
 	}
 	for _, m := range members {
 		e := m.Server
-		if !e.known || m.StartedAt > e.since {
-			e.h, e.hAt, e.limit, e.size = 1, d.now, firstRoom, 1
+		if !e.listed || m.StartedAt > e.startedAt {
+			e.reliability, e.reliabilityAt, e.limit, e.size = 1, d.now, initialLimit, 1
 		}
-		d.fleet.add(e)
-		if d.models[m.MachineType] == nil {
-			d.models[m.MachineType] = &model{bound: d.terms.need(m.MachineType)}
+		d.servers.add(e)
+		if d.machineTypes[m.MachineType] == nil {
+			d.machineTypes[m.MachineType] = &machineTypeStats{required: d.settings.requiresMachineType(m.MachineType)}
 		}
 		// Danger: of many nodes each sees next to nothing of load; the draw alone fills the small and the slow.
-		if e.left = 1; d.terms.LiveCapacity {
-			e.left, e.size = max(m.Capacity, 0.01), max(m.Capacity, e.size)
+		if e.spareFactor = 1; d.settings.LiveCapacity {
+			e.spareFactor, e.size = max(m.Capacity, 0.01), max(m.Capacity, e.size)
 		}
-		e.known, e.State, e.since, e.model = true, m.State, m.StartedAt, d.models[m.MachineType]
-		e.zone, e.kind, e.cell = m.Zone, m.MachineType, m.Cell
-		if gone = gone || m.State == Removed; d.terms.warmth(e, d.now) < 1 {
-			e.turnTill = 0
-			d.ramping.add(e)
+		e.listed, e.State, e.startedAt, e.typeStats = true, m.State, m.StartedAt, d.machineTypes[m.MachineType]
+		e.zone, e.machineType, e.cell = m.Zone, m.MachineType, m.Cell
+		if gone = gone || m.State == Removed; d.settings.warmUpFactor(e, d.now) < 1 {
+			e.turnUntil = 0
+			d.inSlowStart.add(e)
 		}
 	}
 	if gone {
-		d.forget()
+		d.removeGone()
 	}
 	// Danger: a list of thousands that is walked at each change of one of them. Load is told where weights are live.
 	d.load = 0
-	for i := 0; d.terms.LiveCapacity && i < len(d.fleet.servers); i++ {
-		e := d.fleet.servers[i]
-		d.load += e.size/e.left - 1
+	for i := 0; d.settings.LiveCapacity && i < len(d.servers.servers); i++ {
+		e := d.servers.servers[i]
+		d.load += e.size/e.spareFactor - 1
 	}
 }
 
-// forget drops the servers that are gone.
-func (d *Dispatcher) forget() {
-	left := d.fleet.servers[:0]
-	for _, e := range d.fleet.servers {
-		if e.known = e.State != Removed; e.known {
+// removeGone drops the servers that are gone.
+func (d *Dispatcher) removeGone() {
+	left := d.servers.servers[:0]
+	for _, e := range d.servers.servers {
+		if e.listed = e.State != Removed; e.listed {
 			left = append(left, e)
-			e.inFleet = len(left)
+			e.indexInAll = len(left)
 		} else {
-			e.inFleet = 0
-			d.kept.remove(e)
-			d.ramping.remove(e)
-			d.low.remove(e)
+			e.indexInAll = 0
+			d.withIdleConnection.remove(e)
+			d.inSlowStart.remove(e)
+			d.lowLimit.remove(e)
 		}
 	}
-	clear(d.fleet.servers[len(left):])
-	d.fleet.servers = left
+	clear(d.servers.servers[len(left):])
+	d.servers.servers = left
 }
 
-// quiet is how long no call for the list may be out. Danger: longer, and what counts as told is unknown.
-func (d *Dispatcher) quiet() float64 { return float64(d.terms.UnpolledEventAge + d.terms.DrainGrace/2) }
+// maxPollSilence is how long no call for the list may be out. Danger: longer, and what counts as told is unknown.
+func (d *Dispatcher) maxPollSilence() float64 {
+	return float64(d.settings.UnpolledEventAge + d.settings.DrainGrace/2)
+}
 
 // StartPolling asks for news of the list for the first time; where there is a list to go by, at a time by chance.
 // Danger: nodes that start or fail together ask together; a service that falls behind serves none of them.
 func (d *Dispatcher) StartPolling() {
-	d.call(d.quiet()*d.chance.Float64()*float64(min(len(d.fleet.servers), 1)), d.quiet())
+	d.schedulePoll(d.maxPollSilence()*d.random.Float64()*float64(min(len(d.servers.servers), 1)), d.maxPollSilence())
 }
 
 // PollFailed takes a failed call for the list; the next waits, for the same danger, by what two of them cost.
 // Danger: an agent that could be asked again as the call was out has news that counts some time after that.
 func (d *Dispatcher) PollFailed(took, spent int64) {
-	part := min(max(d.quiet()/3, float64(min(spent, d.spent))), float64(max(d.terms.MaxPollInterval-took, 0))/3)
-	d.failed, d.spent = min(d.failed+1, 2), spent
-	d.call(part*float64(d.failed)*(0.5+d.chance.Float64()), 3*part)
+	part := min(max(d.maxPollSilence()/3, float64(min(spent, d.lastPollCost))), float64(max(d.settings.MaxPollInterval-took, 0))/3)
+	d.failedPolls, d.lastPollCost = min(d.failedPolls+1, 2), spent
+	d.schedulePoll(part*float64(d.failedPolls)*(0.5+d.random.Float64()), 3*part)
 }
 
 // PollSucceeded ends a call that brought something, where nodes hold calls together; the next goes in its turn.
-func (d *Dispatcher) PollSucceeded() { d.call(0, d.quiet()) }
+func (d *Dispatcher) PollSucceeded() { d.schedulePoll(0, d.maxPollSilence()) }
 
-func (d *Dispatcher) call(after, by float64) {
-	d.by = d.now + int64(by)
-	d.door.Schedule(int64(after), d.PollEndpoints)
+func (d *Dispatcher) schedulePoll(after, by float64) {
+	d.pollDeadline = d.now + int64(by)
+	d.actions.Schedule(int64(after), d.PollEndpoints)
 }
 
 // PollEndpoints has the list asked for, or waits for this node's share.
 func (d *Dispatcher) PollEndpoints() {
-	if d.terms.Quotas == nil || d.PollOverdue() || d.terms.Quotas.Allow(BudgetPolls, nil, nil, 1) {
-		d.door.PollEndpoints(true)
+	if d.settings.Quotas == nil || d.PollOverdue() || d.settings.Quotas.Allow(BudgetPolls, nil, nil, 1) {
+		d.actions.PollEndpoints(true)
 	} else {
-		d.door.Schedule(d.terms.Tick, d.PollEndpoints)
+		d.actions.Schedule(d.settings.Tick, d.PollEndpoints)
 	}
 }
 
 // PollOverdue says that a call goes out whatever shares say. Danger: work for what drained, as no news is heard.
-func (d *Dispatcher) PollOverdue() bool { return d.now >= d.by }
+func (d *Dispatcher) PollOverdue() bool { return d.now >= d.pollDeadline }
 
 func (d *Dispatcher) Arrive(t *Request) {
 	if d.overloaded(t) {
-		d.finish(t, Overloaded)
+		d.giveUp(t, Overloaded)
 		return
 	}
-	waited := max(t.UnreadTime-waitSlack, 0)
+	waited := max(t.UnreadTime-uncountedDelay, 0)
 	t.Deadline -= waited
-	t.Deadline, t.arrived, t.over = d.till(t), d.now-waited, len(d.terms.Tenants) > 0 && d.overShare(t)
+	t.Deadline, t.arrivedAt, t.overQuota = d.adjustedDeadline(t), d.now-waited, len(d.settings.Tenants) > 0 && d.overQuota(t)
 	// Danger: the first job that runs far longer than its hint would speak for all to come.
-	for r := &d.runs[t.Class.Index]; t.ExpectedWork > 0 && r.n < 3; {
+	for r := &d.runtimes[t.Class.Index]; t.ExpectedWork > 0 && r.count < 3; {
 		r.add(1)
 	}
-	work := cmp.Or(t.ExpectedWork, d.running(t, 0.5))
-	t.aim = min(d.now+t.Class.LatencyObjective+int64(t.Class.ObjectivePerWork*float64(work)), t.Deadline)
+	work := cmp.Or(t.ExpectedWork, d.expectedRuntime(t, 0.5))
+	t.objectiveAt = min(d.now+t.Class.LatencyObjective+int64(t.Class.ObjectivePerWork*float64(work)), t.Deadline)
 	t.size = max(t.Slots, 1) * float64(work)
-	d.works.add(t.size / 1e9)
+	d.sizes.add(t.size / 1e9)
 	// Danger: of jobs of milliseconds many begin and end while a word of room is still taken for news.
-	d.large = d.works.at(highEnd, 0) * 1e9
-	d.fresh = min(askAgain, int64(d.large))
-	if t.value = t.Class.Weight; d.terms.WeightByWork {
-		t.value *= t.size
+	d.largeSize = d.sizes.quantile(highQuantile, 0) * 1e9
+	d.reportLifetime = min(maxReportLifetime, int64(d.largeSize))
+	if t.priorityWeight = t.Class.Weight; d.settings.WeightByWork {
+		t.priorityWeight *= t.size
 	}
-	if t.over {
-		t.value *= d.terms.OverQuotaWeight
+	if t.overQuota {
+		t.priorityWeight *= d.settings.OverQuotaWeight
 		// Danger: many quiet nodes hold no queue to sort; what is worth little then jams the machines for all.
-		if d.terms.LoadReports && d.chance.Float64() > d.prompts(true) {
-			t.value = 0
+		if d.settings.LoadReports && d.random.Float64() > d.promptShare(true) {
+			t.priorityWeight = 0
 		}
 	}
-	d.schemes[t.Class.Index].fade(d.now).asked += t.value
-	d.count(t)
+	d.classValues[t.Class.Index].decay(d.now).total += t.priorityWeight
+	d.recordKey(t)
 	d.SetDeadline(t, t.Deadline)
 	d.enqueue(t)
 }
 
-// till is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
+// adjustedDeadline is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
 // or earlier by what the latest first tries lacked. Danger: all is declined at once, or answered too late.
-func (d *Dispatcher) till(t *Request) int64 {
-	if d.terms.DeadlineMargin == 0 || t.Class.MaxDeadline == 0 {
+func (d *Dispatcher) adjustedDeadline(t *Request) int64 {
+	if d.settings.DeadlineMargin == 0 || t.Class.MaxDeadline == 0 {
 		return t.Deadline
 	}
-	d.offs = append(d.offs[max(len(d.offs)-lefts+1, 0):], t.Class.MaxDeadline-t.Deadline+d.now)
-	off := min(max(slices.Min(d.offs), -d.terms.DeadlineMargin), d.terms.DeadlineMargin)
-	return t.Deadline + min(off, max(off-t.Class.MaxDeadline/way, 0))
+	d.deadlineOffsets = append(d.deadlineOffsets[max(len(d.deadlineOffsets)-deadlineSamples+1, 0):], t.Class.MaxDeadline-t.Deadline+d.now)
+	off := min(max(slices.Min(d.deadlineOffsets), -d.settings.DeadlineMargin), d.settings.DeadlineMargin)
+	return t.Deadline + min(off, max(off-t.Class.MaxDeadline/responseFraction, 0))
 }
 
 // SetDeadline sets when the txn has to be answered at the latest; a node that is told to end brings it forward.
 // Danger: a txn that is forgotten. This alarm answers it whatever else happens.
 func (d *Dispatcher) SetDeadline(t *Request, at int64) {
 	t.Deadline = min(t.Deadline, at)
-	t.forget = d.door.Schedule(t.Deadline-d.now-d.headroom(), func() { d.finish(t, DeadlineReached) })
+	t.cancelDeadline = d.actions.Schedule(t.Deadline-d.now-d.headroom(), func() { d.giveUp(t, DeadlineReached) })
 }
 
-// overShare tells by chance whether a txn lies beyond its tenant's share, by the other tenants' arrivals.
-func (d *Dispatcher) overShare(t *Request) bool {
+// overQuota tells by chance whether a txn lies beyond its tenant's share, by the other tenants' arrivals.
+func (d *Dispatcher) overQuota(t *Request) bool {
 	var others, shares float64
-	for i, tenant := range d.terms.Tenants {
+	for i, tenant := range d.settings.Tenants {
 		if i != t.Tenant {
-			others, shares = others+d.tenants[i].fade(d.now).asked, shares+tenant.Quota
+			others, shares = others+d.tenantArrivals[i].decay(d.now).total, shares+tenant.Quota
 		}
 	}
-	own := d.tenants[t.Tenant].fade(d.now)
-	own.asked++
-	due := (others + 1) * d.terms.Tenants[t.Tenant].Quota / shares
-	return d.chance.Float64()*own.asked > overMark*due+2*math.Sqrt(due) // twice the spread of chance
+	own := d.tenantArrivals[t.Tenant].decay(d.now)
+	own.total++
+	due := (others + 1) * d.settings.Tenants[t.Tenant].Quota / shares
+	return d.random.Float64()*own.total > overQuotaFactor*due+2*math.Sqrt(due) // twice the spread of chance
 }
 
-// favour is what a txn counts for over its value: more in the scheme served worst, by the terms.
-func (d *Dispatcher) favour(s *Class) float64 {
-	own, all := d.schemes[s.Index].fade(d.now), 0.0
-	for i := range d.schemes {
-		l := d.schemes[i].fade(d.now)
-		if all += l.asked; l.earned*own.asked < own.earned*l.asked {
+// classPreference is what a txn counts for over its value: more in the scheme served worst, by the terms.
+func (d *Dispatcher) classPreference(s *Class) float64 {
+	own, all := d.classValues[s.Index].decay(d.now), 0.0
+	for i := range d.classValues {
+		l := d.classValues[i].decay(d.now)
+		if all += l.total; l.hits*own.total < own.hits*l.total {
 			return 1
 		}
 	}
-	return 1 + d.terms.WorstClassWeight*all/max(own.asked, 1e-9)
+	return 1 + d.settings.WorstClassWeight*all/max(own.total, 1e-9)
 }
 
-// running is how long the txn is expected to run, at quantile q.
-func (d *Dispatcher) running(t *Request, q float64) int64 {
-	return max(int64(t.unit()*d.runs[t.Class.Index].at(q, float64(t.Class.LatencyObjective)/t.unit())), 1e6)
+// expectedRuntime is how long the txn is expected to run, at quantile q.
+func (d *Dispatcher) expectedRuntime(t *Request, q float64) int64 {
+	return max(int64(t.workUnit()*d.runtimes[t.Class.Index].quantile(q, float64(t.Class.LatencyObjective)/t.workUnit())), 1e6)
 }
 
-// place posts the txn or lets it wait at the node.
-func (d *Dispatcher) place(t *Request) {
-	if t.Done || t.live > 0 {
+// assign posts the txn or lets it wait at the node.
+func (d *Dispatcher) assign(t *Request) {
+	if t.Done || t.activeAttempts > 0 {
 		return
 	}
 	// Danger: executors that never answer probes. What has heard nothing for some rounds goes out blindly.
-	asking, count := d.terms.CapacityProbes && !d.terms.LiveCapacity && (t.rounds < asks || d.toldAt >= t.arrived), 1
+	asking, count := d.settings.CapacityProbes && !d.settings.LiveCapacity && (t.probeRounds < probesPerRound || d.capacityReportedAt >= t.arrivedAt), 1
 	if asking {
-		count = asks
+		count = probesPerRound
 	}
-	if len(t.Attempts) >= d.terms.MaxAttempts || t.anchor() != nil && d.spanOver(t) {
-		d.finish(t, AttemptsExhausted)
-	} else if d.stale() {
-		t.look = d.now + leastLag*d.terms.Tick
+	if len(t.Attempts) >= d.settings.MaxAttempts || t.firstPossibleRun() != nil && d.mayNotRepeat(t) {
+		d.giveUp(t, AttemptsExhausted)
+	} else if d.endpointsMayBeStale() {
+		t.retryAt = d.now + minDelayTicks*d.settings.Tick
 		d.enqueue(t)
 	} else if drawn := d.draw(t, count); len(drawn) == 0 {
 		// Danger: in a jam a node spends its processor time on looking for room that is not there.
-		t.look, t.looks = d.now+d.terms.Tick*min(t.looks, 16), t.looks+1
+		t.retryAt, t.fruitlessDraws = d.now+d.settings.Tick*min(t.fruitlessDraws, 16), t.fruitlessDraws+1
 		d.enqueue(t)
 	} else if asking {
-		d.ask(t, drawn)
+		d.probeCapacity(t, drawn)
 	} else {
-		d.post(t, drawn[0])
+		d.startAttempt(t, drawn[0])
 	}
 }
 
-// ask looks for room at a few executors drawn; the first to tell of some gets the txn.
+// probeCapacity looks for room at a few executors drawn; the first to tell of some gets the txn.
 // Danger: of many nodes each sees next to nothing of load, and a long job's late start can't be made good.
-func (d *Dispatcher) ask(t *Request, drawn []*Server) {
+func (d *Dispatcher) probeCapacity(t *Request, drawn []*Server) {
 	for _, e := range drawn {
-		if len(e.askers) == 0 {
-			d.door.ProbeCapacity(e)
+		if len(e.probeWaiters) == 0 {
+			d.actions.ProbeCapacity(e)
 		}
-		e.askers = append(e.askers, t)
+		e.probeWaiters = append(e.probeWaiters, t)
 	}
-	t.rounds++
-	round := t.rounds
-	d.door.Schedule(int64(round)*d.fresh, func() {
-		if !t.Done && t.live == 0 && t.rounds == round {
+	t.probeRounds++
+	round := t.probeRounds
+	d.actions.Schedule(int64(round)*d.reportLifetime, func() {
+		if !t.Done && t.activeAttempts == 0 && t.probeRounds == round {
 			d.enqueue(t)
 		}
 	})
@@ -321,20 +323,20 @@
 // CapacityReported takes what an executor told of its room, if it told of any.
 // Danger: what many nodes were told they all take at once; so with the chance that starts are prompt.
 func (d *Dispatcher) CapacityReported(e *Server, told bool, free, memory float64) {
-	askers := e.askers
-	e.free = e.claims.sum(free, d.now-4*d.fresh)
-	if e.askers, e.toldAt, e.memory = nil, d.now, memory; told {
-		d.toldAt = d.now
+	askers := e.probeWaiters
+	e.freeSlots = e.reservations.sum(free, d.now-4*d.reportLifetime)
+	if e.probeWaiters, e.capacityReportedAt, e.freeMemory = nil, d.now, memory; told {
+		d.capacityReportedAt = d.now
 	}
 	for _, t := range askers {
 		// Danger: an answer that comes late; the executor may be gone, and the txn out or over.
-		if !t.Done && t.live == 0 && !d.full(t, e) && d.allowed(t, e) &&
-			d.chance.Float64() < d.prompts(e.zone == d.terms.Zone) {
-			e.memory -= t.Memory
-			d.post(t, e)
+		if !t.Done && t.activeAttempts == 0 && !d.reportedFull(t, e) && d.allowed(t, e) &&
+			d.random.Float64() < d.promptShare(e.zone == d.settings.Zone) {
+			e.freeMemory -= t.Memory
+			d.startAttempt(t, e)
 			d.SlotsReserved(e, t.Slots)
-			if d.terms.PeerMessages && t.rounds > 1 {
-				d.door.NotifyPeers(e, t.Slots)
+			if d.settings.PeerMessages && t.probeRounds > 1 {
+				d.actions.NotifyPeers(e, t.Slots)
 			}
 		}
 	}
@@ -342,301 +344,301 @@
 
 // SlotsReserved notes slots that this or another node took at an executor, for as long as reports may lack them.
 func (d *Dispatcher) SlotsReserved(e *Server, slots float64) {
-	e.claims = e.claims.add(d.now, -slots, 4*d.fresh)
-	e.free -= slots
+	e.reservations = e.reservations.add(d.now, -slots, 4*d.reportLifetime)
+	e.freeSlots -= slots
 }
 
-// full says whether the executor told lately that the txn finds no room there.
-func (d *Dispatcher) full(t *Request, e *Server) bool {
-	return e.toldAt > 0 && d.now-e.toldAt < d.fresh && (e.free < t.Slots || e.memory < t.Memory)
+// reportedFull says whether the executor told lately that the txn finds no room there.
+func (d *Dispatcher) reportedFull(t *Request, e *Server) bool {
+	return e.capacityReportedAt > 0 && d.now-e.capacityReportedAt < d.reportLifetime && (e.freeSlots < t.Slots || e.freeMemory < t.Memory)
 }
 
-// spanOver says whether a txn that may have run must not go again at all.
-func (d *Dispatcher) spanOver(t *Request) bool {
+// mayNotRepeat says whether a txn that may have run must not go again at all.
+func (d *Dispatcher) mayNotRepeat(t *Request) bool {
 	return t.Class.Idempotency == NonIdempotent ||
-		t.Class.Idempotency == IdempotentInGroup && d.now-t.anchor().sent >= t.Class.DedupWindow-d.terms.Tick
+		t.Class.Idempotency == IdempotentInGroup && d.now-t.firstPossibleRun().sentAt >= t.Class.DedupWindow-d.settings.Tick
 }
 
 // allowed says whether the rules let the txn go to the executor now.
 func (d *Dispatcher) allowed(t *Request, e *Server) bool {
 	// Danger: a drained or gone executor that still gets work; the list's word counts at once.
-	if e.State != Up || !e.known || t.Class.MachineType >= 0 && t.Class.MachineType != e.kind {
+	if e.State != Up || !e.listed || t.Class.MachineType >= 0 && t.Class.MachineType != e.machineType {
 		return false
 	}
 	for _, p := range t.Attempts {
-		if p.withdrawn && p.Server == e || p.InFlight && (p.Server == e || !d.terms.AllowHedging) {
+		if p.canceled && p.Server == e || p.InFlight && (p.Server == e || !d.settings.AllowHedging) {
 			return false
 		}
 	}
-	if a := t.anchor(); a != nil {
+	if a := t.firstPossibleRun(); a != nil {
 		// Danger: an effect twice. Only the group that holds the mark drops the repeat, and not for ever.
 		s, f := t.Class, a.Server
-		if d.spanOver(t) || s.Idempotency == IdempotentInGroup &&
+		if d.mayNotRepeat(t) || s.Idempotency == IdempotentInGroup &&
 			(s.DedupScope == DedupZone && e.zone != f.zone || s.DedupScope == DedupCell && e.cell != f.cell) {
 			return false
 		}
 	}
 	// Danger: what all nodes hold together, used beyond this one's share of it.
-	return d.terms.mayPost(t, e) && d.warmEnough(t, e)
+	return d.settings.withinQuotas(t, e) && d.withinSlowStartBudget(t, e)
 }
 
-// warmEnough keeps this node's part of a cold executor's budget, by all that was sent, refused or not.
+// withinSlowStartBudget keeps this node's part of a cold executor's budget, by all that was sent, refused or not.
 // Danger: one pushed over by all nodes together, or by a new node that knows nothing of what it sent before.
-func (d *Dispatcher) warmEnough(t *Request, e *Server) bool {
-	if d.terms.warmth(e, d.now) == 1 {
+func (d *Dispatcher) withinSlowStartBudget(t *Request, e *Server) bool {
+	if d.settings.warmUpFactor(e, d.now) == 1 {
 		return true
 	}
-	if d.terms.Quotas != nil { // it counts as it is sent
-		return d.terms.Quotas.Allow(BudgetSlowStart, e, t, t.size/d.bears(e, d.now-d.terms.OverloadWindow, 1))
+	if d.settings.Quotas != nil { // it counts as it is sent
+		return d.settings.Quotas.Allow(BudgetSlowStart, e, t, t.size/d.slowStartBudget(e, d.now-d.settings.OverloadWindow, 1))
 	}
-	part, since, turn, _ := d.part(e)
-	return turn && d.born < since && e.sends.sum(t.size, since) <= part
+	part, since, turn, _ := d.quotaShare(e)
+	return turn && d.slowStartOwnerSince < since && e.recentSends.sum(t.size, since) <= part
 }
 
-// bears is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
+// slowStartBudget is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
 // It bears N jobs, two root N + 2 for chance; what is sent has that chance too, so that N / doubt follows.
-func (d *Dispatcher) bears(e *Server, at int64, parts float64) float64 {
-	work := d.terms.OverloadFactor * float64(d.terms.OverloadWindow) * max(e.model.slots, 1) / e.model.pace(d.now)
-	return work * (d.terms.warmth(e, at) / doubt / parts)
+func (d *Dispatcher) slowStartBudget(e *Server, at int64, parts float64) float64 {
+	work := d.settings.OverloadFactor * float64(d.settings.OverloadWindow) * max(e.typeStats.maxSlots, 1) / e.typeStats.meanRuntimeRatio(d.now)
+	return work * (d.settings.warmUpFactor(e, at) / slowStartMargin / parts)
 }
 
-// part is what this node may send a cold executor, since when, whether now, and how many groups take turns.
+// quotaShare is what this node may send a cold executor, since when, whether now, and how many groups take turns.
 // Danger: an even part of many is less than one txn, and what was swapped stands empty. So a few take turns.
-func (d *Dispatcher) part(e *Server) (part float64, since int64, turn bool, of float64) {
-	nodes, length := d.terms.inTurn(), max(d.terms.OverloadWindow/turns, 1)
+func (d *Dispatcher) quotaShare(e *Server) (part float64, since int64, turn bool, of float64) {
+	nodes, length := d.settings.nodesInRotation(), max(d.settings.OverloadWindow/turnsPerWindow, 1)
 	// Danger: a start that is stamped too late lies ahead, and nothing sent since then would count.
-	first := e.since - d.terms.StartTimeError
+	first := e.startedAt - d.settings.StartTimeError
 	n := max(d.now-first, 0) / length
 	since = first + n*length
-	all := d.bears(e, since, turns+1) // a window meets one turn more than it is long
-	members := max(int64(min(all/d.large, float64(nodes))), 1)
+	all := d.slowStartBudget(e, since, turnsPerWindow+1) // a window meets one turn more than it is long
+	members := max(int64(min(all/d.largeSize, float64(nodes))), 1)
 	groups := (int64(nodes) + members - 1) / members
-	return all / float64(members), since, (n+int64(d.terms.NodeIndex)+e.since/1e6)%groups == 0, float64(groups)
+	return all / float64(members), since, (n+int64(d.settings.NodeIndex)+e.startedAt/1e6)%groups == 0, float64(groups)
 }
 
-// health is H, drifted back towards 1 up to now.
-func (d *Dispatcher) health(e *Server) float64 {
+// reliability is H, drifted back towards 1 up to now.
+func (d *Dispatcher) reliability(e *Server) float64 {
 	// Danger: nearly all executors are well; working out a drift for each at every draw is the dearest step.
-	if e.h == 1 || float64(d.now-e.hAt) > 7*recovery {
+	if e.reliability == 1 || float64(d.now-e.reliabilityAt) > 7*decayTime {
 		return 1
 	}
-	return 1 - (1-e.h)*math.Exp(-float64(d.now-e.hAt)/recovery)
+	return 1 - (1-e.reliability)*math.Exp(-float64(d.now-e.reliabilityAt)/decayTime)
 }
 
-// standing is H, or less where many other nodes say so and no job of this one ended well there of late.
+// effectiveReliability is H, or less where many other nodes say so and no job of this one ended well there of late.
 // Danger: old news that beats a fresh outcome; or each of many nodes finds out for itself, at its txns' cost.
-func (d *Dispatcher) standing(e *Server) float64 {
-	if e.OutlierScore > 0 && d.now-e.keptTill+d.terms.IdleTimeout > heed {
-		return min(d.health(e), 1-e.OutlierScore)
+func (d *Dispatcher) effectiveReliability(e *Server) float64 {
+	if e.OutlierScore > 0 && d.now-e.idleUntil+d.settings.IdleTimeout > ownResultLifetime {
+		return min(d.reliability(e), 1-e.OutlierScore)
 	}
-	return d.health(e)
+	return d.reliability(e)
 }
 
-// sick says whether the executor is left out while others remain.
-func (d *Dispatcher) sick(e *Server) bool { return d.standing(e) < leastH }
+// outlier says whether the executor is left out while others remain.
+func (d *Dispatcher) outlier(e *Server) bool { return d.effectiveReliability(e) < minReliability }
 
 // weight is the design's: mean score over the top score, times H; a cold executor counts by its age.
 func (d *Dispatcher) weight(t *Request, e *Server) float64 {
 	// Danger: one of many nodes meets most executors seldom or never; until then their kind's mean stands in.
-	score := (e.model.scores.earned + unscored) / (e.model.scores.asked + 1)
-	score = (float64(e.sum)/topScore + score*kindScores) / (float64(e.pooled) + kindScores)
-	if warmth := d.terms.warmth(e, d.now); warmth < 1 {
-		_, _, _, groups := d.part(e) // seldom in turn, it is taken as much likelier then
-		score *= warmth * d.terms.oftener(e, groups)
+	score := (e.typeStats.scores.hits + initialScore) / (e.typeStats.scores.total + 1)
+	score = (float64(e.scoreSum)/topScore + score*typeScoreWeight) / (float64(e.scoreCount) + typeScoreWeight)
+	if warmth := d.settings.warmUpFactor(e, d.now); warmth < 1 {
+		_, _, _, groups := d.quotaShare(e) // seldom in turn, it is taken as much likelier then
+		score *= warmth * d.settings.slowStartShareFactor(e, groups)
 	}
 	// Danger: the rest crowd out a scheme that one kind alone can run.
-	if t.Class.MachineType < 0 && e.model.bound {
-		score *= leave
+	if t.Class.MachineType < 0 && e.typeStats.required {
+		score *= requiredTypeFactor
 	}
-	return max(score, 0.01) * d.standing(e) * e.left
+	return max(score, 0.01) * d.effectiveReliability(e) * e.spareFactor
 }
 
-// shut says whether so many slots more are over what an executor or a thing is thought to bear.
-func (g *gate) shut(slots float64, now, run int64) bool {
+// exceeded says whether so many slots more are over what an executor or a thing is thought to bear.
+func (g *concurrencyLimit) exceeded(slots float64, now, run int64) bool {
 	// Danger: one posting from each of many nodes fills a small machine. A limit under one is a pause.
-	return g.busy > 0 && g.busy+slots > g.limit ||
-		g.busy == 0 && float64(now-g.idleAt) < (1/min(g.limit, 1)-1)*float64(run)
+	return g.slotsInFlight > 0 && g.slotsInFlight+slots > g.limit ||
+		g.slotsInFlight == 0 && float64(now-g.lastEndedAt) < (1/min(g.limit, 1)-1)*float64(run)
 }
 
-// halve cuts a limit for a posting that found too much there; one slot stays for all nodes.
+// reduceLimit cuts a limit for a posting that found too much there; one slot stays for all nodes.
 // Danger: one pause makes all that is there late; cut for each, hardly a limit would be left.
-func (d *Dispatcher) halve(g *gate, sent int64, busy float64) {
-	if sent >= g.cutAt {
-		g.limit, g.cutAt = max(cut*min(g.limit, busy), 1/float64(max(d.terms.Nodes, 1))), d.now
+func (d *Dispatcher) reduceLimit(g *concurrencyLimit, sent int64, busy float64) {
+	if sent >= g.reducedAt {
+		g.limit, g.reducedAt = max(limitReduction*min(g.limit, busy), 1/float64(max(d.settings.Nodes, 1))), d.now
 	}
 }
 
-// patience is how long the note of a start is waited for.
+// minStartTimeout is how long the note of a start is waited for.
 // Danger: measured from common delays it would grow with every jam, so that no limit ever fell.
-func (d *Dispatcher) patience() int64 { return 4 * (d.terms.Tick + d.prompt) }
+func (d *Dispatcher) minStartTimeout() int64 { return 4 * (d.settings.Tick + d.minStartDelay) }
 
-// tolerated is how long a posting may wait at its executor before that counts as full: a part of its slack.
-func (d *Dispatcher) tolerated(p *Attempt) int64 {
-	if !d.terms.LoadReports {
-		return d.patience()
+// startTimeout is how long a posting may wait at its executor before that counts as full: a part of its slack.
+func (d *Dispatcher) startTimeout(p *Attempt) int64 {
+	if !d.settings.LoadReports {
+		return d.minStartTimeout()
 	}
-	return max(d.patience(), d.slack(p.Request, p.sent)/4)
+	return max(d.minStartTimeout(), d.slack(p.Request, p.sentAt)/4)
 }
 
 // slack is the time left to start in. Without a hint a long job's SLA time is long too; the middle one tells.
 func (d *Dispatcher) slack(t *Request, from int64) int64 {
-	return t.aim - d.running(t, [2]float64{0.5, highEnd}[min(max(t.ExpectedWork, 0), 1)]) - from
+	return t.objectiveAt - d.expectedRuntime(t, [2]float64{0.5, highQuantile}[min(max(t.ExpectedWork, 0), 1)]) - from
 }
 
-// prompts is the share of postings that started promptly, at home or away; one while nothing is known.
-func (d *Dispatcher) prompts(home bool) float64 {
-	l := d.starts[home].fade(d.now)
-	return (l.earned + 1) / (l.asked + 1)
+// promptShare is the share of postings that started promptly, at home or away; one while nothing is known.
+func (d *Dispatcher) promptShare(home bool) float64 {
+	l := d.startPromptness[home].decay(d.now)
+	return (l.hits + 1) / (l.total + 1)
 }
 
 // draw picks executors by chance and weight, idle and prompt ones before uncrowded ones before any with room,
 // home first where crossing is dear. The least of waits drawn at rates of weights is a draw by weight.
 func (d *Dispatcher) draw(t *Request, count int) []*Server {
-	mean := d.busy / float64(len(d.fleet.servers))
-	d.draws++
-	s := &search{t: t, count: count, run: d.running(t, 0.5), mean: mean, number: d.draws}
-	if d.drawn = d.drawn[:0]; t.thing.shut(t.Slots, d.now, s.run) {
+	mean := d.slotsInFlight / float64(len(d.servers.servers))
+	d.drawCount++
+	s := &candidateSearch{request: t, count: count, runtime: d.expectedRuntime(t, 0.5), meanInFlight: mean, draw: d.drawCount}
+	if d.candidates = d.candidates[:0]; t.keyState.exceeded(t.Slots, d.now, s.runtime) {
 		return nil
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
-	s.roam = d.terms.CrossZoneCost < dear || d.chance.Float64()*d.prompts(false) > d.prompts(true)
+	s.anyZone = d.settings.CrossZoneCost < localZoneCost || d.random.Float64()*d.promptShare(false) > d.promptShare(true)
 	if t.AffinityKey == 0 {
-		d.look(s)
-		return d.drawn[:min(count, len(d.drawn))]
+		d.findCandidates(s)
+		return d.candidates[:min(count, len(d.candidates))]
 	}
 	// Danger: what has homes in each zone is fetched as many times more, and others' make room.
-	s.roam = s.roam || d.terms.CrossZoneCost < d.terms.FetchCost
-	for _, e := range d.homes(t, s.roam) {
+	s.anyZone = s.anyZone || d.settings.CrossZoneCost < d.settings.FetchCost
+	for _, e := range d.preferredServers(t, s.anyZone) {
 		d.consider(s, e)
 	}
-	return d.drawn[:min(count, len(d.drawn))]
+	return d.candidates[:min(count, len(d.candidates))]
 }
 
 // consider draws a wait for a server, if it may be sent to, and keeps it if that is among the least; each server once a draw.
-func (d *Dispatcher) consider(s *search, e *Server) {
-	if e.draw == s.number {
+func (d *Dispatcher) consider(s *candidateSearch, e *Server) {
+	if e.lastDraw == s.draw {
 		return
 	}
-	e.draw = s.number
-	t, sick := s.t, d.sick(e)
-	if sick && s.well || !d.allowed(t, e) {
+	e.lastDraw = s.draw
+	t, sick := s.request, d.outlier(e)
+	if sick && s.foundHealthy || !d.allowed(t, e) {
 		return
 	}
-	s.any = true
+	s.foundAllowed = true
 	// The sick count only if none else remains, with or without room.
-	if !sick && !s.well {
-		s.well, d.drawn = true, d.drawn[:0]
+	if !sick && !s.foundHealthy {
+		s.foundHealthy, d.candidates = true, d.candidates[:0]
 	}
-	if e.shut(t.Slots, d.now, s.run) || d.full(t, e) {
+	if e.exceeded(t.Slots, d.now, s.runtime) || d.reportedFull(t, e) {
 		return
 	}
 	// One that was prompt and has a connection open still is likelier to have room, without a handshake.
 	step := 1.0
-	if e.busy == 0 && e.limit >= 1 && (d.now < e.keptTill || d.terms.warmth(e, d.now) < 1) {
+	if e.slotsInFlight == 0 && e.limit >= 1 && (d.now < e.idleUntil || d.settings.warmUpFactor(e, d.now) < 1) {
 		step = 0
-	} else if e.busy >= margin+s.mean {
+	} else if e.slotsInFlight >= crowdedMargin+s.meanInFlight {
 		step = 2
 	}
-	if !s.roam && e.zone != d.terms.Zone {
+	if !s.anyZone && e.zone != d.settings.Zone {
 		step += 3
 	}
 	// Danger: of many nodes each holds connections to all. What is beyond this one's part comes after the rest.
-	step += 6 * float64(d.terms.farther(t, e, d.now))
-	e.wait = step*firstStep - math.Log(1-d.chance.Float64())/d.weight(t, e)
-	if i, _ := slices.BinarySearchFunc(d.drawn, e, byWait); i < s.count {
-		d.drawn = slices.Insert(d.drawn, i, e)
+	step += 6 * float64(d.settings.distanceFor(t, e, d.now))
+	e.sampleKey = step*preferenceStep - math.Log(1-d.random.Float64())/d.weight(t, e)
+	if i, _ := slices.BinarySearchFunc(d.candidates, e, bySampleKey); i < s.count {
+		d.candidates = slices.Insert(d.candidates, i, e)
 	}
 }
 
-// homes are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
+// preferredServers are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
 // Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
-func (d *Dispatcher) homes(t *Request, roam bool) []*Server {
-	count := 1 + int(d.prompts(true)+spare) + (len(d.fleet.servers)*max(t.thing.n-1, 0)+d.counted/2)/d.counted
+func (d *Dispatcher) preferredServers(t *Request, roam bool) []*Server {
+	count := 1 + int(d.promptShare(true)+spareServerShare) + (len(d.servers.servers)*max(t.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
 	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
 	few := count
-	d.near, count = d.near[:0], count+1
-	for _, e := range d.fleet.servers {
+	d.preferred, count = d.preferred[:0], count+1
+	for _, e := range d.servers.servers {
 		luck := float64(rand.NewPCG(t.AffinityKey, e.Hash).Uint64()>>11+1) / (1 << 53)
-		if e.wait = -math.Log(luck) / e.size; t.Class.MachineType < 0 && e.model.bound {
-			e.wait /= leave
+		if e.sampleKey = -math.Log(luck) / e.size; t.Class.MachineType < 0 && e.typeStats.required {
+			e.sampleKey /= requiredTypeFactor
 		}
 		// Danger: a few nodes at a time may send to a cold one; by key none of them ever would.
-		if d.terms.warmth(e, d.now) < 1 {
-			e.wait = 0
-		} else if !roam && e.zone != d.terms.Zone {
-			e.wait += 1e9
+		if d.settings.warmUpFactor(e, d.now) < 1 {
+			e.sampleKey = 0
+		} else if !roam && e.zone != d.settings.Zone {
+			e.sampleKey += 1e9
 		}
-		if len(d.near) >= count && e.wait > d.near[count-1].wait || d.sick(e) || !d.allowed(t, e) {
+		if len(d.preferred) >= count && e.sampleKey > d.preferred[count-1].sampleKey || d.outlier(e) || !d.allowed(t, e) {
 			continue
 		}
-		if e.wait == 0 {
+		if e.sampleKey == 0 {
 			count, few = count+1, few+1
 		}
-		i, _ := slices.BinarySearchFunc(d.near, e, byWait)
-		d.near = slices.Insert(d.near, i, e)
+		i, _ := slices.BinarySearchFunc(d.preferred, e, bySampleKey)
+		d.preferred = slices.Insert(d.preferred, i, e)
 	}
-	if len(d.near) == 0 {
-		return d.fleet.servers
+	if len(d.preferred) == 0 {
+		return d.servers.servers
 	}
-	d.near = d.near[:min(count, len(d.near))]
-	for _, e := range d.near {
-		if d.terms.LiveCapacity && e.wait > 0 && e.size/e.left-1 > max(crowded*d.load/float64(len(d.fleet.servers)), 1) {
-			e.wait += 2e9
+	d.preferred = d.preferred[:min(count, len(d.preferred))]
+	for _, e := range d.preferred {
+		if d.settings.LiveCapacity && e.sampleKey > 0 && e.size/e.spareFactor-1 > max(crowdedFactor*d.load/float64(len(d.servers.servers)), 1) {
+			e.sampleKey += 2e9
 		}
 	}
-	slices.SortStableFunc(d.near, byWait)
-	return d.near[:min(few, len(d.near))]
+	slices.SortStableFunc(d.preferred, bySampleKey)
+	return d.preferred[:min(few, len(d.preferred))]
 }
 
-func byWait(a, b *Server) int { return cmp.Compare(a.wait, b.wait) }
+func bySampleKey(a, b *Server) int { return cmp.Compare(a.sampleKey, b.sampleKey) }
 
-// post sends the txn and leaves behind what its outcome leads to.
-func (d *Dispatcher) post(t *Request, e *Server) {
-	p := &Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true, sent: d.now}
+// startAttempt sends the txn and leaves behind what its outcome leads to.
+func (d *Dispatcher) startAttempt(t *Request, e *Server) {
+	p := &Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true, sentAt: d.now}
 	t.Attempts = append(t.Attempts, p)
-	e.busy, d.busy, t.thing.busy, t.live = e.busy+t.Slots, d.busy+t.Slots, t.thing.busy+t.Slots, t.live+1
+	e.slotsInFlight, d.slotsInFlight, t.keyState.slotsInFlight, t.activeAttempts = e.slotsInFlight+t.Slots, d.slotsInFlight+t.Slots, t.keyState.slotsInFlight+t.Slots, t.activeAttempts+1
 	// Danger: a node that hears of a start late, and has sent to it as to a warm one since.
-	if e.sends = e.sends.add(d.now, t.size, d.terms.OverloadWindow); d.terms.warmth(e, d.now) < 1 {
-		p.SlowStartShare = t.size / d.bears(e, d.now-d.terms.OverloadWindow, 1)
+	if e.recentSends = e.recentSends.add(d.now, t.size, d.settings.OverloadWindow); d.settings.warmUpFactor(e, d.now) < 1 {
+		p.SlowStartShare = t.size / d.slowStartBudget(e, d.now-d.settings.OverloadWindow, 1)
 	}
-	p.then = func() { d.place(t) }
-	d.door.StartAttempt(p)
-	d.watch(p)
+	p.afterEnd = func() { d.assign(t) }
+	d.actions.StartAttempt(p)
+	d.superviseAttempt(p)
 }
 
 // MaySend says at a posting's first byte whether it may still leave. Danger: news that came while it waited.
 func (d *Dispatcher) MaySend(p *Attempt) bool {
-	return p.Server.State == Up && !p.Request.Done && !p.withdrawn && !d.stale()
+	return p.Server.State == Up && !p.Request.Done && !p.canceled && !d.endpointsMayBeStale()
 }
 
-// judge looks after a while at a posting that is still out.
+// checkLater looks after a while at a posting that is still out.
 // Danger: a node that stood still finds alarms and notes at once; its lateness looks like its executors'.
-func (d *Dispatcher) judge(p *Attempt, after int64, then func()) {
-	due := d.now + after + d.patience()
-	d.door.Schedule(after, func() {
+func (d *Dispatcher) checkLater(p *Attempt, after int64, then func()) {
+	due := d.now + after + d.minStartTimeout()
+	d.actions.Schedule(after, func() {
 		switch {
 		case !p.InFlight || p.Request.Done:
 		case d.now > due:
-			d.judge(p, d.terms.Tick, then)
+			d.checkLater(p, d.settings.Tick, then)
 		default:
 			then()
 		}
 	})
 }
 
-// watch sees to a posting's start, where executors tell of it, and then to its end.
-func (d *Dispatcher) watch(p *Attempt) {
-	if p.started > 0 || !d.terms.StartNotices {
-		d.awaitEnd(p, d.terms.Tick)
+// superviseAttempt sees to a posting's start, where executors tell of it, and then to its end.
+func (d *Dispatcher) superviseAttempt(p *Attempt) {
+	if p.startedAt > 0 || !d.settings.StartNotices {
+		d.awaitEnd(p, d.settings.Tick)
 		return
 	}
-	d.judge(p, d.tolerated(p), func() {
-		if e := p.Server; p.started == 0 {
+	d.checkLater(p, d.startTimeout(p), func() {
+		if e := p.Server; p.startedAt == 0 {
 			// Danger: many slots stand half empty, or one that slowed is judged by its best. Late in a row, ever less.
-			least := min(e.limit, e.model.slots/float64(max(d.terms.Nodes, 1))*math.Exp2(-e.late))
-			d.adjust(p, e.busy, false)
-			e.room, e.limit, e.late = 0, max(e.limit, least), e.late+1
-			d.lowered(e)
+			least := min(e.limit, e.typeStats.maxSlots/float64(max(d.settings.Nodes, 1))*math.Exp2(-e.lateStarts))
+			d.adjustLimit(p, e.slotsInFlight, false)
+			e.limitBeforeRejections, e.limit, e.lateStarts = 0, max(e.limit, least), e.lateStarts+1
+			d.recordLowLimit(e)
 			d.awaitStart(p)
 		}
 	})
@@ -646,123 +648,123 @@
 func (d *Dispatcher) awaitStart(p *Attempt) {
 	wait, s := d.slack(p.Request, d.now)/2, p.Request.Class
 	switch {
-	case p.started > 0:
+	case p.startedAt > 0:
 		return
 	// Danger: what is declined here may run all the same and comes back as a retry, so that a jam never ends.
-	case s.Idempotency == Idempotent && s.LateShare == 0 && d.earns(p.Request) <= 0:
-		d.finish(p.Request, LateAtServer)
+	case s.Idempotency == Idempotent && s.LateShare == 0 && d.expectedValue(p.Request) <= 0:
+		d.giveUp(p.Request, LateAtServer)
 		return
-	case !d.terms.LoadReports || wait <= d.patience():
-		d.copy(p)
-		wait = max((d.now-p.sent)/2, d.patience())
+	case !d.settings.LoadReports || wait <= d.minStartTimeout():
+		d.hedge(p)
+		wait = max((d.now-p.sentAt)/2, d.minStartTimeout())
 	}
-	d.judge(p, wait, func() { d.awaitStart(p) })
+	d.checkLater(p, wait, func() { d.awaitStart(p) })
 }
 
 // awaitEnd decides what becomes of a posting that runs too long or stands still.
 func (d *Dispatcher) awaitEnd(p *Attempt, wait int64) {
-	run, period := d.running(p.Request, highEnd), d.terms.ProgressInterval
-	still := period > 0 && d.now-max(p.told, p.started, p.sent) > int64(missing*float64(period))
-	if still || d.now-max(p.sent, p.started) > int64(overrun*float64(run)) {
-		if d.blame(p, 1); still || d.terms.AllowHedging {
-			d.copy(p)
+	run, period := d.expectedRuntime(p.Request, highQuantile), d.settings.ProgressInterval
+	still := period > 0 && d.now-max(p.progressAt, p.startedAt, p.sentAt) > int64(missedProgressPeriods*float64(period))
+	if still || d.now-max(p.sentAt, p.startedAt) > int64(overdueFactor*float64(run)) {
+		if d.recordFailure(p, 1); still || d.settings.AllowHedging {
+			d.hedge(p)
 		}
 	}
 	wait = min(max(run/2, wait), cmp.Or(period, run))
-	d.judge(p, wait, func() { d.awaitEnd(p, 2*wait) })
+	d.checkLater(p, wait, func() { d.awaitEnd(p, 2*wait) })
 }
 
-// copy sends a late posting's txn to a second executor, or takes it back to go again where that is forbidden.
-func (d *Dispatcher) copy(p *Attempt) {
-	t, left := p.Request, d.terms.MaxAttempts-len(p.Request.Attempts)
-	if !d.terms.AllowHedging {
+// hedge sends a late posting's txn to a second executor, or takes it back to go again where that is forbidden.
+func (d *Dispatcher) hedge(p *Attempt) {
+	t, left := p.Request, d.settings.MaxAttempts-len(p.Request.Attempts)
+	if !d.settings.AllowHedging {
 		// Danger: what is taken back may run all the same, for nobody. Who stands still runs none of it; a list
 		// that tells of load promises room elsewhere.
-		late := d.terms.LiveCapacity && d.now-p.sent >= d.slack(t, p.sent)/4
-		if left > 0 && !d.spanOver(t) && (p.started > 0 || late || d.standing(p.Server) < hopeless) {
-			d.withdraw(p)
+		late := d.settings.LiveCapacity && d.now-p.sentAt >= d.slack(t, p.sentAt)/4
+		if left > 0 && !d.mayNotRepeat(t) && (p.startedAt > 0 || late || d.effectiveReliability(p.Server) < minChance) {
+			d.cancelAttempt(p)
 		}
 		return
 	}
-	if !d.hedges() {
+	if !d.mayHedge() {
 		return
 	}
 	// Danger: copies in a full fleet take the room of txns that wait for it, here or at many other nodes.
 	for _, e := range d.draw(t, 1) {
-		hit, gain := d.prompts(e.zone == d.terms.Zone), 1-t.Class.LateShare+d.terms.MissedObjectiveCost
-		if len(d.queue) == 0 && left > 0 && t.live <= 1 && hit*gain >= (1-hit)*behind {
-			d.post(t, e)
+		hit, gain := d.promptShare(e.zone == d.settings.Zone), 1-t.Class.LateShare+d.settings.MissedObjectiveCost
+		if len(d.queue) == 0 && left > 0 && t.activeAttempts <= 1 && hit*gain >= (1-hit)*delayedByHedge {
+			d.startAttempt(t, e)
 		}
 	}
 }
 
-// adjust moves an executor's in-flight limit by how prompt a start was.
-func (d *Dispatcher) adjust(p *Attempt, busy float64, prompt bool) {
+// adjustLimit moves an executor's in-flight limit by how prompt a start was.
+func (d *Dispatcher) adjustLimit(p *Attempt, busy float64, prompt bool) {
 	e := p.Server
-	if d.starts[e.zone == d.terms.Zone].fade(d.now).count(prompt); !prompt {
-		d.halve(&e.gate, p.sent, busy)
-		d.lowered(e)
+	if d.startPromptness[e.zone == d.settings.Zone].decay(d.now).record(prompt); !prompt {
+		d.reduceLimit(&e.concurrencyLimit, p.sentAt, busy)
+		d.recordLowLimit(e)
 		return
 	}
 	// Danger: executors that turn part away though not full stand empty. A full one would not start at once.
-	e.limit, e.room, e.late = max(e.limit, e.room), 0, 0
+	e.limit, e.limitBeforeRejections, e.lateStarts = max(e.limit, e.limitBeforeRejections), 0, 0
 	if busy+1 >= e.limit {
-		e.limit += growth * min(e.limit, 1)
+		e.limit += limitGrowth * min(e.limit, 1)
 	}
 	// Danger: limits that only an executor's own starts raise keep machines empty that had one long job.
-	for i := 0; i < len(d.low.servers); i++ {
-		x := d.low.servers[i]
-		if x.limit = max(x.limit, min(x.limit+growth/2*min(x.limit, 1)/float64(len(d.fleet.servers)), firstRoom)); x.limit >= firstRoom {
-			d.low.remove(x)
+	for i := 0; i < len(d.lowLimit.servers); i++ {
+		x := d.lowLimit.servers[i]
+		if x.limit = max(x.limit, min(x.limit+limitGrowth/2*min(x.limit, 1)/float64(len(d.servers.servers)), initialLimit)); x.limit >= initialLimit {
+			d.lowLimit.remove(x)
 			i--
 		}
 	}
 }
 
-// lowered notes a server whose limit is under the one that all start with.
-func (d *Dispatcher) lowered(e *Server) {
-	if e.known && e.limit < firstRoom {
-		d.low.add(e)
+// recordLowLimit notes a server whose limit is under the one that all start with.
+func (d *Dispatcher) recordLowLimit(e *Server) {
+	if e.listed && e.limit < initialLimit {
+		d.lowLimit.add(e)
 	}
 }
 
-// cured is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
-func (d *Dispatcher) cured(t *Request) float64 {
-	s, k := d.cures[t.Class.Index].fade(d.now), t.thing.cure.fade(d.now)
-	return (k.earned + (s.earned+1)/(s.asked+1)) / (k.asked + 1)
+// retrySuccessRate is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
+func (d *Dispatcher) retrySuccessRate(t *Request) float64 {
+	s, k := d.retrySuccess[t.Class.Index].decay(d.now), t.keyState.retrySuccess.decay(d.now)
+	return (k.hits + (s.hits+1)/(s.total+1)) / (k.total + 1)
 }
 
-// jam moves a thing's limit in flight. Danger: what waits for a lock holds slots everywhere; others starve.
-func (d *Dispatcher) jam(h *thing, p *Attempt, bad bool) {
+// reduceKeyLimit moves a thing's limit in flight. Danger: what waits for a lock holds slots everywhere; others starve.
+func (d *Dispatcher) reduceKeyLimit(h *keyState, p *Attempt, bad bool) {
 	if !bad {
-		if h.bad = nil; h.busy+p.Request.Slots+1 >= h.limit {
-			h.limit += growth * min(h.limit, 1)
+		if h.failedServer = nil; h.slotsInFlight+p.Request.Slots+1 >= h.limit {
+			h.limit += limitGrowth * min(h.limit, 1)
 		}
-	} else if h.bad == nil || h.bad == p.Server {
-		h.bad = p.Server
+	} else if h.failedServer == nil || h.failedServer == p.Server {
+		h.failedServer = p.Server
 	} else { // two executors agree, so it is not theirs
-		d.halve(&h.gate, p.sent, h.busy+p.Request.Slots)
+		d.reduceLimit(&h.concurrencyLimit, p.sentAt, h.slotsInFlight+p.Request.Slots)
 	}
 }
 
-// blame counts a posting as lost, once; in part where the executor is at fault by that part.
-func (d *Dispatcher) blame(p *Attempt, part float64) {
-	if e := p.Server; !p.blamed {
-		p.blamed, e.h, e.hAt = true, d.health(e)*(1-(1-penalty)*part), d.now
-		d.rank(p, 0, true)
+// recordFailure counts a posting as lost, once; in part where the executor is at fault by that part.
+func (d *Dispatcher) recordFailure(p *Attempt, part float64) {
+	if e := p.Server; !p.failureRecorded {
+		p.failureRecorded, e.reliability, e.reliabilityAt = true, d.reliability(e)*(1-(1-failureFactor)*part), d.now
+		d.recordRank(p, 0, true)
 	}
 }
 
-// rank scores a job against the last two of its family at other executors.
-func (d *Dispatcher) rank(p *Attempt, time float64, lost bool) {
-	e, key := p.Server, family{p.Request.Class, p.Request.Slots}
-	marks := slices.DeleteFunc(d.recent[key], func(m last) bool { return m.at == e })
-	d.recent[key] = append(marks[max(len(marks)-2, 0):], last{e, time, lost})
+// recordRank scores a job against the last two of its family at other executors.
+func (d *Dispatcher) recordRank(p *Attempt, time float64, lost bool) {
+	e, key := p.Server, rankGroup{p.Request.Class, p.Request.Slots}
+	marks := slices.DeleteFunc(d.recentResults[key], func(m recentResult) bool { return m.server == e })
+	d.recentResults[key] = append(marks[max(len(marks)-2, 0):], recentResult{e, time, lost})
 	place, lostToo := 0, 0
 	for _, m := range marks[max(len(marks)-2, 0):] {
 		if m.lost {
 			lostToo++
-		} else if m.time < time {
+		} else if m.duration < time {
 			place++
 		}
 	}
@@ -772,103 +774,103 @@
 	if lost {
 		place = 3
 	}
-	score := places[place]
-	e.model.scores.fade(d.now).asked++
-	e.model.scores.earned += float64(score) / topScore
-	e.pooled, e.sum = min(e.pooled+1, poolSize), e.sum+int(score)-int(e.pool[e.next])
-	e.pool[e.next], e.next = score, (e.next+1)%poolSize
+	score := rankScores[place]
+	e.typeStats.scores.decay(d.now).total++
+	e.typeStats.scores.hits += float64(score) / topScore
+	e.scoreCount, e.scoreSum = min(e.scoreCount+1, scoreWindow), e.scoreSum+int(score)-int(e.scores[e.nextScore])
+	e.scores[e.nextScore], e.nextScore = score, (e.nextScore+1)%scoreWindow
 }
 
 // AttemptEnded takes the outcome of a posting; over says that the txn has ended by it or earlier.
 func (d *Dispatcher) AttemptEnded(p *Attempt, o Outcome, took int64, over bool) {
 	t, e := p.Request, p.Server
-	if p.InFlight, e.idleAt = false, d.now; p.started > 0 {
-		e.atWork -= t.Slots
+	if p.InFlight, e.lastEndedAt = false, d.now; p.startedAt > 0 {
+		e.startedSlots -= t.Slots
 	}
 	free := func() {
-		e.busy, d.busy, t.thing.busy, t.thing.idleAt = e.busy-t.Slots, d.busy-t.Slots, t.thing.busy-t.Slots, d.now
+		e.slotsInFlight, d.slotsInFlight, t.keyState.slotsInFlight, t.keyState.lastEndedAt = e.slotsInFlight-t.Slots, d.slotsInFlight-t.Slots, t.keyState.slotsInFlight-t.Slots, d.now
 	}
 	// Danger: what was taken back may run all the same; with its place taken for free a jam outlives its cause.
 	if o == Canceled {
-		d.door.Schedule(d.running(t, 0.5), free)
+		d.actions.Schedule(d.expectedRuntime(t, 0.5), free)
 	} else {
 		free()
 	}
-	if p.unrun = o == Rejected || o == ConnectFailed || o == NotSent; !p.withdrawn {
-		t.live--
+	if p.provedNotRun = o == Rejected || o == ConnectFailed || o == NotSent; !p.canceled {
+		t.activeAttempts--
 	}
 	// Danger: of many nodes none has more than one or two txns at an executor, and takes it for that small.
-	e.model.slots = max(e.model.slots, p.FreeSlots)
+	e.typeStats.maxSlots = max(e.typeStats.maxSlots, p.FreeSlots)
 	// Danger: a txn that errs wherever it goes, or what is behind all executors, takes the healthy ones out.
-	part, again, cured := 1.0, t.erred != nil && t.erred != e, d.cured(t)
+	part, again, cured := 1.0, t.failedServer != nil && t.failedServer != e, d.retrySuccessRate(t)
 	if o == Failed {
-		part, t.erred = cured, e
+		part, t.failedServer = cured, e
 	}
 	if again && (o == Succeeded || o == Failed) {
-		d.cures[t.Class.Index].fade(d.now).count(o == Succeeded)
-		t.thing.cure.fade(d.now).count(o == Succeeded)
+		d.retrySuccess[t.Class.Index].decay(d.now).record(o == Succeeded)
+		t.keyState.retrySuccess.decay(d.now).record(o == Succeeded)
 	}
-	if (t.AffinityKey != 0 || len(d.terms.Tenants) > 1) && (o == Succeeded || o == Failed) {
-		far := float64(d.now-max(p.sent, p.started)) > overrun*float64(d.running(t, 0.5))
+	if (t.AffinityKey != 0 || len(d.settings.Tenants) > 1) && (o == Succeeded || o == Failed) {
+		far := float64(d.now-max(p.sentAt, p.startedAt)) > overdueFactor*float64(d.expectedRuntime(t, 0.5))
 		// What is about one thing is alike; of a tenant's long runs alone say nothing.
-		if bad := far && cured < hopeless || t.AffinityKey != 0 && (far || part < hopeless); bad || o == Succeeded {
-			d.jam(t.thing, p, bad)
+		if bad := far && cured < minChance || t.AffinityKey != 0 && (far || part < minChance); bad || o == Succeeded {
+			d.reduceKeyLimit(t.keyState, p, bad)
 		}
 	}
 	switch o {
 	case Succeeded:
-		if !t.Done && d.now <= t.aim {
-			d.schemes[t.Class.Index].earned += t.value
+		if !t.Done && d.now <= t.objectiveAt {
+			d.classValues[t.Class.Index].hits += t.priorityWeight
 		}
-		if !p.blamed {
-			e.h, e.hAt, e.keptTill = min(d.health(e)+reward, 1), d.now, d.now+d.terms.IdleTimeout
-			if e.known {
-				d.kept.add(e)
+		if !p.failureRecorded {
+			e.reliability, e.reliabilityAt, e.idleUntil = min(d.reliability(e)+successBonus, 1), d.now, d.now+d.settings.IdleTimeout
+			if e.listed {
+				d.withIdleConnection.add(e)
 			}
-			d.rank(p, float64(took)/t.unit(), false)
+			d.recordRank(p, float64(took)/t.workUnit(), false)
 		}
-		d.ran(p, d.now-max(p.sent, p.started))
+		d.recordRuntime(p, d.now-max(p.sentAt, p.startedAt))
 	case Failed, TimedOut, ConnectFailed, ConnectionLost, StaleConnection: // Danger: a gone connection, at once, is no sick executor
-		if !p.withdrawn && (o != StaleConnection || took > d.patience()) {
-			d.blame(p, part)
+		if !p.canceled && (o != StaleConnection || took > d.minStartTimeout()) {
+			d.recordFailure(p, part)
 		}
 	case Rejected:
 		// Danger: an executor that turns all away at once looks idle and draws everything; its limit falls as well.
-		e.room = max(e.room, e.limit)
-		d.adjust(p, e.busy+t.Slots, false)
+		e.limitBeforeRejections = max(e.limitBeforeRejections, e.limit)
+		d.adjustLimit(p, e.slotsInFlight+t.Slots, false)
 	}
 	if over {
 		d.Finish(t)
 	} else if o == TimedOut && p.Timeout == 0 { // its client has given up, whatever was told
-		d.finish(t, ClientTimeout)
-	} else if again && o == Failed && part < incurable {
-		d.finish(t, FailsEverywhere)
+		d.giveUp(t, ClientTimeout)
+	} else if again && o == Failed && part < minRetrySuccess {
+		d.giveUp(t, FailsEverywhere)
 	}
-	p.then()
+	p.afterEnd()
 }
 
 // ClientClosed ends a txn whose client has closed, or shut its sending side and may still read: it gets the final answer that the rules allow.
-func (d *Dispatcher) ClientClosed(t *Request) { d.finish(t, ClientGone) }
+func (d *Dispatcher) ClientClosed(t *Request) { d.giveUp(t, ClientGone) }
 
 // Finish ends a txn that is answered, or whose client has gone.
 func (d *Dispatcher) Finish(t *Request) {
-	if t.Done = true; t.forget != nil {
-		t.forget()
+	if t.Done = true; t.cancelDeadline != nil {
+		t.cancelDeadline()
 	}
 	for _, p := range t.Attempts {
-		d.withdraw(p)
+		d.cancelAttempt(p)
 	}
 }
 
-func (d *Dispatcher) withdraw(p *Attempt) {
-	if p.InFlight && !p.withdrawn && d.terms.AllowCancel {
-		p.withdrawn, p.Request.live = true, p.Request.live-1
-		d.door.CancelAttempt(p)
+func (d *Dispatcher) cancelAttempt(p *Attempt) {
+	if p.InFlight && !p.canceled && d.settings.AllowCancel {
+		p.canceled, p.Request.activeAttempts = true, p.Request.activeAttempts-1
+		d.actions.CancelAttempt(p)
 	}
 }
 
-// finish gives the final answer that the rules allow.
-func (d *Dispatcher) finish(t *Request, why Reason) {
+// giveUp gives the final answer that the rules allow.
+func (d *Dispatcher) giveUp(t *Request, why Reason) {
 	if t.Done {
 		return
 	}
@@ -876,56 +878,56 @@
 	d.Finish(t)
 	// Danger: a decline tells the client that trying again is harmless; where it might not be, reverse.
 	s := t.Class
-	if t.anchor() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
-		d.door.Shed(t, d.terms.MaxRetryAfter)
+	if t.firstPossibleRun() == nil || s.Idempotency == Idempotent || s.Idempotency == IdempotentInGroup && s.DedupScope == DedupAll {
+		d.actions.Shed(t, d.settings.MaxRetryAfter)
 	} else {
-		d.door.Compensate(t)
+		d.actions.Compensate(t)
 	}
 }
 
 func (d *Dispatcher) AttemptStarted(p *Attempt) {
-	if !p.InFlight || p.started > 0 {
+	if !p.InFlight || p.startedAt > 0 {
 		return
 	}
 	t, e := p.Request, p.Server
-	p.started, d.prompt = d.now, min(cmp.Or(d.prompt, d.now-p.sent), d.now-p.sent)
-	e.atWork += t.Slots
-	e.model.slots = max(e.model.slots, e.atWork)
-	if d.now-p.sent <= d.tolerated(p) {
-		d.adjust(p, e.busy, true)
+	p.startedAt, d.minStartDelay = d.now, min(cmp.Or(d.minStartDelay, d.now-p.sentAt), d.now-p.sentAt)
+	e.startedSlots += t.Slots
+	e.typeStats.maxSlots = max(e.typeStats.maxSlots, e.startedSlots)
+	if d.now-p.sentAt <= d.startTimeout(p) {
+		d.adjustLimit(p, e.slotsInFlight, true)
 	}
 	// Tied copies: the first to start is kept, the others are still waiting and cost nothing to take back.
 	for _, q := range t.Attempts {
-		if q != p && q.started == 0 {
-			d.withdraw(q)
+		if q != p && q.startedAt == 0 {
+			d.cancelAttempt(q)
 		}
 	}
-	d.watch(p)
+	d.superviseAttempt(p)
 }
 
-func (d *Dispatcher) AttemptProgressed(p *Attempt) { p.told = d.now }
+func (d *Dispatcher) AttemptProgressed(p *Attempt) { p.progressAt = d.now }
 
 // ProcessQueue ends a round of events: it places waiting txns, the worthiest first, or gives them up.
 func (d *Dispatcher) ProcessQueue() {
 	waiting := d.queue
 	d.queue = nil
 	for _, t := range waiting {
-		t.queued, t.earns = false, d.earns(t)
+		t.queued, t.expectedValue = false, d.expectedValue(t)
 	}
-	slices.SortStableFunc(waiting, func(a, b *Request) int { return cmp.Compare(b.earns, a.earns) })
+	slices.SortStableFunc(waiting, func(a, b *Request) int { return cmp.Compare(b.expectedValue, a.expectedValue) })
 	for _, t := range waiting {
 		switch {
-		case t.earns <= 0:
-			d.finish(t, QueueTimeout)
-		case d.now < t.look:
+		case t.expectedValue <= 0:
+			d.giveUp(t, QueueTimeout)
+		case d.now < t.retryAt:
 			d.enqueue(t)
 		default:
-			d.place(t)
+			d.assign(t)
 		}
 	}
-	if len(d.queue) > 0 && !d.pumped {
-		d.pumped = true
-		d.door.Schedule(2*d.terms.Tick, func() { d.pumped = false })
+	if len(d.queue) > 0 && !d.queueTimerSet {
+		d.queueTimerSet = true
+		d.actions.Schedule(2*d.settings.Tick, func() { d.queueTimerSet = false })
 	}
 }
 
@@ -936,22 +938,22 @@
 	}
 }
 
-// earns is the billing value a slot and second to be expected of a waiting txn; 0: give it up now.
-func (d *Dispatcher) earns(t *Request) float64 {
+// expectedValue is the billing value a slot and second to be expected of a waiting txn; 0: give it up now.
+func (d *Dispatcher) expectedValue(t *Request) float64 {
 	late := t.Class.LateShare
-	part, atOnce, age := late+(1-late)*d.onTime(t, d.now), late+(1-late)*d.onTime(t, t.arrived), d.now-t.arrived
+	part, atOnce, age := late+(1-late)*d.onTime(t, d.now), late+(1-late)*d.onTime(t, t.arrivedAt), d.now-t.arrivedAt
 	// Danger: hints that are off make the best of chances look slim. It is the wait that takes a txn's hope.
-	if part < hopeless*atOnce || d.now+d.running(t, lowEnd) >= t.Deadline || age > 2*(t.aim-t.arrived) {
+	if part < minChance*atOnce || d.now+d.expectedRuntime(t, lowQuantile) >= t.Deadline || age > 2*(t.objectiveAt-t.arrivedAt) {
 		return 0
 	}
-	return part * t.value / t.size * d.favour(t.Class)
+	return part * t.priorityWeight / t.size * d.classPreference(t.Class)
 }
 
 // onTime is the chance that a txn started then ends in time; without a hint only long jobs make up for waits.
 func (d *Dispatcher) onTime(t *Request, at int64) float64 {
-	room, runs := float64(t.arrived+t.Class.LatencyObjective-at), &d.runs[t.Class.Index]
+	room, runs := float64(t.arrivedAt+t.Class.LatencyObjective-at), &d.runtimes[t.Class.Index]
 	if t.ExpectedWork > 0 {
-		return runs.below(room/float64(t.ExpectedWork) + t.Class.ObjectivePerWork)
+		return runs.shareBelow(room/float64(t.ExpectedWork) + t.Class.ObjectivePerWork)
 	}
-	return 1 - runs.below(-room/1e9/max(t.Class.ObjectivePerWork-1, 0.1))
+	return 1 - runs.shareBelow(-room/1e9/max(t.Class.ObjectivePerWork-1, 0.1))
 }
