--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -22,34 +22,34 @@
 	"fernrail/internal/protocol"
 )
 
-// reserve is kept for what has no place in the budget: standard files, the poller, the listener, discovery, files of the
+// reservedDescriptors is kept for what has no place in the budget: standard files, the poller, the listener, discovery, files of the
 // runtime, a client's new connection that waits for its place. A node at rest was seen to hold ten.
-const reserve = 16
+const reservedDescriptors = 16
 
-// side is who a connection leads to.
-type side int
+// connectionSide is who a connection leads to.
+type connectionSide int
 
 const (
-	clients side = iota
-	executors
+	clientSide connectionSide = iota
+	serverSide
 )
 
-func (s side) String() string { return [...]string{"clients", "executors"}[s] }
+func (s connectionSide) String() string { return [...]string{"clients", "executors"}[s] }
 
 const (
-	// most is the part of the budget that one side may hold. What is left to the other carries a request for each place
+	// maxSideFraction is the part of the budget that one side may hold. What is left to the other carries a request for each place
 	// of a third, which is what clients use, and its second copies.
-	most = 0.6
-	// unknown is the part of the budget that clients' connections may hold before they have handed a request in.
+	maxSideFraction = 0.6
+	// maxPendingFraction is the part of the budget that clients' connections may hold before they have handed a request in.
 	// Beside a third for requests it leaves executors their part.
-	unknown = 0.25
-	// young is how long a stranger is left alone while there are places: a node short of its core takes many connections
+	maxPendingFraction = 0.25
+	// evictionGrace is how long a stranger is left alone while there are places: a node short of its core takes many connections
 	// before it reads the requests that wait on them.
-	young = 100 * time.Millisecond
-	// strangersLooked is how many strangers are looked at for one that can go; each costs a system call.
-	strangersLooked = 32
-	// evictions is how many strangers a new one may drive out.
-	evictions = 8
+	evictionGrace = 100 * time.Millisecond
+	// evictionScanLimit is how many strangers are looked at for one that can go; each costs a system call.
+	evictionScanLimit = 32
+	// maxEvictionsPerAccept is how many strangers a new one may drive out.
+	maxEvictionsPerAccept = 8
 	// ahead is how many bytes behind its request are kept of a client while that is at work: a whole next request. What
 	// comes beyond that is thrown away, since the client's close is behind it, and the connection ends with the answer.
 	ahead = protocol.MaxBodyBytes + 32<<10
@@ -72,24 +72,24 @@
 	mu        sync.Mutex
 	changed   sync.Cond // a place or the last request may be free
 	total     int
-	most      [2]int
+	maxHeld      [2]int
 	held      [2]int
-	strange   int // strangers at most, but for young ones
-	young     time.Duration
-	spare     int            // of the clients' places, kept for those that can only be turned away
+	maxPending   int // strangers at most, but for young ones
+	evictionGrace     time.Duration
+	rejectReserve     int            // of the clients' places, kept for those that can only be turned away
 	idle      [2]list.List   // of *conn
-	kept      map[string]int // of the idle ones to executors, by address
-	strangers list.List      // of *conn, with those whose last answer is given
-	yielding  int            // clients' connections told to give way and not closed yet
-	working   int            // clients' connections with a request on them
+	idleByAddress      map[string]int // of the idle ones to executors, by address
+	pending list.List      // of *conn, with those whose last answer is given
+	reclaiming  int            // clients' connections told to give way and not closed yet
+	active   int            // clients' connections with a request on them
 	lingering int            // clients' connections that wait for the client to read its answer and close
-	stopping  bool
-	ended     bool // nothing is taken any more
+	idleDisabled  bool
+	closed     bool // nothing is taken any more
 	log       zerolog.Logger
 }
 
 func NewConnectionBudget(sockets int) *ConnectionBudget {
-	d := &ConnectionBudget{young: young, kept: map[string]int{}, log: zerolog.Nop()}
+	d := &ConnectionBudget{evictionGrace: evictionGrace, idleByAddress: map[string]int{}, log: zerolog.Nop()}
 	d.changed.L = &d.mu
 	d.Resize(sockets)
 	return d
@@ -102,99 +102,99 @@
 func (d *ConnectionBudget) Resize(sockets int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.total = max(sockets-reserve, 4)
+	d.total = max(sockets-reservedDescriptors, 4)
 	part := func(of float64) int { return max(int(of*float64(d.total)), 1) }
-	d.most, d.strange, d.spare = [2]int{part(most), part(most)}, part(unknown), part(most/8)
-	over := func() int { return d.held[clients] + d.held[executors] - d.yielding - d.total }
-	for over() > 0 && d.idle[executors].Len() > 0 {
-		d.end(&d.idle[executors])
+	d.maxHeld, d.maxPending, d.rejectReserve = [2]int{part(maxSideFraction), part(maxSideFraction)}, part(maxPendingFraction), part(maxSideFraction/8)
+	over := func() int { return d.held[clientSide] + d.held[serverSide] - d.reclaiming - d.total }
+	for over() > 0 && d.idle[serverSide].Len() > 0 {
+		d.evictFirst(&d.idle[serverSide])
 	}
-	for over() > 0 && d.idle[clients].Len() > 0 {
-		d.yield()
+	for over() > 0 && d.idle[clientSide].Len() > 0 {
+		d.reclaimIdleClient()
 	}
 	d.changed.Broadcast()
 }
 
-// left is how many more places a side may take. Under mu.
-func (d *ConnectionBudget) left(of side) int {
-	return min(d.most[of]-d.held[of], d.total-d.held[clients]-d.held[executors])
+// available is how many more places a side may take. Under mu.
+func (d *ConnectionBudget) available(of connectionSide) int {
+	return min(d.maxHeld[of]-d.held[of], d.total-d.held[clientSide]-d.held[serverSide])
 }
 
-// take asks for a place; where none is left an idle connection or a stranger has to give way.
-func (d *ConnectionBudget) take(of side) bool {
+// acquire asks for a place; where none is left an idle connection or a stranger has to give way.
+func (d *ConnectionBudget) acquire(of connectionSide) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	// Those that came before had not been read when the next ones came; so more than one may have to go.
-	for range evictions {
-		if of != clients || d.strangers.Len() < d.strange {
+	for range maxEvictionsPerAccept {
+		if of != clientSide || d.pending.Len() < d.maxPending {
 			break
 		}
-		c := d.needless()
-		if c == nil || d.left(of) > 0 && time.Since(c.came) < d.young {
+		c := d.evictionCandidate()
+		if c == nil || d.available(of) > 0 && time.Since(c.came) < d.evictionGrace {
 			break
 		}
 		d.evict(c)
 	}
-	if d.left(of) <= 0 {
+	if d.available(of) <= 0 {
 		switch {
-		case d.idle[executors].Len() > 0 && (of == executors || d.held[of] < d.most[of]):
-			d.end(&d.idle[executors])
-		case of == clients && d.yielding+d.idle[clients].Len() > 0:
-			if d.yielding == 0 {
-				d.yield()
+		case d.idle[serverSide].Len() > 0 && (of == serverSide || d.held[of] < d.maxHeld[of]):
+			d.evictFirst(&d.idle[serverSide])
+		case of == clientSide && d.reclaiming+d.idle[clientSide].Len() > 0:
+			if d.reclaiming == 0 {
+				d.reclaimIdleClient()
 			}
-		case of == clients || d.held[of] < d.most[of]:
-			if c := d.needless(); c != nil {
+		case of == clientSide || d.held[of] < d.maxHeld[of]:
+			if c := d.evictionCandidate(); c != nil {
 				d.evict(c)
 			} else {
-				d.end(&d.strangers)
+				d.evictFirst(&d.pending)
 			}
 		}
 	}
-	if d.left(of) <= 0 {
+	if d.available(of) <= 0 {
 		return false
 	}
 	d.held[of]++
 	return true
 }
 
-// greet finds a place for a client's new connection, a stranger. It is a spare one if clients have come to the spare
+// acceptClient finds a place for a client's new connection, a stranger. It is a spare one if clients have come to the spare
 // places, though an idle connection gives way.
-func (d *ConnectionBudget) greet(fresh net.Conn) *conn {
-	for !d.take(clients) {
+func (d *ConnectionBudget) acceptClient(fresh net.Conn) *conn {
+	for !d.acquire(clientSide) {
 		d.mu.Lock()
-		if d.left(clients) <= 0 {
+		if d.available(clientSide) <= 0 {
 			d.changed.Wait()
 		}
 		d.mu.Unlock()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	short := func() bool { return d.left(clients)+d.yielding+d.strangers.Len() < d.spare }
+	short := func() bool { return d.available(clientSide)+d.reclaiming+d.pending.Len() < d.rejectReserve }
 	if short() {
-		d.yield()
+		d.reclaimIdleClient()
 	}
-	c := &conn{Conn: fresh, owner: d, of: clients, spare: short(), came: time.Now()}
-	c.put(&d.strangers)
+	c := &conn{Conn: fresh, owner: d, of: clientSide, spare: short(), came: time.Now()}
+	c.put(&d.pending)
 	return c
 }
 
-// admit takes a client's connection for a known one, with its first whole request; false: it had to go.
-func (d *ConnectionBudget) admit(c *conn) bool {
+// establish takes a client's connection for a known one, with its first whole request; false: it had to go.
+func (d *ConnectionBudget) establish(c *conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !c.closed && c.in == &d.strangers {
+	if !c.closed && c.in == &d.pending {
 		c.put(nil)
 	}
-	return !c.closed && !d.ended
+	return !c.closed && !d.closed
 }
 
-// needless is the longest waiting stranger that can go: it has its answer, has sent nothing, or half a head at the most; nil: there is
+// evictionCandidate is the longest waiting stranger that can go: it has its answer, has sent nothing, or half a head at the most; nil: there is
 // none among those that are looked at. Under mu.
 // Danger: at a process that is behind, whole requests lie unread in the sockets of strangers, and end with no answer.
-func (d *ConnectionBudget) needless() *conn {
-	e := d.strangers.Front()
-	for looked := 0; e != nil && looked < strangersLooked; looked++ {
+func (d *ConnectionBudget) evictionCandidate() *conn {
+	e := d.pending.Front()
+	for looked := 0; e != nil && looked < evictionScanLimit; looked++ {
 		if c := e.Value.(*conn); c.came.IsZero() || (!c.working || !c.head.whole()) && !c.unread() {
 			return c
 		}
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// end closes the first connection of a list, if there is one, to make room. Under mu.
-func (d *ConnectionBudget) end(of *list.List) {
+// evictFirst closes the first connection of a list, if there is one, to make room. Under mu.
+func (d *ConnectionBudget) evictFirst(of *list.List) {
 	if first := of.Front(); first != nil {
 		d.evict(first.Value.(*conn))
 	}
@@ -213,128 +213,128 @@
 // evict closes a connection to make room. Under mu.
 func (d *ConnectionBudget) evict(c *conn) {
 	c.put(nil)
-	c.yielded, c.lingered = c.of == executors, true
+	c.yielded, c.lingered = c.of == serverSide, true
 	held := d.held
 	d.mu.Unlock()
-	d.log.Debug().Stringer("side", c.of).Str("executor", c.address).Int("clients", held[clients]).Int("executors", held[executors]).
+	d.log.Debug().Stringer("side", c.of).Str("executor", c.address).Int("clients", held[clientSide]).Int("executors", held[serverSide]).
 		Int("most", d.total).Msg("connection closed to make room")
 	c.Close()
 	d.mu.Lock()
 }
 
-// yield has the longest idle of the clients' connections closed, if there is one. Under mu.
-func (d *ConnectionBudget) yield() {
-	if first := d.idle[clients].Front(); first != nil {
-		d.wake(first.Value.(*conn))
+// reclaimIdleClient has the longest idle of the clients' connections closed, if there is one. Under mu.
+func (d *ConnectionBudget) reclaimIdleClient() {
+	if first := d.idle[clientSide].Front(); first != nil {
+		d.reclaim(first.Value.(*conn))
 	}
 }
 
-// wake has a client's connection closed that has no request on it. Under mu.
+// reclaim has a client's connection closed that has no request on it. Under mu.
 // Danger: a request that is being read while its connection is closed is lost. A client's connection is therefore
 // only waked, and the server closes it; if a request's first bytes have come by then, it is served instead.
-func (d *ConnectionBudget) wake(c *conn) {
+func (d *ConnectionBudget) reclaim(c *conn) {
 	c.put(nil)
 	c.yielded = true
-	d.yielding++
+	d.reclaiming++
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// dismiss has clients' connections closed that have not sent a byte for so long.
-func (d *ConnectionBudget) dismiss(after time.Duration) {
+// reclaimSilent has clients' connections closed that have not sent a byte for so long.
+func (d *ConnectionBudget) reclaimSilent(after time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for e := d.strangers.Front(); e != nil; {
+	for e := d.pending.Front(); e != nil; {
 		c := e.Value.(*conn)
 		if e = e.Next(); !c.working && !c.came.IsZero() && time.Since(c.came) >= after {
-			d.wake(c)
+			d.reclaim(c)
 		}
 	}
 }
 
-func (d *ConnectionBudget) give(of side) {
+func (d *ConnectionBudget) release(of connectionSide) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.held[of]--
 	d.changed.Broadcast()
 }
 
-// busy marks a connection as in use and numbers the use.
-func (d *ConnectionBudget) busy(c *conn) int {
+// markActive marks a connection as in use and numbers the use.
+func (d *ConnectionBudget) markActive(c *conn) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.leave(c)
+	d.clearState(c)
 	c.uses++
-	if c.of == clients && !c.working {
+	if c.of == clientSide && !c.working {
 		c.working = true
-		d.working++
+		d.active++
 	}
 	return c.uses
 }
 
-// leave takes a connection out of all that is counted, but for the strangers. Under mu.
-func (d *ConnectionBudget) leave(c *conn) {
+// clearState takes a connection out of all that is counted, but for the strangers. Under mu.
+func (d *ConnectionBudget) clearState(c *conn) {
 	if c.working {
 		c.working = false
-		d.working--
+		d.active--
 		d.changed.Broadcast()
 	}
 	if c.in == &d.idle[c.of] {
 		c.put(nil)
-		if c.of == clients {
+		if c.of == clientSide {
 			c.Conn.SetReadDeadline(time.Now().Add(slowest)) // the server's own limit waits for some bytes more
 		}
 	}
-	if c.yielded && c.of == clients {
+	if c.yielded && c.of == clientSide {
 		c.yielded = false
-		d.yielding--
+		d.reclaiming--
 		d.changed.Broadcast()
 		c.Conn.SetReadDeadline(time.Now().Add(slowest))
 	}
 }
 
-// rest marks a connection as idle after a use.
+// markIdle marks a connection as idle after a use.
 // Danger: the library tells late that a connection rests; by then the next request may have it.
-func (d *ConnectionBudget) rest(c *conn, use int) {
+func (d *ConnectionBudget) markIdle(c *conn, use int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if use != c.uses || c.in != nil || c.closed {
 		return
 	}
-	d.leave(c)
-	if c.put(&d.idle[c.of]); d.stopping && c.of == clients {
-		d.yield()
+	d.clearState(c)
+	if c.put(&d.idle[c.of]); d.idleDisabled && c.of == clientSide {
+		d.reclaimIdleClient()
 	}
 }
 
-// retire closes clients' connections that are idle, now and from now on.
-func (d *ConnectionBudget) retire() {
+// disableIdle closes clients' connections that are idle, now and from now on.
+func (d *ConnectionBudget) disableIdle() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stopping = true
-	for d.idle[clients].Len() > 0 {
-		d.yield()
+	d.idleDisabled = true
+	for d.idle[clientSide].Len() > 0 {
+		d.reclaimIdleClient()
 	}
 }
 
-// resume lets clients' connections be idle again.
-func (d *ConnectionBudget) resume() {
+// enableIdle lets clients' connections be idle again.
+func (d *ConnectionBudget) enableIdle() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stopping = false
+	d.idleDisabled = false
 }
 
-// vacant waits until no client's connection is left, or there is no more time.
-func (d *ConnectionBudget) vacant(ctx context.Context) {
-	defer d.wakeUp(ctx)()
+// waitForNoClients waits until no client's connection is left, or there is no more time.
+func (d *ConnectionBudget) waitForNoClients(ctx context.Context) {
+	defer d.broadcastWhenDone(ctx)()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for d.held[clients] > 0 && ctx.Err() == nil {
+	for d.held[clientSide] > 0 && ctx.Err() == nil {
 		d.changed.Wait()
 	}
 }
 
-// wakeUp ends waits for changes with their context.
-func (d *ConnectionBudget) wakeUp(ctx context.Context) (stop func() bool) {
+// broadcastWhenDone ends waits for changes with their context.
+func (d *ConnectionBudget) broadcastWhenDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -342,19 +342,19 @@
 	})
 }
 
-// empty waits until no client's request is left, no idle connection, and no answer that may not have been read. Halves of
+// waitForRequests waits until no client's request is left, no idle connection, and no answer that may not have been read. Halves of
 // requests by strangers are nobody's loss when time is up. Nothing is taken from then on.
 // Danger: a request that is read between the last look and the end of the process; it is sent on, and nobody answers it.
-func (d *ConnectionBudget) empty(ctx context.Context) error {
-	defer d.wakeUp(ctx)()
+func (d *ConnectionBudget) waitForRequests(ctx context.Context) error {
+	defer d.broadcastWhenDone(ctx)()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for d.working+d.lingering+d.yielding > 0 && ctx.Err() == nil {
+	for d.active+d.lingering+d.reclaiming > 0 && ctx.Err() == nil {
 		d.changed.Wait()
 	}
-	d.ended = true
-	owed := d.working
-	for e := d.strangers.Front(); e != nil; e = e.Next() {
+	d.closed = true
+	owed := d.active
+	for e := d.pending.Front(); e != nil; e = e.Next() {
 		if e.Value.(*conn).working {
 			owed--
 		}
@@ -369,7 +369,7 @@
 func (d *ConnectionBudget) IdleConnections(address string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.kept[address]
+	return d.idleByAddress[address]
 }
 
 // conn is a connection with its place in the budget. For those to executors it also keeps what proves that a
@@ -377,7 +377,7 @@
 type conn struct {
 	net.Conn
 	owner   *ConnectionBudget
-	of      side
+	of      connectionSide
 	address string // of the executor
 	came    time.Time
 	spare   bool // a client's that can only be turned away
@@ -418,14 +418,14 @@
 func (c *conn) put(to *list.List) {
 	if c.in != nil {
 		c.in.Remove(c.at)
-		if c.of == executors {
-			if c.owner.kept[c.address]--; c.owner.kept[c.address] == 0 {
-				delete(c.owner.kept, c.address)
+		if c.of == serverSide {
+			if c.owner.idleByAddress[c.address]--; c.owner.idleByAddress[c.address] == 0 {
+				delete(c.owner.idleByAddress, c.address)
 			}
 		}
 	}
-	if to != nil && c.of == executors {
-		c.owner.kept[c.address]++
+	if to != nil && c.of == serverSide {
+		c.owner.idleByAddress[c.address]++
 	}
 	if c.in, c.at = to, nil; to != nil {
 		c.at = to.PushBack(c)
@@ -433,7 +433,7 @@
 }
 
 func (c *conn) Close() error {
-	if c.of == clients {
+	if c.of == clientSide {
 		c.lingerOn()
 	}
 	c.owner.mu.Lock()
@@ -445,7 +445,7 @@
 	// Danger: who waits for the last connection goes on while it is still open.
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	if c.owner.leave(c); first {
+	if c.owner.clearState(c); first {
 		c.owner.held[c.of]--
 		c.owner.changed.Broadcast()
 	}
@@ -458,14 +458,14 @@
 func (c *conn) lingerOn() {
 	half, can := c.Conn.(interface{ CloseWrite() error })
 	c.owner.mu.Lock()
-	if !can || c.closed || c.lingered || c.yielded || c.in == &c.owner.idle[clients] || !c.answered.Load() {
+	if !can || c.closed || c.lingered || c.yielded || c.in == &c.owner.idle[clientSide] || !c.answered.Load() {
 		c.owner.mu.Unlock()
 		return
 	}
 	c.lingered = true
-	c.owner.leave(c)
+	c.owner.clearState(c)
 	c.came = time.Time{}
-	c.put(&c.owner.strangers)
+	c.put(&c.owner.pending)
 	c.owner.lingering++
 	c.owner.mu.Unlock()
 	if half.CloseWrite() == nil {
@@ -481,7 +481,7 @@
 // Read notes the first bytes of a client's request: from then on the connection is in use, long before the library
 // says so.
 func (c *conn) Read(b []byte) (int, error) {
-	if c.of != clients {
+	if c.of != clientSide {
 		n, err := c.Conn.Read(b)
 		if n > 0 {
 			c.turn.CompareAndSwap(asked, heard)
@@ -507,7 +507,7 @@
 		}
 	}
 	if n > 0 {
-		c.owner.busy(c)
+		c.owner.markActive(c)
 		n = c.head.look(b[:n])
 	}
 	return n, err
@@ -642,7 +642,7 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	if c.yielded && c.of == clients {
+	if c.yielded && c.of == clientSide {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -654,7 +654,7 @@
 	c.owner.mu.Lock()
 	if !c.closed {
 		c.came = time.Time{}
-		c.put(&c.owner.strangers)
+		c.put(&c.owner.pending)
 	}
 	c.owner.mu.Unlock()
 	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
@@ -665,7 +665,7 @@
 
 // Write keeps the proof. Requests are written in order, so one that was cut short was not written to its end.
 func (c *conn) Write(b []byte) (int, error) {
-	if c.of == clients {
+	if c.of == clientSide {
 		c.answered.Store(true)
 		return c.Conn.Write(b)
 	}
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -164,9 +164,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := d.greet(far)
+	c := d.acceptClient(far)
 	d.mu.Lock()
-	d.wake(c)
+	d.reclaim(c)
 	d.mu.Unlock()
 	buffer := make([]byte, 10)
 	if n, err := c.Read(buffer); n != 0 || err == nil {
@@ -182,7 +182,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c.yielded || d.yielding != 0 || !c.working {
+	if c.yielded || d.reclaiming != 0 || !c.working {
 		t.Error("a connection with a request on it is still to go")
 	}
 }
@@ -213,7 +213,7 @@
 
 // TestResize: what is idle goes when the budget shrinks, and all may come back when it grows.
 func TestResize(t *testing.T) {
-	d := NewConnectionBudget(reserve + 100)
+	d := NewConnectionBudget(reservedDescriptors + 100)
 	_, address := node(t, d, settled)
 	var kept []net.Conn
 	for range 20 {
@@ -221,13 +221,13 @@
 		answer(t, c)
 		kept = append(kept, c)
 	}
-	d.Resize(reserve + 10)
+	d.Resize(reservedDescriptors + 10)
 	for start, held := time.Now(), 20; held > 10 && time.Since(start) < 2*time.Second; time.Sleep(time.Millisecond) {
 		d.mu.Lock()
-		held = d.held[clients]
+		held = d.held[clientSide]
 		d.mu.Unlock()
 	}
-	d.Resize(reserve + 100)
+	d.Resize(reservedDescriptors + 100)
 	closed := 0
 	for _, c := range kept {
 		io.WriteString(c, ask+"b")
--- a/internal/transport/executors.go
+++ b/internal/transport/executors.go
@@ -49,21 +49,21 @@
 	x := &ServerClient{values: values, wrote: wrote, dials: func(string) bool { return true }, lag: func() int64 { return 0 }, connect: dialer.DialContext}
 	x.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			if !d.take(executors) {
+			if !d.acquire(serverSide) {
 				return nil, errShort
 			}
 			// Danger: connections that all nodes open together, at an executor that has just come back.
 			if !x.dials(address) {
-				d.give(executors)
+				d.release(serverSide)
 				return nil, errHeld
 			}
 			c, err := x.dial(ctx, network, address, dial)
 			if err != nil {
-				d.give(executors)
+				d.release(serverSide)
 				return nil, err
 			}
-			fresh := &conn{Conn: c, owner: d, of: executors, address: address}
-			d.rest(fresh, 0) // its request may have found another meanwhile
+			fresh := &conn{Conn: c, owner: d, of: serverSide, address: address}
+			d.markIdle(fresh, 0) // its request may have found another meanwhile
 			return fresh, nil
 		},
 		// Danger: a request written to a connection as the executor closes it may have run. Ours end first.
@@ -125,7 +125,7 @@
 	return &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
 			h.conn = i.Conn.(*conn)
-			h.use = h.conn.owner.busy(h.conn)
+			h.use = h.conn.owner.markActive(h.conn)
 			if h.job == nil {
 				h.conn.start(nil)
 				return
@@ -136,7 +136,7 @@
 		GotFirstResponseByte: func() { h.stray = h.conn.turn.Load() != heard },
 		PutIdleConn: func(err error) {
 			if err == nil {
-				h.conn.owner.rest(h.conn, h.use)
+				h.conn.owner.markIdle(h.conn, h.use)
 			}
 		},
 	}
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -137,7 +137,7 @@
 				case "an attempt is out":
 					within(t, "an attempt", arrived)
 				default:
-					until(t, "a request at work", func() bool { return count(d, &d.working) > strangers(d) })
+					until(t, "a request at work", func() bool { return count(d, &d.active) > strangers(d) })
 				}
 				closing(c)
 				within(t, "that the client has gone", gone)
@@ -292,7 +292,7 @@
 func strangers(d *ConnectionBudget) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.strangers.Len()
+	return d.pending.Len()
 }
 
 // TestNothingIsTakenAfterTheEnd: a stranger's second half comes when the server has ended. It is not served, and nothing is made up.
@@ -303,7 +303,7 @@
 		return nil
 	})
 	c := call(t, address, ask[:30])
-	until(t, "its first bytes", func() bool { return count(d, &d.working) > 0 })
+	until(t, "its first bytes", func() bool { return count(d, &d.active) > 0 })
 	if err := s.Stop(50*time.Millisecond, false); err != nil {
 		t.Error(err)
 	}
@@ -323,7 +323,7 @@
 		t.Error(err)
 	}
 	shuts(t, "silent", silent, time.Second)
-	if held := count(s.descriptors, &s.descriptors.held[clients]); held > 0 {
+	if held := count(s.descriptors, &s.descriptors.held[clientSide]); held > 0 {
 		t.Errorf("%d connections at the end", held)
 	}
 }
--- a/internal/transport/machine_errors_test.go
+++ b/internal/transport/machine_errors_test.go
@@ -71,7 +71,7 @@
 		if got := do(t.Context(), x, "127.0.0.1:9"); got.outcome != want {
 			t.Errorf("%v: %v in place of %v", cause, got.outcome, want)
 		}
-		if d.held[executors] != 0 {
+		if d.held[serverSide] != 0 {
 			t.Errorf("%v: a place is kept", cause)
 		}
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -90,7 +90,7 @@
 		ErrorLog: log.New(l.With().Str("part", "net/http").Logger().Sample(&zerolog.BurstSampler{Burst: 20, Period: time.Second}), "", 0),
 		ConnState: func(c net.Conn, state http.ConnState) {
 			if c := c.(*conn); state == http.StateIdle {
-				d.rest(c, c.uses)
+				d.markIdle(c, c.uses)
 			}
 		}}
 	return s
@@ -126,7 +126,7 @@
 	}
 	// Danger: a connection that is left waiting may hold a txn. Only a newcomer makes others give way, so none does
 	// without need; those in spare places are answered and closed at once.
-	return l.descriptors.greet(c), nil
+	return l.descriptors.acceptClient(c), nil
 }
 
 // inherited is a listening socket that other processes hold as well.
@@ -197,7 +197,7 @@
 // release ends connections between requests, now and from now on.
 func (s *Server) release() {
 	s.closing.Store(true)
-	s.descriptors.retire()
+	s.descriptors.disableIdle()
 }
 
 // sweep closes connections that were opened and say nothing.
@@ -206,7 +206,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.phase == draining {
-		s.descriptors.dismiss(arriving)
+		s.descriptors.reclaimSilent(arriving)
 		s.sweeps.Reset(sweep)
 	}
 }
@@ -224,7 +224,7 @@
 		s.sweeps.Stop()
 		s.phase, s.away = serving, false
 		s.closing.Store(false)
-		s.descriptors.resume()
+		s.descriptors.enableIdle()
 	}
 	return nil
 }
@@ -244,15 +244,15 @@
 		s.closing.Store(true)
 		s.listener.Close()
 		some, enough := context.WithTimeout(ctx, time.Duration(farewell*float64(within)))
-		s.descriptors.vacant(some)
+		s.descriptors.waitForNoClients(some)
 		enough()
 	} else {
 		time.Sleep(max(time.Duration(open*float64(within)), min(quiet, within)))
 	}
 	s.release()
 	s.listener.Close()
-	s.descriptors.dismiss(0)
-	return s.descriptors.empty(ctx)
+	s.descriptors.reclaimSilent(0)
+	return s.descriptors.waitForRequests(ctx)
 }
 
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -279,7 +279,7 @@
 	defer func() { ended(status) }()
 	// Danger: a handler that returns without an answer has given one, to the library: 200, with a result that no executor made. A
 	// client that shut its sending side alone reads it.
-	if !s.descriptors.admit(c) {
+	if !s.descriptors.establish(c) {
 		panic(http.ErrAbortHandler)
 	}
 	c.attend()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -218,7 +218,7 @@
 		}, true},
 	} {
 		near, far := net.Pipe()
-		u := &conn{Conn: near, owner: NewConnectionBudget(64), of: executors}
+		u := &conn{Conn: near, owner: NewConnectionBudget(64), of: serverSide}
 		u.start(nil)
 		c.use(u, far)
 		if never, _ := u.unsent(0); never != c.want {
@@ -250,8 +250,8 @@
 	tell := func() { told <- struct{}{} }
 	do(t.Context(), x, e.Addr().String(), tell)
 	do(t.Context(), x, e.Addr().String(), tell)
-	if accepted, _ := e.seen(); accepted != 1 || d.idle[executors].Len() != 1 {
-		t.Errorf("%d connections, %d idle", accepted, d.idle[executors].Len())
+	if accepted, _ := e.seen(); accepted != 1 || d.idle[serverSide].Len() != 1 {
+		t.Errorf("%d connections, %d idle", accepted, d.idle[serverSide].Len())
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	withdraw <- cancel
@@ -275,7 +275,7 @@
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				// A busy machine may not have come to a connection by then; the place is that of the attempt at one.
-				if came > 0 && d.held[executors] > 0 {
+				if came > 0 && d.held[serverSide] > 0 {
 					t.Errorf("%s: the connection is open still", name)
 				}
 			})
@@ -319,7 +319,7 @@
 	slow := play(t, func(c net.Conn, _ int) bool { io.WriteString(c, head+line("started")); <-hold; return false })
 	quick := play(t, says(head+line("done")+end, true))
 	d, x := fresh()
-	d.most[executors] = 1
+	d.maxHeld[serverSide] = 1
 	if got := do(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.Succeeded {
 		t.Fatalf("%+v", got)
 	}
@@ -344,7 +344,7 @@
 func TestUnusedConnectionGivesWay(t *testing.T) {
 	e := play(t, says(head+line("done")+end, true))
 	d, x := fresh()
-	d.most[executors] = 1
+	d.maxHeld[serverSide] = 1
 	if _, err := x.transport.DialContext(t.Context(), "tcp", e.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
@@ -357,13 +357,13 @@
 func TestRestIsOfTheLastUse(t *testing.T) {
 	d := NewConnectionBudget(64)
 	near, _ := net.Pipe()
-	c := &conn{Conn: near, owner: d, of: executors}
-	first := d.busy(c)
-	second := d.busy(c)
-	if d.rest(c, first); d.idle[executors].Len() != 0 {
+	c := &conn{Conn: near, owner: d, of: serverSide}
+	first := d.markActive(c)
+	second := d.markActive(c)
+	if d.markIdle(c, first); d.idle[serverSide].Len() != 0 {
 		t.Error("a connection in use counts as idle")
 	}
-	if d.rest(c, second); d.idle[executors].Len() != 1 {
+	if d.markIdle(c, second); d.idle[serverSide].Len() != 1 {
 		t.Error("an idle connection is not known")
 	}
 }
@@ -450,7 +450,7 @@
 // that work; what a connection got an error for is one of them while it lingers.
 func TestStrangersGiveWay(t *testing.T) {
 	d := NewConnectionBudget(64)
-	d.young = 0
+	d.evictionGrace = 0
 	_, address := node(t, d, settled)
 	kept := call(t, address, ask+"b")
 	if got := answer(t, kept); got.StatusCode != 200 {
@@ -468,7 +468,7 @@
 		t.Error(got)
 	}
 	start := time.Now()
-	for _, c := range silent[:100-2*d.strange] {
+	for _, c := range silent[:100-2*d.maxPending] {
 		io.Copy(io.Discard, c) // until it is closed
 	}
 	if took := time.Since(start); took > time.Second {
@@ -476,8 +476,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.held[clients] > d.strange+3 {
-		t.Errorf("%d places are held", d.held[clients])
+	if d.held[clientSide] > d.maxPending+3 {
+		t.Errorf("%d places are held", d.held[clientSide])
 	}
 }
 
@@ -486,7 +486,7 @@
 // Danger: at a process that is behind these are the longest waiting, and were closed with no answer.
 func TestUnreadRequestsDoNotGiveWay(t *testing.T) {
 	d := NewConnectionBudget(64)
-	d.young = 0
+	d.evictionGrace = 0
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -499,13 +499,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fresh := d.greet(c)
+		fresh := d.acceptClient(c)
 		t.Cleanup(func() { fresh.Close() })
 		all = append(all, fresh)
 		until(t, "its bytes", func() bool { return text == "" || fresh.unread() })
 		return fresh
 	}
-	for range d.strange - 1 {
+	for range d.maxPending - 1 {
 		come(ask + "b")
 	}
 	silent := come("")
@@ -522,10 +522,10 @@
 // TestYoungStrangersAreServed: clients that all come at once are not taken for such as say nothing.
 func TestYoungStrangersAreServed(t *testing.T) {
 	d := NewConnectionBudget(64)
-	d.young = time.Minute
+	d.evictionGrace = time.Minute
 	_, address := node(t, d, settled)
 	var all []net.Conn
-	for range 2 * d.strange {
+	for range 2 * d.maxPending {
 		all = append(all, call(t, address, ask))
 	}
 	for _, c := range all {
@@ -592,7 +592,7 @@
 func TestShortOfDescriptors(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
 	d := NewConnectionBudget(1024)
-	d.most[clients], d.spare = 2, 1
+	d.maxHeld[clientSide], d.rejectReserve = 2, 1
 	_, address := node(t, d, func(context.Context, *protocol.Request) *protocol.Response {
 		taken <- struct{}{}
 		<-hold
@@ -622,10 +622,10 @@
 	io.WriteString(c, ask[:half])
 	for read := 0; read == 0; time.Sleep(time.Millisecond) { // until its first bytes are read
 		d.mu.Lock()
-		read = 1 - d.idle[clients].Len()
+		read = 1 - d.idle[clientSide].Len()
 		d.mu.Unlock()
 	}
-	d.retire()
+	d.disableIdle()
 	io.WriteString(c, ask[half:]+"b")
 	if got := answer(t, c); got.StatusCode != 200 {
 		t.Error(got)
@@ -636,25 +636,25 @@
 func TestYieldIsNotUndone(t *testing.T) {
 	d := NewConnectionBudget(64)
 	near, far := net.Pipe()
-	c := &conn{Conn: near, owner: d, of: clients}
-	d.rest(c, d.busy(c))
-	d.retire()
+	c := &conn{Conn: near, owner: d, of: clientSide}
+	d.markIdle(c, d.markActive(c))
+	d.disableIdle()
 	start := time.Now()
 	c.SetReadDeadline(start.Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(start) > 2*time.Second {
 		t.Fatal(err, time.Since(start))
 	}
-	d.busy(c) // had its request's first byte come before
+	d.markActive(c) // had its request's first byte come before
 	go far.Write([]byte("x"))
-	if _, err := c.Read(make([]byte, 1)); err != nil || d.yielding != 0 {
-		t.Error(err, d.yielding)
+	if _, err := c.Read(make([]byte, 1)); err != nil || d.reclaiming != 0 {
+		t.Error(err, d.reclaiming)
 	}
 }
 
 // TestIdleClientsGiveWay: a connection that rests is closed for a new one, which is served.
 func TestIdleClientsGiveWay(t *testing.T) {
 	d := NewConnectionBudget(1024)
-	d.most[clients], d.spare = 3, 2
+	d.maxHeld[clientSide], d.rejectReserve = 3, 2
 	_, address := node(t, d, settled)
 	for range 20 {
 		c := call(t, address, ask+"b")
@@ -665,7 +665,7 @@
 		// client came before that, and was turned away.
 		for rests := false; !rests; time.Sleep(time.Millisecond) {
 			d.mu.Lock()
-			rests = d.idle[clients].Len() > 0 && d.yielding == 0
+			rests = d.idle[clientSide].Len() > 0 && d.reclaiming == 0
 			d.mu.Unlock()
 		}
 	}
@@ -720,7 +720,7 @@
 	call(t, address, ask[:30])
 	for read := 0; read == 0; time.Sleep(time.Millisecond) { // until its first bytes are read
 		d.mu.Lock()
-		read = d.working
+		read = d.active
 		d.mu.Unlock()
 	}
 	if err := s.Stop(100*time.Millisecond, false); err != nil {
