--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -50,18 +50,18 @@
 	evictionScanLimit = 32
 	// maxEvictionsPerAccept is how many strangers a new one may drive out.
 	maxEvictionsPerAccept = 8
-	// ahead is how many bytes behind its request are kept of a client while that is at work: a whole next request. What
+	// readAheadLimit is how many bytes behind its request are kept of a client while that is at work: a whole next request. What
 	// comes beyond that is thrown away, since the client's close is behind it, and the connection ends with the answer.
-	ahead = protocol.MaxBodyBytes + 32<<10
-	// gulp is how much is read at a time.
-	gulp = 64 << 10
-	// flood is how much may come without pause; then there are glances between two gulps, and the core is not taken.
-	flood   = 4 << 20
-	glances = 50 * time.Millisecond
-	// linger is how long a client's connection that ends with an answer waits for the client to close, and discards
+	readAheadLimit = protocol.MaxBodyBytes + 32<<10
+	// readAheadChunk is how much is read at a time.
+	readAheadChunk = 64 << 10
+	// floodThreshold is how much may come without pause; then there are glances between two gulps, and the core is not taken.
+	floodThreshold   = 4 << 20
+	floodPause = 50 * time.Millisecond
+	// lingerTimeout is how long a client's connection that ends with an answer waits for the client to close, and discards
 	// what still comes, up to lingers bytes.
-	linger  = 500 * time.Millisecond
-	lingers = 256 << 10
+	lingerTimeout  = 500 * time.Millisecond
+	lingerLimit = 256 << 10
 )
 
 // ConnectionBudget is the one owner of the descriptor budget. Each connection takes one place when it comes up and gives
@@ -130,7 +130,7 @@
 			break
 		}
 		c := d.evictionCandidate()
-		if c == nil || d.available(of) > 0 && time.Since(c.came) < d.evictionGrace {
+		if c == nil || d.available(of) > 0 && time.Since(c.openedAt) < d.evictionGrace {
 			break
 		}
 		d.evict(c)
@@ -160,7 +160,7 @@
 
 // acceptClient finds a place for a client's new connection, a stranger. It is a spare one if clients have come to the spare
 // places, though an idle connection gives way.
-func (d *ConnectionBudget) acceptClient(fresh net.Conn) *conn {
+func (d *ConnectionBudget) acceptClient(fresh net.Conn) *trackedConn {
 	for !d.acquire(clientSide) {
 		d.mu.Lock()
 		if d.available(clientSide) <= 0 {
@@ -174,17 +174,17 @@
 	if short() {
 		d.reclaimIdleClient()
 	}
-	c := &conn{Conn: fresh, owner: d, of: clientSide, spare: short(), came: time.Now()}
-	c.put(&d.pending)
+	c := &trackedConn{Conn: fresh, budget: d, side: clientSide, rejectOnly: short(), openedAt: time.Now()}
+	c.moveTo(&d.pending)
 	return c
 }
 
 // establish takes a client's connection for a known one, with its first whole request; false: it had to go.
-func (d *ConnectionBudget) establish(c *conn) bool {
+func (d *ConnectionBudget) establish(c *trackedConn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !c.closed && c.in == &d.pending {
-		c.put(nil)
+	if !c.closed && c.list == &d.pending {
+		c.moveTo(nil)
 	}
 	return !c.closed && !d.closed
 }
@@ -192,10 +192,10 @@
 // evictionCandidate is the longest waiting stranger that can go: it has its answer, has sent nothing, or half a head at the most; nil: there is
 // none among those that are looked at. Under mu.
 // Danger: at a process that is behind, whole requests lie unread in the sockets of strangers, and end with no answer.
-func (d *ConnectionBudget) evictionCandidate() *conn {
+func (d *ConnectionBudget) evictionCandidate() *trackedConn {
 	e := d.pending.Front()
 	for looked := 0; e != nil && looked < evictionScanLimit; looked++ {
-		if c := e.Value.(*conn); c.came.IsZero() || (!c.working || !c.head.whole()) && !c.unread() {
+		if c := e.Value.(*trackedConn); c.openedAt.IsZero() || (!c.active || !c.head.whole()) && !c.hasUnreadData() {
 			return c
 		}
 		e = e.Next()
@@ -206,17 +206,17 @@
 // evictFirst closes the first connection of a list, if there is one, to make room. Under mu.
 func (d *ConnectionBudget) evictFirst(of *list.List) {
 	if first := of.Front(); first != nil {
-		d.evict(first.Value.(*conn))
+		d.evict(first.Value.(*trackedConn))
 	}
 }
 
 // evict closes a connection to make room. Under mu.
-func (d *ConnectionBudget) evict(c *conn) {
-	c.put(nil)
-	c.yielded, c.lingered = c.of == serverSide, true
+func (d *ConnectionBudget) evict(c *trackedConn) {
+	c.moveTo(nil)
+	c.reclaimed, c.lingerStarted = c.side == serverSide, true
 	held := d.held
 	d.mu.Unlock()
-	d.log.Debug().Stringer("side", c.of).Str("executor", c.address).Int("clients", held[clientSide]).Int("executors", held[serverSide]).
+	d.log.Debug().Stringer("side", c.side).Str("executor", c.address).Int("clients", held[clientSide]).Int("executors", held[serverSide]).
 		Int("most", d.total).Msg("connection closed to make room")
 	c.Close()
 	d.mu.Lock()
@@ -225,16 +225,16 @@
 // reclaimIdleClient has the longest idle of the clients' connections closed, if there is one. Under mu.
 func (d *ConnectionBudget) reclaimIdleClient() {
 	if first := d.idle[clientSide].Front(); first != nil {
-		d.reclaim(first.Value.(*conn))
+		d.reclaim(first.Value.(*trackedConn))
 	}
 }
 
 // reclaim has a client's connection closed that has no request on it. Under mu.
 // Danger: a request that is being read while its connection is closed is lost. A client's connection is therefore
 // only waked, and the server closes it; if a request's first bytes have come by then, it is served instead.
-func (d *ConnectionBudget) reclaim(c *conn) {
-	c.put(nil)
-	c.yielded = true
+func (d *ConnectionBudget) reclaim(c *trackedConn) {
+	c.moveTo(nil)
+	c.reclaimed = true
 	d.reclaiming++
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
@@ -244,8 +244,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for e := d.pending.Front(); e != nil; {
-		c := e.Value.(*conn)
-		if e = e.Next(); !c.working && !c.came.IsZero() && time.Since(c.came) >= after {
+		c := e.Value.(*trackedConn)
+		if e = e.Next(); !c.active && !c.openedAt.IsZero() && time.Since(c.openedAt) >= after {
 			d.reclaim(c)
 		}
 	}
@@ -259,33 +259,33 @@
 }
 
 // markActive marks a connection as in use and numbers the use.
-func (d *ConnectionBudget) markActive(c *conn) int {
+func (d *ConnectionBudget) markActive(c *trackedConn) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.clearState(c)
 	c.uses++
-	if c.of == clientSide && !c.working {
-		c.working = true
+	if c.side == clientSide && !c.active {
+		c.active = true
 		d.active++
 	}
 	return c.uses
 }
 
 // clearState takes a connection out of all that is counted, but for the strangers. Under mu.
-func (d *ConnectionBudget) clearState(c *conn) {
-	if c.working {
-		c.working = false
+func (d *ConnectionBudget) clearState(c *trackedConn) {
+	if c.active {
+		c.active = false
 		d.active--
 		d.changed.Broadcast()
 	}
-	if c.in == &d.idle[c.of] {
-		c.put(nil)
-		if c.of == clientSide {
+	if c.list == &d.idle[c.side] {
+		c.moveTo(nil)
+		if c.side == clientSide {
 			c.Conn.SetReadDeadline(time.Now().Add(slowest)) // the server's own limit waits for some bytes more
 		}
 	}
-	if c.yielded && c.of == clientSide {
-		c.yielded = false
+	if c.reclaimed && c.side == clientSide {
+		c.reclaimed = false
 		d.reclaiming--
 		d.changed.Broadcast()
 		c.Conn.SetReadDeadline(time.Now().Add(slowest))
@@ -294,14 +294,14 @@
 
 // markIdle marks a connection as idle after a use.
 // Danger: the library tells late that a connection rests; by then the next request may have it.
-func (d *ConnectionBudget) markIdle(c *conn, use int) {
+func (d *ConnectionBudget) markIdle(c *trackedConn, use int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if use != c.uses || c.in != nil || c.closed {
+	if use != c.uses || c.list != nil || c.closed {
 		return
 	}
 	d.clearState(c)
-	if c.put(&d.idle[c.of]); d.idleDisabled && c.of == clientSide {
+	if c.moveTo(&d.idle[c.side]); d.idleDisabled && c.side == clientSide {
 		d.reclaimIdleClient()
 	}
 }
@@ -355,7 +355,7 @@
 	d.closed = true
 	owed := d.active
 	for e := d.pending.Front(); e != nil; e = e.Next() {
-		if e.Value.(*conn).working {
+		if e.Value.(*trackedConn).active {
 			owed--
 		}
 	}
@@ -372,248 +372,248 @@
 	return d.idleByAddress[address]
 }
 
-// conn is a connection with its place in the budget. For those to executors it also keeps what proves that a
+// trackedConn is a connection with its place in the budget. For those to executors it also keeps what proves that a
 // request was never sent whole.
-type conn struct {
+type trackedConn struct {
 	net.Conn
-	owner   *ConnectionBudget
-	of      connectionSide
+	budget   *ConnectionBudget
+	side      connectionSide
 	address string // of the executor
-	came    time.Time
-	spare   bool // a client's that can only be turned away
-	working bool // under owner.mu, as are those up to yielded
-	in      *list.List
-	at      *list.Element // of in
+	openedAt    time.Time
+	rejectOnly   bool // a client's that can only be turned away
+	active bool // under owner.mu, as are those up to yielded
+	list      *list.List
+	element      *list.Element // of in
 	uses    int
 	closed  bool
-	// yielded: told to make room, when it may just have been taken for a request
-	yielded  bool
-	lingered bool // it has been given its time to be read
+	// reclaimed: told to make room, when it may just have been taken for a request
+	reclaimed  bool
+	lingerStarted bool // it has been given its time to be read
 
 	head     heading     // of a client's request
-	answered atomic.Bool // something was written to a client
+	responseStarted atomic.Bool // something was written to a client
 
-	looking  sync.Mutex
-	attended bool   // a request is at work; under looking, as are those below
-	behind   []byte // what came behind it and is not handed on yet
-	spilt    int    // bytes behind that were thrown away
-	over     error  // how the client's sending ended; nil: it has not
+	readAheadMu  sync.Mutex
+	requestInProgress bool   // a request is at work; under looking, as are those below
+	readAhead   []byte // what came behind it and is not handed on yet
+	discardedBytes    int    // bytes behind that were thrown away
+	readError     error  // how the client's sending ended; nil: it has not
 
-	writing sync.Mutex
-	turn    atomic.Int32 // how far a request has come that was given this connection
-	begun   bool         // a write since the request was given this connection
-	cut     bool         // a write did not take all its bytes
-	held    bool         // a write was not made: the share that it needed was gone
-	admit   protocol.SendGate
+	writeMu sync.Mutex
+	exchangeState    atomic.Int32 // how far a request has come that was given this connection
+	writeStarted   bool         // a write since the request was given this connection
+	writeTruncated     bool         // a write did not take all its bytes
+	writeDenied    bool         // a write was not made: the share that it needed was gone
+	sendGate   protocol.SendGate
 }
 
 // A request's turn on a connection to an executor. What is read before the last of these belongs to an earlier one.
 const (
-	granted = iota
-	asked   // its first byte has been written
-	heard   // something has been read since
+	exchangeAssigned = iota
+	exchangeRequestStarted   // its first byte has been written
+	exchangeResponseStarted   // something has been read since
 )
 
-// put moves the connection to the end of a list, or out of all. Under owner.mu.
-func (c *conn) put(to *list.List) {
-	if c.in != nil {
-		c.in.Remove(c.at)
-		if c.of == serverSide {
-			if c.owner.idleByAddress[c.address]--; c.owner.idleByAddress[c.address] == 0 {
-				delete(c.owner.idleByAddress, c.address)
+// moveTo moves the connection to the end of a list, or out of all. Under owner.mu.
+func (c *trackedConn) moveTo(to *list.List) {
+	if c.list != nil {
+		c.list.Remove(c.element)
+		if c.side == serverSide {
+			if c.budget.idleByAddress[c.address]--; c.budget.idleByAddress[c.address] == 0 {
+				delete(c.budget.idleByAddress, c.address)
 			}
 		}
 	}
-	if to != nil && c.of == serverSide {
-		c.owner.idleByAddress[c.address]++
+	if to != nil && c.side == serverSide {
+		c.budget.idleByAddress[c.address]++
 	}
-	if c.in, c.at = to, nil; to != nil {
-		c.at = to.PushBack(c)
+	if c.list, c.element = to, nil; to != nil {
+		c.element = to.PushBack(c)
 	}
 }
 
-func (c *conn) Close() error {
-	if c.of == clientSide {
-		c.lingerOn()
+func (c *trackedConn) Close() error {
+	if c.side == clientSide {
+		c.waitForClientClose()
 	}
-	c.owner.mu.Lock()
+	c.budget.mu.Lock()
 	first := !c.closed
 	c.closed = true
-	c.put(nil)
-	c.owner.mu.Unlock()
+	c.moveTo(nil)
+	c.budget.mu.Unlock()
 	err := c.Conn.Close()
 	// Danger: who waits for the last connection goes on while it is still open.
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.owner.clearState(c); first {
-		c.owner.held[c.of]--
-		c.owner.changed.Broadcast()
+	c.budget.mu.Lock()
+	defer c.budget.mu.Unlock()
+	if c.budget.clearState(c); first {
+		c.budget.held[c.side]--
+		c.budget.changed.Broadcast()
 	}
 	return err
 }
 
-// lingerOn waits for a client to close first, where its connection ends with an answer. It counts as a stranger meanwhile,
+// waitForClientClose waits for a client to close first, where its connection ends with an answer. It counts as a stranger meanwhile,
 // and gives way. Nothing is begun on what it reads.
 // Danger: a close over bytes that were not read is a reset, which takes an answer with it that the client has not read.
-func (c *conn) lingerOn() {
+func (c *trackedConn) waitForClientClose() {
 	half, can := c.Conn.(interface{ CloseWrite() error })
-	c.owner.mu.Lock()
-	if !can || c.closed || c.lingered || c.yielded || c.in == &c.owner.idle[clientSide] || !c.answered.Load() {
-		c.owner.mu.Unlock()
+	c.budget.mu.Lock()
+	if !can || c.closed || c.lingerStarted || c.reclaimed || c.list == &c.budget.idle[clientSide] || !c.responseStarted.Load() {
+		c.budget.mu.Unlock()
 		return
 	}
-	c.lingered = true
-	c.owner.clearState(c)
-	c.came = time.Time{}
-	c.put(&c.owner.pending)
-	c.owner.lingering++
-	c.owner.mu.Unlock()
+	c.lingerStarted = true
+	c.budget.clearState(c)
+	c.openedAt = time.Time{}
+	c.moveTo(&c.budget.pending)
+	c.budget.lingering++
+	c.budget.mu.Unlock()
 	if half.CloseWrite() == nil {
-		c.Conn.SetReadDeadline(time.Now().Add(linger))
-		io.CopyN(io.Discard, c.Conn, lingers)
+		c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+		io.CopyN(io.Discard, c.Conn, lingerLimit)
 	}
-	c.owner.mu.Lock()
-	c.owner.lingering--
-	c.owner.changed.Broadcast()
-	c.owner.mu.Unlock()
+	c.budget.mu.Lock()
+	c.budget.lingering--
+	c.budget.changed.Broadcast()
+	c.budget.mu.Unlock()
 }
 
 // Read notes the first bytes of a client's request: from then on the connection is in use, long before the library
 // says so.
-func (c *conn) Read(b []byte) (int, error) {
-	if c.of != clientSide {
+func (c *trackedConn) Read(b []byte) (int, error) {
+	if c.side != clientSide {
 		n, err := c.Conn.Read(b)
 		if n > 0 {
-			c.turn.CompareAndSwap(asked, heard)
+			c.exchangeState.CompareAndSwap(exchangeRequestStarted, exchangeResponseStarted)
 		}
 		return n, err
 	}
 	// The library reads one byte behind a request that is at work, to learn that its client closes; within heads it may as well.
 	if len(b) == 1 && c.head.whole() {
-		if raw, err := raw(c.Conn); err == nil {
-			return 0, c.await(raw)
+		if raw, err := rawConn(c.Conn); err == nil {
+			return 0, c.waitForClose(raw)
 		}
 	}
 	if n := c.head.more(b); n > 0 {
 		return n, nil
 	}
-	n, err := c.kept(b)
+	n, err := c.takeReadAhead(b)
 	if n == 0 && err == nil {
 		n, err = c.Conn.Read(b)
 	}
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.waked() {
-		if n = glance(c.Conn, b); n > 0 {
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.isReclaimed() {
+		if n = readNonBlocking(c.Conn, b); n > 0 {
 			err = nil
 		}
 	}
 	if n > 0 {
-		c.owner.markActive(c)
+		c.budget.markActive(c)
 		n = c.head.look(b[:n])
 	}
 	return n, err
 }
 
-// kept hands on what came behind the request before.
-func (c *conn) kept(b []byte) (int, error) {
-	c.looking.Lock()
-	defer c.looking.Unlock()
-	n := copy(b, c.behind)
-	if c.behind = c.behind[n:]; len(c.behind) == 0 {
-		c.behind = nil
+// takeReadAhead hands on what came behind the request before.
+func (c *trackedConn) takeReadAhead(b []byte) (int, error) {
+	c.readAheadMu.Lock()
+	defer c.readAheadMu.Unlock()
+	n := copy(b, c.readAhead)
+	if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+		c.readAhead = nil
 	}
-	if n == 0 && c.spilt > 0 {
-		return 0, errSpilt
+	if n == 0 && c.discardedBytes > 0 {
+		return 0, errReadAheadOverflow
 	}
 	return n, nil
 }
 
-// attend begins a request's work, from which on left can tell. The library looks for the client's close by then, or soon.
-func (c *conn) attend() {
-	c.looking.Lock()
-	c.attended = true
-	c.looking.Unlock()
+// beginRequest begins a request's work, from which on left can tell. The library looks for the client's close by then, or soon.
+func (c *trackedConn) beginRequest() {
+	c.readAheadMu.Lock()
+	c.requestInProgress = true
+	c.readAheadMu.Unlock()
 }
 
-// await returns when the client has closed, however much it sent before, or when the library has no more use for that.
+// waitForClose returns when the client has closed, however much it sent before, or when the library has no more use for that.
 // Danger: the library stops to look at the first byte that comes; of a close after that nobody would ever know.
-func (c *conn) await(raw syscall.RawConn) error {
+func (c *trackedConn) waitForClose(raw syscall.RawConn) error {
 	defer func() {
-		c.looking.Lock()
-		c.attended = false
-		c.looking.Unlock()
+		c.readAheadMu.Lock()
+		c.requestInProgress = false
+		c.readAheadMu.Unlock()
 	}()
 	for {
 		if err := raw.Read(func(fd uintptr) bool {
-			c.looking.Lock()
-			defer c.looking.Unlock()
-			return c.drink(int(fd))
+			c.readAheadMu.Lock()
+			defer c.readAheadMu.Unlock()
+			return c.fillReadAhead(int(fd))
 		}); err != nil {
 			return err
 		}
-		c.looking.Lock()
-		over, much := c.over, c.spilt > flood
-		c.looking.Unlock()
+		c.readAheadMu.Lock()
+		over, much := c.readError, c.discardedBytes > floodThreshold
+		c.readAheadMu.Unlock()
 		if over != nil {
 			return over
 		}
 		if much {
-			time.Sleep(glances)
+			time.Sleep(floodPause)
 		}
 	}
 }
 
-// drink takes what has come behind the request, and says whether that was a gulp, or the client has closed. Under looking.
-func (c *conn) drink(fd int) (done bool) {
+// fillReadAhead takes what has come behind the request, and says whether that was a gulp, or the client has closed. Under looking.
+func (c *trackedConn) fillReadAhead(fd int) (done bool) {
 	b := make([]byte, 1<<10)
-	for took := 0; c.over == nil && took < gulp; {
+	for took := 0; c.readError == nil && took < readAheadChunk; {
 		n, err := unix.Read(fd, b)
 		switch {
 		case errors.Is(err, unix.EINTR):
 		case errors.Is(err, unix.EAGAIN):
 			return false
 		case err != nil:
-			c.over = err
+			c.readError = err
 		case n == 0:
-			c.over = io.EOF
+			c.readError = io.EOF
 		default:
 			took += n
-			if kept := min(n, ahead-len(c.behind)); kept > 0 && c.spilt == 0 {
-				c.behind = append(c.behind, b[:kept]...)
+			if kept := min(n, readAheadLimit-len(c.readAhead)); kept > 0 && c.discardedBytes == 0 {
+				c.readAhead = append(c.readAhead, b[:kept]...)
 				n -= kept
 			}
-			c.spilt += n
+			c.discardedBytes += n
 		}
 	}
 	return true
 }
 
-// left says whether the client of the request at work has closed, as far as this machine knows at this moment.
+// clientClosed says whether the client of the request at work has closed, as far as this machine knows at this moment.
 // Danger: a node short of its core that sends on what nobody waits for, since word of the close is in the socket still.
-func (c *conn) left() bool {
-	raw, err := raw(c.Conn)
-	c.looking.Lock()
-	defer c.looking.Unlock()
-	if err == nil && c.attended {
-		raw.Control(func(fd uintptr) { c.drink(int(fd)) })
+func (c *trackedConn) clientClosed() bool {
+	raw, err := rawConn(c.Conn)
+	c.readAheadMu.Lock()
+	defer c.readAheadMu.Unlock()
+	if err == nil && c.requestInProgress {
+		raw.Control(func(fd uintptr) { c.fillReadAhead(int(fd)) })
 	}
-	return c.over != nil
+	return c.readError != nil
 }
 
 var (
 	errNoSocket = errors.New("no socket")
-	errSpilt    = errors.New("more came behind a request than is kept")
+	errReadAheadOverflow    = errors.New("more came behind a request than is kept")
 )
 
-func raw(c net.Conn) (syscall.RawConn, error) {
+func rawConn(c net.Conn) (syscall.RawConn, error) {
 	if s, can := c.(syscall.Conn); can {
 		return s.SyscallConn()
 	}
 	return nil, errNoSocket
 }
 
-// unread says whether bytes lie in the socket that nobody has read.
-func (c *conn) unread() (is bool) {
-	if raw, err := raw(c.Conn); err == nil {
+// hasUnreadData says whether bytes lie in the socket that nobody has read.
+func (c *trackedConn) hasUnreadData() (is bool) {
+	if raw, err := rawConn(c.Conn); err == nil {
 		raw.Control(func(fd uintptr) {
 			n, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 			is = err == nil && n > 0
@@ -622,16 +622,16 @@
 	return is
 }
 
-func (c *conn) waked() bool {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	return c.yielded
+func (c *trackedConn) isReclaimed() bool {
+	c.budget.mu.Lock()
+	defer c.budget.mu.Unlock()
+	return c.reclaimed
 }
 
-// glance reads what a connection holds already.
+// readNonBlocking reads what a connection holds already.
 // Danger: a request that came between the waking and the close is thrown away; a deadline that has passed hides it.
-func glance(c net.Conn, b []byte) (n int) {
-	if raw, err := raw(c); err == nil {
+func readNonBlocking(c net.Conn, b []byte) (n int) {
+	if raw, err := rawConn(c); err == nil {
 		raw.Control(func(fd uintptr) { n, _ = unix.Read(int(fd), b) })
 	}
 	return max(n, 0)
@@ -639,10 +639,10 @@
 
 // SetReadDeadline keeps a connection awake that has to give way.
 // Danger: the server sets its own limit for idle ones just after it calls one idle, and would wait on.
-func (c *conn) SetReadDeadline(t time.Time) error {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.yielded && c.of == clientSide {
+func (c *trackedConn) SetReadDeadline(t time.Time) error {
+	c.budget.mu.Lock()
+	defer c.budget.mu.Unlock()
+	if c.reclaimed && c.side == clientSide {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -650,13 +650,13 @@
 
 // CloseWrite lets the server send an answer to a request that it did not read to its end. What follows is only to keep
 // a reset from wiping that out; the connection gives way as strangers do.
-func (c *conn) CloseWrite() error {
-	c.owner.mu.Lock()
+func (c *trackedConn) CloseWrite() error {
+	c.budget.mu.Lock()
 	if !c.closed {
-		c.came = time.Time{}
-		c.put(&c.owner.pending)
+		c.openedAt = time.Time{}
+		c.moveTo(&c.budget.pending)
 	}
-	c.owner.mu.Unlock()
+	c.budget.mu.Unlock()
 	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
 		return half.CloseWrite()
 	}
@@ -664,46 +664,46 @@
 }
 
 // Write keeps the proof. Requests are written in order, so one that was cut short was not written to its end.
-func (c *conn) Write(b []byte) (int, error) {
-	if c.of == clientSide {
-		c.answered.Store(true)
+func (c *trackedConn) Write(b []byte) (int, error) {
+	if c.side == clientSide {
+		c.responseStarted.Store(true)
 		return c.Conn.Write(b)
 	}
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	// Danger: a process that was stopped since it decided, and sends on a lease that ran out meanwhile.
-	if admit := c.admit; admit != nil && !c.begun {
-		if c.held = !admit.MaySend(); c.held {
+	if admit := c.sendGate; admit != nil && !c.writeStarted {
+		if c.writeDenied = !admit.MaySend(); c.writeDenied {
 			return 0, errHeld
 		}
 		defer admit.Sent()
 	}
-	c.begun = true
-	c.turn.CompareAndSwap(granted, asked)
+	c.writeStarted = true
+	c.exchangeState.CompareAndSwap(exchangeAssigned, exchangeRequestStarted)
 	n, err := c.Conn.Write(b)
-	c.cut = c.cut || n < len(b)
+	c.writeTruncated = c.writeTruncated || n < len(b)
 	return n, err
 }
 
-// start opens the account of a new request.
-func (c *conn) start(admit protocol.SendGate) {
-	c.writing.Lock()
-	c.begun, c.cut, c.held, c.admit = false, false, false, admit
-	c.turn.Store(granted)
-	c.writing.Unlock()
+// beginExchange opens the account of a new request.
+func (c *trackedConn) beginExchange(admit protocol.SendGate) {
+	c.writeMu.Lock()
+	c.writeStarted, c.writeTruncated, c.writeDenied, c.sendGate = false, false, false, admit
+	c.exchangeState.Store(exchangeAssigned)
+	c.writeMu.Unlock()
 }
 
-// unsent ends the connection and says whether the request's last byte was never written to it, and whether that was
+// closeAndCheckUnsent ends the connection and says whether the request's last byte was never written to it, and whether that was
 // this node's own doing.
 // Danger: a hook that has not fired yet is no proof; the library may write while this looks. So the connection
 // is closed first, which lets nothing more through, and a write that is under way is waited for.
 // Danger: the library gives a connection back before it hands an answer on, and what is asked about then is the next request's turn.
-func (c *conn) unsent(use int) (never, yielded bool) {
+func (c *trackedConn) closeAndCheckUnsent(use int) (never, yielded bool) {
 	c.Close()
-	c.writing.Lock()
-	never = !c.begun || c.cut
-	c.writing.Unlock()
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	return never && c.uses == use, c.yielded
+	c.writeMu.Lock()
+	never = !c.writeStarted || c.writeTruncated
+	c.writeMu.Unlock()
+	c.budget.mu.Lock()
+	defer c.budget.mu.Unlock()
+	return never && c.uses == use, c.reclaimed
 }
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -182,7 +182,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c.yielded || d.reclaiming != 0 || !c.working {
+	if c.reclaimed || d.reclaiming != 0 || !c.active {
 		t.Error("a connection with a request on it is still to go")
 	}
 }
--- a/internal/transport/executors.go
+++ b/internal/transport/executors.go
@@ -62,7 +62,7 @@
 				d.release(serverSide)
 				return nil, err
 			}
-			fresh := &conn{Conn: c, owner: d, of: serverSide, address: address}
+			fresh := &trackedConn{Conn: c, budget: d, side: serverSide, address: address}
 			d.markIdle(fresh, 0) // its request may have found another meanwhile
 			return fresh, nil
 		},
@@ -112,7 +112,7 @@
 
 // hold is the connection that one request has, and how often it has been used.
 type hold struct {
-	conn *conn
+	conn *trackedConn
 	use  int
 	job  *protocol.Attempt // nil: it is a probe
 	lag  func() int64
@@ -124,19 +124,19 @@
 func (h *hold) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
-			h.conn = i.Conn.(*conn)
-			h.use = h.conn.owner.markActive(h.conn)
+			h.conn = i.Conn.(*trackedConn)
+			h.use = h.conn.budget.markActive(h.conn)
 			if h.job == nil {
-				h.conn.start(nil)
+				h.conn.beginExchange(nil)
 				return
 			}
 			h.job.SetTimeout(time.Now().Add(time.Duration(h.lag())))
-			h.conn.start(h.job.Gate)
+			h.conn.beginExchange(h.job.Gate)
 		},
-		GotFirstResponseByte: func() { h.stray = h.conn.turn.Load() != heard },
+		GotFirstResponseByte: func() { h.stray = h.conn.exchangeState.Load() != exchangeResponseStarted },
 		PutIdleConn: func(err error) {
 			if err == nil {
-				h.conn.owner.markIdle(h.conn, h.use)
+				h.conn.budget.markIdle(h.conn, h.use)
 			}
 		},
 	}
@@ -266,9 +266,9 @@
 	case used == nil:
 		return dispatch.ConnectFailed
 	}
-	never, yielded := used.unsent(h.use)
+	never, yielded := used.closeAndCheckUnsent(h.use)
 	switch {
-	case never && (yielded || kept || used.held):
+	case never && (yielded || kept || used.writeDenied):
 		return dispatch.NotSent
 	case never:
 		return dispatch.ConnectFailed
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -89,7 +89,7 @@
 	"closed behind another request":   func(c *net.TCPConn) { io.WriteString(c, job); c.Close() },
 	"closed behind 20 more requests":  func(c *net.TCPConn) { io.WriteString(c, strings.Repeat(job, 20)); c.Close() },
 	"reset behind a stray byte":       func(c *net.TCPConn) { io.WriteString(c, "\n"); c.SetLinger(0); c.Close() },
-	"closed behind more than is kept": func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", 4*ahead)); c.Close() },
+	"closed behind more than is kept": func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", 4*readAheadLimit)); c.Close() },
 }
 
 // within fails the test where something does not come.
@@ -255,7 +255,7 @@
 // TestAnswersOutliveTheClose: connections that end with an answer, while bytes that nobody will read are in them, end without a reset.
 // Danger: it takes an answer with it that the client has not read.
 func TestAnswersOutliveTheClose(t *testing.T) {
-	stray := strings.Repeat("x", ahead+100<<10)
+	stray := strings.Repeat("x", readAheadLimit+100<<10)
 	for what, text := range map[string]string{
 		"an answer that ends it": ask + "b" + stray,
 		"a bad request":          strings.Replace(ask, "pay", "odd", 1) + stray,
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -89,7 +89,7 @@
 		// Danger: a flood of bad clients that becomes one of log lines; those of the library have no level to cut them by.
 		ErrorLog: log.New(l.With().Str("part", "net/http").Logger().Sample(&zerolog.BurstSampler{Burst: 20, Period: time.Second}), "", 0),
 		ConnState: func(c net.Conn, state http.ConnState) {
-			if c := c.(*conn); state == http.StateIdle {
+			if c := c.(*trackedConn); state == http.StateIdle {
 				d.markIdle(c, c.uses)
 			}
 		}}
@@ -265,7 +265,7 @@
 		answer.Write(w)
 		return
 	}
-	c := r.Context().Value(connKey{}).(*conn)
+	c := r.Context().Value(connKey{}).(*trackedConn)
 	r.Body = http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes)
 	q, fault := protocol.DecodeRequest(r, s.names, !c.head.sized())
 	if fault != nil {
@@ -282,17 +282,17 @@
 	if !s.descriptors.establish(c) {
 		panic(http.ErrAbortHandler)
 	}
-	c.attend()
-	q.ClientClosed = c.left
+	c.beginRequest()
+	q.ClientClosed = c.clientClosed
 	answer := &protocol.Response{Status: http.StatusServiceUnavailable}
-	if c.spare {
+	if c.rejectOnly {
 		s.log.Warn().Msg("descriptors are short: declined at the door")
 	} else if answer = s.serve(r.Context(), q); answer == nil {
 		panic(http.ErrAbortHandler)
 	}
 	// What follows chunks has no start that is known here.
 	chunks := r.TransferEncoding != nil
-	if c.spare || s.closing.Load() || answer.ClientClosed || answer.Status == http.StatusConflict || chunks {
+	if c.rejectOnly || s.closing.Load() || answer.ClientClosed || answer.Status == http.StatusConflict || chunks {
 		w.Header().Set("Connection", "close")
 	}
 	c.head.next(r.ContentLength)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -205,23 +205,23 @@
 // TestUnsentProof: a write cut short, and a connection that nothing was written to, prove that a request never ran.
 func TestUnsentProof(t *testing.T) {
 	for name, c := range map[string]struct {
-		use  func(c *conn, peer net.Conn)
+		use  func(c *trackedConn, peer net.Conn)
 		want bool
 	}{
-		"nothing written": {func(c *conn, _ net.Conn) {}, true},
-		"written":         {func(c *conn, peer net.Conn) { go io.ReadFull(peer, make([]byte, 3)); c.Write([]byte("abc")) }, false},
-		"cut short":       {func(c *conn, peer net.Conn) { go cut(peer); c.Write([]byte("abc")) }, true},
-		"second part cut": {func(c *conn, peer net.Conn) {
+		"nothing written": {func(c *trackedConn, _ net.Conn) {}, true},
+		"written":         {func(c *trackedConn, peer net.Conn) { go io.ReadFull(peer, make([]byte, 3)); c.Write([]byte("abc")) }, false},
+		"cut short":       {func(c *trackedConn, peer net.Conn) { go cut(peer); c.Write([]byte("abc")) }, true},
+		"second part cut": {func(c *trackedConn, peer net.Conn) {
 			go func() { io.ReadFull(peer, make([]byte, 3)); cut(peer) }()
 			c.Write([]byte("abc"))
 			c.Write([]byte("def"))
 		}, true},
 	} {
 		near, far := net.Pipe()
-		u := &conn{Conn: near, owner: NewConnectionBudget(64), of: serverSide}
-		u.start(nil)
+		u := &trackedConn{Conn: near, budget: NewConnectionBudget(64), side: serverSide}
+		u.beginExchange(nil)
 		c.use(u, far)
-		if never, _ := u.unsent(0); never != c.want {
+		if never, _ := u.closeAndCheckUnsent(0); never != c.want {
 			t.Errorf("%s: %v", name, never)
 		}
 		if _, err := u.Write([]byte("late")); err == nil {
@@ -357,7 +357,7 @@
 func TestRestIsOfTheLastUse(t *testing.T) {
 	d := NewConnectionBudget(64)
 	near, _ := net.Pipe()
-	c := &conn{Conn: near, owner: d, of: serverSide}
+	c := &trackedConn{Conn: near, budget: d, side: serverSide}
 	first := d.markActive(c)
 	second := d.markActive(c)
 	if d.markIdle(c, first); d.idle[serverSide].Len() != 0 {
@@ -492,8 +492,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	var all []*conn
-	come := func(text string) *conn {
+	var all []*trackedConn
+	come := func(text string) *trackedConn {
 		call(t, l.Addr().String(), text)
 		c, err := l.Accept()
 		if err != nil {
@@ -502,7 +502,7 @@
 		fresh := d.acceptClient(c)
 		t.Cleanup(func() { fresh.Close() })
 		all = append(all, fresh)
-		until(t, "its bytes", func() bool { return text == "" || fresh.unread() })
+		until(t, "its bytes", func() bool { return text == "" || fresh.hasUnreadData() })
 		return fresh
 	}
 	for range d.maxPending - 1 {
@@ -636,7 +636,7 @@
 func TestYieldIsNotUndone(t *testing.T) {
 	d := NewConnectionBudget(64)
 	near, far := net.Pipe()
-	c := &conn{Conn: near, owner: d, of: clientSide}
+	c := &trackedConn{Conn: near, budget: d, side: clientSide}
 	d.markIdle(c, d.markActive(c))
 	d.disableIdle()
 	start := time.Now()
