--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -674,7 +674,7 @@
 	// Danger: a process that was stopped since it decided, and sends on a lease that ran out meanwhile.
 	if admit := c.sendGate; admit != nil && !c.writeStarted {
 		if c.writeDenied = !admit.MaySend(); c.writeDenied {
-			return 0, errHeld
+			return 0, errSendDenied
 		}
 		defer admit.Sent()
 	}
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -13,15 +13,15 @@
 	"fernrail/internal/protocol"
 )
 
-// errSilent says that discovery said nothing, or nothing more, for as long as it is waited for.
-var errSilent = errors.New("discovery is silent")
+// errDiscoveryTimeout says that discovery said nothing, or nothing more, for as long as it is waited for.
+var errDiscoveryTimeout = errors.New("discovery is silent")
 
 // DiscoveryClient asks for the list of executors.
 type DiscoveryClient struct {
 	address   string
 	names     *protocol.Names
 	transport http.RoundTripper
-	asked     bool // it has been asked for changes
+	polledChanges     bool // it has been asked for changes
 }
 
 func NewDiscoveryClient(address string, names *protocol.Names) *DiscoveryClient {
@@ -37,16 +37,16 @@
 	limit, target := protocol.WatchSilence, "http://"+d.address+"/api/targets"
 	if !whole {
 		wait := protocol.WatchWait
-		if !d.asked {
+		if !d.polledChanges {
 			wait = time.Millisecond
 		}
-		d.asked, limit = true, limit+wait
+		d.polledChanges, limit = true, limit+wait
 		target += fmt.Sprintf("?since=%d&timeout_ms=%d", since, wait.Milliseconds())
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	// Danger: a whole list of thousands that takes its time to come is given up, asked for again, and never there.
-	silent := time.AfterFunc(limit, func() { cancel(errSilent) })
+	silent := time.AfterFunc(limit, func() { cancel(errDiscoveryTimeout) })
 	defer silent.Stop()
 	last := time.Now().Add(max(limit, protocol.WatchWait))
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
--- a/internal/transport/executors.go
+++ b/internal/transport/executors.go
@@ -17,47 +17,47 @@
 	"fernrail/internal/protocol"
 )
 
-// tail is how long the end of an answer is waited for once its last line is in, to keep the connection.
-const tail = time.Second
+// responseTailTimeout is how long the end of an answer is waited for once its last line is in, to keep the connection.
+const responseTailTimeout = time.Second
 
-// errHeld says that a connection was not tried, or a request not written, since this node's share allows no more now.
-var errHeld = errors.New("held back: the share of it is used up")
+// errSendDenied says that a connection was not tried, or a request not written, since this node's share allows no more now.
+var errSendDenied = errors.New("held back: the share of it is used up")
 
-// errStray says that an answer was there before its request.
-var errStray = errors.New("an answer to an earlier request")
+// errUnexpectedResponse says that an answer was there before its request.
+var errUnexpectedResponse = errors.New("an answer to an earlier request")
 
-// errShort says that a connection was not tried, for want of a descriptor.
-var errShort = errors.New("no descriptor left")
+// errNoDescriptor says that a connection was not tried, for want of a descriptor.
+var errNoDescriptor = errors.New("no descriptor left")
 
-// errBehind says that a connection did not come up in time, as far as a process can tell that was itself late to look.
-var errBehind = errors.New("no connection in time, at a process that is behind")
+// errDialDelayed says that a connection did not come up in time, as far as a process can tell that was itself late to look.
+var errDialDelayed = errors.New("no connection in time, at a process that is behind")
 
 // ServerClient holds the connections to executors.
 type ServerClient struct {
 	transport *http.Transport
-	values    protocol.LoadReportKeys // of load reports
-	wrote     func()                  // told of each posting whose last byte was written
-	dials     func(address string) bool
-	lag       func() int64                                                         // how long work of this process waits until it runs, in ns
-	connect   func(ctx context.Context, network, address string) (net.Conn, error) // tests alone put another one here
+	reportKeys    protocol.LoadReportKeys // of load reports
+	requestWritten     func()                  // told of each posting whose last byte was written
+	mayDial     func(address string) bool
+	schedulingDelay       func() int64                                                         // how long work of this process waits until it runs, in ns
+	dialContext   func(ctx context.Context, network, address string) (net.Conn, error) // tests alone put another one here
 }
 
 // NewServerClient: dial is how long a connection may take to come up, idle how long executors keep an unused one, values
 // what their load reports tell by which name, wrote is told of each posting whose last byte was written.
 func NewServerClient(d *ConnectionBudget, dial, idle time.Duration, values protocol.LoadReportKeys, wrote func()) *ServerClient {
 	dialer := &net.Dialer{KeepAlive: -1}
-	x := &ServerClient{values: values, wrote: wrote, dials: func(string) bool { return true }, lag: func() int64 { return 0 }, connect: dialer.DialContext}
+	x := &ServerClient{reportKeys: values, requestWritten: wrote, mayDial: func(string) bool { return true }, schedulingDelay: func() int64 { return 0 }, dialContext: dialer.DialContext}
 	x.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			if !d.acquire(serverSide) {
-				return nil, errShort
+				return nil, errNoDescriptor
 			}
 			// Danger: connections that all nodes open together, at an executor that has just come back.
-			if !x.dials(address) {
+			if !x.mayDial(address) {
 				d.release(serverSide)
-				return nil, errHeld
+				return nil, errSendDenied
 			}
-			c, err := x.dial(ctx, network, address, dial)
+			c, err := x.dialServer(ctx, network, address, dial)
 			if err != nil {
 				d.release(serverSide)
 				return nil, err
@@ -77,25 +77,25 @@
 	return x
 }
 
-// dial opens a connection. A process that is behind looks at it later than it came up, and waits for it so much longer, but no
+// dialServer opens a connection. A process that is behind looks at it later than it came up, and waits for it so much longer, but no
 // more than twice.
 // Danger: at a process that is behind each connection seems to be late, and its executor is blamed for it.
-func (x *ServerClient) dial(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, within+min(time.Duration(x.lag()), within))
+func (x *ServerClient) dialServer(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, within+min(time.Duration(x.schedulingDelay()), within))
 	defer cancel()
-	c, err := x.connect(ctx, network, address)
-	if ownFault(err) {
-		return nil, fmt.Errorf("%w: %w", errShort, err)
+	c, err := x.dialContext(ctx, network, address)
+	if isLocalResourceError(err) {
+		return nil, fmt.Errorf("%w: %w", errNoDescriptor, err)
 	}
-	if late := (net.Error)(nil); errors.As(err, &late) && late.Timeout() && time.Duration(x.lag()) > within {
-		return nil, errBehind
+	if late := (net.Error)(nil); errors.As(err, &late) && late.Timeout() && time.Duration(x.schedulingDelay()) > within {
+		return nil, errDialDelayed
 	}
 	return c, err
 }
 
-// ownFault says whether a connection failed for want of something that this machine is short of.
+// isLocalResourceError says whether a connection failed for want of something that this machine is short of.
 // Danger: for a moment without ports or descriptors all executors lose their reliability.
-func ownFault(err error) bool {
+func isLocalResourceError(err error) bool {
 	for _, own := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, own) {
 			return true
@@ -105,35 +105,35 @@
 }
 
 // SetSchedulingDelay has the process's lag known; it is called before the node serves.
-func (x *ServerClient) SetSchedulingDelay(lag func() int64) { x.lag = lag }
+func (x *ServerClient) SetSchedulingDelay(lag func() int64) { x.schedulingDelay = lag }
 
 // SetDialGate has each new connection to an executor asked for first, at the moment at which it would be opened.
-func (x *ServerClient) SetDialGate(may func(address string) bool) { x.dials = may }
+func (x *ServerClient) SetDialGate(may func(address string) bool) { x.mayDial = may }
 
-// hold is the connection that one request has, and how often it has been used.
-type hold struct {
+// exchange is the connection that one request has, and how often it has been used.
+type exchange struct {
 	conn *trackedConn
 	use  int
-	job  *protocol.Attempt // nil: it is a probe
-	lag  func() int64
-	// stray: the answer had come before the request's first byte was written, a second one to an earlier request.
+	attempt  *protocol.Attempt // nil: it is a probe
+	schedulingDelay  func() int64
+	// unexpectedResponse: the answer had come before the request's first byte was written, a second one to an earlier request.
 	// Danger: it says that the earlier one never ran, the library takes it for this one's, and what runs is sent again.
-	stray bool
+	unexpectedResponse bool
 }
 
-func (h *hold) trace() *httptrace.ClientTrace {
+func (h *exchange) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
 			h.conn = i.Conn.(*trackedConn)
 			h.use = h.conn.budget.markActive(h.conn)
-			if h.job == nil {
+			if h.attempt == nil {
 				h.conn.beginExchange(nil)
 				return
 			}
-			h.job.SetTimeout(time.Now().Add(time.Duration(h.lag())))
-			h.conn.beginExchange(h.job.Gate)
+			h.attempt.SetTimeout(time.Now().Add(time.Duration(h.schedulingDelay())))
+			h.conn.beginExchange(h.attempt.Gate)
 		},
-		GotFirstResponseByte: func() { h.stray = h.conn.exchangeState.Load() != exchangeResponseStarted },
+		GotFirstResponseByte: func() { h.unexpectedResponse = h.conn.exchangeState.Load() != exchangeResponseStarted },
 		PutIdleConn: func(err error) {
 			if err == nil {
 				h.conn.budget.markIdle(h.conn, h.use)
@@ -148,34 +148,34 @@
 	ended func(protocol.AttemptResult)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h := hold{job: job, lag: x.lag}
-	trace := h.trace()
+	h := exchange{attempt: job, schedulingDelay: x.schedulingDelay}
+	trace := h.clientTrace()
 	trace.WroteRequest = func(i httptrace.WroteRequestInfo) {
 		if i.Err == nil {
-			x.wrote()
+			x.requestWritten()
 		}
 	}
 	response, err := x.transport.RoundTrip(job.Encode().WithContext(httptrace.WithClientTrace(ctx, trace)))
-	if err == nil && h.stray {
+	if err == nil && h.unexpectedResponse {
 		response.Body.Close()
-		err = errStray
+		err = errUnexpectedResponse
 	}
 	if err != nil {
-		ended(protocol.AttemptResult{Outcome: failed(ctx, &h, err), Cause: err})
+		ended(protocol.AttemptResult{Outcome: failureOutcome(ctx, &h, err), Cause: err})
 		return
 	}
 	defer response.Body.Close()
 	switch {
 	case protocol.IsRejection(response):
 		ended(protocol.AttemptResult{Outcome: dispatch.Rejected})
-		finish(response.Body, cancel)
+		drainBody(response.Body, cancel)
 		return
 	case response.StatusCode != http.StatusOK:
 		ended(protocol.AttemptResult{Outcome: dispatch.Failed})
-		finish(response.Body, cancel)
+		drainBody(response.Body, cancel)
 		return
 	}
-	lines := protocol.NewUpdateReader(job.Request.ID, x.values.FreeSlots, response.Body)
+	lines := protocol.NewUpdateReader(job.Request.ID, x.reportKeys.FreeSlots, response.Body)
 	for {
 		line, err := lines.Next()
 		switch {
@@ -183,7 +183,7 @@
 			// Danger: the module may send the txn again as soon as it knows; a connection that the library closes a
 			// little later would make that a second copy where none is allowed.
 			h.conn.Close()
-			o := givenUp(ctx)
+			o := contextOutcome(ctx)
 			if o == dispatch.Succeeded {
 				o = dispatch.ConnectionLost
 			}
@@ -201,7 +201,7 @@
 		default:
 			ended(protocol.AttemptResult{Outcome: dispatch.Failed})
 		}
-		finish(response.Body, cancel)
+		drainBody(response.Body, cancel)
 		return
 	}
 }
@@ -210,8 +210,8 @@
 func (x *ServerClient) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var h hold
-	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, h.trace()), http.MethodGet, "http://"+address+"/-/load", nil)
+	var h exchange
+	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, h.clientTrace()), http.MethodGet, "http://"+address+"/-/load", nil)
 	if err != nil {
 		return protocol.LoadReport{}, err
 	}
@@ -221,9 +221,9 @@
 		return protocol.LoadReport{}, err
 	}
 	defer response.Body.Close()
-	if h.stray {
+	if h.unexpectedResponse {
 		h.conn.Close()
-		return protocol.LoadReport{}, errStray
+		return protocol.LoadReport{}, errUnexpectedResponse
 	}
 	text, err := io.ReadAll(io.LimitReader(response.Body, protocol.MaxLoadReportBytes))
 	if err != nil {
@@ -232,18 +232,18 @@
 	if response.StatusCode != http.StatusOK {
 		return protocol.LoadReport{}, errors.New("a probe was answered " + response.Status)
 	}
-	return protocol.DecodeLoadReport(text, x.values)
+	return protocol.DecodeLoadReport(text, x.reportKeys)
 }
 
-// finish reads an answer to its end, which gives its connection back.
-func finish(body io.Reader, cancel context.CancelFunc) {
-	stop := time.AfterFunc(tail, cancel)
+// drainBody reads an answer to its end, which gives its connection back.
+func drainBody(body io.Reader, cancel context.CancelFunc) {
+	stop := time.AfterFunc(responseTailTimeout, cancel)
 	defer stop.Stop()
 	io.CopyN(io.Discard, body, 4096) // more than that is not worth a connection
 }
 
-// givenUp is the outcome of a posting that the node has stopped waiting for; Settled: it has not.
-func givenUp(ctx context.Context) dispatch.Outcome {
+// contextOutcome is the outcome of a posting that the node has stopped waiting for; Settled: it has not.
+func contextOutcome(ctx context.Context) dispatch.Outcome {
 	switch {
 	case ctx.Err() == nil:
 		return dispatch.Succeeded
@@ -253,15 +253,15 @@
 	return dispatch.TimedOut
 }
 
-// failed is the outcome of a posting that got no answer, by what is proved.
+// failureOutcome is the outcome of a posting that got no answer, by what is proved.
 // Danger: kept connections that executors, or what stands between, close early are taken for executors in trouble.
-func failed(ctx context.Context, h *hold, err error) dispatch.Outcome {
+func failureOutcome(ctx context.Context, h *exchange, err error) dispatch.Outcome {
 	used, kept := h.conn, h.use > 1
 	switch {
-	case used == nil && (errors.Is(err, errShort) || errors.Is(err, errHeld) || errors.Is(err, errBehind)):
+	case used == nil && (errors.Is(err, errNoDescriptor) || errors.Is(err, errSendDenied) || errors.Is(err, errDialDelayed)):
 		return dispatch.NotSent
-	case givenUp(ctx) != dispatch.Succeeded:
-		return givenUp(ctx)
+	case contextOutcome(ctx) != dispatch.Succeeded:
+		return contextOutcome(ctx)
 	// The library tells of a connection before it writes to it, in the same goroutine as the call.
 	case used == nil:
 		return dispatch.ConnectFailed
--- a/internal/transport/slow_list_test.go
+++ b/internal/transport/slow_list_test.go
@@ -40,7 +40,7 @@
 		switch took := time.Since(start); {
 		case come == pieces && (err != nil || len(l.Endpoints) != len(entries)):
 			t.Errorf("a list that comes slowly, after %v: %v", took, err)
-		case come < pieces && (!errors.Is(err, errSilent) || took > protocol.WatchWait):
+		case come < pieces && (!errors.Is(err, errDiscoveryTimeout) || took > protocol.WatchWait):
 			t.Errorf("a list that stops on its way, after %v: %v", took, err)
 		}
 		agent.CloseClientConnections()
