--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -195,7 +195,7 @@
 func (d *ConnectionBudget) evictionCandidate() *trackedConn {
 	e := d.pending.Front()
 	for looked := 0; e != nil && looked < evictionScanLimit; looked++ {
-		if c := e.Value.(*trackedConn); c.openedAt.IsZero() || (!c.active || !c.head.whole()) && !c.hasUnreadData() {
+		if c := e.Value.(*trackedConn); c.openedAt.IsZero() || (!c.active || !c.head.isComplete()) && !c.hasUnreadData() {
 			return c
 		}
 		e = e.Next()
@@ -281,14 +281,14 @@
 	if c.list == &d.idle[c.side] {
 		c.moveTo(nil)
 		if c.side == clientSide {
-			c.Conn.SetReadDeadline(time.Now().Add(slowest)) // the server's own limit waits for some bytes more
+			c.Conn.SetReadDeadline(time.Now().Add(requestReadTimeout)) // the server's own limit waits for some bytes more
 		}
 	}
 	if c.reclaimed && c.side == clientSide {
 		c.reclaimed = false
 		d.reclaiming--
 		d.changed.Broadcast()
-		c.Conn.SetReadDeadline(time.Now().Add(slowest))
+		c.Conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	}
 }
 
@@ -390,7 +390,7 @@
 	reclaimed  bool
 	lingerStarted bool // it has been given its time to be read
 
-	head     heading     // of a client's request
+	head     requestHeadScanner     // of a client's request
 	responseStarted atomic.Bool // something was written to a client
 
 	readAheadMu  sync.Mutex
@@ -489,12 +489,12 @@
 		return n, err
 	}
 	// The library reads one byte behind a request that is at work, to learn that its client closes; within heads it may as well.
-	if len(b) == 1 && c.head.whole() {
+	if len(b) == 1 && c.head.isComplete() {
 		if raw, err := rawConn(c.Conn); err == nil {
 			return 0, c.waitForClose(raw)
 		}
 	}
-	if n := c.head.more(b); n > 0 {
+	if n := c.head.takeHeldBack(b); n > 0 {
 		return n, nil
 	}
 	n, err := c.takeReadAhead(b)
@@ -508,7 +508,7 @@
 	}
 	if n > 0 {
 		c.budget.markActive(c)
-		n = c.head.look(b[:n])
+		n = c.head.scan(b[:n])
 	}
 	return n, err
 }
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -190,7 +190,7 @@
 // TestPhases: what operators ask for out of turn gets a defined answer.
 func TestPhases(t *testing.T) {
 	shut := NewServer(NewConnectionBudget(64), nil, nil, func() bool { return true }, nil, zerolog.Nop())
-	if shut.Ready() || !errors.Is(shut.Drain(), errShut) || !errors.Is(shut.Activate(), errShut) {
+	if shut.Ready() || !errors.Is(shut.Drain(), errNotListening) || !errors.Is(shut.Activate(), errNotListening) {
 		t.Error("a server that does not listen")
 	}
 	s, address := node(t, NewConnectionBudget(64), settled)
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -262,10 +262,10 @@
 		"no request at all":      "GET\r\n\r\n" + stray[:1000],
 	} {
 		s, address := node(t, NewConnectionBudget(64), settled)
-		s.closing.Store(true)
+		s.closeAfterResponse.Store(true)
 		c := call(t, address, "")
 		go io.WriteString(c, text)
-		until(t, what+": a close that waits", func() bool { return count(s.descriptors, &s.descriptors.lingering) > 0 })
+		until(t, what+": a close that waits", func() bool { return count(s.budget, &s.budget.lingering) > 0 })
 		got, err := io.ReadAll(c)
 		if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 ") {
 			t.Errorf("%s: %.40q, %v", what, got, err)
@@ -318,12 +318,12 @@
 func TestStopEndsSilentConnections(t *testing.T) {
 	s, address := node(t, NewConnectionBudget(64), settled)
 	silent := call(t, address, "")
-	until(t, "a connection", func() bool { return strangers(s.descriptors) > 0 })
+	until(t, "a connection", func() bool { return strangers(s.budget) > 0 })
 	if err := s.Stop(time.Second, false); err != nil {
 		t.Error(err)
 	}
 	shuts(t, "silent", silent, time.Second)
-	if held := count(s.descriptors, &s.descriptors.held[clientSide]); held > 0 {
+	if held := count(s.budget, &s.budget.held[clientSide]); held > 0 {
 		t.Errorf("%d connections at the end", held)
 	}
 }
--- a/internal/transport/heading.go
+++ b/internal/transport/heading.go
@@ -4,88 +4,88 @@
 
 import "sync"
 
-// heading looks at the heads of one client's requests as they come, for what the library does not tell: whether a request
+// requestHeadScanner looks at the heads of one client's requests as they come, for what the library does not tell: whether a request
 // in chunks told a length beside.
 // Danger: of the two the library drops the length unseen, while what stands before this node may have gone by it, so
 // that a second request hides in the body. Bodies may hold any text, heads of requests among them, and are not judged.
-type heading struct {
+type requestHeadScanner struct {
 	mu     sync.Mutex
-	body   bool   // the head is over
-	after  int64  // bytes handed on since
-	rest   []byte // of a body, that came together with its head
-	at     int    // bytes of the present line that match the header's name, or -1
-	long   bool   // the present line has more than its end
-	length bool   // the head tells a length
-	lost   bool   // where heads begin is not known any more
+	headComplete   bool   // the head is over
+	bodyBytes  int64  // bytes handed on since
+	heldBack   []byte // of a body, that came together with its head
+	matched     int    // bytes of the present line that match the header's name, or -1
+	lineNotEmpty   bool   // the present line has more than its end
+	sawContentLength bool   // the head tells a length
+	outOfSync   bool   // where heads begin is not known any more
 }
 
-const lengthName = "content-length:"
+const contentLengthPrefix = "content-length:"
 
-// look takes bytes as they come and says how many of them go on now: a head goes on without what follows it.
-func (h *heading) look(b []byte) int {
+// scan takes bytes as they come and says how many of them go on now: a head goes on without what follows it.
+func (h *requestHeadScanner) scan(b []byte) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, x := range b {
-		if h.body {
+		if h.headComplete {
 			break
 		}
 		if 'A' <= x && x <= 'Z' {
 			x += 'a' - 'A'
 		}
 		switch {
-		case x == '\n' && !h.long:
-			h.body = true
-			h.rest = append(h.rest, b[i+1:]...)
+		case x == '\n' && !h.lineNotEmpty:
+			h.headComplete = true
+			h.heldBack = append(h.heldBack, b[i+1:]...)
 			return i + 1
 		case x == '\n':
-			h.at, h.long = 0, false
+			h.matched, h.lineNotEmpty = 0, false
 		case x != '\r':
-			if h.long = true; h.at >= 0 && x == lengthName[h.at] {
-				if h.at++; h.at == len(lengthName) {
-					h.length, h.at = true, -1
+			if h.lineNotEmpty = true; h.matched >= 0 && x == contentLengthPrefix[h.matched] {
+				if h.matched++; h.matched == len(contentLengthPrefix) {
+					h.sawContentLength, h.matched = true, -1
 				}
 			} else {
-				h.at = -1
+				h.matched = -1
 			}
 		}
 	}
-	if h.body {
-		h.after += int64(len(b))
+	if h.headComplete {
+		h.bodyBytes += int64(len(b))
 	}
 	return len(b)
 }
 
-// more hands on what was kept back.
-func (h *heading) more(b []byte) int {
+// takeHeldBack hands on what was kept back.
+func (h *requestHeadScanner) takeHeldBack(b []byte) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := copy(b, h.rest)
-	if h.rest = h.rest[n:]; len(h.rest) == 0 {
-		h.rest = nil
+	n := copy(b, h.heldBack)
+	if h.heldBack = h.heldBack[n:]; len(h.heldBack) == 0 {
+		h.heldBack = nil
 	}
-	h.after += int64(n)
+	h.bodyBytes += int64(n)
 	return n
 }
 
-// sized says whether the request told a length, as far as is known.
-func (h *heading) sized() bool {
+// hasContentLength says whether the request told a length, as far as is known.
+func (h *requestHeadScanner) hasContentLength() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.length || h.lost
+	return h.sawContentLength || h.outOfSync
 }
 
-// whole says whether all of a request's head has come.
-func (h *heading) whole() bool {
+// isComplete says whether all of a request's head has come.
+func (h *requestHeadScanner) isComplete() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.body
+	return h.headComplete
 }
 
-// next expects the head of another request, after a body of that many bytes. Where more has come already, or the body
+// reset expects the head of another request, after a body of that many bytes. Where more has come already, or the body
 // came in chunks, a head may have begun unseen.
-func (h *heading) next(body int64) {
+func (h *requestHeadScanner) reset(body int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lost = h.lost || h.after != body || len(h.rest) > 0
-	h.body, h.length, h.long, h.after, h.at = false, false, false, 0, 0
+	h.outOfSync = h.outOfSync || h.bodyBytes != body || len(h.heldBack) > 0
+	h.headComplete, h.sawContentLength, h.lineNotEmpty, h.bodyBytes, h.matched = false, false, false, 0, 0
 }
--- a/internal/transport/heading_test.go
+++ b/internal/transport/heading_test.go
@@ -88,18 +88,18 @@
 		f.Add(text, uint64(1))
 	}
 	f.Fuzz(func(t *testing.T, text string, seed uint64) {
-		chance, h, out, seen := rand.New(rand.NewPCG(seed, 5)), heading{}, "", false
+		chance, h, out, seen := rand.New(rand.NewPCG(seed, 5)), requestHeadScanner{}, "", false
 		buffer := make([]byte, 64)
-		for left := text; len(left) > 0 || len(h.rest) > 0; {
-			if n := h.more(buffer[:1+chance.IntN(63)]); n > 0 {
+		for left := text; len(left) > 0 || len(h.heldBack) > 0; {
+			if n := h.takeHeldBack(buffer[:1+chance.IntN(63)]); n > 0 {
 				out += string(buffer[:n])
 				continue
 			}
 			n := copy(buffer[:1+chance.IntN(63)], left)
-			was := h.body
-			left, n = left[n:], h.look(buffer[:n])
-			if out += string(buffer[:n]); h.body && !was {
-				seen = h.sized()
+			was := h.headComplete
+			left, n = left[n:], h.scan(buffer[:n])
+			if out += string(buffer[:n]); h.headComplete && !was {
+				seen = h.hasContentLength()
 			}
 		}
 		if out != text {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -22,39 +22,39 @@
 )
 
 const (
-	// slowest is how long a client may take to hand a request in: its first from when it connects, later ones from
+	// requestReadTimeout is how long a client may take to hand a request in: its first from when it connects, later ones from
 	// their first byte on. Bad clients are owed an end within 3 s, which has to hold for a node short of its core, too.
-	slowest = 2 * time.Second
-	// unused is how long a client may keep a connection without a request on it.
-	unused = 2 * time.Minute
-	// reading is how long a client may take to read its answer.
-	reading = 5 * time.Second
-	// quiet is how long new connections may go on coming after the order to stop, and some more.
-	quiet = 500 * time.Millisecond
-	// open is the part of the time to stop in which requests are still taken; the rest is for their answers.
-	open = 0.9
-	// farewell is that part where another process of this node has taken over. Who has not used a kept connection until
+	requestReadTimeout = 2 * time.Second
+	// clientIdleTimeout is how long a client may keep a connection without a request on it.
+	clientIdleTimeout = 2 * time.Minute
+	// responseWriteTimeout is how long a client may take to read its answer.
+	responseWriteTimeout = 5 * time.Second
+	// minAcceptAfterStop is how long new connections may go on coming after the order to stop, and some more.
+	minAcceptAfterStop = 500 * time.Millisecond
+	// stopAcceptFraction is the part of the time to stop in which requests are still taken; the rest is for their answers.
+	stopAcceptFraction = 0.9
+	// handoverIdleFraction is that part where another process of this node has taken over. Who has not used a kept connection until
 	// then can open one there; a job that comes late on it would have little time left.
-	farewell = 0.75
-	// arriving is how long a connection may go without its first byte while the node is emptied: new ones still come
+	handoverIdleFraction = 0.75
+	// silentConnTimeout is how long a connection may go without its first byte while the node is emptied: new ones still come
 	// for a fifth of a second, and what they were opened for comes with them.
-	arriving = 700 * time.Millisecond
-	// sweep is between two looks at such connections.
-	sweep = 100 * time.Millisecond
+	silentConnTimeout = 700 * time.Millisecond
+	// silentSweepInterval is between two looks at such connections.
+	silentSweepInterval = 100 * time.Millisecond
 )
 
-// phase is what a server does with clients.
-type phase int
+// serverPhase is what a server does with clients.
+type serverPhase int
 
 const (
-	shut     phase = iota // it does not listen yet
-	serving               // takes them
-	draining              // has been told to be empty, and may be told to serve again
-	stopping              // ends
+	phaseNotListening     serverPhase = iota // it does not listen yet
+	phaseServing               // takes them
+	phaseDraining              // has been told to be empty, and may be told to serve again
+	phaseStopping              // ends
 )
 
 var (
-	errShut     = errors.New("this process takes no clients yet")
+	errNotListening     = errors.New("this process takes no clients yet")
 	errStopping = errors.New("this process is stopping")
 )
 
@@ -63,28 +63,28 @@
 
 // Server is the side that clients reach.
 type Server struct {
-	descriptors *ConnectionBudget
+	budget *ConnectionBudget
 	names       *protocol.Names
-	serve       ServeFunc
+	handle       ServeFunc
 	ready       func() bool
 	counters    *metrics.Counters
 	log         zerolog.Logger
 	http        *http.Server
 	listener    net.Listener
-	closing     atomic.Bool // each answer ends its connection
+	closeAfterResponse     atomic.Bool // each answer ends its connection
 
 	mu     sync.Mutex
-	phase  phase
-	away   bool        // clients are told not to come
-	sweeps *time.Timer // while draining
+	phase  serverPhase
+	unready   bool        // clients are told not to come
+	sweepTimer *time.Timer // while draining
 }
 
 func NewServer(d *ConnectionBudget, names *protocol.Names, serve ServeFunc, ready func() bool,
 	counters *metrics.Counters, l zerolog.Logger) *Server {
-	s := &Server{descriptors: d, names: names, serve: serve, ready: ready, counters: counters, log: l}
-	s.http = &http.Server{Handler: s, ReadTimeout: slowest, IdleTimeout: unused, MaxHeaderBytes: 16 << 10,
+	s := &Server{budget: d, names: names, handle: serve, ready: ready, counters: counters, log: l}
+	s.http = &http.Server{Handler: s, ReadTimeout: requestReadTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: 16 << 10,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connKey{}, c)
+			return context.WithValue(ctx, connContextKey{}, c)
 		},
 		// Danger: a flood of bad clients that becomes one of log lines; those of the library have no level to cut them by.
 		ErrorLog: log.New(l.With().Str("part", "net/http").Logger().Sample(&zerolog.BurstSampler{Burst: 20, Period: time.Second}), "", 0),
@@ -96,27 +96,27 @@
 	return s
 }
 
-// connKey finds its connection in a request's context.
-type connKey struct{}
+// connContextKey finds its connection in a request's context.
+type connContextKey struct{}
 
-// listener gives each connection its place in the budget.
-type listener struct {
+// budgetListener gives each connection its place in the budget.
+type budgetListener struct {
 	net.Listener
-	descriptors *ConnectionBudget
+	budget *ConnectionBudget
 	log         zerolog.Logger
 }
 
 // Waits after an accept that failed: the first one, and the longest, which requests that wait at the door can bear.
 const (
-	acceptPause     = 5 * time.Millisecond
-	acceptPauseMost = 100 * time.Millisecond
+	minAcceptBackoff     = 5 * time.Millisecond
+	maxAcceptBackoff = 100 * time.Millisecond
 )
 
 // Accept waits for a client. It goes on after every error but the listener's own end.
 // Danger: net/http ends on errors that it does not call temporary, such as ENOBUFS, and the process with it.
-func (l *listener) Accept() (net.Conn, error) {
+func (l *budgetListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	for pause := acceptPause; err != nil; pause = min(2*pause, acceptPauseMost) {
+	for pause := minAcceptBackoff; err != nil; pause = min(2*pause, maxAcceptBackoff) {
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
@@ -126,11 +126,11 @@
 	}
 	// Danger: a connection that is left waiting may hold a txn. Only a newcomer makes others give way, so none does
 	// without need; those in spare places are answered and closed at once.
-	return l.descriptors.acceptClient(c), nil
+	return l.budget.acceptClient(c), nil
 }
 
-// inherited is a listening socket that other processes hold as well.
-type inherited struct{ *net.TCPListener }
+// inheritedListener is a listening socket that other processes hold as well.
+type inheritedListener struct{ *net.TCPListener }
 
 // InheritListener takes a listening socket over. Only this process's copy of it is ever closed.
 func InheritListener(descriptor int) (net.Listener, error) {
@@ -145,13 +145,13 @@
 		l.Close()
 		return nil, fmt.Errorf("descriptor %d listens on %s, not TCP", descriptor, l.Addr().Network())
 	}
-	return inherited{tcp}, nil
+	return inheritedListener{tcp}, nil
 }
 
 // Accept makes the socket one that does not block before it asks it.
 // Danger: that is a trait of the socket, not of its holder. Who hands it to another process may make it block for all,
 // and a process that sleeps on it can't stop until one more client comes.
-func (l inherited) Accept() (net.Conn, error) {
+func (l inheritedListener) Accept() (net.Conn, error) {
 	if raw, err := l.SyscallConn(); err == nil {
 		raw.Control(func(descriptor uintptr) { unix.SetNonblock(int(descriptor), true) })
 	}
@@ -161,17 +161,17 @@
 // Start starts to serve; what ends that before Stop comes out of the channel.
 func (s *Server) Start(l net.Listener) <-chan error {
 	s.mu.Lock()
-	s.phase, s.listener = serving, l
+	s.phase, s.listener = phaseServing, l
 	s.mu.Unlock()
 	ended := make(chan error, 1)
-	go func() { ended <- s.http.Serve(&listener{l, s.descriptors, s.log}) }()
+	go func() { ended <- s.http.Serve(&budgetListener{l, s.budget, s.log}) }()
 	return ended
 }
 
 // Ready says whether clients may come.
 func (s *Server) Ready() bool {
 	s.mu.Lock()
-	takes := s.phase != shut && !s.away
+	takes := s.phase != phaseNotListening && !s.unready
 	s.mu.Unlock()
 	return takes && s.ready()
 }
@@ -182,32 +182,32 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch s.phase {
-	case shut:
-		return errShut
-	case stopping:
+	case phaseNotListening:
+		return errNotListening
+	case phaseStopping:
 		return errStopping
-	case serving:
-		s.phase, s.away = draining, true
-		s.sweeps = time.AfterFunc(sweep, s.sweep)
-		s.release()
+	case phaseServing:
+		s.phase, s.unready = phaseDraining, true
+		s.sweepTimer = time.AfterFunc(silentSweepInterval, s.sweepSilent)
+		s.closeIdleConnections()
 	}
 	return nil
 }
 
-// release ends connections between requests, now and from now on.
-func (s *Server) release() {
-	s.closing.Store(true)
-	s.descriptors.disableIdle()
+// closeIdleConnections ends connections between requests, now and from now on.
+func (s *Server) closeIdleConnections() {
+	s.closeAfterResponse.Store(true)
+	s.budget.disableIdle()
 }
 
-// sweep closes connections that were opened and say nothing.
+// sweepSilent closes connections that were opened and say nothing.
 // Danger: a client that sends its first request as the front takes the node for empty.
-func (s *Server) sweep() {
+func (s *Server) sweepSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.phase == draining {
-		s.descriptors.reclaimSilent(arriving)
-		s.sweeps.Reset(sweep)
+	if s.phase == phaseDraining {
+		s.budget.reclaimSilent(silentConnTimeout)
+		s.sweepTimer.Reset(silentSweepInterval)
 	}
 }
 
@@ -216,15 +216,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch s.phase {
-	case shut:
-		return errShut
-	case stopping:
+	case phaseNotListening:
+		return errNotListening
+	case phaseStopping:
 		return errStopping
-	case draining:
-		s.sweeps.Stop()
-		s.phase, s.away = serving, false
-		s.closing.Store(false)
-		s.descriptors.enableIdle()
+	case phaseDraining:
+		s.sweepTimer.Stop()
+		s.phase, s.unready = phaseServing, false
+		s.closeAfterResponse.Store(false)
+		s.budget.enableIdle()
 	}
 	return nil
 }
@@ -238,21 +238,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	s.mu.Lock()
-	s.phase = stopping
+	s.phase = phaseStopping
 	s.mu.Unlock()
 	if taken {
-		s.closing.Store(true)
+		s.closeAfterResponse.Store(true)
 		s.listener.Close()
-		some, enough := context.WithTimeout(ctx, time.Duration(farewell*float64(within)))
-		s.descriptors.waitForNoClients(some)
+		some, enough := context.WithTimeout(ctx, time.Duration(handoverIdleFraction*float64(within)))
+		s.budget.waitForNoClients(some)
 		enough()
 	} else {
-		time.Sleep(max(time.Duration(open*float64(within)), min(quiet, within)))
+		time.Sleep(max(time.Duration(stopAcceptFraction*float64(within)), min(minAcceptAfterStop, within)))
 	}
-	s.release()
+	s.closeIdleConnections()
 	s.listener.Close()
-	s.descriptors.reclaimSilent(0)
-	return s.descriptors.waitForRequests(ctx)
+	s.budget.reclaimSilent(0)
+	return s.budget.waitForRequests(ctx)
 }
 
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -265,9 +265,9 @@
 		answer.Write(w)
 		return
 	}
-	c := r.Context().Value(connKey{}).(*trackedConn)
+	c := r.Context().Value(connContextKey{}).(*trackedConn)
 	r.Body = http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes)
-	q, fault := protocol.DecodeRequest(r, s.names, !c.head.sized())
+	q, fault := protocol.DecodeRequest(r, s.names, !c.head.hasContentLength())
 	if fault != nil {
 		s.log.Warn().Int("status", fault.Status).Str("fault", fault.Text).Msg("request not taken")
 		w.Header().Set("Connection", "close")
@@ -279,7 +279,7 @@
 	defer func() { ended(status) }()
 	// Danger: a handler that returns without an answer has given one, to the library: 200, with a result that no executor made. A
 	// client that shut its sending side alone reads it.
-	if !s.descriptors.establish(c) {
+	if !s.budget.establish(c) {
 		panic(http.ErrAbortHandler)
 	}
 	c.beginRequest()
@@ -287,16 +287,16 @@
 	answer := &protocol.Response{Status: http.StatusServiceUnavailable}
 	if c.rejectOnly {
 		s.log.Warn().Msg("descriptors are short: declined at the door")
-	} else if answer = s.serve(r.Context(), q); answer == nil {
+	} else if answer = s.handle(r.Context(), q); answer == nil {
 		panic(http.ErrAbortHandler)
 	}
 	// What follows chunks has no start that is known here.
 	chunks := r.TransferEncoding != nil
-	if c.rejectOnly || s.closing.Load() || answer.ClientClosed || answer.Status == http.StatusConflict || chunks {
+	if c.rejectOnly || s.closeAfterResponse.Load() || answer.ClientClosed || answer.Status == http.StatusConflict || chunks {
 		w.Header().Set("Connection", "close")
 	}
-	c.head.next(r.ContentLength)
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(reading))
+	c.head.reset(r.ContentLength)
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	if !answer.ClientClosed {
 		status = answer.Status
 	}
