--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -56,12 +56,12 @@
 	// readAheadChunk is how much is read at a time.
 	readAheadChunk = 64 << 10
 	// floodThreshold is how much may come without pause; then there are glances between two gulps, and the core is not taken.
-	floodThreshold   = 4 << 20
-	floodPause = 50 * time.Millisecond
+	floodThreshold = 4 << 20
+	floodPause     = 50 * time.Millisecond
 	// lingerTimeout is how long a client's connection that ends with an answer waits for the client to close, and discards
 	// what still comes, up to lingers bytes.
-	lingerTimeout  = 500 * time.Millisecond
-	lingerLimit = 256 << 10
+	lingerTimeout = 500 * time.Millisecond
+	lingerLimit   = 256 << 10
 )
 
 // ConnectionBudget is the one owner of the descriptor budget. Each connection takes one place when it comes up and gives
@@ -69,23 +69,23 @@
 // Danger: connections that are opened by the hundred and say nothing, or half of something, crowd out clients that work.
 // So a stranger, one that has not handed a request in yet, takes the place of the longest waiting stranger.
 type ConnectionBudget struct {
-	mu        sync.Mutex
-	changed   sync.Cond // a place or the last request may be free
-	total     int
-	maxHeld      [2]int
-	held      [2]int
-	maxPending   int // strangers at most, but for young ones
-	evictionGrace     time.Duration
-	rejectReserve     int            // of the clients' places, kept for those that can only be turned away
-	idle      [2]list.List   // of *conn
-	idleByAddress      map[string]int // of the idle ones to executors, by address
-	pending list.List      // of *conn, with those whose last answer is given
-	reclaiming  int            // clients' connections told to give way and not closed yet
-	active   int            // clients' connections with a request on them
-	lingering int            // clients' connections that wait for the client to read its answer and close
+	mu            sync.Mutex
+	changed       sync.Cond // a place or the last request may be free
+	total         int
+	maxHeld       [2]int
+	held          [2]int
+	maxPending    int // strangers at most, but for young ones
+	evictionGrace time.Duration
+	rejectReserve int            // of the clients' places, kept for those that can only be turned away
+	idle          [2]list.List   // of *conn
+	idleByAddress map[string]int // of the idle ones to executors, by address
+	pending       list.List      // of *conn, with those whose last answer is given
+	reclaiming    int            // clients' connections told to give way and not closed yet
+	active        int            // clients' connections with a request on them
+	lingering     int            // clients' connections that wait for the client to read its answer and close
 	idleDisabled  bool
-	closed     bool // nothing is taken any more
-	log       zerolog.Logger
+	closed        bool // nothing is taken any more
+	log           zerolog.Logger
 }
 
 func NewConnectionBudget(sockets int) *ConnectionBudget {
@@ -376,42 +376,42 @@
 // request was never sent whole.
 type trackedConn struct {
 	net.Conn
-	budget   *ConnectionBudget
-	side      connectionSide
-	address string // of the executor
-	openedAt    time.Time
-	rejectOnly   bool // a client's that can only be turned away
-	active bool // under owner.mu, as are those up to yielded
-	list      *list.List
-	element      *list.Element // of in
-	uses    int
-	closed  bool
+	budget     *ConnectionBudget
+	side       connectionSide
+	address    string // of the executor
+	openedAt   time.Time
+	rejectOnly bool // a client's that can only be turned away
+	active     bool // under owner.mu, as are those up to yielded
+	list       *list.List
+	element    *list.Element // of in
+	uses       int
+	closed     bool
 	// reclaimed: told to make room, when it may just have been taken for a request
-	reclaimed  bool
+	reclaimed     bool
 	lingerStarted bool // it has been given its time to be read
 
-	head     requestHeadScanner     // of a client's request
-	responseStarted atomic.Bool // something was written to a client
+	head            requestHeadScanner // of a client's request
+	responseStarted atomic.Bool        // something was written to a client
 
-	readAheadMu  sync.Mutex
+	readAheadMu       sync.Mutex
 	requestInProgress bool   // a request is at work; under looking, as are those below
-	readAhead   []byte // what came behind it and is not handed on yet
+	readAhead         []byte // what came behind it and is not handed on yet
 	discardedBytes    int    // bytes behind that were thrown away
-	readError     error  // how the client's sending ended; nil: it has not
+	readError         error  // how the client's sending ended; nil: it has not
 
-	writeMu sync.Mutex
-	exchangeState    atomic.Int32 // how far a request has come that was given this connection
+	writeMu        sync.Mutex
+	exchangeState  atomic.Int32 // how far a request has come that was given this connection
 	writeStarted   bool         // a write since the request was given this connection
-	writeTruncated     bool         // a write did not take all its bytes
+	writeTruncated bool         // a write did not take all its bytes
 	writeDenied    bool         // a write was not made: the share that it needed was gone
-	sendGate   protocol.SendGate
+	sendGate       protocol.SendGate
 }
 
 // A request's turn on a connection to an executor. What is read before the last of these belongs to an earlier one.
 const (
-	exchangeAssigned = iota
-	exchangeRequestStarted   // its first byte has been written
-	exchangeResponseStarted   // something has been read since
+	exchangeAssigned        = iota
+	exchangeRequestStarted  // its first byte has been written
+	exchangeResponseStarted // something has been read since
 )
 
 // moveTo moves the connection to the end of a list, or out of all. Under owner.mu.
@@ -600,8 +600,8 @@
 }
 
 var (
-	errNoSocket = errors.New("no socket")
-	errReadAheadOverflow    = errors.New("more came behind a request than is kept")
+	errNoSocket          = errors.New("no socket")
+	errReadAheadOverflow = errors.New("more came behind a request than is kept")
 )
 
 func rawConn(c net.Conn) (syscall.RawConn, error) {
--- a/internal/transport/discovery.go
+++ b/internal/transport/discovery.go
@@ -18,10 +18,10 @@
 
 // DiscoveryClient asks for the list of executors.
 type DiscoveryClient struct {
-	address   string
-	names     *protocol.Names
-	transport http.RoundTripper
-	polledChanges     bool // it has been asked for changes
+	address       string
+	names         *protocol.Names
+	transport     http.RoundTripper
+	polledChanges bool // it has been asked for changes
 }
 
 func NewDiscoveryClient(address string, names *protocol.Names) *DiscoveryClient {
--- a/internal/transport/executors.go
+++ b/internal/transport/executors.go
@@ -34,12 +34,12 @@
 
 // ServerClient holds the connections to executors.
 type ServerClient struct {
-	transport *http.Transport
-	reportKeys    protocol.LoadReportKeys // of load reports
-	requestWritten     func()                  // told of each posting whose last byte was written
-	mayDial     func(address string) bool
-	schedulingDelay       func() int64                                                         // how long work of this process waits until it runs, in ns
-	dialContext   func(ctx context.Context, network, address string) (net.Conn, error) // tests alone put another one here
+	transport       *http.Transport
+	reportKeys      protocol.LoadReportKeys // of load reports
+	requestWritten  func()                  // told of each posting whose last byte was written
+	mayDial         func(address string) bool
+	schedulingDelay func() int64                                                         // how long work of this process waits until it runs, in ns
+	dialContext     func(ctx context.Context, network, address string) (net.Conn, error) // tests alone put another one here
 }
 
 // NewServerClient: dial is how long a connection may take to come up, idle how long executors keep an unused one, values
@@ -112,10 +112,10 @@
 
 // exchange is the connection that one request has, and how often it has been used.
 type exchange struct {
-	conn *trackedConn
-	use  int
-	attempt  *protocol.Attempt // nil: it is a probe
-	schedulingDelay  func() int64
+	conn            *trackedConn
+	use             int
+	attempt         *protocol.Attempt // nil: it is a probe
+	schedulingDelay func() int64
 	// unexpectedResponse: the answer had come before the request's first byte was written, a second one to an earlier request.
 	// Danger: it says that the earlier one never ran, the library takes it for this one's, and what runs is sent again.
 	unexpectedResponse bool
--- a/internal/transport/heading.go
+++ b/internal/transport/heading.go
@@ -9,14 +9,14 @@
 // Danger: of the two the library drops the length unseen, while what stands before this node may have gone by it, so
 // that a second request hides in the body. Bodies may hold any text, heads of requests among them, and are not judged.
 type requestHeadScanner struct {
-	mu     sync.Mutex
-	headComplete   bool   // the head is over
-	bodyBytes  int64  // bytes handed on since
-	heldBack   []byte // of a body, that came together with its head
-	matched     int    // bytes of the present line that match the header's name, or -1
-	lineNotEmpty   bool   // the present line has more than its end
+	mu               sync.Mutex
+	headComplete     bool   // the head is over
+	bodyBytes        int64  // bytes handed on since
+	heldBack         []byte // of a body, that came together with its head
+	matched          int    // bytes of the present line that match the header's name, or -1
+	lineNotEmpty     bool   // the present line has more than its end
 	sawContentLength bool   // the head tells a length
-	outOfSync   bool   // where heads begin is not known any more
+	outOfSync        bool   // where heads begin is not known any more
 }
 
 const contentLengthPrefix = "content-length:"
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -47,15 +47,15 @@
 type serverPhase int
 
 const (
-	phaseNotListening     serverPhase = iota // it does not listen yet
-	phaseServing               // takes them
-	phaseDraining              // has been told to be empty, and may be told to serve again
-	phaseStopping              // ends
+	phaseNotListening serverPhase = iota // it does not listen yet
+	phaseServing                         // takes them
+	phaseDraining                        // has been told to be empty, and may be told to serve again
+	phaseStopping                        // ends
 )
 
 var (
-	errNotListening     = errors.New("this process takes no clients yet")
-	errStopping = errors.New("this process is stopping")
+	errNotListening = errors.New("this process takes no clients yet")
+	errStopping     = errors.New("this process is stopping")
 )
 
 // ServeFunc is the life of one request: it gives the one final answer, or nil if the client has left.
@@ -63,19 +63,19 @@
 
 // Server is the side that clients reach.
 type Server struct {
-	budget *ConnectionBudget
-	names       *protocol.Names
-	handle       ServeFunc
-	ready       func() bool
-	counters    *metrics.Counters
-	log         zerolog.Logger
-	http        *http.Server
-	listener    net.Listener
-	closeAfterResponse     atomic.Bool // each answer ends its connection
+	budget             *ConnectionBudget
+	names              *protocol.Names
+	handle             ServeFunc
+	ready              func() bool
+	counters           *metrics.Counters
+	log                zerolog.Logger
+	http               *http.Server
+	listener           net.Listener
+	closeAfterResponse atomic.Bool // each answer ends its connection
 
-	mu     sync.Mutex
-	phase  serverPhase
-	unready   bool        // clients are told not to come
+	mu         sync.Mutex
+	phase      serverPhase
+	unready    bool        // clients are told not to come
 	sweepTimer *time.Timer // while draining
 }
 
@@ -103,12 +103,12 @@
 type budgetListener struct {
 	net.Listener
 	budget *ConnectionBudget
-	log         zerolog.Logger
+	log    zerolog.Logger
 }
 
 // Waits after an accept that failed: the first one, and the longest, which requests that wait at the door can bear.
 const (
-	minAcceptBackoff     = 5 * time.Millisecond
+	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 100 * time.Millisecond
 )
 
