--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -4,18 +4,14 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"log"
 	"net"
 	"net/http"
-	"os"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/rs/zerolog"
-	"golang.org/x/sys/unix"
 
 	"fernrail/internal/metrics"
 	"fernrail/internal/protocol"
@@ -43,21 +39,6 @@
 	silentSweepInterval = 100 * time.Millisecond
 )
 
-// serverPhase is what a server does with clients.
-type serverPhase int
-
-const (
-	phaseNotListening serverPhase = iota // it does not listen yet
-	phaseServing                         // takes them
-	phaseDraining                        // has been told to be empty, and may be told to serve again
-	phaseStopping                        // ends
-)
-
-var (
-	errNotListening = errors.New("this process takes no clients yet")
-	errStopping     = errors.New("this process is stopping")
-)
-
 // ServeFunc is the life of one request: it gives the one final answer, or nil if the client has left.
 type ServeFunc func(ctx context.Context, q *protocol.Request) *protocol.Response
 
@@ -99,65 +80,6 @@
 // connContextKey finds its connection in a request's context.
 type connContextKey struct{}
 
-// budgetListener gives each connection its place in the budget.
-type budgetListener struct {
-	net.Listener
-	budget *ConnectionBudget
-	log    zerolog.Logger
-}
-
-// Waits after an accept that failed: the first one, and the longest, which requests that wait at the door can bear.
-const (
-	minAcceptBackoff = 5 * time.Millisecond
-	maxAcceptBackoff = 100 * time.Millisecond
-)
-
-// Accept waits for a client. It goes on after every error but the listener's own end.
-// Danger: net/http ends on errors that it does not call temporary, such as ENOBUFS, and the process with it.
-func (l *budgetListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	for pause := minAcceptBackoff; err != nil; pause = min(2*pause, maxAcceptBackoff) {
-		if errors.Is(err, net.ErrClosed) {
-			return nil, err
-		}
-		l.log.Warn().Err(err).Msg("accept failed, and is tried again")
-		time.Sleep(pause)
-		c, err = l.Listener.Accept()
-	}
-	// Danger: a connection that is left waiting may hold a txn. Only a newcomer makes others give way, so none does
-	// without need; those in spare places are answered and closed at once.
-	return l.budget.acceptClient(c), nil
-}
-
-// inheritedListener is a listening socket that other processes hold as well.
-type inheritedListener struct{ *net.TCPListener }
-
-// InheritListener takes a listening socket over. Only this process's copy of it is ever closed.
-func InheritListener(descriptor int) (net.Listener, error) {
-	f := os.NewFile(uintptr(descriptor), "inherited listener")
-	defer f.Close()
-	l, err := net.FileListener(f)
-	if err != nil {
-		return nil, err
-	}
-	tcp, is := l.(*net.TCPListener)
-	if !is {
-		l.Close()
-		return nil, fmt.Errorf("descriptor %d listens on %s, not TCP", descriptor, l.Addr().Network())
-	}
-	return inheritedListener{tcp}, nil
-}
-
-// Accept makes the socket one that does not block before it asks it.
-// Danger: that is a trait of the socket, not of its holder. Who hands it to another process may make it block for all,
-// and a process that sleeps on it can't stop until one more client comes.
-func (l inheritedListener) Accept() (net.Conn, error) {
-	if raw, err := l.SyscallConn(); err == nil {
-		raw.Control(func(descriptor uintptr) { unix.SetNonblock(int(descriptor), true) })
-	}
-	return l.TCPListener.Accept()
-}
-
 // Start starts to serve; what ends that before Stop comes out of the channel.
 func (s *Server) Start(l net.Listener) <-chan error {
 	s.mu.Lock()
@@ -168,93 +90,6 @@
 	return ended
 }
 
-// Ready says whether clients may come.
-func (s *Server) Ready() bool {
-	s.mu.Lock()
-	takes := s.phase != phaseNotListening && !s.unready
-	s.mu.Unlock()
-	return takes && s.ready()
-}
-
-// Drain sends clients away: none is asked to come, every answer ends its connection, and idle ones are closed. What
-// comes all the same is served.
-func (s *Server) Drain() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	switch s.phase {
-	case phaseNotListening:
-		return errNotListening
-	case phaseStopping:
-		return errStopping
-	case phaseServing:
-		s.phase, s.unready = phaseDraining, true
-		s.sweepTimer = time.AfterFunc(silentSweepInterval, s.sweepSilent)
-		s.closeIdleConnections()
-	}
-	return nil
-}
-
-// closeIdleConnections ends connections between requests, now and from now on.
-func (s *Server) closeIdleConnections() {
-	s.closeAfterResponse.Store(true)
-	s.budget.disableIdle()
-}
-
-// sweepSilent closes connections that were opened and say nothing.
-// Danger: a client that sends its first request as the front takes the node for empty.
-func (s *Server) sweepSilent() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.phase == phaseDraining {
-		s.budget.reclaimSilent(silentConnTimeout)
-		s.sweepTimer.Reset(silentSweepInterval)
-	}
-}
-
-// Activate ends a drain.
-func (s *Server) Activate() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	switch s.phase {
-	case phaseNotListening:
-		return errNotListening
-	case phaseStopping:
-		return errStopping
-	case phaseDraining:
-		s.sweepTimer.Stop()
-		s.phase, s.unready = phaseServing, false
-		s.closeAfterResponse.Store(false)
-		s.budget.enableIdle()
-	}
-	return nil
-}
-
-// Stop answers all that was taken and ends; connections close between requests. Where no other process of this node has
-// taken over, it takes what still comes for most of the time; else the door is left to that one at once, and connections
-// that are kept idle stand for a while, since each answer ends its own.
-// Danger: http.Server's own Shutdown closes connections whose next request is just being read. A door that is shut at
-// once leaves clients with nowhere to go while other nodes are down or restart as well.
-func (s *Server) Stop(within time.Duration, taken bool) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
-	defer cancel()
-	s.mu.Lock()
-	s.phase = phaseStopping
-	s.mu.Unlock()
-	if taken {
-		s.closeAfterResponse.Store(true)
-		s.listener.Close()
-		some, enough := context.WithTimeout(ctx, time.Duration(handoverIdleFraction*float64(within)))
-		s.budget.waitForNoClients(some)
-		enough()
-	} else {
-		time.Sleep(max(time.Duration(stopAcceptFraction*float64(within)), min(minAcceptAfterStop, within)))
-	}
-	s.closeIdleConnections()
-	s.listener.Close()
-	s.budget.reclaimSilent(0)
-	return s.budget.waitForRequests(ctx)
-}
-
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/-/ready" {
 		w.Header().Set("Connection", "close") // Danger: who asks this and stays takes a client's place
--- a/internal/transport/executors.go
+++ b/internal/transport/server_client.go
@@ -5,12 +5,10 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptrace"
-	"syscall"
 	"time"
 
 	"fernrail/dispatch"
@@ -77,71 +75,6 @@
 	return x
 }
 
-// dialServer opens a connection. A process that is behind looks at it later than it came up, and waits for it so much longer, but no
-// more than twice.
-// Danger: at a process that is behind each connection seems to be late, and its executor is blamed for it.
-func (x *ServerClient) dialServer(ctx context.Context, network, address string, within time.Duration) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, within+min(time.Duration(x.schedulingDelay()), within))
-	defer cancel()
-	c, err := x.dialContext(ctx, network, address)
-	if isLocalResourceError(err) {
-		return nil, fmt.Errorf("%w: %w", errNoDescriptor, err)
-	}
-	if late := (net.Error)(nil); errors.As(err, &late) && late.Timeout() && time.Duration(x.schedulingDelay()) > within {
-		return nil, errDialDelayed
-	}
-	return c, err
-}
-
-// isLocalResourceError says whether a connection failed for want of something that this machine is short of.
-// Danger: for a moment without ports or descriptors all executors lose their reliability.
-func isLocalResourceError(err error) bool {
-	for _, own := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
-		if errors.Is(err, own) {
-			return true
-		}
-	}
-	return false
-}
-
-// SetSchedulingDelay has the process's lag known; it is called before the node serves.
-func (x *ServerClient) SetSchedulingDelay(lag func() int64) { x.schedulingDelay = lag }
-
-// SetDialGate has each new connection to an executor asked for first, at the moment at which it would be opened.
-func (x *ServerClient) SetDialGate(may func(address string) bool) { x.mayDial = may }
-
-// exchange is the connection that one request has, and how often it has been used.
-type exchange struct {
-	conn            *trackedConn
-	use             int
-	attempt         *protocol.Attempt // nil: it is a probe
-	schedulingDelay func() int64
-	// unexpectedResponse: the answer had come before the request's first byte was written, a second one to an earlier request.
-	// Danger: it says that the earlier one never ran, the library takes it for this one's, and what runs is sent again.
-	unexpectedResponse bool
-}
-
-func (h *exchange) clientTrace() *httptrace.ClientTrace {
-	return &httptrace.ClientTrace{
-		GotConn: func(i httptrace.GotConnInfo) {
-			h.conn = i.Conn.(*trackedConn)
-			h.use = h.conn.budget.markActive(h.conn)
-			if h.attempt == nil {
-				h.conn.beginExchange(nil)
-				return
-			}
-			h.attempt.SetTimeout(time.Now().Add(time.Duration(h.schedulingDelay())))
-			h.conn.beginExchange(h.attempt.Gate)
-		},
-		GotFirstResponseByte: func() { h.unexpectedResponse = h.conn.exchangeState.Load() != exchangeResponseStarted },
-		PutIdleConn: func(err error) {
-			if err == nil {
-				h.conn.budget.markIdle(h.conn, h.use)
-			}
-		},
-	}
-}
-
 // Forward carries one posting to its end. It tells of starts and progress by heard, and of the end by ended, once, before
 // it looks after the connection.
 func (x *ServerClient) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
@@ -234,46 +167,3 @@
 	}
 	return protocol.DecodeLoadReport(text, x.reportKeys)
 }
-
-// drainBody reads an answer to its end, which gives its connection back.
-func drainBody(body io.Reader, cancel context.CancelFunc) {
-	stop := time.AfterFunc(responseTailTimeout, cancel)
-	defer stop.Stop()
-	io.CopyN(io.Discard, body, 4096) // more than that is not worth a connection
-}
-
-// contextOutcome is the outcome of a posting that the node has stopped waiting for; Settled: it has not.
-func contextOutcome(ctx context.Context) dispatch.Outcome {
-	switch {
-	case ctx.Err() == nil:
-		return dispatch.Succeeded
-	case errors.Is(ctx.Err(), context.Canceled):
-		return dispatch.Canceled
-	}
-	return dispatch.TimedOut
-}
-
-// failureOutcome is the outcome of a posting that got no answer, by what is proved.
-// Danger: kept connections that executors, or what stands between, close early are taken for executors in trouble.
-func failureOutcome(ctx context.Context, h *exchange, err error) dispatch.Outcome {
-	used, kept := h.conn, h.use > 1
-	switch {
-	case used == nil && (errors.Is(err, errNoDescriptor) || errors.Is(err, errSendDenied) || errors.Is(err, errDialDelayed)):
-		return dispatch.NotSent
-	case contextOutcome(ctx) != dispatch.Succeeded:
-		return contextOutcome(ctx)
-	// The library tells of a connection before it writes to it, in the same goroutine as the call.
-	case used == nil:
-		return dispatch.ConnectFailed
-	}
-	never, yielded := used.closeAndCheckUnsent(h.use)
-	switch {
-	case never && (yielded || kept || used.writeDenied):
-		return dispatch.NotSent
-	case never:
-		return dispatch.ConnectFailed
-	case kept:
-		return dispatch.StaleConnection
-	}
-	return dispatch.ConnectionLost
-}
