--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -89,7 +89,7 @@
 	"closed behind another request":   func(c *net.TCPConn) { io.WriteString(c, job); c.Close() },
 	"closed behind 20 more requests":  func(c *net.TCPConn) { io.WriteString(c, strings.Repeat(job, 20)); c.Close() },
 	"reset behind a stray byte":       func(c *net.TCPConn) { io.WriteString(c, "\n"); c.SetLinger(0); c.Close() },
-	"closed behind more than is kept": func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", 4*ahead)); c.Close() },
+	"closed behind more than is kept": func(c *net.TCPConn) { io.WriteString(c, strings.Repeat("x", 4*readAheadLimit)); c.Close() },
 }
 
 // within fails the test where something does not come.
@@ -137,7 +137,7 @@
 				case "an attempt is out":
 					within(t, "an attempt", arrived)
 				default:
-					until(t, "a request at work", func() bool { return count(d, &d.working) > strangers(d) })
+					until(t, "a request at work", func() bool { return count(d, &d.active) > strangers(d) })
 				}
 				closing(c)
 				within(t, "that the client has gone", gone)
@@ -255,17 +255,17 @@
 // TestAnswersOutliveTheClose: connections that end with an answer, while bytes that nobody will read are in them, end without a reset.
 // Danger: it takes an answer with it that the client has not read.
 func TestAnswersOutliveTheClose(t *testing.T) {
-	stray := strings.Repeat("x", ahead+100<<10)
+	stray := strings.Repeat("x", readAheadLimit+100<<10)
 	for what, text := range map[string]string{
 		"an answer that ends it": ask + "b" + stray,
 		"a bad request":          strings.Replace(ask, "pay", "odd", 1) + stray,
 		"no request at all":      "GET\r\n\r\n" + stray[:1000],
 	} {
 		s, address := node(t, NewConnectionBudget(64), settled)
-		s.closing.Store(true)
+		s.closeAfterResponse.Store(true)
 		c := call(t, address, "")
 		go io.WriteString(c, text)
-		until(t, what+": a close that waits", func() bool { return count(s.descriptors, &s.descriptors.lingering) > 0 })
+		until(t, what+": a close that waits", func() bool { return count(s.budget, &s.budget.lingering) > 0 })
 		got, err := io.ReadAll(c)
 		if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 ") {
 			t.Errorf("%s: %.40q, %v", what, got, err)
@@ -292,7 +292,7 @@
 func strangers(d *ConnectionBudget) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.strangers.Len()
+	return d.pending.Len()
 }
 
 // TestNothingIsTakenAfterTheEnd: a stranger's second half comes when the server has ended. It is not served, and nothing is made up.
@@ -303,7 +303,7 @@
 		return nil
 	})
 	c := call(t, address, ask[:30])
-	until(t, "its first bytes", func() bool { return count(d, &d.working) > 0 })
+	until(t, "its first bytes", func() bool { return count(d, &d.active) > 0 })
 	if err := s.Stop(50*time.Millisecond, false); err != nil {
 		t.Error(err)
 	}
@@ -318,12 +318,12 @@
 func TestStopEndsSilentConnections(t *testing.T) {
 	s, address := node(t, NewConnectionBudget(64), settled)
 	silent := call(t, address, "")
-	until(t, "a connection", func() bool { return strangers(s.descriptors) > 0 })
+	until(t, "a connection", func() bool { return strangers(s.budget) > 0 })
 	if err := s.Stop(time.Second, false); err != nil {
 		t.Error(err)
 	}
 	shuts(t, "silent", silent, time.Second)
-	if held := count(s.descriptors, &s.descriptors.held[clients]); held > 0 {
+	if held := count(s.budget, &s.budget.held[clientSide]); held > 0 {
 		t.Errorf("%d connections at the end", held)
 	}
 }
