--- a/internal/fleet/members.go
+++ b/internal/fleet/membership.go
@@ -150,17 +150,6 @@
 	m.onChange()
 }
 
-// reportBroadcast is one piece of news of a node; it takes the place of the one before, told or not.
-type reportBroadcast struct {
-	node    string
-	payload []byte
-}
-
-func (s reportBroadcast) Invalidates(memberlist.Broadcast) bool { return false }
-func (s reportBroadcast) Name() string                          { return s.node }
-func (s reportBroadcast) Message() []byte                       { return s.payload }
-func (s reportBroadcast) Finished()                             {}
-
 // broadcast has a node's news go about with gossip, in place of its older ones. Danger: news without bound; what does not fit into gossip's
 // packets waits, and is overtaken.
 func (m *membership) broadcast(node string, text []byte) {
@@ -168,12 +157,16 @@
 }
 
 // NodeMeta implements memberlist.Delegate, as do the four after it.
-func (m *membership) NodeMeta(int) []byte   { return nil }
+func (m *membership) NodeMeta(int) []byte { return nil }
+
 func (m *membership) NotifyMsg(text []byte) { m.onReport(text) }
+
 func (m *membership) GetBroadcasts(overhead, limit int) [][]byte {
 	return m.broadcasts.GetBroadcasts(overhead, limit)
 }
-func (m *membership) LocalState(bool) []byte                    { return nil }
+
+func (m *membership) LocalState(bool) []byte { return nil }
+
 func (m *membership) MergeRemoteState(text []byte, joined bool) {}
 
 // names of those that are there.
@@ -195,14 +188,6 @@
 	}
 }
 
-// MemberStatus is one node as this one believes.
-type MemberStatus struct {
-	Name             string `json:"name"`
-	Address          string `json:"address"`
-	State            string `json:"state"`              // alive, suspect, gone
-	DuplicateAddress string `json:"twice_at,omitempty"` // another node of the same name
-}
-
 func (m *membership) status() (out []MemberStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -215,33 +200,10 @@
 	return out
 }
 
-// routedTransport is a transport that reaches some addresses by others.
-type routedTransport struct {
-	*memberlist.NetTransport
-	routes map[string]string
-}
-
-func (r *routedTransport) route(address string) string {
-	if to, is := r.routes[address]; is {
-		return to
-	}
-	return address
-}
-
-func (r *routedTransport) WriteTo(b []byte, address string) (time.Time, error) {
-	return r.NetTransport.WriteTo(b, r.route(address))
-}
-
-func (r *routedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	a.Addr = r.route(a.Addr)
-	return r.NetTransport.WriteToAddress(b, a)
-}
-
-func (r *routedTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
-	return r.NetTransport.DialTimeout(r.route(address), timeout)
-}
-
-func (r *routedTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	a.Addr = r.route(a.Addr)
-	return r.NetTransport.DialAddressTimeout(a, timeout)
+// MemberStatus is one node as this one believes.
+type MemberStatus struct {
+	Name             string `json:"name"`
+	Address          string `json:"address"`
+	State            string `json:"state"`              // alive, suspect, gone
+	DuplicateAddress string `json:"twice_at,omitempty"` // another node of the same name
 }
