--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -95,8 +95,8 @@
 	if served < 195 {
 		t.Errorf("%d of 200 served", served)
 	}
-	w.pass(recovery)
-	if w.d.sick(ahead) {
+	w.pass(decayTime)
+	if w.d.outlier(ahead) {
 		t.Error("left out for good")
 	}
 	w.finish()
@@ -112,14 +112,14 @@
 		w.join(2, false)
 		w.pass(2 * terms.OverloadWindow)
 		e := w.fleet[0].Server
-		w.fleet[0].StartedAt, w.d.models[0].slots = w.now+off*terms.StartTimeError, testSlots
+		w.fleet[0].StartedAt, w.d.machineTypes[0].maxSlots = w.now+off*terms.StartTimeError, testSlots
 		w.list(false)
-		born, sent := w.now, []charge{}
+		born, sent := w.now, []timedAmount{}
 		for w.now < born+terms.SlowStart-terms.StartTimeError {
 			for range 8 {
 				for _, p := range w.arrive(0, 1, 1e8, 2e9).Attempts {
 					if p.Server == e {
-						sent = append(sent, charge{w.now, 1e8})
+						sent = append(sent, timedAmount{w.now, 1e8})
 					}
 				}
 			}
@@ -129,15 +129,15 @@
 			sum := 0.0
 			for _, c := range sent {
 				if w.now-c.at <= terms.OverloadWindow {
-					sum += c.work
+					sum += c.amount
 				}
 			}
 			if budget := terms.OverloadFactor * share * testSlots * float64(terms.OverloadWindow); sum > budget {
 				t.Fatalf("stamped %d s off: %.2f of its budget after %d ms", off*4, sum/budget, (w.now-born)/1e6)
 			}
 		}
-		if len(sent) == 0 || w.d.terms.warmth(e, w.now) == 1 {
-			t.Errorf("stamped %d s off: %d sent, warmth %.2f", off*4, len(sent), w.d.terms.warmth(e, w.now))
+		if len(sent) == 0 || w.d.settings.warmUpFactor(e, w.now) == 1 {
+			t.Errorf("stamped %d s off: %d sent, warmth %.2f", off*4, len(sent), w.d.settings.warmUpFactor(e, w.now))
 		}
 	}
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -33,8 +33,8 @@
 		}
 		w.pass(6e9) // what was taken back may run for a while
 		for _, m := range w.fleet {
-			if e := m.Server; e.busy != 0 || e.atWork != 0 {
-				t.Fatalf("executor keeps %v slots, %v at work", e.busy, e.atWork)
+			if e := m.Server; e.slotsInFlight != 0 || e.startedSlots != 0 {
+				t.Fatalf("executor keeps %v slots, %v at work", e.slotsInFlight, e.startedSlots)
 			}
 		}
 	})
@@ -51,15 +51,15 @@
 		w.d.Finish(w.txns[0])
 		w.ended[w.txns[0]] = 1
 		w.end(w.open[0], o)
-		if kept := e.busy == 1; kept != (o == Canceled) {
-			t.Errorf("%v: %v slots are taken", o, e.busy)
+		if kept := e.slotsInFlight == 1; kept != (o == Canceled) {
+			t.Errorf("%v: %v slots are taken", o, e.slotsInFlight)
 		}
 		w.pass(19e7)
-		if kept := e.busy == 1; kept != (o == Canceled) {
-			t.Errorf("%v: %v slots are taken just before it would have run", o, e.busy)
+		if kept := e.slotsInFlight == 1; kept != (o == Canceled) {
+			t.Errorf("%v: %v slots are taken just before it would have run", o, e.slotsInFlight)
 		}
-		if w.pass(2e8); e.busy != 0 {
-			t.Errorf("%v: %v slots are taken for good", o, e.busy)
+		if w.pass(2e8); e.slotsInFlight != 0 {
+			t.Errorf("%v: %v slots are taken for good", o, e.slotsInFlight)
 		}
 	}
 }
@@ -70,28 +70,28 @@
 	e := w.fleet[0].Server
 	near := func(want float64) {
 		t.Helper()
-		if got := w.d.health(e); got < want-0.02 || got > want+0.02 {
+		if got := w.d.reliability(e); got < want-0.02 || got > want+0.02 {
 			t.Fatalf("H is %v, want %v", got, want)
 		}
 	}
 	again := func() {
-		e.limit = firstRoom
+		e.limit = initialLimit
 		w.pass(8 * w.terms.Tick)
 	}
 	near(1)
 	w.arrive(0, 1, 1e8, 2e10)
 	w.end(w.open[0], ConnectFailed)
-	near(penalty)
+	near(failureFactor)
 	again()
-	before := w.d.health(e)
+	before := w.d.reliability(e)
 	w.end(w.open[0], Rejected)
 	near(before)
 	again()
-	before = w.d.health(e)
+	before = w.d.reliability(e)
 	w.end(w.open[0], Succeeded)
-	near(before + reward)
-	w.pass(recovery)
-	near(1 - (1-before-reward)*0.37)
+	near(before + successBonus)
+	w.pass(decayTime)
+	near(1 - (1-before-successBonus)*0.37)
 	// A kept connection that was gone shows at once; what breaks later, the executor broke.
 	for _, took := range []int64{0, 1e9} {
 		again()
@@ -99,9 +99,9 @@
 		p := w.open[len(w.open)-1]
 		w.now += took
 		w.d.Advance(w.now)
-		before = w.d.health(e)
+		before = w.d.reliability(e)
 		w.end(p, StaleConnection)
-		near(before * map[int64]float64{0: 1, 1e9: penalty}[took])
+		near(before * map[int64]float64{0: 1, 1e9: failureFactor}[took])
 	}
 }
 
@@ -110,11 +110,11 @@
 	w.join(3, false)
 	fast, mid, slow := w.fleet[0].Server, w.fleet[1].Server, w.fleet[2].Server
 	job := func(e *Server, time float64, lost bool) {
-		w.d.rank(&Attempt{Request: &Request{Class: w.terms.Classes[0], Slots: 1}, Server: e}, time, lost)
+		w.d.recordRank(&Attempt{Request: &Request{Class: w.terms.Classes[0], Slots: 1}, Server: e}, time, lost)
 	}
 	job(fast, 1, false)
 	job(mid, 2, false)
-	if fast.pooled+mid.pooled != 0 {
+	if fast.scoreCount+mid.scoreCount != 0 {
 		t.Fatal("scored without two others")
 	}
 	for range 60 {
@@ -122,12 +122,12 @@
 		job(fast, 1, false)
 		job(mid, 2, false)
 	}
-	if fast.sum != 10*poolSize || mid.sum != 6*poolSize || slow.sum != 2*poolSize {
-		t.Fatalf("sums %d %d %d", fast.sum, mid.sum, slow.sum)
+	if fast.scoreSum != 10*scoreWindow || mid.scoreSum != 6*scoreWindow || slow.scoreSum != 2*scoreWindow {
+		t.Fatalf("sums %d %d %d", fast.scoreSum, mid.scoreSum, slow.scoreSum)
 	}
 	job(fast, 0, true)
-	if fast.sum != 10*(poolSize-1) {
-		t.Fatalf("a lost job must earn 0: sum %d", fast.sum)
+	if fast.scoreSum != 10*(scoreWindow-1) {
+		t.Fatalf("a lost job must earn 0: sum %d", fast.scoreSum)
 	}
 }
 
@@ -137,19 +137,19 @@
 	w := newWorld(t, 1, terms)
 	w.join(2, false)
 	good, bad := w.fleet[0].Server, w.fleet[1].Server
-	good.pooled, good.sum, bad.pooled, bad.sum = 50, 475, 50, 125
+	good.scoreCount, good.scoreSum, bad.scoreCount, bad.scoreSum = 50, 475, 50, 125
 	count := 0
 	for range 4000 {
-		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0] == good {
+		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0] == good {
 			count++
 		}
 	}
 	if count < 3000 || count > 3220 { // 3111 by the scores and what its kind adds
 		t.Fatalf("%d of 4000 draws for 0.78 of the weight", count)
 	}
-	bad.h, bad.hAt = 0.05, w.now
+	bad.reliability, bad.reliabilityAt = 0.05, w.now
 	for range 100 {
-		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0] == bad {
+		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0] == bad {
 			t.Fatal("drawn below the least H though another remains")
 		}
 	}
@@ -215,7 +215,7 @@
 	for range 4 {
 		w.arrive(0, 1, 1e8, 5e9)
 	}
-	if w.pass(3e8); len(w.open) < 4 || e.limit != cut*4 {
+	if w.pass(3e8); len(w.open) < 4 || e.limit != limitReduction*4 {
 		t.Fatalf("%d out, limit is %v", len(w.open), e.limit)
 	}
 }
@@ -229,7 +229,7 @@
 		w.terms.Nodes = 20
 		w.join(1, false)
 		e := w.fleet[0].Server
-		e.model.slots = slots
+		e.typeStats.maxSlots = slots
 		limit := func(late int64) float64 {
 			w.arrive(0, 1, 1e8, 5e9)
 			w.pass(late)
@@ -263,21 +263,21 @@
 	w.join(2, false)
 	w.arrive(0, 1, 1e8, 5e9)
 	w.d.queue = []*Request{{Class: w.terms.Classes[0]}}
-	if w.d.copy(w.open[0]); len(w.open) != 1 {
+	if w.d.hedge(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out while a txn waited")
 	}
 	w.d.queue = nil
-	*w.d.starts[true] = ledger{20, 0.5, w.now}
-	if w.d.copy(w.open[0]); len(w.open) != 1 {
+	*w.d.startPromptness[true] = decayingRatio{20, 0.5, w.now}
+	if w.d.hedge(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though none of those left should find room")
 	}
 	w.terms.LoadReports = true
-	*w.d.starts[true] = ledger{10, 6, w.now}
-	if w.d.copy(w.open[0]); len(w.open) != 1 {
+	*w.d.startPromptness[true] = decayingRatio{10, 6, w.now}
+	if w.d.hedge(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though four starts in ten were late, as other nodes' txns wait")
 	}
-	w.d.starts[true].earned = 10
-	if w.d.copy(w.open[0]); len(w.open) != 2 {
+	w.d.startPromptness[true].hits = 10
+	if w.d.hedge(w.open[0]); len(w.open) != 2 {
 		t.Fatal("no copy though there is room")
 	}
 }
@@ -289,7 +289,7 @@
 	w := newWorld(t, 1, terms)
 	over := func(n, burst int) (count int) {
 		for i := range n {
-			if tenant := min(i%burst, 1); w.d.overShare(&Request{Tenant: tenant}) && tenant == 1 {
+			if tenant := min(i%burst, 1); w.d.overQuota(&Request{Tenant: tenant}) && tenant == 1 {
 				count++
 			}
 		}
@@ -373,12 +373,12 @@
 	w.join(8, false)
 	for _, m := range w.fleet {
 		for range 20 {
-			w.d.adjust(&Attempt{Server: m.Server, sent: w.now}, 0, m.Zone != 0)
+			w.d.adjustLimit(&Attempt{Server: m.Server, sentAt: w.now}, 0, m.Zone != 0)
 		}
-		m.Server.limit = firstRoom
+		m.Server.limit = initialLimit
 	}
 	for range 200 {
-		far += w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0].zone
+		far += w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0].zone
 	}
 	if far < 80 {
 		t.Fatalf("%d of 200 went to the zone with room", far)
@@ -404,7 +404,7 @@
 	}
 	again := 0
 	for range 40 {
-		if met[w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, thing: open}, 1)[0]] {
+		if met[w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0]] {
 			again++
 		}
 	}
@@ -420,7 +420,7 @@
 		terms.LoadReports, terms.OverQuotaWeight, terms.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 		w := newWorld(t, 1, terms)
 		w.join(40, false)
-		*w.d.starts[true] = ledger{400, prompt, w.now}
+		*w.d.startPromptness[true] = decayingRatio{400, prompt, w.now}
 		for range 40 {
 			if w.arrive(0, 1, 1e8, 5e9).Done {
 				declined++
@@ -643,7 +643,7 @@
 	w := newWorld(t, 9, terms)
 	w.join(8, false)
 	tx := w.arrive(0, 2, 1e8, 9e9)
-	if len(tx.Attempts) > 0 || len(w.probes) != asks {
+	if len(tx.Attempts) > 0 || len(w.probes) != probesPerRound {
 		t.Fatalf("%d postings, %d probes", len(tx.Attempts), len(w.probes))
 	}
 	tx.Memory = 2
@@ -699,7 +699,7 @@
 	for seed := range uint64(100) {
 		w := newWorld(t, seed, terms)
 		w.join(4, false)
-		w.d.starts[true].asked, w.d.starts[true].at = 9, w.now
+		w.d.startPromptness[true].total, w.d.startPromptness[true].decayedAt = 9, w.now
 		tx := w.arrive(0, 1, 1e8, 9e9)
 		if w.d.CapacityReported(w.probes[0], true, 9, 9); len(tx.Attempts) > 0 {
 			taken++
@@ -755,7 +755,7 @@
 		w.join(12, false)
 		for range 600 {
 			w.arrive(0, 1, 1e8, 9e9)
-			if w.open[0].Server.kind == 1 {
+			if w.open[0].Server.machineType == 1 {
 				n++
 			}
 			w.settle()
@@ -813,7 +813,7 @@
 	if len(second.Attempts) > 0 {
 		t.Fatal("the slot that this node has just taken is taken again")
 	}
-	w.pass(6 * askAgain)
+	w.pass(6 * maxReportLifetime)
 	w.d.CapacityReported(e, true, 1, 9)
 	if len(second.Attempts) != 1 || len(w.told) != 1 {
 		t.Fatalf("%d postings, %d told", len(second.Attempts), len(w.told))
@@ -824,7 +824,7 @@
 	if other.d.CapacityReported(e, true, 1, 9); len(held.Attempts) > 0 {
 		t.Error("a slot that another node told it has taken is taken again")
 	}
-	other.pass(6 * askAgain)
+	other.pass(6 * maxReportLifetime)
 	if other.d.CapacityReported(e, true, 1, 9); len(held.Attempts) != 1 {
 		t.Error("what was told once counts for ever")
 	}
@@ -858,8 +858,8 @@
 	w.d.AttemptStarted(waiting)
 	w.d.ProcessQueue()
 	w.pass(1e8)
-	if w.d.health(e) < 1 || e.limit < limit || len(w.open) != 2 {
-		t.Errorf("H %v, limit %v of %v, %d out", w.d.health(e), e.limit, limit, len(w.open))
+	if w.d.reliability(e) < 1 || e.limit < limit || len(w.open) != 2 {
+		t.Errorf("H %v, limit %v of %v, %d out", w.d.reliability(e), e.limit, limit, len(w.open))
 	}
 }
 
@@ -874,7 +874,7 @@
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
 		w.pass(3e9)
-		w.d.counted = 200 // others are about other things
+		w.d.keyedRequests = 200 // others are about other things
 		cold := w.fleet[7]
 		cold.StartedAt = w.now - w.terms.SlowStart/2
 		w.list(true)
@@ -902,18 +902,18 @@
 	w := newWorld(t, 6, basicTerms())
 	w.join(2, false)
 	for _, m := range w.fleet {
-		m.Server.limit, m.Server.busy = 1, 1
+		m.Server.limit, m.Server.slotsInFlight = 1, 1
 	}
 	tx := w.arrive(0, 1, 2e9, 2e10)
 	for range 100 {
 		w.pass(w.terms.Tick)
 		w.d.ProcessQueue()
 	}
-	if tx.looks == 0 || tx.looks > 20 {
-		t.Errorf("looked for room %d times in 100 rounds", tx.looks)
+	if tx.fruitlessDraws == 0 || tx.fruitlessDraws > 20 {
+		t.Errorf("looked for room %d times in 100 rounds", tx.fruitlessDraws)
 	}
 	for _, m := range w.fleet {
-		m.Server.busy = 0
+		m.Server.slotsInFlight = 0
 	}
 	if w.pass(32 * w.terms.Tick); len(tx.Attempts) != 1 {
 		t.Error("room is not found")
@@ -929,15 +929,15 @@
 		for i, m := range w.fleet {
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
-		w.d.counted = 100
-		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, thing: &thing{n: 1}}
-		*w.d.starts[true] = ledger{9, prompt, w.now}
-		if homes := w.d.homes(tx, true); len(homes) != want {
+		w.d.keyedRequests = 100
+		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, keyState: &keyState{requests: 1}}
+		*w.d.startPromptness[true] = decayingRatio{9, prompt, w.now}
+		if homes := w.d.preferredServers(tx, true); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
 		}
 		// Danger: a txn that waits while the counts are halved away; it has a home all the same.
-		tx.thing.n, w.d.counted = 0, 5
-		if homes := w.d.homes(tx, true); len(homes) != want {
+		tx.keyState.requests, w.d.keyedRequests = 0, 5
+		if homes := w.d.preferredServers(tx, true); len(homes) != want {
 			t.Errorf("no count left: %d homes", len(homes))
 		}
 	}
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -19,7 +19,7 @@
 	nodes   []*herdNode
 	since   []int64 // of each executor
 	off     []int64 // by which it is stamped
-	sent    [][]charge
+	sent    [][]timedAmount
 	slots   float64
 	hasty   bool // every posting is turned away at once, so that all that the nodes hold goes out again
 	settle  int64
@@ -62,7 +62,7 @@
 	if n.work != nil {
 		work = float64(n.works[p.Request])
 	}
-	n.sent[i] = append(n.sent[i], charge{n.now, work})
+	n.sent[i] = append(n.sent[i], timedAmount{n.now, work})
 	n.open, n.at[p] = append(n.open, p), n.now
 	n.tell(invariants.Event{Kind: invariants.AttemptSent, Request: p.Request.Tag, Attempt: p.Number, Server: strconv.Itoa(i), Work: work / 1e9})
 }
@@ -103,7 +103,7 @@
 	h := &herd{Rand: rand.New(rand.NewPCG(seed, 2)), now: 1e12, slots: testSlots, settle: 1e8}
 	h.terms = basicTerms()
 	h.terms.Nodes, h.terms.Classes, h.terms.Tick = nodes, h.terms.Classes[:1], 2e7
-	h.since, h.off, h.sent = make([]int64, executors), make([]int64, executors), make([][]charge, executors)
+	h.since, h.off, h.sent = make([]int64, executors), make([]int64, executors), make([][]timedAmount, executors)
 	places := map[string]invariants.ServerPlace{}
 	for i := range executors {
 		places[strconv.Itoa(i)] = invariants.ServerPlace{Slots: h.slots}
@@ -153,7 +153,7 @@
 	}
 	for _, n := range h.nodes {
 		n.list()
-		n.d.models[0].slots = h.slots - float64(h.IntN(unlike)) // nodes have seen more or less of it
+		n.d.machineTypes[0].maxSlots = h.slots - float64(h.IntN(unlike)) // nodes have seen more or less of it
 	}
 }
 
@@ -176,7 +176,7 @@
 				if h.work != nil {
 					t.ExpectedWork, t.Deadline, h.works[t] = 0, h.now+h.patient, h.work()
 				}
-				h.tell(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.terms.NodeIndex), Request: t.Tag, Class: "s", Deadline: t.Deadline})
+				h.tell(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.settings.NodeIndex), Request: t.Tag, Class: "s", Deadline: t.Deadline})
 				n.d.Arrive(t)
 			}
 			n.d.ProcessQueue()
@@ -205,7 +205,7 @@
 			sum, last := 0.0, first
 			for _, c := range sends[from:] {
 				if c.at-first.at <= h.terms.OverloadWindow {
-					sum, last = sum+c.work, c
+					sum, last = sum+c.amount, c
 				}
 			}
 			age := max(first.at-h.since[i], 0) // capacity at the window's start: the least in it
@@ -230,7 +230,7 @@
 		h.hasty = hasty
 		h.terms.StartTimeError = []int64{0, h.terms.OverloadWindow, h.terms.SlowStart}[seed%3]
 		for _, n := range h.nodes {
-			n.d.terms.StartTimeError = h.terms.StartTimeError
+			n.d.settings.StartTimeError = h.terms.StartTimeError
 		}
 		size := int64(2e7) << (seed % 5)
 		h.pass(h.terms.OverloadWindow, size, 0)
@@ -261,7 +261,7 @@
 	work := 0.0
 	for _, sends := range h.sent {
 		for _, c := range sends {
-			work += c.work
+			work += c.amount
 		}
 	}
 	// what they can do meanwhile, if they warm as late as the terms allow
@@ -285,7 +285,7 @@
 		w.settle()
 		w.fleet[0].StartedAt = w.now
 		w.list(true)
-		part, _, _, _ := w.d.part(w.fleet[0].Server)
+		part, _, _, _ := w.d.quotaShare(w.fleet[0].Server)
 		return part
 	}
 	if untold, told := part(0), part(4); told <= untold {
@@ -302,7 +302,7 @@
 		bound := within + 1e9
 		var per [8]int
 		for _, node := range h.nodes {
-			node.alarms, node.d.terms = nil, h.terms
+			node.alarms, node.d.settings = nil, h.terms
 			node.d.StartPolling()
 			if after := node.alarms[0].at - h.now; after >= bound {
 				t.Fatalf("a call after %d ms, %d at most", after/1e6, bound/1e6)
@@ -330,7 +330,7 @@
 		most := func(rounds int) (n int, last int64) {
 			var per [16]int
 			for _, node := range h.nodes {
-				node.alarms, node.d.terms = nil, h.terms
+				node.alarms, node.d.settings = nil, h.terms
 				for range rounds {
 					node.d.PollFailed(c.spent, c.spent)
 				}
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -28,7 +28,7 @@
 	probes   []*Server // without an answer
 	fleet    []*Endpoint
 	stopped  map[*Server]bool // told that it drains or is gone
-	coldWork map[*Server][]charge
+	coldWork map[*Server][]timedAmount
 }
 
 type alarm struct {
@@ -38,7 +38,7 @@
 
 const testSlots = 4
 
-var open = &thing{gate: gate{limit: math.Inf(1)}} // what txns are about that never were taken
+var open = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}} // what txns are about that never were taken
 
 func basicTerms() *Settings {
 	return &Settings{Nodes: 2, Tick: 4e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 4, AllowCancel: true,
@@ -54,7 +54,7 @@
 func newWorld(t *testing.T, seed uint64, terms *Settings) *world {
 	w := &world{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), terms: terms, now: 1e12, ended: map[*Request]int{},
 		mayRun: map[*Attempt]bool{}, sentAt: map[*Attempt]int64{}, stopped: map[*Server]bool{},
-		coldWork: map[*Server][]charge{}}
+		coldWork: map[*Server][]timedAmount{}}
 	w.d = New(terms, seed, w, w.now)
 	return w
 }
@@ -123,11 +123,11 @@
 	e := p.Server
 	i := slices.IndexFunc(w.fleet, func(m *Endpoint) bool { return m.Server == e })
 	if age := w.now - w.fleet[i].StartedAt; w.fleet[i].StartedAt > 0 && age < w.terms.SlowStart && w.terms.StartTimeError == 0 {
-		w.coldWork[e] = append(w.coldWork[e], charge{w.now, float64(p.Request.ExpectedWork) * p.Request.Slots})
+		w.coldWork[e] = append(w.coldWork[e], timedAmount{w.now, float64(p.Request.ExpectedWork) * p.Request.Slots})
 		sum, share := 0.0, w.terms.SlowStartShare+(1-w.terms.SlowStartShare)*float64(age)/float64(w.terms.SlowStart)
 		for _, c := range w.coldWork[e] {
 			if w.now-c.at <= w.terms.OverloadWindow {
-				sum += c.work
+				sum += c.amount
 			}
 		}
 		if sum > w.terms.OverloadFactor*share*testSlots*float64(w.terms.OverloadWindow) {
@@ -226,7 +226,7 @@
 		w.end(w.open[w.IntN(len(w.open))], Outcome(w.IntN(int(StaleConnection)+1)))
 	case n < 14 && len(w.open) > 0:
 		p := w.open[w.IntN(len(w.open))]
-		if busy := p.Server.atWork; busy+p.Request.Slots <= testSlots {
+		if busy := p.Server.startedSlots; busy+p.Request.Slots <= testSlots {
 			w.d.AttemptStarted(p)
 		}
 		w.d.AttemptProgressed(p)
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -105,27 +105,27 @@
 	Quota(b Budget, e *Server) float64
 }
 
-// inTurn is how many nodes take turns at what is cold; leases take the place of turns.
-func (t *Settings) inTurn() int {
+// nodesInRotation is how many nodes take turns at what is cold; leases take the place of turns.
+func (t *Settings) nodesInRotation() int {
 	if t.Quotas != nil {
 		return 1
 	}
 	return max(t.Nodes, 1)
 }
 
-// oftener is how much likelier a node takes a cold executor than others do, as few may send to it: by the groups that take
+// slowStartShareFactor is how much likelier a node takes a cold executor than others do, as few may send to it: by the groups that take
 // turns at it, or by this node's part of what all have. Danger: who may send to it draws it as seldom as if all could.
-func (t *Settings) oftener(e *Server, groups float64) float64 {
+func (t *Settings) slowStartShareFactor(e *Server, groups float64) float64 {
 	if t.Quotas == nil {
 		return groups
 	}
 	return t.Quotas.Quota(BudgetSlowStart, e) * float64(max(t.Nodes, 1))
 }
 
-// warmth is the share of its capacity that an executor has at least, at a time; its stamp may be too early.
-func (t *Settings) warmth(e *Server, at int64) float64 {
-	age := float64(at - e.since - t.StartTimeError)
-	if e.since == 0 || age >= float64(t.SlowStart) {
+// warmUpFactor is the share of its capacity that an executor has at least, at a time; its stamp may be too early.
+func (t *Settings) warmUpFactor(e *Server, at int64) float64 {
+	age := float64(at - e.startedAt - t.StartTimeError)
+	if e.startedAt == 0 || age >= float64(t.SlowStart) {
 		return 1
 	}
 	return t.SlowStartShare + (1-t.SlowStartShare)*max(age, 0)/float64(t.SlowStart)
@@ -136,13 +136,13 @@
 	return min(t.UnpolledEventAge+t.DrainGrace/2, t.MaxPollInterval)
 }
 
-// need says whether some scheme runs on that kind of machine alone.
-func (t *Settings) need(kind int) bool {
+// requiresMachineType says whether some scheme runs on that kind of machine alone.
+func (t *Settings) requiresMachineType(kind int) bool {
 	return slices.ContainsFunc(t.Classes, func(s *Class) bool { return s.MachineType == kind })
 }
 
-// mayPost says whether one more posting of a txn to an executor that is warm fits into this node's shares.
-func (t *Settings) mayPost(x *Request, e *Server) bool {
+// withinQuotas says whether one more posting of a txn to an executor that is warm fits into this node's shares.
+func (t *Settings) withinQuotas(x *Request, e *Server) bool {
 	s := t.Quotas
 	return s == nil || (len(x.Attempts) == 0 || s.Allow(BudgetRetries, e, x, 1)) && s.Allow(BudgetTenantAttempts, e, x, 1) && s.Allow(BudgetConnections, e, x, 1)
 }
@@ -211,17 +211,17 @@
 	Done         bool   // the final answer is given, or the client has left
 	Reason       Reason // why it was refused or failed, once it is
 
-	arrived, aim int64
-	value        float64 // billing value when in time
-	size         float64 // slots times expected work
-	earns        float64 // billing value for each unit of size that can be expected now
-	live         int     // postings out and not withdrawn
-	thing        *thing  // what it is about; nil: not told
-	erred        *Server // where it ended in an error last
-	rounds       int     // of asking for room
-	look, looks  int64   // when room is looked for again, and how often that was in vain
-	queued, over bool    // over: beyond its tenant's share
-	forget       func()  // releases the alarm of its expiry
+	arrivedAt, objectiveAt  int64
+	priorityWeight          float64   // billing value when in time
+	size                    float64   // slots times expected work
+	expectedValue           float64   // billing value for each unit of size that can be expected now
+	activeAttempts          int       // postings out and not withdrawn
+	keyState                *keyState // what it is about; nil: not told
+	failedServer            *Server   // where it ended in an error last
+	probeRounds             int       // of asking for room
+	retryAt, fruitlessDraws int64     // when room is looked for again, and how often that was in vain
+	queued, overQuota       bool      // over: beyond its tenant's share
+	cancelDeadline          func()    // releases the alarm of its expiry
 }
 
 // Reason says why a request was refused or failed. It is for logs; nothing is decided by it.
@@ -243,24 +243,24 @@
 	return [...]string{"", "deadline", "no attempt left", "no hope", "late at a server", "client's time is over", "errs anywhere", "overloaded", "client has gone"}[r]
 }
 
-// anchor is the first posting that may have run or still may.
-func (t *Request) anchor() *Attempt {
-	if i := slices.IndexFunc(t.Attempts, func(p *Attempt) bool { return !p.unrun }); i >= 0 {
+// firstPossibleRun is the first posting that may have run or still may.
+func (t *Request) firstPossibleRun() *Attempt {
+	if i := slices.IndexFunc(t.Attempts, func(p *Attempt) bool { return !p.provedNotRun }); i >= 0 {
 		return t.Attempts[i]
 	}
 	return nil
 }
 
-// farther is how far an executor is from this node for a txn; one that has homes goes by these.
+// distanceFor is how far an executor is from this node for a txn; one that has homes goes by these.
 // Danger: few nodes at a time may send to a cold one, and those that it is near to are other ones.
-func (t *Settings) farther(x *Request, e *Server, now int64) int {
-	if x.AffinityKey != 0 || e.Distance == 0 || t.warmth(e, now) < 1 {
+func (t *Settings) distanceFor(x *Request, e *Server, now int64) int {
+	if x.AffinityKey != 0 || e.Distance == 0 || t.warmUpFactor(e, now) < 1 {
 		return 0
 	}
 	return e.Distance
 }
 
-func (t *Request) unit() float64 { return float64(cmp.Or(t.ExpectedWork, 1e9)) }
+func (t *Request) workUnit() float64 { return float64(cmp.Or(t.ExpectedWork, 1e9)) }
 
 // Attempt is one sending of a txn to an executor.
 type Attempt struct {
@@ -272,10 +272,10 @@
 	SlowStartShare float64 // of a cold executor's budget that it takes; 0: the executor is warm
 	FreeSlots      float64 // free slots that the executor reported with the outcome; 0: none, or not told
 
-	sent, started, told int64
-	blamed, withdrawn   bool
-	unrun               bool   // proved not to have run
-	then                func() // what the outcome leads to
+	sentAt, startedAt, progressAt int64
+	failureRecorded, canceled     bool
+	provedNotRun                  bool   // proved not to have run
+	afterEnd                      func() // what the outcome leads to
 }
 
 // Server is a worker that runs jobs.
@@ -286,123 +286,123 @@
 	OutlierScore float64 // how bad many nodes together say that it is, from 0 to 1; 0: nothing is said
 	Distance     int     // 0: one that this node is to use; else those of 1 come before those of 2, where the others can't serve
 
-	zone, kind, cell int
-	model            *model
-	wait             float64 // drawn, for one txn; the least is picked
-	since            int64
-	known            bool
+	zone, machineType, cell int
+	typeStats               *machineTypeStats
+	sampleKey               float64 // drawn, for one txn; the least is picked
+	startedAt               int64
+	listed                  bool
 
-	inFleet, inKept, inRamping, inLow int // places in the dispatcher's sets, counted from one
-	draw                              int // the last draw that considered it
-	turn                              bool
-	turnTill                          int64 // until when turn holds: whether this node may send to it in slow start
+	indexInAll, indexInIdle, indexInSlowStart, indexInLowLimit int // places in the dispatcher's sets, counted from one
+	lastDraw                                                   int // the last draw that considered it
+	inTurn                                                     bool
+	turnUntil                                                  int64 // until when turn holds: whether this node may send to it in slow start
 
-	pool        [poolSize]uint8
-	pooled, sum int
-	next        int
-	h           float64
-	hAt         int64
-	keptTill    int64 // until then a connection should be open and unused
+	scores               [scoreWindow]uint8
+	scoreCount, scoreSum int
+	nextScore            int
+	reliability          float64
+	reliabilityAt        int64
+	idleUntil            int64 // until then a connection should be open and unused
 
-	askers       []*Request // that wait for the answer to a probe
-	toldAt       int64      // of room
-	claims       charges    // slots taken since, by this node or others
-	free, memory float64
+	probeWaiters          []*Request    // that wait for the answer to a probe
+	capacityReportedAt    int64         // of room
+	reservations          recentAmounts // slots taken since, by this node or others
+	freeSlots, freeMemory float64
 
-	size float64 // the most that the list told of it
-	left float64 // what the list said last of its size less its load; one where that is not told
+	size        float64 // the most that the list told of it
+	spareFactor float64 // what the list said last of its size less its load; one where that is not told
 
-	gate
-	atWork float64 // of these, slots of started ones
-	late   float64 // starts in a row that came late
-	room   float64 // what it was before refusals cut it, until a start is late
-	sends  charges
+	concurrencyLimit
+	startedSlots          float64 // of these, slots of started ones
+	lateStarts            float64 // starts in a row that came late
+	limitBeforeRejections float64 // what it was before refusals cut it, until a start is late
+	recentSends           recentAmounts
 }
 
-type charge struct {
-	at   int64
-	work float64
+type timedAmount struct {
+	at     int64
+	amount float64
 }
 
-// charges are in order of time.
-type charges []charge
+// recentAmounts are in order of time.
+type recentAmounts []timedAmount
 
 // add notes one more, and forgets those over a span old.
-func (c charges) add(at int64, work float64, span int64) charges {
-	return append(slices.DeleteFunc(c, func(o charge) bool { return at-o.at > span }), charge{at, work})
+func (c recentAmounts) add(at int64, work float64, span int64) recentAmounts {
+	return append(slices.DeleteFunc(c, func(o timedAmount) bool { return at-o.at > span }), timedAmount{at, work})
 }
 
 // sum adds those from a time on to what there is.
-func (c charges) sum(all float64, since int64) float64 {
+func (c recentAmounts) sum(all float64, since int64) float64 {
 	for _, o := range c {
 		if o.at >= since {
-			all += o.work
+			all += o.amount
 		}
 	}
 	return all
 }
 
-// ledger is what was asked for and what of it was earned, fading.
-type ledger struct {
-	asked, earned float64
-	at            int64
+// decayingRatio is what was asked for and what of it was earned, fading.
+type decayingRatio struct {
+	total, hits float64
+	decayedAt   int64
 }
 
-// fade lets what is old count less and less.
-func (l *ledger) fade(now int64) *ledger {
-	f := math.Exp(-float64(now-l.at) / recovery)
-	l.asked, l.earned, l.at = l.asked*f, l.earned*f, now
+// decay lets what is old count less and less.
+func (l *decayingRatio) decay(now int64) *decayingRatio {
+	f := math.Exp(-float64(now-l.decayedAt) / decayTime)
+	l.total, l.hits, l.decayedAt = l.total*f, l.hits*f, now
 	return l
 }
 
-// count adds one that was asked for.
-func (l *ledger) count(earned bool) {
-	if l.asked++; earned {
-		l.earned++
+// record adds one that was asked for.
+func (l *decayingRatio) record(earned bool) {
+	if l.total++; earned {
+		l.hits++
 	}
 }
 
-// last is how a recent job of one scheme and slot count went at one executor.
-type last struct {
-	at   *Server
-	time float64
-	lost bool
+// recentResult is how a recent job of one scheme and slot count went at one executor.
+type recentResult struct {
+	server   *Server
+	duration float64
+	lost     bool
 }
 
-// family is what jobs have in common that are ranked together.
-type family struct {
-	scheme *Class
-	slots  float64
+// rankGroup is what jobs have in common that are ranked together.
+type rankGroup struct {
+	class *Class
+	slots float64
 }
 
-// gate bounds the slots in flight at an executor, or of the txns about one thing.
-type gate struct {
-	busy   float64 // slots of open postings
-	limit  float64
-	idleAt int64 // when the latest posting ended
-	cutAt  int64 // when the limit was last cut
+// concurrencyLimit bounds the slots in flight at an executor, or of the txns about one thing.
+type concurrencyLimit struct {
+	slotsInFlight float64 // slots of open postings
+	limit         float64
+	lastEndedAt   int64 // when the latest posting ended
+	reducedAt     int64 // when the limit was last cut
 }
 
-// thing is what some txns are about.
-type thing struct {
-	gate
-	n    int     // of the txns counted
-	cure ledger  // its txns that erred and went elsewhere, and those of them served there
-	bad  *Server // where the last one ended badly, with none that ended well since
+// keyState is what some txns are about.
+type keyState struct {
+	concurrencyLimit
+	requests     int           // of the txns counted
+	retrySuccess decayingRatio // its txns that erred and went elsewhere, and those of them served there
+	failedServer *Server       // where the last one ended badly, with none that ended well since
 }
 
-// count adds a txn to those about one thing; without a key that is its tenant.
-func (d *Dispatcher) count(t *Request) {
-	if d.counted++; d.counted > keyCounts {
-		d.counted /= 2
-		maps.DeleteFunc(d.things, func(_ uint64, h *thing) bool { h.n /= 2; return h.n < 1 && h.busy == 0 })
+// recordKey adds a txn to those about one thing; without a key that is its tenant.
+func (d *Dispatcher) recordKey(t *Request) {
+	if d.keyedRequests++; d.keyedRequests > maxKeyedRequests {
+		d.keyedRequests /= 2
+		maps.DeleteFunc(d.keyStates, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
 	}
 	key := cmp.Or(t.AffinityKey, ^uint64(t.Tenant))
-	if t.thing = d.things[key]; t.thing == nil {
-		t.thing = &thing{gate: gate{limit: math.Inf(1)}}
-		d.things[key] = t.thing
+	if t.keyState = d.keyStates[key]; t.keyState == nil {
+		t.keyState = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
+		d.keyStates[key] = t.keyState
 	}
-	t.thing.n++
+	t.keyState.requests++
 }
 
 // HashName turns a name that all nodes know an executor by into a number by chance that all of them share.
@@ -412,26 +412,26 @@
 	return h.Sum64()
 }
 
-// model is what is known of one kind of machine.
-type model struct {
-	scores ledger  // over the top score
-	ran    ledger  // how long jobs ran there when warm, over what is expected of all kinds in the middle
-	slots  float64 // the most seen at work in one executor, or told to be free
-	bound  bool    // some scheme can't do without it
+// machineTypeStats is what is known of one kind of machine.
+type machineTypeStats struct {
+	scores       decayingRatio // over the top score
+	runtimeRatio decayingRatio // how long jobs ran there when warm, over what is expected of all kinds in the middle
+	maxSlots     float64       // the most seen at work in one executor, or told to be free
+	required     bool          // some scheme can't do without it
 }
 
-// pace is the mean of what jobs take on a kind of machine, by what is expected of all kinds in the middle. Danger: where some
+// meanRuntimeRatio is the mean of what jobs take on a kind of machine, by what is expected of all kinds in the middle. Danger: where some
 // kinds are slow, or few jobs run far longer than most, what a cold one bears is taken for twice as much.
-func (m *model) pace(now int64) float64 {
-	l := m.ran.fade(now)
-	return (l.earned + kindScores) / (l.asked + kindScores)
+func (m *machineTypeStats) meanRuntimeRatio(now int64) float64 {
+	l := m.runtimeRatio.decay(now)
+	return (l.hits + typeScoreWeight) / (l.total + typeScoreWeight)
 }
 
-// ran notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
-func (d *Dispatcher) ran(p *Attempt, ran int64) {
+// recordRuntime notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
+func (d *Dispatcher) recordRuntime(p *Attempt, ran int64) {
 	if t, e := p.Request, p.Server; ran > 0 {
-		l := e.model.ran.fade(d.now)
-		l.asked, l.earned = l.asked+1, l.earned+float64(ran)*d.terms.warmth(e, p.sent)/float64(d.running(t, 0.5))
-		d.runs[t.Class.Index].add(float64(ran) / t.unit())
+		l := e.typeStats.runtimeRatio.decay(d.now)
+		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.settings.warmUpFactor(e, p.sentAt)/float64(d.expectedRuntime(t, 0.5))
+		d.runtimes[t.Class.Index].add(float64(ran) / t.workUnit())
 	}
 }
