--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -10,14 +10,14 @@
 // still is a Door on which nothing happens by itself.
 type still struct{ posted *Attempt }
 
-func (*still) Schedule(int64, func()) func() { return func() {} }
-func (*still) PollEndpoints(bool)            {}
-func (*still) ProbeCapacity(*Server)         {}
-func (*still) NotifyPeers(*Server, float64)  {}
-func (s *still) StartAttempt(p *Attempt)     { s.posted = p }
-func (*still) CancelAttempt(*Attempt)        {}
-func (*still) Shed(*Request, int64)          {}
-func (*still) Compensate(*Request)           {}
+func (*still) Schedule(int64, func()) func()   { return func() {} }
+func (*still) PollEndpoints(bool)              {}
+func (*still) ProbeCapacity(*Server)           {}
+func (*still) NotifyPeers(*Server, float64)    {}
+func (s *still) StartAttempt(attempt *Attempt) { s.posted = attempt }
+func (*still) CancelAttempt(*Attempt)          {}
+func (*still) Shed(*Request, int64)            {}
+func (*still) Compensate(*Request)             {}
 
 func stillWorld(executors int) (*Dispatcher, *still, *Settings) {
 	terms, door := basicTerms(), &still{}
@@ -38,8 +38,8 @@
 			b.ReportAllocs()
 			for now := int64(1e12); b.Loop(); now += 1e6 {
 				d.Advance(now)
-				t := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: now + 3e9}
-				d.Arrive(t)
+				request := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: now + 3e9}
+				d.Arrive(request)
 				d.ProcessQueue()
 				d.AttemptStarted(door.posted)
 				d.AttemptEnded(door.posted, Succeeded, 1e7, true)
@@ -56,8 +56,8 @@
 			b.Run(fmt.Sprintf("%d/%d", executors, waiting), func(b *testing.B) {
 				d, _, terms := stillWorld(executors)
 				d.Advance(1e12)
-				for _, e := range d.servers.servers {
-					e.limit = 0
+				for _, server := range d.servers.servers {
+					server.limit = 0
 				}
 				for range waiting {
 					d.Arrive(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9})
--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -27,15 +27,15 @@
 	index   func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
 }
 
-func (s *serverSet) add(e *Server) {
-	if at := s.index(e); *at == 0 {
-		s.servers = append(s.servers, e)
+func (s *serverSet) add(server *Server) {
+	if at := s.index(server); *at == 0 {
+		s.servers = append(s.servers, server)
 		*at = len(s.servers)
 	}
 }
 
-func (s *serverSet) remove(e *Server) {
-	at := s.index(e)
+func (s *serverSet) remove(server *Server) {
+	at := s.index(server)
 	if *at == 0 {
 		return
 	}
@@ -46,9 +46,9 @@
 }
 
 func (s *serverSet) swap(i, j int) {
-	a, b := s.servers[i], s.servers[j]
-	s.servers[i], s.servers[j] = b, a
-	*s.index(a), *s.index(b) = j+1, i+1
+	server, b := s.servers[i], s.servers[j]
+	s.servers[i], s.servers[j] = b, server
+	*s.index(server), *s.index(b) = j+1, i+1
 }
 
 // sample calls use with count servers of the set, drawn evenly, of which some may be the same; with each once if there are no more.
@@ -56,17 +56,17 @@
 func (d *Dispatcher) sample(s *serverSet, count int, use func(*Server) (keep bool)) {
 	if len(s.servers) <= count {
 		for i := 0; i < len(s.servers); {
-			if e := s.servers[i]; use(e) {
+			if server := s.servers[i]; use(server) {
 				i++
 			} else {
-				s.remove(e)
+				s.remove(server)
 			}
 		}
 		return
 	}
 	for ; count > 0 && len(s.servers) > 0; count-- {
-		if e := s.servers[d.random.IntN(len(s.servers))]; !use(e) {
-			s.remove(e)
+		if server := s.servers[d.random.IntN(len(s.servers))]; !use(server) {
+			s.remove(server)
 		}
 	}
 }
@@ -86,33 +86,33 @@
 // findCandidates considers the candidates of a draw.
 func (d *Dispatcher) findCandidates(s *candidateSearch) {
 	if len(d.servers.servers) <= maxSample {
-		for _, e := range d.servers.servers {
-			d.consider(s, e)
+		for _, server := range d.servers.servers {
+			d.consider(s, server)
 		}
 		return
 	}
-	d.sample(&d.withIdleConnection, sampleSize, func(e *Server) bool {
-		if !e.listed || d.now >= e.idleUntil {
+	d.sample(&d.withIdleConnection, sampleSize, func(server *Server) bool {
+		if !server.listed || d.now >= server.idleUntil {
 			return false
 		}
-		if e.slotsInFlight == 0 {
-			d.consider(s, e)
+		if server.slotsInFlight == 0 {
+			d.consider(s, server)
 		}
 		return true
 	})
 	d.considerSlowStart(s)
-	use := func(e *Server) bool {
-		d.consider(s, e)
+	use := func(server *Server) bool {
+		d.consider(s, server)
 		return true
 	}
 	for left := maxSample; left > 0 && !d.enoughCandidates(s, left == maxSample); left -= sampleSize {
 		d.sample(&d.servers, sampleSize, use)
 	}
-	for _, e := range d.servers.servers {
+	for _, server := range d.servers.servers {
 		if s.foundAllowed {
 			break
 		}
-		d.consider(s, e)
+		d.consider(s, server)
 	}
 }
 
@@ -130,10 +130,10 @@
 // considerSlowStart considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
 func (d *Dispatcher) considerSlowStart(s *candidateSearch) {
 	for i := 0; i < len(d.inSlowStart.servers); {
-		if e := d.inSlowStart.servers[i]; e.listed && d.settings.warmUpFactor(e, d.now) < 1 {
+		if server := d.inSlowStart.servers[i]; server.listed && d.settings.warmUpFactor(server, d.now) < 1 {
 			i++
 		} else {
-			d.inSlowStart.remove(e)
+			d.inSlowStart.remove(server)
 		}
 	}
 	count := len(d.inSlowStart.servers)
@@ -142,8 +142,8 @@
 	}
 	first, considered := d.random.IntN(count), 0
 	for i := 0; i < count && considered < maxSample; i++ {
-		if e := d.inSlowStart.servers[(first+i)%count]; d.inSlowStartTurn(e) {
-			d.consider(s, e)
+		if server := d.inSlowStart.servers[(first+i)%count]; d.inSlowStartTurn(server) {
+			d.consider(s, server)
 			considered++
 		}
 	}
@@ -151,13 +151,13 @@
 
 // inSlowStartTurn says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
 // the budget by warmEnough.
-func (d *Dispatcher) inSlowStartTurn(e *Server) bool {
+func (d *Dispatcher) inSlowStartTurn(server *Server) bool {
 	if d.settings.Quotas != nil {
 		return true
 	}
-	if d.now >= e.turnUntil {
-		_, since, turn, _ := d.quotaShare(e)
-		e.inTurn, e.turnUntil = turn, since+max(d.settings.OverloadWindow/turnsPerWindow, 1)
+	if d.now >= server.turnUntil {
+		_, since, turn, _ := d.quotaShare(server)
+		server.inTurn, server.turnUntil = turn, since+max(d.settings.OverloadWindow/turnsPerWindow, 1)
 	}
-	return e.inTurn
+	return server.inTurn
 }
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -18,8 +18,8 @@
 
 // looked counts the servers that the last draw considered.
 func looked(d *Dispatcher) (n int) {
-	for _, e := range d.servers.servers {
-		if e.lastDraw == d.drawCount {
+	for _, server := range d.servers.servers {
+		if server.lastDraw == d.drawCount {
 			n++
 		}
 	}
@@ -30,10 +30,10 @@
 // servers, and what it took is answered too late.
 func TestDrawLooksAtFew(t *testing.T) {
 	d, _, request := longList(t)
-	for i, e := range d.servers.servers { // an hour in which it used them all
+	for i, server := range d.servers.servers { // an hour in which it used them all
 		if i%2 == 0 {
-			e.idleUntil = d.now + 1e9
-			d.withIdleConnection.add(e)
+			server.idleUntil = d.now + 1e9
+			d.withIdleConnection.add(server)
 		}
 	}
 	if d.draw(request, 1); looked(d) > 2*maxSample {
@@ -42,8 +42,8 @@
 	if d.candidates[0].idleUntil == 0 {
 		t.Error("one without a connection was drawn")
 	}
-	for _, e := range d.servers.servers { // none has room
-		e.limit = 0
+	for _, server := range d.servers.servers { // none has room
+		server.limit = 0
 	}
 	if drawn := d.draw(request, 1); len(drawn) > 0 || looked(d) > 2*maxSample {
 		t.Errorf("%d servers were considered in vain", looked(d))
@@ -55,14 +55,14 @@
 	const draws = 40000
 	d, _, request := longList(t)
 	want, all, got := map[int]float64{}, 0.0, map[int]float64{}
-	class := func(e *Server) int { return e.scoreSum/scoreWindow*2 + int(2*e.reliability) }
-	for i, e := range d.servers.servers {
-		e.scoreCount, e.scoreSum = scoreWindow, scoreWindow*[...]int{10, 6, 2, 2}[i%4]
+	class := func(server *Server) int { return server.scoreSum/scoreWindow*2 + int(2*server.reliability) }
+	for i, server := range d.servers.servers {
+		server.scoreCount, server.scoreSum = scoreWindow, scoreWindow*[...]int{10, 6, 2, 2}[i%4]
 		if i%5 == 0 {
-			e.reliability, e.reliabilityAt = 0.5, d.now
+			server.reliability, server.reliabilityAt = 0.5, d.now
 		}
-		want[class(e)] += d.weight(request, e)
-		all += d.weight(request, e)
+		want[class(server)] += d.weight(request, server)
+		all += d.weight(request, server)
 	}
 	for range draws {
 		got[class(d.draw(request, 1)[0])]++
@@ -78,8 +78,8 @@
 // Danger: a repeat that may go to one small group of servers alone, and finds none of them among those that were looked at.
 func TestNarrowChoiceIsFound(t *testing.T) {
 	d, terms, _ := longList(t)
-	for i, e := range d.servers.servers {
-		e.cell = i / 2
+	for i, server := range d.servers.servers {
+		server.cell = i / 2
 	}
 	request := &Request{Class: terms.Classes[1], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
 	d.Arrive(request)
@@ -97,9 +97,9 @@
 	d, terms, request := longList(t)
 	terms.Nodes, d.slowStartOwnerSince, request.size = 300, 0, request.size/2
 	var members []Endpoint
-	for i, e := range d.servers.servers {
+	for i, server := range d.servers.servers {
 		if i%2 == 0 {
-			members = append(members, Endpoint{Server: e, StartedAt: d.now - 2e9 - int64(i)*1e6})
+			members = append(members, Endpoint{Server: server, StartedAt: d.now - 2e9 - int64(i)*1e6})
 		}
 	}
 	d.UpdateEndpoints(false, members)
--- a/dispatch/clocks_test.go
+++ b/dispatch/clocks_test.go
@@ -7,8 +7,8 @@
 func clockTerms() *Settings {
 	terms := basicTerms()
 	terms.DeadlineMargin = 3e9
-	for _, s := range terms.Classes {
-		s.MaxDeadline = 3e9
+	for _, class := range terms.Classes {
+		class.MaxDeadline = 3e9
 	}
 	return terms
 }
@@ -19,9 +19,9 @@
 	w := newWorld(t, 1, clockTerms())
 	w.join(2, false)
 	for i := range 40 {
-		x := w.arrive(i%5, 1, 5e7, -int64(i%3)*1e6)
-		if x.Done || len(x.Attempts) != 1 {
-			t.Fatalf("txn %d, told of nothing of 3 s, has %d postings", i, len(x.Attempts))
+		request := w.arrive(i%5, 1, 5e7, -int64(i%3)*1e6)
+		if request.Done || len(request.Attempts) != 1 {
+			t.Fatalf("txn %d, told of nothing of 3 s, has %d postings", i, len(request.Attempts))
 		}
 		w.settle()
 	}
@@ -41,9 +41,9 @@
 	w := newWorld(t, 2, clockTerms())
 	w.join(2, false)
 	for i := range 8 {
-		x := w.arrive(i%5, 1, 5e7, 45e8)
-		if at := w.now + 3e9; x.Deadline > at {
-			t.Fatalf("kept for %d ms too long", (x.Deadline-at)/1e6)
+		request := w.arrive(i%5, 1, 5e7, 45e8)
+		if at := w.now + 3e9; request.Deadline > at {
+			t.Fatalf("kept for %d ms too long", (request.Deadline-at)/1e6)
 		}
 	}
 	later := w.arrive(0, 1, 5e7, 25e8) // a later try, told as much too long
@@ -58,12 +58,12 @@
 	for i := range 5 {
 		w := newWorld(t, 3, clockTerms())
 		w.join(4, false)
-		x := w.arrive(i, 1, 5e7, 25e8)
+		request := w.arrive(i, 1, 5e7, 25e8)
 		w.pass(1e9)
-		n := len(x.Attempts)
-		w.end(x.Attempts[0], TimedOut)
-		if w.pass(1e8); !x.Done || len(x.Attempts) != n {
-			t.Errorf("scheme %d: over %v, %d postings, %d before", i, x.Done, len(x.Attempts), n)
+		n := len(request.Attempts)
+		w.end(request.Attempts[0], TimedOut)
+		if w.pass(1e8); !request.Done || len(request.Attempts) != n {
+			t.Errorf("scheme %d: over %v, %d postings, %d before", i, request.Done, len(request.Attempts), n)
 		}
 	}
 }
@@ -76,18 +76,18 @@
 	ahead := w.fleet[0].Server
 	served := 0
 	for range 200 {
-		x := w.arrive(0, 1, 5e7, 25e8)
-		for w.ended[x] == 0 && !x.Done {
-			p := x.Attempts[len(x.Attempts)-1]
-			if o := Rejected; p.Server == ahead {
+		request := w.arrive(0, 1, 5e7, 25e8)
+		for w.ended[request] == 0 && !request.Done {
+			attempt := request.Attempts[len(request.Attempts)-1]
+			if o := Rejected; attempt.Server == ahead {
 				if w.IntN(2) == 0 {
 					o = Failed
 				}
-				w.end(p, o)
+				w.end(attempt, o)
 				continue
 			}
-			w.d.AttemptStarted(p)
-			w.end(p, Succeeded)
+			w.d.AttemptStarted(attempt)
+			w.end(attempt, Succeeded)
 			served++
 		}
 		w.pass(1e7)
@@ -111,14 +111,14 @@
 		w := newWorld(t, 5, terms)
 		w.join(2, false)
 		w.pass(2 * terms.OverloadWindow)
-		e := w.fleet[0].Server
+		server := w.fleet[0].Server
 		w.fleet[0].StartedAt, w.d.machineTypes[0].maxSlots = w.now+off*terms.StartTimeError, testSlots
 		w.list(false)
 		born, sent := w.now, []timedAmount{}
 		for w.now < born+terms.SlowStart-terms.StartTimeError {
 			for range 8 {
-				for _, p := range w.arrive(0, 1, 1e8, 2e9).Attempts {
-					if p.Server == e {
+				for _, attempt := range w.arrive(0, 1, 1e8, 2e9).Attempts {
+					if attempt.Server == server {
 						sent = append(sent, timedAmount{w.now, 1e8})
 					}
 				}
@@ -136,8 +136,8 @@
 				t.Fatalf("stamped %d s off: %.2f of its budget after %d ms", off*4, sum/budget, (w.now-born)/1e6)
 			}
 		}
-		if len(sent) == 0 || w.d.settings.warmUpFactor(e, w.now) == 1 {
-			t.Errorf("stamped %d s off: %d sent, warmth %.2f", off*4, len(sent), w.d.settings.warmUpFactor(e, w.now))
+		if len(sent) == 0 || w.d.settings.warmUpFactor(server, w.now) == 1 {
+			t.Errorf("stamped %d s off: %d sent, warmth %.2f", off*4, len(sent), w.d.settings.warmUpFactor(server, w.now))
 		}
 	}
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -33,8 +33,8 @@
 		}
 		w.pass(6e9) // what was taken back may run for a while
 		for _, m := range w.fleet {
-			if e := m.Server; e.slotsInFlight != 0 || e.startedSlots != 0 {
-				t.Fatalf("executor keeps %v slots, %v at work", e.slotsInFlight, e.startedSlots)
+			if server := m.Server; server.slotsInFlight != 0 || server.startedSlots != 0 {
+				t.Fatalf("executor keeps %v slots, %v at work", server.slotsInFlight, server.startedSlots)
 			}
 		}
 	})
@@ -47,19 +47,19 @@
 		w := newWorld(t, 1, basicTerms())
 		w.join(1, false)
 		w.arrive(0, 1, 2e8, 4e9)
-		e := w.open[0].Server
+		server := w.open[0].Server
 		w.d.Finish(w.txns[0])
 		w.ended[w.txns[0]] = 1
 		w.end(w.open[0], o)
-		if kept := e.slotsInFlight == 1; kept != (o == Canceled) {
-			t.Errorf("%v: %v slots are taken", o, e.slotsInFlight)
+		if kept := server.slotsInFlight == 1; kept != (o == Canceled) {
+			t.Errorf("%v: %v slots are taken", o, server.slotsInFlight)
 		}
 		w.pass(19e7)
-		if kept := e.slotsInFlight == 1; kept != (o == Canceled) {
-			t.Errorf("%v: %v slots are taken just before it would have run", o, e.slotsInFlight)
+		if kept := server.slotsInFlight == 1; kept != (o == Canceled) {
+			t.Errorf("%v: %v slots are taken just before it would have run", o, server.slotsInFlight)
 		}
-		if w.pass(2e8); e.slotsInFlight != 0 {
-			t.Errorf("%v: %v slots are taken for good", o, e.slotsInFlight)
+		if w.pass(2e8); server.slotsInFlight != 0 {
+			t.Errorf("%v: %v slots are taken for good", o, server.slotsInFlight)
 		}
 	}
 }
@@ -67,15 +67,15 @@
 func TestHealth(t *testing.T) {
 	w := newWorld(t, 1, basicTerms())
 	w.join(1, false)
-	e := w.fleet[0].Server
+	server := w.fleet[0].Server
 	near := func(want float64) {
 		t.Helper()
-		if got := w.d.reliability(e); got < want-0.02 || got > want+0.02 {
+		if got := w.d.reliability(server); got < want-0.02 || got > want+0.02 {
 			t.Fatalf("H is %v, want %v", got, want)
 		}
 	}
 	again := func() {
-		e.limit = initialLimit
+		server.limit = initialLimit
 		w.pass(8 * w.terms.Tick)
 	}
 	near(1)
@@ -83,11 +83,11 @@
 	w.end(w.open[0], ConnectFailed)
 	near(failureFactor)
 	again()
-	before := w.d.reliability(e)
+	before := w.d.reliability(server)
 	w.end(w.open[0], Rejected)
 	near(before)
 	again()
-	before = w.d.reliability(e)
+	before = w.d.reliability(server)
 	w.end(w.open[0], Succeeded)
 	near(before + successBonus)
 	w.pass(decayTime)
@@ -96,11 +96,11 @@
 	for _, took := range []int64{0, 1e9} {
 		again()
 		w.arrive(0, 1, 1e8, 2e10)
-		p := w.open[len(w.open)-1]
+		attempt := w.open[len(w.open)-1]
 		w.now += took
 		w.d.Advance(w.now)
-		before = w.d.reliability(e)
-		w.end(p, StaleConnection)
+		before = w.d.reliability(server)
+		w.end(attempt, StaleConnection)
 		near(before * map[int64]float64{0: 1, 1e9: failureFactor}[took])
 	}
 }
@@ -109,8 +109,8 @@
 	w := newWorld(t, 1, basicTerms())
 	w.join(3, false)
 	fast, mid, slow := w.fleet[0].Server, w.fleet[1].Server, w.fleet[2].Server
-	job := func(e *Server, time float64, lost bool) {
-		w.d.recordRank(&Attempt{Request: &Request{Class: w.terms.Classes[0], Slots: 1}, Server: e}, time, lost)
+	job := func(server *Server, time float64, lost bool) {
+		w.d.recordRank(&Attempt{Request: &Request{Class: w.terms.Classes[0], Slots: 1}, Server: server}, time, lost)
 	}
 	job(fast, 1, false)
 	job(mid, 2, false)
@@ -164,13 +164,13 @@
 	for range 200 {
 		w.arrive(0, 1, 1e8, 1e9)
 		for len(w.open) > 0 {
-			if p := w.open[0]; p.Server == bad {
+			if attempt := w.open[0]; attempt.Server == bad {
 				full++
-				w.end(p, Rejected)
+				w.end(attempt, Rejected)
 			} else {
-				w.d.AttemptStarted(p)
+				w.d.AttemptStarted(attempt)
 				w.pass(5e7)
-				w.end(p, Succeeded)
+				w.end(attempt, Succeeded)
 			}
 		}
 		w.pass(2e7)
@@ -185,13 +185,13 @@
 	for _, late := range []bool{false, true} {
 		w := newWorld(t, 1, basicTerms())
 		w.join(1, false)
-		e := w.fleet[0].Server
+		server := w.fleet[0].Server
 		w.arrive(0, 1, 1e8, 5e9)
 		w.settle() // how prompt a start can be is known
-		had := e.limit
+		had := server.limit
 		w.arrive(0, 1, 1e8, 5e9)
-		if w.end(w.open[0], Rejected); e.limit > had/2 {
-			t.Fatalf("limit is %v, not cut from %v", e.limit, had)
+		if w.end(w.open[0], Rejected); server.limit > had/2 {
+			t.Fatalf("limit is %v, not cut from %v", server.limit, had)
 		}
 		for len(w.open) == 0 { // until it goes again
 			w.pass(w.terms.Tick)
@@ -199,8 +199,8 @@
 		if late {
 			w.pass(2e8)
 		}
-		if w.settle(); late == (e.limit >= had) {
-			t.Fatalf("late %t: limit is %v, %v before the refusal", late, e.limit, had)
+		if w.settle(); late == (server.limit >= had) {
+			t.Fatalf("late %t: limit is %v, %v before the refusal", late, server.limit, had)
 		}
 	}
 }
@@ -211,12 +211,12 @@
 	w.join(1, false)
 	w.arrive(0, 1, 1e8, 5e9)
 	w.settle()
-	e := w.fleet[0].Server
+	server := w.fleet[0].Server
 	for range 4 {
 		w.arrive(0, 1, 1e8, 5e9)
 	}
-	if w.pass(3e8); len(w.open) < 4 || e.limit != limitReduction*4 {
-		t.Fatalf("%d out, limit is %v", len(w.open), e.limit)
+	if w.pass(3e8); len(w.open) < 4 || server.limit != limitReduction*4 {
+		t.Fatalf("%d out, limit is %v", len(w.open), server.limit)
 	}
 }
 
@@ -228,31 +228,31 @@
 		w := newWorld(t, 1, basicTerms())
 		w.terms.Nodes = 20
 		w.join(1, false)
-		e := w.fleet[0].Server
-		e.typeStats.maxSlots = slots
+		server := w.fleet[0].Server
+		server.typeStats.maxSlots = slots
 		limit := func(late int64) float64 {
 			w.arrive(0, 1, 1e8, 5e9)
 			w.pass(late)
 			w.settle()
-			return e.limit
+			return server.limit
 		}
 		limit(8e6)
-		e.limit = slots / 20
+		server.limit = slots / 20
 		if got := limit(4e8); got != slots/20 {
 			t.Fatalf("limit is %v after a late start, not this node's part of %v slots", got, slots)
 		}
 		for range 12 {
 			limit(4e8)
 		}
-		if e.limit != 1./20 {
-			t.Fatalf("limit is %v, though all starts are late", e.limit)
+		if server.limit != 1./20 {
+			t.Fatalf("limit is %v, though all starts are late", server.limit)
 		}
 		for range 20 {
 			w.pass(6e9) // what waited is over, and so is the pause
 			limit(8e6)
 		}
-		if e.limit < slots/20 {
-			t.Fatalf("limit is %v, though starts are prompt again", e.limit)
+		if server.limit < slots/20 {
+			t.Fatalf("limit is %v, though starts are prompt again", server.limit)
 		}
 	}
 }
@@ -309,9 +309,9 @@
 	w := newWorld(t, 1, basicTerms())
 	w.join(1, false)
 	w.terms.Classes[0].LateShare = 0
-	x := w.arrive(0, 1, 1e8, 5e9)
+	request := w.arrive(0, 1, 1e8, 5e9)
 	w.pass(2e9)
-	if !x.Done || w.withdraw != 1 {
+	if !request.Done || w.withdraw != 1 {
 		t.Fatal("still waiting after four times its SLA time")
 	}
 }
@@ -351,16 +351,16 @@
 func TestReferencedStaysInItsGroup(t *testing.T) {
 	w := newWorld(t, 1, basicTerms())
 	w.join(4, false)
-	x := w.arrive(1, 1, 1e8, 9e9)
+	request := w.arrive(1, 1, 1e8, 9e9)
 	w.end(w.open[0], ConnectionLost)
-	if len(x.Attempts) != 2 || x.Attempts[0].Server.cell != x.Attempts[1].Server.cell {
+	if len(request.Attempts) != 2 || request.Attempts[0].Server.cell != request.Attempts[1].Server.cell {
 		t.Fatal("not sent again within its cell")
 	}
 	w.pass(w.terms.Classes[1].DedupWindow)
 	for len(w.open) > 0 {
 		w.end(w.open[0], ConnectionLost)
 	}
-	if !x.Done || w.ended[x] != 1 {
+	if !request.Done || w.ended[request] != 1 {
 		t.Fatal("past its memory span it must be reversed at once")
 	}
 }
@@ -399,8 +399,8 @@
 	if len(met) > 2 {
 		t.Fatalf("%d of 8 executors met", len(met))
 	}
-	for e := range met {
-		e.limit = 0.5
+	for server := range met {
+		server.limit = 0.5
 	}
 	again := 0
 	for range 40 {
@@ -466,10 +466,10 @@
 	w.join(4, false)
 	for range 40 {
 		w.arrive(0, 1, 1e9, 9e9)
-		p := w.open[len(w.open)-1]
-		w.d.AttemptStarted(p)
+		attempt := w.open[len(w.open)-1]
+		w.d.AttemptStarted(attempt)
 		w.pass(24e8)
-		w.end(p, Succeeded)
+		w.end(attempt, Succeeded)
 	}
 	fresh := w.arrive(0, 1, 1e9, 9e9)
 	if w.ended[fresh] != 0 || len(fresh.Attempts) == 0 {
@@ -577,8 +577,8 @@
 		maps.Copy(now, met())
 	}
 	fresh := 0
-	for e := range now {
-		if _, is := homes[e]; !is {
+	for server := range now {
+		if _, is := homes[server]; !is {
 			fresh++
 		}
 	}
@@ -621,11 +621,11 @@
 func TestLiveWeightsCount(t *testing.T) {
 	units := func(i int) float64 { return []float64{0.5, 4}[i%2] }
 	low, high := 0, 0
-	for e, n := range meets(t, func(int) uint64 { return 0 }, units) {
+	for server, n := range meets(t, func(int) uint64 { return 0 }, units) {
 		for i := range 20 {
-			if e.Hash == HashName("e"+strconv.Itoa(i)) && i%2 == 0 {
+			if server.Hash == HashName("e"+strconv.Itoa(i)) && i%2 == 0 {
 				low += n
-			} else if e.Hash == HashName("e"+strconv.Itoa(i)) {
+			} else if server.Hash == HashName("e"+strconv.Itoa(i)) {
 				high += n
 			}
 		}
@@ -727,9 +727,9 @@
 		w := newWorld(t, 5, terms)
 		w.join(8, false)
 		tx := w.arrive(c.scheme, 1, 1e8, 4e9)
-		p := w.open[0]
+		attempt := w.open[0]
 		if c.still {
-			w.d.AttemptStarted(p)
+			w.d.AttemptStarted(attempt)
 			w.pass(35e8)
 		} else {
 			w.pass(3e8)
@@ -738,9 +738,9 @@
 			t.Fatalf("%s: two postings out", name)
 		}
 		if w.withdraw > 0 {
-			w.end(p, Canceled)
+			w.end(attempt, Canceled)
 		}
-		if len(tx.Attempts) != c.want || c.want > 1 && tx.Attempts[1].Server == p.Server {
+		if len(tx.Attempts) != c.want || c.want > 1 && tx.Attempts[1].Server == attempt.Server {
 			t.Errorf("%s: %d postings, want %d", name, len(tx.Attempts), c.want)
 		}
 	}
@@ -801,31 +801,31 @@
 		w.fleet[0].Server.Hash = HashName("e")
 		return w, w.fleet[0].Server
 	}
-	w, e := start()
+	w, server := start()
 	first := w.arrive(0, 1, 1e8, 9e9)
-	w.d.CapacityReported(e, true, 1, 9)
+	w.d.CapacityReported(server, true, 1, 9)
 	if len(first.Attempts) != 1 || len(w.told) > 0 {
 		t.Fatalf("%d postings, %d told of a txn that found room at once", len(first.Attempts), len(w.told))
 	}
 	w.settle()
 	second := w.arrive(0, 1, 1e9, 9e9)
-	w.d.CapacityReported(e, true, 1, 9)
+	w.d.CapacityReported(server, true, 1, 9)
 	if len(second.Attempts) > 0 {
 		t.Fatal("the slot that this node has just taken is taken again")
 	}
 	w.pass(6 * maxReportLifetime)
-	w.d.CapacityReported(e, true, 1, 9)
+	w.d.CapacityReported(server, true, 1, 9)
 	if len(second.Attempts) != 1 || len(w.told) != 1 {
 		t.Fatalf("%d postings, %d told", len(second.Attempts), len(w.told))
 	}
-	other, e := start()
-	other.d.SlotsReserved(e, w.told[0])
+	other, server := start()
+	other.d.SlotsReserved(server, w.told[0])
 	held := other.arrive(0, 1, 1e9, 9e9)
-	if other.d.CapacityReported(e, true, 1, 9); len(held.Attempts) > 0 {
+	if other.d.CapacityReported(server, true, 1, 9); len(held.Attempts) > 0 {
 		t.Error("a slot that another node told it has taken is taken again")
 	}
 	other.pass(6 * maxReportLifetime)
-	if other.d.CapacityReported(e, true, 1, 9); len(held.Attempts) != 1 {
+	if other.d.CapacityReported(server, true, 1, 9); len(held.Attempts) != 1 {
 		t.Error("what was told once counts for ever")
 	}
 }
@@ -834,7 +834,7 @@
 func TestANodeThatStoodStill(t *testing.T) {
 	w := newWorld(t, 4, basicTerms())
 	w.join(1, false)
-	e := w.fleet[0].Server
+	server := w.fleet[0].Server
 	w.arrive(0, 1, 3e9, 9e9)
 	running := w.open[0]
 	w.d.AttemptStarted(running)
@@ -842,7 +842,7 @@
 	w.d.AttemptProgressed(running)
 	w.arrive(0, 1, 3e9, 9e9)
 	waiting := w.open[1]
-	limit := e.limit
+	limit := server.limit
 	w.now += 2e9 // the node has no turn
 	w.d.Advance(w.now)
 	due := w.alarms
@@ -858,8 +858,8 @@
 	w.d.AttemptStarted(waiting)
 	w.d.ProcessQueue()
 	w.pass(1e8)
-	if w.d.reliability(e) < 1 || e.limit < limit || len(w.open) != 2 {
-		t.Errorf("H %v, limit %v of %v, %d out", w.d.reliability(e), e.limit, limit, len(w.open))
+	if w.d.reliability(server) < 1 || server.limit < limit || len(w.open) != 2 {
+		t.Errorf("H %v, limit %v of %v, %d out", w.d.reliability(server), server.limit, limit, len(w.open))
 	}
 }
 
--- a/dispatch/figures.go
+++ b/dispatch/figures.go
@@ -8,11 +8,11 @@
 // while others remain.
 func (d *Dispatcher) ServerCounts() (known, excluded int) {
 	sick := 0
-	for _, e := range d.servers.servers {
+	for _, server := range d.servers.servers {
 		switch {
-		case e.State != Up:
+		case server.State != Up:
 			excluded++
-		case d.outlier(e):
+		case d.outlier(server):
 			sick++
 		}
 	}
--- a/dispatch/figures_test.go
+++ b/dispatch/figures_test.go
@@ -19,8 +19,8 @@
 	w.list(true)
 	check(1)
 	for i, want := range []int{2, 3, 4, 5, 1} {
-		e := w.fleet[1+i].Server
-		e.reliability, e.reliabilityAt = minReliability/2, w.now
+		server := w.fleet[1+i].Server
+		server.reliability, server.reliabilityAt = minReliability/2, w.now
 		check(want)
 	}
 	w.pass(10 * decayTime)
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -56,24 +56,24 @@
 	at     map[*Attempt]int64
 }
 
-func (n *herdNode) StartAttempt(p *Attempt) {
-	i := slices.Index(n.fleet, p.Server)
-	work := p.Request.size
+func (n *herdNode) StartAttempt(attempt *Attempt) {
+	i := slices.Index(n.fleet, attempt.Server)
+	work := attempt.Request.size
 	if n.work != nil {
-		work = float64(n.works[p.Request])
+		work = float64(n.works[attempt.Request])
 	}
 	n.sent[i] = append(n.sent[i], timedAmount{n.now, work})
-	n.open, n.at[p] = append(n.open, p), n.now
-	n.tell(invariants.Event{Kind: invariants.AttemptSent, Request: p.Request.Tag, Attempt: p.Number, Server: strconv.Itoa(i), Work: work / 1e9})
+	n.open, n.at[attempt] = append(n.open, attempt), n.now
+	n.tell(invariants.Event{Kind: invariants.AttemptSent, Request: attempt.Request.Tag, Attempt: attempt.Number, Server: strconv.Itoa(i), Work: work / 1e9})
 }
 
 // runs is how long a posting runs, without a queue.
-func (n *herdNode) runs(p *Attempt) int64 {
+func (n *herdNode) runs(attempt *Attempt) int64 {
 	if n.work == nil {
 		return n.settle
 	}
-	i := slices.Index(n.fleet, p.Server)
-	return int64(float64(n.works[p.Request]) / n.speed[i] / n.able(i, n.at[p]))
+	i := slices.Index(n.fleet, attempt.Server)
+	return int64(float64(n.works[attempt.Request]) / n.speed[i] / n.able(i, n.at[attempt]))
 }
 
 // able is the part of its capacity that an executor has at least.
@@ -84,11 +84,11 @@
 	return 1
 }
 func (n *herdNode) CancelAttempt(*Attempt) {}
-func (n *herdNode) Shed(t *Request, _ int64) {
-	n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: t.Tag, Result: "declined"})
+func (n *herdNode) Shed(request *Request, _ int64) {
+	n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: request.Tag, Result: "declined"})
 }
-func (n *herdNode) Compensate(t *Request) {
-	n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: t.Tag, Result: "reversed"})
+func (n *herdNode) Compensate(request *Request) {
+	n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: request.Tag, Result: "reversed"})
 }
 func (n *herdNode) PollEndpoints(bool)           {}
 func (n *herdNode) NotifyPeers(*Server, float64) {}
@@ -136,8 +136,8 @@
 
 func (n *herdNode) list() {
 	var members []Endpoint
-	for i, e := range n.fleet {
-		members = append(members, Endpoint{Server: e, StartedAt: n.since[i] + n.off[i]})
+	for i, server := range n.fleet {
+		members = append(members, Endpoint{Server: server, StartedAt: n.since[i] + n.off[i]})
 	}
 	n.d.UpdateEndpoints(true, members)
 }
@@ -172,25 +172,25 @@
 			}
 			for due := share; due > 0 && h.Float64() < due; due-- {
 				h.taken++
-				t := &Request{Tag: strconv.Itoa(h.taken), Class: h.terms.Classes[0], Slots: 1, ExpectedWork: size/2 + h.Int64N(size), Deadline: h.now + 1e9}
+				request := &Request{Tag: strconv.Itoa(h.taken), Class: h.terms.Classes[0], Slots: 1, ExpectedWork: size/2 + h.Int64N(size), Deadline: h.now + 1e9}
 				if h.work != nil {
-					t.ExpectedWork, t.Deadline, h.works[t] = 0, h.now+h.patient, h.work()
+					request.ExpectedWork, request.Deadline, h.works[request] = 0, h.now+h.patient, h.work()
 				}
-				h.tell(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.settings.NodeIndex), Request: t.Tag, Class: "s", Deadline: t.Deadline})
-				n.d.Arrive(t)
+				h.tell(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.settings.NodeIndex), Request: request.Tag, Class: "s", Deadline: request.Deadline})
+				n.d.Arrive(request)
 			}
 			n.d.ProcessQueue()
-			for _, p := range slices.Clone(n.open) {
-				if o := Succeeded; h.hasty || h.now-n.at[p] >= n.runs(p) {
+			for _, attempt := range slices.Clone(n.open) {
+				if o := Succeeded; h.hasty || h.now-n.at[attempt] >= n.runs(attempt) {
 					if h.hasty {
 						o = Rejected
 					}
-					n.open = slices.DeleteFunc(n.open, func(q *Attempt) bool { return p == q })
-					n.tell(invariants.Event{Kind: invariants.AttemptEnded, Request: p.Request.Tag, Attempt: p.Number, Result: o.String()})
-					if o == Succeeded && !p.Request.Done {
-						n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: p.Request.Tag, Result: "settled"})
+					n.open = slices.DeleteFunc(n.open, func(q *Attempt) bool { return attempt == q })
+					n.tell(invariants.Event{Kind: invariants.AttemptEnded, Request: attempt.Request.Tag, Attempt: attempt.Number, Result: o.String()})
+					if o == Succeeded && !attempt.Request.Done {
+						n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: attempt.Request.Tag, Result: "settled"})
 					}
-					n.d.AttemptEnded(p, o, h.now-n.at[p], p.Request.Done || o == Succeeded)
+					n.d.AttemptEnded(attempt, o, h.now-n.at[attempt], attempt.Request.Done || o == Succeeded)
 				}
 			}
 			n.d.ProcessQueue()
--- a/dispatch/helpers_test.go
+++ b/dispatch/helpers_test.go
@@ -85,20 +85,20 @@
 	w.d.UpdateEndpoints(whole, members)
 }
 
-func (w *world) StartAttempt(p *Attempt) {
+func (w *world) StartAttempt(attempt *Attempt) {
 	w.Helper()
-	t := p.Request
+	request := attempt.Request
 	switch {
-	case w.ended[t] > 0:
+	case w.ended[request] > 0:
 		w.Fatal("rule 1: posting for a txn that has its final answer")
-	case p.Number >= w.terms.MaxAttempts:
+	case attempt.Number >= w.terms.MaxAttempts:
 		w.Fatal("more postings than the terms allow")
 	}
-	if w.stopped[p.Server] {
+	if w.stopped[attempt.Server] {
 		w.Fatal("rule 3: posting to an executor that drains or is gone")
 	}
 	var first *Attempt
-	for _, q := range t.Attempts[:p.Number] {
+	for _, q := range request.Attempts[:attempt.Number] {
 		if first == nil && w.mayRun[q] {
 			first = q
 		}
@@ -106,26 +106,26 @@
 			w.Fatal("rule 2: two postings out where none may be doubled")
 		}
 	}
-	if s := t.Class; first != nil && s.Idempotency != Idempotent {
-		if s.Idempotency == NonIdempotent || w.now-w.sentAt[first] > s.DedupWindow ||
-			s.DedupScope == DedupCell && p.Server.cell != first.Server.cell ||
-			s.DedupScope == DedupZone && p.Server.zone != first.Server.zone {
-			w.Fatalf("rule 2: scheme %d sent again where it may run twice", s.Index)
+	if class := request.Class; first != nil && class.Idempotency != Idempotent {
+		if class.Idempotency == NonIdempotent || w.now-w.sentAt[first] > class.DedupWindow ||
+			class.DedupScope == DedupCell && attempt.Server.cell != first.Server.cell ||
+			class.DedupScope == DedupZone && attempt.Server.zone != first.Server.zone {
+			w.Fatalf("rule 2: scheme %d sent again where it may run twice", class.Index)
 		}
 	}
-	w.mayRun[p], w.sentAt[p] = true, w.now
-	w.open = append(w.open, p)
-	w.cold(p)
+	w.mayRun[attempt], w.sentAt[attempt] = true, w.now
+	w.open = append(w.open, attempt)
+	w.cold(attempt)
 }
 
 // cold holds this node's sends alone to a cold executor's budget. What all nodes send together is FuzzColdFleet's.
-func (w *world) cold(p *Attempt) {
-	e := p.Server
-	i := slices.IndexFunc(w.fleet, func(m *Endpoint) bool { return m.Server == e })
+func (w *world) cold(attempt *Attempt) {
+	server := attempt.Server
+	i := slices.IndexFunc(w.fleet, func(m *Endpoint) bool { return m.Server == server })
 	if age := w.now - w.fleet[i].StartedAt; w.fleet[i].StartedAt > 0 && age < w.terms.SlowStart && w.terms.StartTimeError == 0 {
-		w.coldWork[e] = append(w.coldWork[e], timedAmount{w.now, float64(p.Request.ExpectedWork) * p.Request.Slots})
+		w.coldWork[server] = append(w.coldWork[server], timedAmount{w.now, float64(attempt.Request.ExpectedWork) * attempt.Request.Slots})
 		sum, share := 0.0, w.terms.SlowStartShare+(1-w.terms.SlowStartShare)*float64(age)/float64(w.terms.SlowStart)
-		for _, c := range w.coldWork[e] {
+		for _, c := range w.coldWork[server] {
 			if w.now-c.at <= w.terms.OverloadWindow {
 				sum += c.amount
 			}
@@ -136,36 +136,36 @@
 	}
 }
 
-func (w *world) CancelAttempt(p *Attempt) {
+func (w *world) CancelAttempt(attempt *Attempt) {
 	if w.withdraw++; !w.terms.AllowCancel {
 		w.Fatal("withdrawn where it is not permitted")
 	}
 }
 
-func (w *world) final(t *Request) {
+func (w *world) final(request *Request) {
 	w.Helper()
-	if w.ended[t]++; w.ended[t] > 1 {
+	if w.ended[request]++; w.ended[request] > 1 {
 		w.Fatal("rule 1: two final answers")
 	}
-	if w.now > t.Deadline {
+	if w.now > request.Deadline {
 		w.Fatal("rule 1: final answer after expiry")
 	}
 }
 
-func (w *world) Shed(t *Request, returnIn int64) {
+func (w *world) Shed(request *Request, returnIn int64) {
 	w.Helper()
-	w.final(t)
-	for _, p := range t.Attempts {
-		if s := t.Class; w.mayRun[p] && (s.Idempotency == NonIdempotent || s.Idempotency == IdempotentInGroup && s.DedupScope != DedupAll) {
-			w.Fatalf("rule 2: scheme %d declined though it may have run", s.Index)
+	w.final(request)
+	for _, attempt := range request.Attempts {
+		if class := request.Class; w.mayRun[attempt] && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentInGroup && class.DedupScope != DedupAll) {
+			w.Fatalf("rule 2: scheme %d declined though it may have run", class.Index)
 		}
 	}
 }
 
-func (w *world) Compensate(t *Request)                { w.final(t) }
+func (w *world) Compensate(request *Request)          { w.final(request) }
 func (w *world) PollEndpoints(bool)                   {}
 func (w *world) NotifyPeers(_ *Server, slots float64) { w.told = append(w.told, slots) }
-func (w *world) ProbeCapacity(e *Server)              { w.probes = append(w.probes, e) }
+func (w *world) ProbeCapacity(server *Server)         { w.probes = append(w.probes, server) }
 func (w *world) Schedule(after int64, then func()) (forget func()) {
 	a := &alarm{w.now + max(after, 1), then}
 	w.alarms = append(w.alarms, a)
@@ -189,23 +189,23 @@
 }
 
 func (w *world) arrive(scheme int, slots float64, hint, left int64) *Request {
-	t := &Request{Class: w.terms.Classes[scheme], Slots: slots, ExpectedWork: hint, Deadline: w.now + left}
-	w.txns = append(w.txns, t)
-	w.d.Arrive(t)
+	request := &Request{Class: w.terms.Classes[scheme], Slots: slots, ExpectedWork: hint, Deadline: w.now + left}
+	w.txns = append(w.txns, request)
+	w.d.Arrive(request)
 	w.d.ProcessQueue()
-	return t
+	return request
 }
 
 // end gives a posting an outcome, as the bench would.
-func (w *world) end(p *Attempt, o Outcome) {
-	w.open = slices.DeleteFunc(w.open, func(q *Attempt) bool { return q == p })
+func (w *world) end(attempt *Attempt, o Outcome) {
+	w.open = slices.DeleteFunc(w.open, func(q *Attempt) bool { return q == attempt })
 	if o == Rejected || o == ConnectFailed || o == NotSent {
-		w.mayRun[p] = false
+		w.mayRun[attempt] = false
 	}
-	if o == Succeeded && w.ended[p.Request] == 0 {
-		w.final(p.Request)
+	if o == Succeeded && w.ended[attempt.Request] == 0 {
+		w.final(attempt.Request)
 	}
-	w.d.AttemptEnded(p, o, w.now-w.sentAt[p], w.ended[p.Request] > 0)
+	w.d.AttemptEnded(attempt, o, w.now-w.sentAt[attempt], w.ended[attempt.Request] > 0)
 	w.d.ProcessQueue()
 }
 
@@ -225,11 +225,11 @@
 	case n < 10 && len(w.open) > 0:
 		w.end(w.open[w.IntN(len(w.open))], Outcome(w.IntN(int(StaleConnection)+1)))
 	case n < 14 && len(w.open) > 0:
-		p := w.open[w.IntN(len(w.open))]
-		if busy := p.Server.startedSlots; busy+p.Request.Slots <= testSlots {
-			w.d.AttemptStarted(p)
+		attempt := w.open[w.IntN(len(w.open))]
+		if busy := attempt.Server.startedSlots; busy+attempt.Request.Slots <= testSlots {
+			w.d.AttemptStarted(attempt)
 		}
-		w.d.AttemptProgressed(p)
+		w.d.AttemptProgressed(attempt)
 	case n == 14 && len(w.fleet) > 0:
 		m := w.fleet[w.IntN(len(w.fleet))]
 		if m.State = EndpointState(w.IntN(3)); m.State == Up && w.IntN(2) == 0 {
@@ -237,15 +237,15 @@
 		}
 		w.list(w.IntN(3) == 0)
 	case n == 15 && len(w.txns) > 0:
-		if t := w.txns[w.IntN(len(w.txns))]; w.ended[t] == 0 && w.IntN(4) == 0 {
-			w.ended[t] = 1
-			w.d.Finish(t)
+		if request := w.txns[w.IntN(len(w.txns))]; w.ended[request] == 0 && w.IntN(4) == 0 {
+			w.ended[request] = 1
+			w.d.Finish(request)
 		}
 	case n == 17 && len(w.probes) > 0:
 		i := w.IntN(len(w.probes))
-		e := w.probes[i]
+		server := w.probes[i]
 		w.probes = slices.Delete(w.probes, i, i+1)
-		w.d.CapacityReported(e, w.IntN(3) > 0, float64(w.IntN(3)), float64(w.IntN(3)))
+		w.d.CapacityReported(server, w.IntN(3) > 0, float64(w.IntN(3)), float64(w.IntN(3)))
 	case n == 18 && len(w.fleet) > 0:
 		w.d.SlotsReserved(w.fleet[w.IntN(len(w.fleet))].Server, float64(w.IntN(300)))
 	case n == 16:
@@ -258,9 +258,9 @@
 // finish lets all expire and counts what was never answered.
 func (w *world) finish() {
 	w.pass(6e9)
-	for _, t := range w.txns {
-		if w.ended[t] != 1 {
-			w.Fatalf("rule 1: txn of scheme %d has %d final answers", t.Class.Index, w.ended[t])
+	for _, request := range w.txns {
+		if w.ended[request] != 1 {
+			w.Fatalf("rule 1: txn of scheme %d has %d final answers", request.Class.Index, w.ended[request])
 		}
 	}
 }
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -36,8 +36,8 @@
 }
 
 // overloaded says whether a request that has just been read has to be shed.
-func (d *Dispatcher) overloaded(t *Request) bool {
-	return t.UnreadTime > d.maxUnreadTime(t.Deadline-d.now)
+func (d *Dispatcher) overloaded(request *Request) bool {
+	return request.UnreadTime > d.maxUnreadTime(request.Deadline-d.now)
 }
 
 // endpointsMayBeStale says whether this process is so far behind that updates of the server list may wait unread for longer than drains allow.
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -48,22 +48,22 @@
 	declined int
 }
 
-func (n *townNode) StartAttempt(p *Attempt) {
+func (n *townNode) StartAttempt(attempt *Attempt) {
 	n.posts++
-	n.sent[p] = n.now
-	w, i, t := n.workers[slices.Index(n.fleet, p.Server)], slices.Index(n.fleet, p.Server), p.Request
+	n.sent[attempt] = n.now
+	w, i, request := n.workers[slices.Index(n.fleet, attempt.Server)], slices.Index(n.fleet, attempt.Server), attempt.Request
 	work := n.work()
 	end := func(o Outcome) {
-		if !p.InFlight {
+		if !attempt.InFlight {
 			return
 		}
-		over := t.Done || o == Succeeded
-		if o == Succeeded && !t.Done {
-			n.done[t](work)
+		over := request.Done || o == Succeeded
+		if o == Succeeded && !request.Done {
+			n.done[request](work)
 		}
-		n.d.AttemptEnded(p, o, n.now-n.sent[p], over)
+		n.d.AttemptEnded(attempt, o, n.now-n.sent[attempt], over)
 	}
-	if n.error != nil && n.error(t, i) {
+	if n.error != nil && n.error(request, i) {
 		n.after(2e6, func() { end(Failed) })
 		return
 	}
@@ -76,12 +76,12 @@
 		}
 	}
 	w.queue = append(w.queue, func() {
-		if p.InFlight {
-			n.d.AttemptStarted(p)
+		if attempt.InFlight {
+			n.d.AttemptStarted(attempt)
 		}
 		took, o := work*w.slow, Succeeded
-		if n.hot > 0 && (t.AffinityKey == n.hot || t.AffinityKey == 0 && t.Tenant == int(n.hot)) {
-			if wait := max(n.unlock-n.now, 0); wait > 3*t.Class.LatencyObjective/2 {
+		if n.hot > 0 && (request.AffinityKey == n.hot || request.AffinityKey == 0 && request.Tenant == int(n.hot)) {
+			if wait := max(n.unlock-n.now, 0); wait > 3*request.Class.LatencyObjective/2 {
 				took, o = 2e6, Failed
 			} else {
 				took, n.unlock = took+wait, max(n.unlock, n.now)+n.hold
@@ -96,18 +96,18 @@
 	n.after(1e6, next)
 }
 
-func (n *townNode) CancelAttempt(p *Attempt) {
+func (n *townNode) CancelAttempt(attempt *Attempt) {
 	n.after(1e6, func() {
-		if p.InFlight {
-			n.d.AttemptEnded(p, Canceled, n.now-n.sent[p], true)
+		if attempt.InFlight {
+			n.d.AttemptEnded(attempt, Canceled, n.now-n.sent[attempt], true)
 		}
 	})
 }
-func (n *townNode) Shed(t *Request, _ int64)     { n.declined++; n.done[t](0) }
-func (n *townNode) Compensate(t *Request)        { n.done[t](0) }
-func (n *townNode) PollEndpoints(bool)           {}
-func (n *townNode) NotifyPeers(*Server, float64) {}
-func (n *townNode) ProbeCapacity(*Server)        {}
+func (n *townNode) Shed(request *Request, _ int64) { n.declined++; n.done[request](0) }
+func (n *townNode) Compensate(request *Request)    { n.done[request](0) }
+func (n *townNode) PollEndpoints(bool)             {}
+func (n *townNode) NotifyPeers(*Server, float64)   {}
+func (n *townNode) ProbeCapacity(*Server)          {}
 func (n *townNode) Schedule(after int64, then func()) (forget func()) {
 	a := n.after(max(after, 1), then)
 	return func() { a.then = func() {} }
@@ -144,30 +144,30 @@
 
 // arrive takes a txn; where it is not served in time its client comes again after a while, so many times.
 func (h *town) arrive(again int, first int64, key uint64) {
-	n, s := h.nodes[h.IntN(len(h.nodes))], h.terms.Classes[0]
-	t := &Request{Class: s, Slots: 1, AffinityKey: key, Deadline: first + s.MaxDeadline}
+	n, class := h.nodes[h.IntN(len(h.nodes))], h.terms.Classes[0]
+	request := &Request{Class: class, Slots: 1, AffinityKey: key, Deadline: first + class.MaxDeadline}
 	if n := uint64(len(h.terms.Tenants)); n > 0 {
-		t.AffinityKey, t.Tenant = 0, int(key%n)
+		request.AffinityKey, request.Tenant = 0, int(key%n)
 	}
 	from := first - 1e12
-	n.done[t] = func(work int64) {
-		inTime := work > 0 && h.now-first <= s.LatencyObjective+int64(s.ObjectivePerWork)*work
-		if t.Tenant != int(h.hot) && key != h.hot && (inTime || work > 0 || again == 0) {
+	n.done[request] = func(work int64) {
+		inTime := work > 0 && h.now-first <= class.LatencyObjective+int64(class.ObjectivePerWork)*work
+		if request.Tenant != int(h.hot) && key != h.hot && (inTime || work > 0 || again == 0) {
 			if h.others++; !inTime {
 				h.missed++
 			}
 		}
-		if delete(n.done, t); inTime {
+		if delete(n.done, request); inTime {
 			h.inTime[from/1e9]++
 		} else if work == 0 && again > 0 {
 			h.after(3e7+h.Int64N(3e7), func() {
-				if h.now < first+s.MaxDeadline {
+				if h.now < first+class.MaxDeadline {
 					h.arrive(again-1, first, key)
 				}
 			})
 		}
 	}
-	n.d.Arrive(t)
+	n.d.Arrive(request)
 }
 
 // pass lets time go by at a rate of txns a second; key gives what each is about.
@@ -225,11 +225,11 @@
 		h := newTown(seed, 5, 16, 6, townTerms())
 		h.work = func() int64 { return 5e7 + int64(h.ExpFloat64()*1.5e8) }
 		spoilt := map[*Request]bool{}
-		h.error = func(t *Request, _ int) bool {
-			if _, known := spoilt[t]; !known {
-				spoilt[t] = h.now > 1e12+10e9 && h.now < 1e12+20e9 && h.IntN(10) < 3
+		h.error = func(request *Request, _ int) bool {
+			if _, known := spoilt[request]; !known {
+				spoilt[request] = h.now > 1e12+10e9 && h.now < 1e12+20e9 && h.IntN(10) < 3
 			}
-			return spoilt[t]
+			return spoilt[request]
 		}
 		full := 16 * 6 / 0.2
 		h.pass(10e9, 0.85*full, noKey)
--- a/dispatch/shares_test.go
+++ b/dispatch/shares_test.go
@@ -25,15 +25,15 @@
 	*fickle
 }
 
-func (p *purse) StartAttempt(q *Attempt) {
-	cold := p.d.settings.warmUpFactor(q.Server, p.now) < 1
-	if q.Number > 0 && p.none[BudgetRetries] || p.none[BudgetConnections] || p.none[BudgetTenantAttempts] || cold && p.none[BudgetSlowStart] {
-		p.Fatalf("posting %d is sent, cold: %v, while %v is denied", q.Number, cold, p.none)
+func (p *purse) StartAttempt(attempt *Attempt) {
+	cold := p.d.settings.warmUpFactor(attempt.Server, p.now) < 1
+	if attempt.Number > 0 && p.none[BudgetRetries] || p.none[BudgetConnections] || p.none[BudgetTenantAttempts] || cold && p.none[BudgetSlowStart] {
+		p.Fatalf("posting %d is sent, cold: %v, while %v is denied", attempt.Number, cold, p.none)
 	}
-	if cold != (q.SlowStartShare > 0) {
-		p.Fatalf("cold: %v, takes %v of the budget", cold, q.SlowStartShare)
+	if cold != (attempt.SlowStartShare > 0) {
+		p.Fatalf("cold: %v, takes %v of the budget", cold, attempt.SlowStartShare)
 	}
-	p.world.StartAttempt(q)
+	p.world.StartAttempt(attempt)
 }
 
 // TestCallsWaitForTheirShare: a call for the list that has no share waits for one, and goes out without when news would lie longer
@@ -92,8 +92,8 @@
 	used := func(span int64) (count int) {
 		for end := w.now + span; w.now < end; w.pass(1e7) {
 			w.arrive(0, 1, 1e6, 5e9)
-			for _, p := range w.open {
-				if p.Server == said {
+			for _, attempt := range w.open {
+				if attempt.Server == said {
 					count++
 				}
 			}
@@ -159,14 +159,14 @@
 	w.d = New(terms, 1, &purse{s}, w.now)
 	w.join(4, false)
 	s.none[BudgetRetries] = true
-	x := w.arrive(0, 1, 1e8, 20e9)
+	request := w.arrive(0, 1, 1e8, 20e9)
 	w.end(w.open[0], Rejected)
 	began := w.now
-	for w.ended[x] == 0 && w.now-began < 20e9 {
+	for w.ended[request] == 0 && w.now-began < 20e9 {
 		w.pass(1e7)
 	}
-	if took := w.now - began; len(x.Attempts) != 1 || w.ended[x] != 1 || took > 2e9 {
-		t.Errorf("%d postings, %d answers, after %d ms", len(x.Attempts), w.ended[x], took/1e6)
+	if took := w.now - began; len(request.Attempts) != 1 || w.ended[request] != 1 || took > 2e9 {
+		t.Errorf("%d postings, %d answers, after %d ms", len(request.Attempts), w.ended[request], took/1e6)
 	}
 }
 
@@ -181,12 +181,12 @@
 	}
 	used := func(key uint64) (used [3]int) {
 		for range 60 {
-			x := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9, AffinityKey: key}
-			w.txns = append(w.txns, x)
-			w.d.Arrive(x)
+			request := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9, AffinityKey: key}
+			w.txns = append(w.txns, request)
+			w.d.Arrive(request)
 			w.d.ProcessQueue()
-			for _, p := range w.open {
-				used[p.Server.Distance]++
+			for _, attempt := range w.open {
+				used[attempt.Server.Distance]++
 			}
 			w.settle()
 			w.pass(1e8)
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -115,17 +115,17 @@
 
 // slowStartShareFactor is how much likelier a node takes a cold executor than others do, as few may send to it: by the groups that take
 // turns at it, or by this node's part of what all have. Danger: who may send to it draws it as seldom as if all could.
-func (t *Settings) slowStartShareFactor(e *Server, groups float64) float64 {
+func (t *Settings) slowStartShareFactor(server *Server, groups float64) float64 {
 	if t.Quotas == nil {
 		return groups
 	}
-	return t.Quotas.Quota(BudgetSlowStart, e) * float64(max(t.Nodes, 1))
+	return t.Quotas.Quota(BudgetSlowStart, server) * float64(max(t.Nodes, 1))
 }
 
 // warmUpFactor is the share of its capacity that an executor has at least, at a time; its stamp may be too early.
-func (t *Settings) warmUpFactor(e *Server, at int64) float64 {
-	age := float64(at - e.startedAt - t.StartTimeError)
-	if e.startedAt == 0 || age >= float64(t.SlowStart) {
+func (t *Settings) warmUpFactor(server *Server, at int64) float64 {
+	age := float64(at - server.startedAt - t.StartTimeError)
+	if server.startedAt == 0 || age >= float64(t.SlowStart) {
 		return 1
 	}
 	return t.SlowStartShare + (1-t.SlowStartShare)*max(age, 0)/float64(t.SlowStart)
@@ -138,13 +138,13 @@
 
 // requiresMachineType says whether some scheme runs on that kind of machine alone.
 func (t *Settings) requiresMachineType(kind int) bool {
-	return slices.ContainsFunc(t.Classes, func(s *Class) bool { return s.MachineType == kind })
+	return slices.ContainsFunc(t.Classes, func(class *Class) bool { return class.MachineType == kind })
 }
 
 // withinQuotas says whether one more posting of a txn to an executor that is warm fits into this node's shares.
-func (t *Settings) withinQuotas(x *Request, e *Server) bool {
+func (t *Settings) withinQuotas(request *Request, server *Server) bool {
 	s := t.Quotas
-	return s == nil || (len(x.Attempts) == 0 || s.Allow(BudgetRetries, e, x, 1)) && s.Allow(BudgetTenantAttempts, e, x, 1) && s.Allow(BudgetConnections, e, x, 1)
+	return s == nil || (len(request.Attempts) == 0 || s.Allow(BudgetRetries, server, request, 1)) && s.Allow(BudgetTenantAttempts, server, request, 1) && s.Allow(BudgetConnections, server, request, 1)
 }
 
 // EndpointState is what the list says of an executor.
@@ -245,7 +245,7 @@
 
 // firstPossibleRun is the first posting that may have run or still may.
 func (t *Request) firstPossibleRun() *Attempt {
-	if i := slices.IndexFunc(t.Attempts, func(p *Attempt) bool { return !p.provedNotRun }); i >= 0 {
+	if i := slices.IndexFunc(t.Attempts, func(attempt *Attempt) bool { return !attempt.provedNotRun }); i >= 0 {
 		return t.Attempts[i]
 	}
 	return nil
@@ -253,11 +253,11 @@
 
 // distanceFor is how far an executor is from this node for a txn; one that has homes goes by these.
 // Danger: few nodes at a time may send to a cold one, and those that it is near to are other ones.
-func (t *Settings) distanceFor(x *Request, e *Server, now int64) int {
-	if x.AffinityKey != 0 || e.Distance == 0 || t.warmUpFactor(e, now) < 1 {
+func (t *Settings) distanceFor(request *Request, server *Server, now int64) int {
+	if request.AffinityKey != 0 || server.Distance == 0 || t.warmUpFactor(server, now) < 1 {
 		return 0
 	}
-	return e.Distance
+	return server.Distance
 }
 
 func (t *Request) workUnit() float64 { return float64(cmp.Or(t.ExpectedWork, 1e9)) }
@@ -392,17 +392,17 @@
 }
 
 // recordKey adds a txn to those about one thing; without a key that is its tenant.
-func (d *Dispatcher) recordKey(t *Request) {
+func (d *Dispatcher) recordKey(request *Request) {
 	if d.keyedRequests++; d.keyedRequests > maxKeyedRequests {
 		d.keyedRequests /= 2
 		maps.DeleteFunc(d.keyStates, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
 	}
-	key := cmp.Or(t.AffinityKey, ^uint64(t.Tenant))
-	if t.keyState = d.keyStates[key]; t.keyState == nil {
-		t.keyState = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
-		d.keyStates[key] = t.keyState
+	key := cmp.Or(request.AffinityKey, ^uint64(request.Tenant))
+	if request.keyState = d.keyStates[key]; request.keyState == nil {
+		request.keyState = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
+		d.keyStates[key] = request.keyState
 	}
-	t.keyState.requests++
+	request.keyState.requests++
 }
 
 // HashName turns a name that all nodes know an executor by into a number by chance that all of them share.
@@ -428,10 +428,10 @@
 }
 
 // recordRuntime notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
-func (d *Dispatcher) recordRuntime(p *Attempt, ran int64) {
-	if t, e := p.Request, p.Server; ran > 0 {
-		l := e.typeStats.runtimeRatio.decay(d.now)
-		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.settings.warmUpFactor(e, p.sentAt)/float64(d.expectedRuntime(t, 0.5))
-		d.runtimes[t.Class.Index].add(float64(ran) / t.workUnit())
+func (d *Dispatcher) recordRuntime(attempt *Attempt, ran int64) {
+	if request, server := attempt.Request, attempt.Server; ran > 0 {
+		l := server.typeStats.runtimeRatio.decay(d.now)
+		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.settings.warmUpFactor(server, attempt.sentAt)/float64(d.expectedRuntime(request, 0.5))
+		d.runtimes[request.Class.Index].add(float64(ran) / request.workUnit())
 	}
 }
