--- /dev/null
+++ b/dispatch/affinity.go
@@ -0,0 +1,73 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package dispatch
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"slices"
+)
+
+// keyState is what some txns are about.
+type keyState struct {
+	concurrencyLimit
+	requests     int           // of the txns counted
+	retrySuccess decayingRatio // its txns that erred and went elsewhere, and those of them served there
+	failedServer *Server       // where the last one ended badly, with none that ended well since
+}
+
+// recordKey adds a txn to those about one thing; without a key that is its tenant.
+func (d *Dispatcher) recordKey(request *Request) {
+	if d.keyedRequests++; d.keyedRequests > maxKeyedRequests {
+		d.keyedRequests /= 2
+		maps.DeleteFunc(d.keyStates, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
+	}
+	key := cmp.Or(request.AffinityKey, ^uint64(request.Tenant))
+	if request.keyState = d.keyStates[key]; request.keyState == nil {
+		request.keyState = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
+		d.keyStates[key] = request.keyState
+	}
+	request.keyState.requests++
+}
+
+// preferredServers are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
+// Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
+func (d *Dispatcher) preferredServers(request *Request, roam bool) []*Server {
+	count := 1 + int(d.promptShare(true)+spareServerShare) + (len(d.servers.servers)*max(request.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
+	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
+	few := count
+	d.preferred, count = d.preferred[:0], count+1
+	for _, server := range d.servers.servers {
+		luck := float64(rand.NewPCG(request.AffinityKey, server.Hash).Uint64()>>11+1) / (1 << 53)
+		if server.sampleKey = -math.Log(luck) / server.size; request.Class.MachineType < 0 && server.typeStats.required {
+			server.sampleKey /= requiredTypeFactor
+		}
+		// Danger: a few nodes at a time may send to a cold one; by key none of them ever would.
+		if d.settings.warmUpFactor(server, d.now) < 1 {
+			server.sampleKey = 0
+		} else if !roam && server.zone != d.settings.Zone {
+			server.sampleKey += 1e9
+		}
+		if len(d.preferred) >= count && server.sampleKey > d.preferred[count-1].sampleKey || d.outlier(server) || !d.allowed(request, server) {
+			continue
+		}
+		if server.sampleKey == 0 {
+			count, few = count+1, few+1
+		}
+		i, _ := slices.BinarySearchFunc(d.preferred, server, bySampleKey)
+		d.preferred = slices.Insert(d.preferred, i, server)
+	}
+	if len(d.preferred) == 0 {
+		return d.servers.servers
+	}
+	d.preferred = d.preferred[:min(count, len(d.preferred))]
+	for _, server := range d.preferred {
+		if d.settings.LiveCapacity && server.sampleKey > 0 && server.size/server.spareFactor-1 > max(crowdedFactor*d.load/float64(len(d.servers.servers)), 1) {
+			server.sampleKey += 2e9
+		}
+	}
+	slices.SortStableFunc(d.preferred, bySampleKey)
+	return d.preferred[:min(few, len(d.preferred))]
+}
--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -21,68 +21,6 @@
 	sampleSize = 64
 )
 
-// serverSet is a set of servers that is added to in any order, and from which some are drawn at random.
-type serverSet struct {
-	servers []*Server
-	index   func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
-}
-
-func (s *serverSet) add(server *Server) {
-	if at := s.index(server); *at == 0 {
-		s.servers = append(s.servers, server)
-		*at = len(s.servers)
-	}
-}
-
-func (s *serverSet) remove(server *Server) {
-	at := s.index(server)
-	if *at == 0 {
-		return
-	}
-	last := len(s.servers) - 1
-	s.swap(*at-1, last)
-	s.servers[last] = nil
-	s.servers, *at = s.servers[:last], 0
-}
-
-func (s *serverSet) swap(i, j int) {
-	server, b := s.servers[i], s.servers[j]
-	s.servers[i], s.servers[j] = b, server
-	*s.index(server), *s.index(b) = j+1, i+1
-}
-
-// sample calls use with count servers of the set, drawn evenly, of which some may be the same; with each once if there are no more.
-// Those that use does not want are taken out.
-func (d *Dispatcher) sample(s *serverSet, count int, use func(*Server) (keep bool)) {
-	if len(s.servers) <= count {
-		for i := 0; i < len(s.servers); {
-			if server := s.servers[i]; use(server) {
-				i++
-			} else {
-				s.remove(server)
-			}
-		}
-		return
-	}
-	for ; count > 0 && len(s.servers) > 0; count-- {
-		if server := s.servers[d.random.IntN(len(s.servers))]; !use(server) {
-			s.remove(server)
-		}
-	}
-}
-
-// candidateSearch is one draw under way.
-type candidateSearch struct {
-	request      *Request
-	count        int
-	runtime      int64
-	meanInFlight float64 // load per server
-	anyZone      bool    // zones are alike
-	foundHealthy bool    // one that is not sick may be sent to
-	foundAllowed bool    // one may be sent to
-	draw         int     // of the draw
-}
-
 // findCandidates considers the candidates of a draw.
 func (d *Dispatcher) findCandidates(s *candidateSearch) {
 	if len(d.servers.servers) <= maxSample {
@@ -148,16 +86,3 @@
 		}
 	}
 }
-
-// inSlowStartTurn says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
-// the budget by warmEnough.
-func (d *Dispatcher) inSlowStartTurn(server *Server) bool {
-	if d.settings.Quotas != nil {
-		return true
-	}
-	if d.now >= server.turnUntil {
-		_, since, turn, _ := d.quotaShare(server)
-		server.inTurn, server.turnUntil = turn, since+max(d.settings.OverloadWindow/turnsPerWindow, 1)
-	}
-	return server.inTurn
-}
