--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -21,98 +21,36 @@
 	sampleSize = 64
 )
 
-// serverSet is a set of servers that is added to in any order, and from which some are drawn at random.
-type serverSet struct {
-	servers []*Server
-	index   func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
-}
-
-func (s *serverSet) add(e *Server) {
-	if at := s.index(e); *at == 0 {
-		s.servers = append(s.servers, e)
-		*at = len(s.servers)
-	}
-}
-
-func (s *serverSet) remove(e *Server) {
-	at := s.index(e)
-	if *at == 0 {
-		return
-	}
-	last := len(s.servers) - 1
-	s.swap(*at-1, last)
-	s.servers[last] = nil
-	s.servers, *at = s.servers[:last], 0
-}
-
-func (s *serverSet) swap(i, j int) {
-	a, b := s.servers[i], s.servers[j]
-	s.servers[i], s.servers[j] = b, a
-	*s.index(a), *s.index(b) = j+1, i+1
-}
-
-// sample calls use with count servers of the set, drawn evenly, of which some may be the same; with each once if there are no more.
-// Those that use does not want are taken out.
-func (d *Dispatcher) sample(s *serverSet, count int, use func(*Server) (keep bool)) {
-	if len(s.servers) <= count {
-		for i := 0; i < len(s.servers); {
-			if e := s.servers[i]; use(e) {
-				i++
-			} else {
-				s.remove(e)
-			}
-		}
-		return
-	}
-	for ; count > 0 && len(s.servers) > 0; count-- {
-		if e := s.servers[d.random.IntN(len(s.servers))]; !use(e) {
-			s.remove(e)
-		}
-	}
-}
-
-// candidateSearch is one draw under way.
-type candidateSearch struct {
-	request      *Request
-	count        int
-	runtime      int64
-	meanInFlight float64 // load per server
-	anyZone      bool    // zones are alike
-	foundHealthy bool    // one that is not sick may be sent to
-	foundAllowed bool    // one may be sent to
-	draw         int     // of the draw
-}
-
 // findCandidates considers the candidates of a draw.
 func (d *Dispatcher) findCandidates(s *candidateSearch) {
 	if len(d.servers.servers) <= maxSample {
-		for _, e := range d.servers.servers {
-			d.consider(s, e)
+		for _, server := range d.servers.servers {
+			d.consider(s, server)
 		}
 		return
 	}
-	d.sample(&d.withIdleConnection, sampleSize, func(e *Server) bool {
-		if !e.listed || d.now >= e.idleUntil {
+	d.sample(&d.withIdleConnection, sampleSize, func(server *Server) bool {
+		if !server.listed || d.now >= server.idleUntil {
 			return false
 		}
-		if e.slotsInFlight == 0 {
-			d.consider(s, e)
+		if server.slotsInFlight == 0 {
+			d.consider(s, server)
 		}
 		return true
 	})
 	d.considerSlowStart(s)
-	use := func(e *Server) bool {
-		d.consider(s, e)
+	use := func(server *Server) bool {
+		d.consider(s, server)
 		return true
 	}
 	for left := maxSample; left > 0 && !d.enoughCandidates(s, left == maxSample); left -= sampleSize {
 		d.sample(&d.servers, sampleSize, use)
 	}
-	for _, e := range d.servers.servers {
+	for _, server := range d.servers.servers {
 		if s.foundAllowed {
 			break
 		}
-		d.consider(s, e)
+		d.consider(s, server)
 	}
 }
 
@@ -130,10 +68,10 @@
 // considerSlowStart considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
 func (d *Dispatcher) considerSlowStart(s *candidateSearch) {
 	for i := 0; i < len(d.inSlowStart.servers); {
-		if e := d.inSlowStart.servers[i]; e.listed && d.settings.warmUpFactor(e, d.now) < 1 {
+		if server := d.inSlowStart.servers[i]; server.listed && d.settings.warmUpFactor(server, d.now) < 1 {
 			i++
 		} else {
-			d.inSlowStart.remove(e)
+			d.inSlowStart.remove(server)
 		}
 	}
 	count := len(d.inSlowStart.servers)
@@ -142,22 +80,9 @@
 	}
 	first, considered := d.random.IntN(count), 0
 	for i := 0; i < count && considered < maxSample; i++ {
-		if e := d.inSlowStart.servers[(first+i)%count]; d.inSlowStartTurn(e) {
-			d.consider(s, e)
+		if server := d.inSlowStart.servers[(first+i)%count]; d.inSlowStartTurn(server) {
+			d.consider(s, server)
 			considered++
 		}
 	}
 }
-
-// inSlowStartTurn says whether it may be this node's turn at a server in slow start. It is worked out once a turn; what is sent is held to
-// the budget by warmEnough.
-func (d *Dispatcher) inSlowStartTurn(e *Server) bool {
-	if d.settings.Quotas != nil {
-		return true
-	}
-	if d.now >= e.turnUntil {
-		_, since, turn, _ := d.quotaShare(e)
-		e.inTurn, e.turnUntil = turn, since+max(d.settings.OverloadWindow/turnsPerWindow, 1)
-	}
-	return e.inTurn
-}
