--- a/internal/transport/client_conn.go
+++ b/internal/transport/client_conn.go
@@ -6,80 +6,139 @@
 	"errors"
 	"net"
 	"os"
-	"syscall"
+	"sync/atomic"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// Read notes the first bytes of a client's request: from then on the connection is in use, long before the library
-// says so.
-func (c *trackedConn) Read(b []byte) (int, error) {
-	if c.side != clientSide {
-		n, err := c.Conn.Read(b)
-		if n > 0 {
-			c.exchangeState.CompareAndSwap(exchangeRequestStarted, exchangeResponseStarted)
-		}
-		return n, err
+// clientConn is a connection that a client opened.
+//
+// http.Server reads from it, and sees a request's bytes only through Read. So Read tells the budget of a request's
+// first byte, long before the library reports that the connection is active, and looks at the request's head.
+type clientConn struct {
+	net.Conn
+	trackedConn
+	rejectOnly bool // its requests can only be rejected
+
+	// openedAt is when the connection was accepted; zero once its last response was sent. Guarded by budget.mu.
+	openedAt time.Time
+	// lingerStarted says that the client has been given its time to read the last response. Guarded by budget.mu.
+	lingerStarted bool
+
+	head            requestHeadScanner
+	readAhead       readAhead
+	responseStarted atomic.Bool // something was written
+}
+
+// newClientConn returns a client connection that was accepted now and is on no list of the budget yet.
+func newClientConn(conn net.Conn, budget *ConnectionBudget) *clientConn {
+	return &clientConn{
+		Conn:        conn,
+		trackedConn: trackedConn{socket: conn, budget: budget, side: clientSide},
+		openedAt:    time.Now(),
 	}
-	// The library reads one byte behind a request that is at work, to learn that its client closes; within heads it may as well.
+}
+
+// Read reads what the client sent. While a request is being served, http.Server reads one byte beyond it to learn
+// that the client has closed; that call returns when the client has, and what comes before is kept for the next
+// request.
+func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 1 && c.head.isComplete() {
 		if raw, err := rawConn(c.Conn); err == nil {
-			return 0, c.waitForClose(raw)
+			return 0, c.readAhead.waitForClose(raw)
 		}
 	}
 	if n := c.head.takeHeldBack(b); n > 0 {
 		return n, nil
 	}
-	n, err := c.takeReadAhead(b)
-	if n == 0 && err == nil {
-		n, err = c.Conn.Read(b)
+	n, err := c.readNext(b)
+	if n > 0 {
+		c.budget.markActive(&c.trackedConn)
+		n = c.head.scan(b[:n])
+	}
+	return n, err
+}
+
+// readNext reads what came behind the previous request, or else from the socket.
+func (c *clientConn) readNext(b []byte) (int, error) {
+	n, err := c.readAhead.take(b)
+	if n > 0 || err != nil {
+		return n, err
 	}
+	n, err = c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.isReclaimed() {
+		// The deadline may have been set by reclaim. A request that came before the close would be lost, as the
+		// deadline hides it.
 		if n = readNonBlocking(c.Conn, b); n > 0 {
 			err = nil
 		}
 	}
-	if n > 0 {
-		c.budget.markActive(c)
-		n = c.head.scan(b[:n])
-	}
 	return n, err
 }
 
-var (
-	errNoSocket          = errors.New("no socket")
-	errReadAheadOverflow = errors.New("more came behind a request than is kept")
-)
-
-func rawConn(c net.Conn) (syscall.RawConn, error) {
-	if s, can := c.(syscall.Conn); can {
-		return s.SyscallConn()
+// readNonBlocking reads what a connection's socket holds already, whatever the read deadline.
+func readNonBlocking(c net.Conn, b []byte) (n int) {
+	raw, err := rawConn(c)
+	if err != nil {
+		return 0
+	}
+	err = raw.Control(func(fd uintptr) { n, _ = unix.Read(int(fd), b) }) // an error is as good as no byte
+	if err != nil {
+		return 0
 	}
-	return nil, errNoSocket
+	return max(n, 0)
 }
 
-// hasUnreadData says whether bytes lie in the socket that nobody has read.
-func (c *trackedConn) hasUnreadData() (is bool) {
-	if raw, err := rawConn(c.Conn); err == nil {
-		raw.Control(func(fd uintptr) {
-			n, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
-			is = err == nil && n > 0
-		})
-	}
-	return is
+// Write writes a part of a response.
+func (c *clientConn) Write(b []byte) (int, error) {
+	c.responseStarted.Store(true)
+	return c.Conn.Write(b)
 }
 
-func (c *trackedConn) isReclaimed() bool {
+// SetReadDeadline does nothing on a connection that was told to close: http.Server sets its limit for idle connections
+// just after it has reported one as idle, which would undo the deadline that reclaim has set.
+func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.budget.mu.Lock()
 	defer c.budget.mu.Unlock()
-	return c.reclaimed
+	if c.reclaimed {
+		return nil
+	}
+	return c.Conn.SetReadDeadline(t)
 }
 
-// readNonBlocking reads what a connection holds already.
-// Danger: a request that came between the waking and the close is thrown away; a deadline that has passed hides it.
-func readNonBlocking(c net.Conn, b []byte) (n int) {
-	if raw, err := rawConn(c); err == nil {
-		raw.Control(func(fd uintptr) { n, _ = unix.Read(int(fd), b) })
+// Close waits for the client to read the last response, and closes the connection.
+func (c *clientConn) Close() error {
+	c.linger()
+	return c.closeAndRelease()
+}
+
+// clientClosed reports whether the client of the request being served has closed its side, as far as this machine knows
+// at this moment.
+func (c *clientConn) clientClosed() bool { return c.readAhead.clientClosed(c.Conn) }
+
+// lastResponseSent reports whether the connection only waits for its client to close. The caller holds budget.mu.
+func (c *clientConn) lastResponseSent() bool { return c.openedAt.IsZero() }
+
+// expendable reports whether a pending connection can be closed without the loss of a request. The caller holds
+// budget.mu.
+func (c *clientConn) expendable() bool {
+	if c.lastResponseSent() {
+		return true
 	}
-	return max(n, 0)
+	requestComplete := c.active && c.head.isComplete()
+	return !requestComplete && !c.hasUnreadData()
+}
+
+// hasUnreadData reports whether the socket holds bytes that nobody has read.
+func (c *clientConn) hasUnreadData() (unread bool) {
+	raw, err := rawConn(c.Conn)
+	if err != nil {
+		return false
+	}
+	err = raw.Control(func(fd uintptr) {
+		n, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		unread = err == nil && n > 0
+	})
+	return err == nil && unread
 }
--- a/internal/transport/connection_state.go
+++ b/internal/transport/connection_state.go
@@ -2,81 +2,87 @@
 
 package transport
 
-import (
-	"time"
-)
+import "time"
 
-// establish takes a client's connection for a known one, with its first whole request; false: it had to go.
-func (d *ConnectionBudget) establish(c *trackedConn) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !c.closed && c.list == &d.pending {
-		c.moveTo(nil)
+// establish ends the time as a pending connection, with its first whole request. It reports false where the request
+// must not be served: the connection was closed meanwhile, or the server has ended.
+func (b *ConnectionBudget) establish(c *clientConn) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !c.closed && c.list == &b.pending {
+		c.removeFromList()
 	}
-	return !c.closed && !d.closed
+	return !c.closed && !b.closed
 }
 
-// markActive marks a connection as in use and numbers the use.
-func (d *ConnectionBudget) markActive(c *trackedConn) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.clearState(c)
+// markActive marks a connection as in use, and returns the number of this use for markIdle.
+func (b *ConnectionBudget) markActive(c *trackedConn) (use int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.clearState(c)
 	c.uses++
 	if c.side == clientSide && !c.active {
 		c.active = true
-		d.active++
+		b.active++
 	}
 	return c.uses
 }
 
-// clearState takes a connection out of all that is counted, but for the strangers. Under mu.
-func (d *ConnectionBudget) clearState(c *trackedConn) {
+// markIdle marks a connection as idle after a use. Where it has been used again since, nothing happens: http.Transport
+// reports late that a connection is idle, and by then the next request may have it.
+func (b *ConnectionBudget) markIdle(c *trackedConn, use int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if use != c.uses || c.list != nil || c.closed {
+		return
+	}
+	b.clearState(c)
+	c.moveTo(&b.idle[c.side], c)
+	if b.idleDisabled && c.side == clientSide {
+		b.reclaimIdleClient()
+	}
+}
+
+// clearState ends whatever a connection is counted as, but for a pending one. The caller holds mu.
+func (b *ConnectionBudget) clearState(c *trackedConn) {
 	if c.active {
 		c.active = false
-		d.active--
-		d.changed.Broadcast()
+		b.active--
+		b.changed.Broadcast()
 	}
-	if c.list == &d.idle[c.side] {
-		c.moveTo(nil)
+	if c.list == &b.idle[c.side] {
+		c.removeFromList()
 		if c.side == clientSide {
-			c.Conn.SetReadDeadline(time.Now().Add(requestReadTimeout)) // the server's own limit waits for some bytes more
+			c.limitRequestRead()
 		}
 	}
 	if c.reclaimed && c.side == clientSide {
 		c.reclaimed = false
-		d.reclaiming--
-		d.changed.Broadcast()
-		c.Conn.SetReadDeadline(time.Now().Add(requestReadTimeout))
+		b.reclaiming--
+		b.changed.Broadcast()
+		c.limitRequestRead()
 	}
 }
 
-// markIdle marks a connection as idle after a use.
-// Danger: the library tells late that a connection rests; by then the next request may have it.
-func (d *ConnectionBudget) markIdle(c *trackedConn, use int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if use != c.uses || c.list != nil || c.closed {
-		return
-	}
-	d.clearState(c)
-	if c.moveTo(&d.idle[c.side]); d.idleDisabled && c.side == clientSide {
-		d.reclaimIdleClient()
-	}
+// limitRequestRead gives the client requestReadTimeout from now on to send the rest of its request. The limit of
+// the HTTP server would start some bytes later. The caller holds budget.mu.
+func (c *trackedConn) limitRequestRead() {
+	c.socket.SetReadDeadline(time.Now().Add(requestReadTimeout))
 }
 
-// disableIdle closes clients' connections that are idle, now and from now on.
-func (d *ConnectionBudget) disableIdle() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.idleDisabled = true
-	for d.idle[clientSide].Len() > 0 {
-		d.reclaimIdleClient()
+// disableIdle closes idle client connections, now and from now on.
+func (b *ConnectionBudget) disableIdle() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.idleDisabled = true
+	for b.idle[clientSide].Len() > 0 {
+		b.reclaimIdleClient()
 	}
 }
 
-// enableIdle lets clients' connections be idle again.
-func (d *ConnectionBudget) enableIdle() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.idleDisabled = false
+// enableIdle lets client connections be idle again.
+func (b *ConnectionBudget) enableIdle() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.idleDisabled = false
 }
--- a/internal/transport/connection_wait.go
+++ b/internal/transport/connection_wait.go
@@ -2,48 +2,51 @@
 
 package transport
 
-import (
-	"context"
-)
+import "context"
 
-// waitForNoClients waits until no client's connection is left, or there is no more time.
-func (d *ConnectionBudget) waitForNoClients(ctx context.Context) {
-	defer d.broadcastWhenDone(ctx)()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for d.held[clientSide] > 0 && ctx.Err() == nil {
-		d.changed.Wait()
-	}
+// waitForNoClients returns when no client connection is left, or when the context ends.
+func (b *ConnectionBudget) waitForNoClients(ctx context.Context) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.waitUntil(ctx, func() bool { return b.held[clientSide] == 0 })
 }
 
-// broadcastWhenDone ends waits for changes with their context.
-func (d *ConnectionBudget) broadcastWhenDone(ctx context.Context) (stop func() bool) {
-	return context.AfterFunc(ctx, func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.changed.Broadcast()
-	})
+// waitForRequests returns when no client's request is left, no client connection that was told to close, and no
+// response that may not have been read. No further request is taken from then on: one that were read between the
+// last check and the end of the process would get no response. It returns the context's error if requests are left
+// unanswered; parts of requests on pending connections do not count.
+func (b *ConnectionBudget) waitForRequests(ctx context.Context) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.waitUntil(ctx, func() bool { return b.active+b.lingering+b.reclaiming == 0 })
+	b.closed = true
+	if b.unanswered() > 0 {
+		return ctx.Err()
+	}
+	return nil
 }
 
-// waitForRequests waits until no client's request is left, no idle connection, and no answer that may not have been read. Halves of
-// requests by strangers are nobody's loss when time is up. Nothing is taken from then on.
-// Danger: a request that is read between the last look and the end of the process; it is sent on, and nobody answers it.
-func (d *ConnectionBudget) waitForRequests(ctx context.Context) error {
-	defer d.broadcastWhenDone(ctx)()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for d.active+d.lingering+d.reclaiming > 0 && ctx.Err() == nil {
-		d.changed.Wait()
-	}
-	d.closed = true
-	owed := d.active
-	for e := d.pending.Front(); e != nil; e = e.Next() {
-		if e.Value.(*trackedConn).active {
-			owed--
+// unanswered returns the number of whole requests that have no response yet. The caller holds mu.
+func (b *ConnectionBudget) unanswered() int {
+	count := b.active
+	for element := b.pending.Front(); element != nil; element = element.Next() {
+		if element.Value.(*clientConn).active {
+			count--
 		}
 	}
-	if owed > 0 {
-		return ctx.Err()
+	return count
+}
+
+// waitUntil returns when done reports true, which is asked after each change, or when the context ends. The caller
+// holds mu, which is released while this waits.
+func (b *ConnectionBudget) waitUntil(ctx context.Context, done func() bool) {
+	stop := context.AfterFunc(ctx, func() {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		b.changed.Broadcast()
+	})
+	defer stop()
+	for !done() && ctx.Err() == nil {
+		b.changed.Wait()
 	}
-	return nil
 }
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -166,7 +166,7 @@
 	}
 	c := d.acceptClient(far)
 	d.mu.Lock()
-	d.reclaim(c)
+	d.reclaim(&c.trackedConn)
 	d.mu.Unlock()
 	buffer := make([]byte, 10)
 	if n, err := c.Read(buffer); n != 0 || err == nil {
--- a/internal/transport/eviction.go
+++ b/internal/transport/eviction.go
@@ -7,64 +7,145 @@
 	"time"
 )
 
-// evictionCandidate is the longest waiting stranger that can go: it has its answer, has sent nothing, or half a head at the most; nil: there is
-// none among those that are looked at. Under mu.
-// Danger: at a process that is behind, whole requests lie unread in the sockets of strangers, and end with no answer.
-func (d *ConnectionBudget) evictionCandidate() *trackedConn {
-	e := d.pending.Front()
-	for looked := 0; e != nil && looked < evictionScanLimit; looked++ {
-		if c := e.Value.(*trackedConn); c.openedAt.IsZero() || (!c.active || !c.head.isComplete()) && !c.hasUnreadData() {
+const (
+	// defaultEvictionGrace is how long a pending connection is left alone while there are places: a node that is short
+	// of processor time accepts many connections before it reads the requests that wait on them.
+	defaultEvictionGrace = 100 * time.Millisecond
+	// evictionScanLimit is how many pending connections are looked at for one to evict; each costs a system call.
+	evictionScanLimit = 32
+)
+
+// longPast is a read deadline that ends a read at once.
+var longPast = time.Unix(1, 0)
+
+// limitPending evicts pending connections beyond their limit, before a new one comes. More than one may have to go,
+// since those accepted before had not been read when the next ones came. The caller holds mu.
+func (b *ConnectionBudget) limitPending() {
+	for range maxEvictionsPerAccept {
+		if b.pending.Len() < b.maxPending {
+			return
+		}
+		c := b.evictionCandidate()
+		if c == nil {
+			return
+		}
+		if b.available(clientSide) > 0 && time.Since(c.openedAt) < b.evictionGrace {
+			return
+		}
+		b.evictClient(c)
+	}
+}
+
+// makeRoom closes one connection, or tells one to close, so that a side may get a place. Idle connections to servers go
+// first, then idle clients, then pending ones. The caller holds mu.
+func (b *ConnectionBudget) makeRoom(side connectionSide) {
+	belowMax := b.held[side] < b.maxHeld[side]
+	switch {
+	case b.idle[serverSide].Len() > 0 && (side == serverSide || belowMax):
+		b.evictIdleServer()
+	case side == clientSide && b.reclaiming+b.idle[clientSide].Len() > 0:
+		if b.reclaiming == 0 {
+			b.reclaimIdleClient()
+		}
+	case side == clientSide || belowMax:
+		b.evictPending()
+	}
+}
+
+// evictPending evicts the pending connection that is missed least. The caller holds mu.
+func (b *ConnectionBudget) evictPending() {
+	c := b.evictionCandidate()
+	if c == nil {
+		c = frontOf[*clientConn](&b.pending)
+	}
+	if c != nil {
+		b.evictClient(c)
+	}
+}
+
+// evictionCandidate returns the oldest pending connection that can be closed without loss: it has its response, has
+// sent nothing, or no more than part of a request head. It returns nil where there is none among those looked at. A
+// connection with unread bytes stays, since at a process that is behind whole requests wait there. The caller holds
+// mu.
+func (b *ConnectionBudget) evictionCandidate() *clientConn {
+	element := b.pending.Front()
+	for looked := 0; element != nil && looked < evictionScanLimit; looked++ {
+		if c := element.Value.(*clientConn); c.expendable() {
 			return c
 		}
-		e = e.Next()
+		element = element.Next()
 	}
 	return nil
 }
 
-// evictFirst closes the first connection of a list, if there is one, to make room. Under mu.
-func (d *ConnectionBudget) evictFirst(of *list.List) {
-	if first := of.Front(); first != nil {
-		d.evict(first.Value.(*trackedConn))
+// evictIdleServer closes the longest idle connection to a server, if there is one. The caller holds mu.
+func (b *ConnectionBudget) evictIdleServer() {
+	c := frontOf[*trackedConn](&b.idle[serverSide])
+	if c == nil {
+		return
 	}
+	c.reclaimed = true
+	b.closeToMakeRoom(c)
 }
 
-// evict closes a connection to make room. Under mu.
-func (d *ConnectionBudget) evict(c *trackedConn) {
-	c.moveTo(nil)
-	c.reclaimed, c.lingerStarted = c.side == serverSide, true
-	held := d.held
-	d.mu.Unlock()
-	d.log.Debug().Stringer("side", c.side).Str("executor", c.address).Int("clients", held[clientSide]).Int("executors", held[serverSide]).
-		Int("most", d.total).Msg("connection closed to make room")
-	c.Close()
-	d.mu.Lock()
+// evictClient closes a pending client connection without waiting for the client. The caller holds mu.
+func (b *ConnectionBudget) evictClient(c *clientConn) {
+	c.lingerStarted = true
+	b.closeToMakeRoom(&c.trackedConn)
 }
 
-// reclaimIdleClient has the longest idle of the clients' connections closed, if there is one. Under mu.
-func (d *ConnectionBudget) reclaimIdleClient() {
-	if first := d.idle[clientSide].Front(); first != nil {
-		d.reclaim(first.Value.(*trackedConn))
+// closeToMakeRoom closes a connection and logs it. The caller holds mu, which is released meanwhile.
+func (b *ConnectionBudget) closeToMakeRoom(c *trackedConn) {
+	c.removeFromList()
+	held := b.held
+	total := b.total
+	b.mu.Unlock()
+	defer b.mu.Lock()
+	b.log.Debug().
+		Stringer("side", c.side).
+		Str("executor", c.address).
+		Int("clients", held[clientSide]).
+		Int("executors", held[serverSide]).
+		Int("most", total).
+		Msg("connection closed to make room")
+	_ = c.closeAndRelease() // its place is free whatever the close reports
+}
+
+// reclaimIdleClient tells the longest idle client connection to close, if there is one. The caller holds mu.
+func (b *ConnectionBudget) reclaimIdleClient() {
+	if c := frontOf[*trackedConn](&b.idle[clientSide]); c != nil {
+		b.reclaim(c)
 	}
 }
 
-// reclaim has a client's connection closed that has no request on it. Under mu.
-// Danger: a request that is being read while its connection is closed is lost. A client's connection is therefore
-// only waked, and the server closes it; if a request's first bytes have come by then, it is served instead.
-func (d *ConnectionBudget) reclaim(c *trackedConn) {
-	c.moveTo(nil)
+// reclaim has the HTTP server close a client connection that has no request on it. Closing it here would lose a request
+// that is being read at this moment. So only its read is ended: if the first bytes of a request have come by then, the
+// request is served instead. The caller holds mu.
+func (b *ConnectionBudget) reclaim(c *trackedConn) {
+	c.removeFromList()
 	c.reclaimed = true
-	d.reclaiming++
-	c.Conn.SetReadDeadline(time.Unix(1, 0))
+	b.reclaiming++
+	c.socket.SetReadDeadline(longPast)
 }
 
-// reclaimSilent has clients' connections closed that have not sent a byte for so long.
-func (d *ConnectionBudget) reclaimSilent(after time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for e := d.pending.Front(); e != nil; {
-		c := e.Value.(*trackedConn)
-		if e = e.Next(); !c.active && !c.openedAt.IsZero() && time.Since(c.openedAt) >= after {
-			d.reclaim(c)
+// reclaimSilent tells client connections to close that have not sent a byte for a time since they were opened.
+func (b *ConnectionBudget) reclaimSilent(after time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for element := b.pending.Front(); element != nil; {
+		c := element.Value.(*clientConn)
+		element = element.Next() // reclaim removes c from the list
+		if !c.active && !c.lastResponseSent() && time.Since(c.openedAt) >= after {
+			b.reclaim(&c.trackedConn)
 		}
 	}
 }
+
+// frontOf returns the value at the front of a list, nil where the list is empty.
+func frontOf[C *trackedConn | *clientConn](l *list.List) C {
+	front := l.Front()
+	if front == nil {
+		return nil
+	}
+	return front.Value.(C)
+}
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"errors"
-	"io"
 	"net/http/httptrace"
 	"time"
 
@@ -13,77 +12,86 @@
 	"fernrail/internal/protocol"
 )
 
-// exchange is the connection that one request has, and how often it has been used.
+// exchange is one request to a server and its response. It records which connection http.Transport gives the request.
 type exchange struct {
-	conn            *trackedConn
-	use             int
-	attempt         *protocol.Attempt // nil: it is a probe
-	schedulingDelay func() int64
-	// unexpectedResponse: the answer had come before the request's first byte was written, a second one to an earlier request.
-	// Danger: it says that the earlier one never ran, the library takes it for this one's, and what runs is sent again.
+	attempt         *protocol.Attempt // nil: a probe
+	schedulingDelay func() time.Duration
+
+	conn *serverConn // nil: the request got none
+	use  int         // how often conn had been used with this request
+	// unexpectedResponse says that the response was there before the request's first byte was written: a second
+	// response to an earlier request. http.Transport takes it for the response to this one. Where it is a
+	// rejection, a job that runs would be sent again.
 	unexpectedResponse bool
 }
 
-func (h *exchange) clientTrace() *httptrace.ClientTrace {
+// clientTrace returns the hooks by which http.Transport reports on the exchange. They run in the goroutine of
+// RoundTrip, or before it returns.
+func (e *exchange) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
-		GotConn: func(i httptrace.GotConnInfo) {
-			h.conn = i.Conn.(*trackedConn)
-			h.use = h.conn.budget.markActive(h.conn)
-			if h.attempt == nil {
-				h.conn.beginExchange(nil)
-				return
-			}
-			h.attempt.SetTimeout(time.Now().Add(time.Duration(h.schedulingDelay())))
-			h.conn.beginExchange(h.attempt.Gate)
+		GotConn: func(info httptrace.GotConnInfo) { e.start(info.Conn.(*serverConn)) },
+		GotFirstResponseByte: func() {
+			e.unexpectedResponse = e.conn.exchangeState.Load() != exchangeResponseStarted
 		},
-		GotFirstResponseByte: func() { h.unexpectedResponse = h.conn.exchangeState.Load() != exchangeResponseStarted },
 		PutIdleConn: func(err error) {
 			if err == nil {
-				h.conn.budget.markIdle(h.conn, h.use)
+				e.conn.budget.markIdle(&e.conn.trackedConn, e.use)
 			}
 		},
 	}
 }
 
-// drainBody reads an answer to its end, which gives its connection back.
-func drainBody(body io.Reader, cancel context.CancelFunc) {
-	stop := time.AfterFunc(responseTailTimeout, cancel)
-	defer stop.Stop()
-	io.CopyN(io.Discard, body, 4096) // more than that is not worth a connection
-}
-
-// contextOutcome is the outcome of a posting that the node has stopped waiting for; Settled: it has not.
-func contextOutcome(ctx context.Context) dispatch.Outcome {
-	switch {
-	case ctx.Err() == nil:
-		return dispatch.Succeeded
-	case errors.Is(ctx.Err(), context.Canceled):
-		return dispatch.Canceled
+// start prepares the connection for the request, and the request for the time that is left when it goes out.
+func (e *exchange) start(conn *serverConn) {
+	e.conn = conn
+	e.use = conn.budget.markActive(&conn.trackedConn)
+	if e.attempt == nil {
+		conn.beginExchange(nil)
+		return
 	}
-	return dispatch.TimedOut
+	e.attempt.SetTimeout(time.Now().Add(e.schedulingDelay()))
+	conn.beginExchange(e.attempt.Gate)
 }
 
-// failureOutcome is the outcome of a posting that got no answer, by what is proved.
-// Danger: kept connections that executors, or what stands between, close early are taken for executors in trouble.
-func failureOutcome(ctx context.Context, h *exchange, err error) dispatch.Outcome {
-	used, kept := h.conn, h.use > 1
-	switch {
-	case used == nil && (errors.Is(err, errNoDescriptor) || errors.Is(err, errSendDenied) || errors.Is(err, errDialDelayed)):
+// reused reports whether the connection had served another request before.
+func (e *exchange) reused() bool { return e.use > 1 }
+
+// failureOutcome returns the outcome of an attempt that got no response, by what is proved of it. A connection that was
+// idle may have been closed by the server, or by what stands between, which is no fault of the server.
+func (e *exchange) failureOutcome(ctx context.Context, err error) dispatch.Outcome {
+	// http.Transport calls GotConn before it writes to the connection, so without one nothing was sent.
+	if e.conn == nil && isLocalFailure(err) {
 		return dispatch.NotSent
-	case contextOutcome(ctx) != dispatch.Succeeded:
-		return contextOutcome(ctx)
-	// The library tells of a connection before it writes to it, in the same goroutine as the call.
-	case used == nil:
+	}
+	if outcome, ended := contextOutcome(ctx); ended {
+		return outcome
+	}
+	if e.conn == nil {
 		return dispatch.ConnectFailed
 	}
-	never, yielded := used.closeAndCheckUnsent(h.use)
+	unsent, reclaimed := e.conn.closeAndCheckUnsent(e.use)
 	switch {
-	case never && (yielded || kept || used.writeDenied):
+	case unsent && (reclaimed || e.reused() || e.conn.wasDenied()):
 		return dispatch.NotSent
-	case never:
+	case unsent:
 		return dispatch.ConnectFailed
-	case kept:
+	case e.reused():
 		return dispatch.StaleConnection
+	default:
+		return dispatch.ConnectionLost
+	}
+}
+
+// contextOutcome returns the outcome of an attempt that the node has stopped waiting for; ended is false where it
+// has not.
+func contextOutcome(ctx context.Context) (outcome dispatch.Outcome, ended bool) {
+	err := ctx.Err()
+	switch {
+	case err == nil:
+		return 0, false
+	case errors.Is(err, context.Canceled):
+		return dispatch.Canceled, true
+	default:
+		return dispatch.TimedOut, true
 	}
-	return dispatch.ConnectionLost
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -13,61 +13,69 @@
 	"golang.org/x/sys/unix"
 )
 
-// budgetListener gives each connection its place in the budget.
+// Waits after an accept that failed: the first one, and the longest, since clients that connect wait meanwhile.
+const (
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = 100 * time.Millisecond
+)
+
+// budgetListener gives each connection that it accepts a place in the budget.
 type budgetListener struct {
 	net.Listener
 	budget *ConnectionBudget
 	log    zerolog.Logger
 }
 
-// Waits after an accept that failed: the first one, and the longest, which requests that wait at the door can bear.
-const (
-	minAcceptBackoff = 5 * time.Millisecond
-	maxAcceptBackoff = 100 * time.Millisecond
-)
-
-// Accept waits for a client. It goes on after every error but the listener's own end.
-// Danger: net/http ends on errors that it does not call temporary, such as ENOBUFS, and the process with it.
+// Accept waits for a client. Only the end of the listener is returned as an error: http.Server ends on errors that
+// it does not take for temporary, such as ENOBUFS, and the process would end with it.
+//
+// Accepting waits for a place in the budget. A connection that were left in the kernel's queue could hold a
+// request; those beyond the limit are accepted, answered and closed at once.
 func (l *budgetListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	for pause := minAcceptBackoff; err != nil; pause = min(2*pause, maxAcceptBackoff) {
+	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
+		conn, err := l.Listener.Accept()
+		if err == nil {
+			return l.budget.acceptClient(conn), nil
+		}
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
 		l.log.Warn().Err(err).Msg("accept failed, and is tried again")
-		time.Sleep(pause)
-		c, err = l.Listener.Accept()
+		time.Sleep(backoff)
 	}
-	// Danger: a connection that is left waiting may hold a txn. Only a newcomer makes others give way, so none does
-	// without need; those in spare places are answered and closed at once.
-	return l.budget.acceptClient(c), nil
 }
 
 // inheritedListener is a listening socket that other processes hold as well.
 type inheritedListener struct{ *net.TCPListener }
 
-// InheritListener takes a listening socket over. Only this process's copy of it is ever closed.
+// InheritListener takes over a listening socket by its descriptor. Only this process's copy of it is ever closed.
 func InheritListener(descriptor int) (net.Listener, error) {
-	f := os.NewFile(uintptr(descriptor), "inherited listener")
-	defer f.Close()
-	l, err := net.FileListener(f)
+	file := os.NewFile(uintptr(descriptor), "inherited listener")
+	defer file.Close()
+	l, err := net.FileListener(file)
 	if err != nil {
 		return nil, err
 	}
-	tcp, is := l.(*net.TCPListener)
-	if !is {
+	tcp, ok := l.(*net.TCPListener)
+	if !ok {
 		l.Close()
 		return nil, fmt.Errorf("descriptor %d listens on %s, not TCP", descriptor, l.Addr().Network())
 	}
 	return inheritedListener{tcp}, nil
 }
 
-// Accept makes the socket one that does not block before it asks it.
-// Danger: that is a trait of the socket, not of its holder. Who hands it to another process may make it block for all,
-// and a process that sleeps on it can't stop until one more client comes.
+// Accept makes the socket non-blocking before it waits. That is a property of the socket, not of its holder: another
+// process may have made it block for all, and this one could not stop until one more client came.
 func (l inheritedListener) Accept() (net.Conn, error) {
-	if raw, err := l.SyscallConn(); err == nil {
-		raw.Control(func(descriptor uintptr) { unix.SetNonblock(int(descriptor), true) })
-	}
+	l.setNonblock()
 	return l.TCPListener.Accept()
 }
+
+// setNonblock ignores errors: what is wrong with the socket is reported by the accept that follows.
+func (l inheritedListener) setNonblock() {
+	raw, err := l.SyscallConn()
+	if err != nil {
+		return
+	}
+	_ = raw.Control(func(descriptor uintptr) { _ = unix.SetNonblock(int(descriptor), true) })
+}
--- a/internal/transport/machine_errors_test.go
+++ b/internal/transport/machine_errors_test.go
@@ -65,7 +65,7 @@
 		syscall.ENOBUFS: dispatch.NotSent, syscall.ENOMEM: dispatch.NotSent, syscall.EADDRNOTAVAIL: dispatch.NotSent,
 		syscall.ECONNREFUSED: dispatch.ConnectFailed, syscall.ENETUNREACH: dispatch.ConnectFailed, syscall.ETIMEDOUT: dispatch.ConnectFailed} {
 		d, x := fresh()
-		x.dialContext = func(context.Context, string, string) (net.Conn, error) {
+		x.dialer.dialContext = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", cause)}
 		}
 		if got := do(t.Context(), x, "127.0.0.1:9"); got.outcome != want {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -18,41 +18,40 @@
 )
 
 const (
-	// requestReadTimeout is how long a client may take to hand a request in: its first from when it connects, later ones from
-	// their first byte on. Bad clients are owed an end within 3 s, which has to hold for a node short of its core, too.
+	// requestReadTimeout is how long a client may take to send a request: its first from when it connects, later
+	// ones from their first byte on. Clients that do not finish have to be closed within 3 s, also by a node that
+	// is short of processor time.
 	requestReadTimeout = 2 * time.Second
 	// clientIdleTimeout is how long a client may keep a connection without a request on it.
 	clientIdleTimeout = 2 * time.Minute
-	// responseWriteTimeout is how long a client may take to read its answer.
+	// responseWriteTimeout is how long a client may take to read its response.
 	responseWriteTimeout = 5 * time.Second
-	// minAcceptAfterStop is how long new connections may go on coming after the order to stop, and some more.
-	minAcceptAfterStop = 500 * time.Millisecond
-	// stopAcceptFraction is the part of the time to stop in which requests are still taken; the rest is for their answers.
-	stopAcceptFraction = 0.9
-	// handoverIdleFraction is that part where another process of this node has taken over. Who has not used a kept connection until
-	// then can open one there; a job that comes late on it would have little time left.
-	handoverIdleFraction = 0.75
-	// silentConnTimeout is how long a connection may go without its first byte while the node is emptied: new ones still come
-	// for a fifth of a second, and what they were opened for comes with them.
-	silentConnTimeout = 700 * time.Millisecond
-	// silentSweepInterval is between two looks at such connections.
-	silentSweepInterval = 100 * time.Millisecond
+	// maxRequestHeaderBytes limits the head of a request.
+	maxRequestHeaderBytes = 16 << 10
+	// libraryLogBurst is how many log lines of net/http are written per libraryLogPeriod. They have no level by which
+	// they could be cut, and bad clients by the thousand would flood the log.
+	libraryLogBurst  = 20
+	libraryLogPeriod = time.Second
 )
 
-// ServeFunc is the life of one request: it gives the one final answer, or nil if the client has left.
-type ServeFunc func(ctx context.Context, q *protocol.Request) *protocol.Response
+// readyPath is where load balancers ask whether clients may come.
+const readyPath = "/-/ready"
 
-// Server is the side that clients reach.
+// ServeFunc serves one request. It returns the one final response, or nil if the client has left.
+type ServeFunc func(ctx context.Context, request *protocol.Request) *protocol.Response
+
+// Server is the HTTP server that clients reach.
 type Server struct {
-	budget             *ConnectionBudget
-	names              *protocol.Names
-	handle             ServeFunc
-	ready              func() bool
-	counters           *metrics.Counters
-	log                zerolog.Logger
-	http               *http.Server
-	listener           net.Listener
-	closeAfterResponse atomic.Bool // each answer ends its connection
+	budget   *ConnectionBudget
+	names    *protocol.Names
+	handle   ServeFunc
+	ready    func() bool
+	counters *metrics.Counters
+	log      zerolog.Logger
+	http     *http.Server
+	listener net.Listener
+
+	closeAfterResponse atomic.Bool // each response ends its connection
 
 	mu         sync.Mutex
 	phase      serverPhase
@@ -60,80 +59,145 @@
 	sweepTimer *time.Timer // while draining
 }
 
-func NewServer(d *ConnectionBudget, names *protocol.Names, serve ServeFunc, ready func() bool,
-	counters *metrics.Counters, l zerolog.Logger) *Server {
-	s := &Server{budget: d, names: names, handle: serve, ready: ready, counters: counters, log: l}
-	s.http = &http.Server{Handler: s, ReadTimeout: requestReadTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: 16 << 10,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, connContextKey{}, c)
-		},
-		// Danger: a flood of bad clients that becomes one of log lines; those of the library have no level to cut them by.
-		ErrorLog: log.New(l.With().Str("part", "net/http").Logger().Sample(&zerolog.BurstSampler{Burst: 20, Period: time.Second}), "", 0),
-		ConnState: func(c net.Conn, state http.ConnState) {
-			if c := c.(*trackedConn); state == http.StateIdle {
-				d.markIdle(c, c.uses)
-			}
-		}}
+// NewServer returns a server that passes requests to serve. Its connections take their places from the budget. It
+// is ready for clients when it listens, does not drain, and ready reports true.
+func NewServer(
+	budget *ConnectionBudget,
+	names *protocol.Names,
+	serve ServeFunc,
+	ready func() bool,
+	counters *metrics.Counters,
+	logger zerolog.Logger,
+) *Server {
+	s := &Server{
+		budget:   budget,
+		names:    names,
+		handle:   serve,
+		ready:    ready,
+		counters: counters,
+		log:      logger,
+	}
+	s.http = &http.Server{
+		Handler:        s,
+		ReadTimeout:    requestReadTimeout,
+		IdleTimeout:    clientIdleTimeout,
+		MaxHeaderBytes: maxRequestHeaderBytes,
+		ErrorLog:       libraryLogger(logger),
+		ConnContext:    contextWithConn,
+		ConnState:      s.connStateChanged,
+	}
 	return s
 }
 
-// connContextKey finds its connection in a request's context.
+// libraryLogger returns the logger of net/http.
+func libraryLogger(logger zerolog.Logger) *log.Logger {
+	sampler := &zerolog.BurstSampler{Burst: libraryLogBurst, Period: libraryLogPeriod}
+	return log.New(logger.With().Str("part", "net/http").Logger().Sample(sampler), "", 0)
+}
+
+// connContextKey is the key of a request's connection in its context.
 type connContextKey struct{}
 
-// Start starts to serve; what ends that before Stop comes out of the channel.
+func contextWithConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, c)
+}
+
+// connStateChanged is called by http.Server.
+func (s *Server) connStateChanged(c net.Conn, state http.ConnState) {
+	if state == http.StateIdle {
+		conn := c.(*clientConn)
+		s.budget.markIdle(&conn.trackedConn, conn.uses)
+	}
+}
+
+// Start starts to serve. An error that ends this before Stop is sent on the channel.
 func (s *Server) Start(l net.Listener) <-chan error {
 	s.mu.Lock()
-	s.phase, s.listener = phaseServing, l
+	s.phase = phaseServing
+	s.listener = l
 	s.mu.Unlock()
 	ended := make(chan error, 1)
-	go func() { ended <- s.http.Serve(&budgetListener{l, s.budget, s.log}) }()
+	go func() { ended <- s.http.Serve(&budgetListener{Listener: l, budget: s.budget, log: s.log}) }()
 	return ended
 }
 
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == "/-/ready" {
-		w.Header().Set("Connection", "close") // Danger: who asks this and stays takes a client's place
-		answer := &protocol.Response{Status: http.StatusOK, Body: "ready\n"}
-		if !s.Ready() {
-			answer = &protocol.Response{Status: http.StatusServiceUnavailable, Body: "not ready\n"}
-		}
-		answer.Write(w)
+	if r.URL.Path == readyPath {
+		s.serveReady(w)
 		return
 	}
-	c := r.Context().Value(connContextKey{}).(*trackedConn)
+	conn := r.Context().Value(connContextKey{}).(*clientConn)
 	r.Body = http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes)
-	q, fault := protocol.DecodeRequest(r, s.names, !c.head.hasContentLength())
+	request, fault := protocol.DecodeRequest(r, s.names, !conn.head.hasContentLength())
 	if fault != nil {
 		s.log.Warn().Int("status", fault.Status).Str("fault", fault.Text).Msg("request not taken")
-		w.Header().Set("Connection", "close")
-		(&protocol.Response{Status: fault.Status, Body: fault.Text + "\n"}).Write(w)
+		closeConnectionAfter(w)
+		writeResponse(w, &protocol.Response{Status: fault.Status, Body: fault.Text + "\n"})
 		return
 	}
-	// One place counts every end. What is neither answered nor known to be left, a fault say, has failed.
-	status, ended := 0, s.counters.RequestStarted(q.Class)
+	s.serveRequest(w, r, conn, request)
+}
+
+// serveReady answers whether clients may come. The connection ends, since whoever asks would else keep a client's
+// place.
+func (s *Server) serveReady(w http.ResponseWriter) {
+	closeConnectionAfter(w)
+	if s.Ready() {
+		writeResponse(w, &protocol.Response{Status: http.StatusOK, Body: "ready\n"})
+	} else {
+		writeResponse(w, &protocol.Response{Status: http.StatusServiceUnavailable, Body: "not ready\n"})
+	}
+}
+
+// serveRequest serves a request and counts how it ends. One that is neither answered nor left by its client has failed.
+//
+// Where there is no response it panics with http.ErrAbortHandler, which closes the connection. A handler that
+// returns without a response would have sent status 200, as a result that no server made, to a client that has
+// closed no more than its sending side.
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, conn *clientConn, request *protocol.Request) {
+	status := 0
+	ended := s.counters.RequestStarted(request.Class)
 	defer func() { ended(status) }()
-	// Danger: a handler that returns without an answer has given one, to the library: 200, with a result that no executor made. A
-	// client that shut its sending side alone reads it.
-	if !s.budget.establish(c) {
+	if !s.budget.establish(conn) {
 		panic(http.ErrAbortHandler)
 	}
-	c.beginRequest()
-	q.ClientClosed = c.clientClosed
-	answer := &protocol.Response{Status: http.StatusServiceUnavailable}
-	if c.rejectOnly {
-		s.log.Warn().Msg("descriptors are short: declined at the door")
-	} else if answer = s.handle(r.Context(), q); answer == nil {
+	conn.readAhead.beginRequest()
+	request.ClientClosed = conn.clientClosed
+	response := s.respond(r.Context(), conn, request)
+	if response == nil {
 		panic(http.ErrAbortHandler)
 	}
-	// What follows chunks has no start that is known here.
-	chunks := r.TransferEncoding != nil
-	if c.rejectOnly || s.closeAfterResponse.Load() || answer.ClientClosed || answer.Status == http.StatusConflict || chunks {
-		w.Header().Set("Connection", "close")
+	if s.endsConnection(r, conn, response) {
+		closeConnectionAfter(w)
+	}
+	conn.head.reset(r.ContentLength)
+	// The deadline can't be set on a closed connection alone, and the write reports that.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
+	if !response.ClientClosed {
+		status = response.Status
 	}
-	c.head.reset(r.ContentLength)
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
-	if !answer.ClientClosed {
-		status = answer.Status
+	writeResponse(w, response)
+}
+
+// respond returns the response to a request, nil where there is none.
+func (s *Server) respond(ctx context.Context, conn *clientConn, request *protocol.Request) *protocol.Response {
+	if conn.rejectOnly {
+		s.log.Warn().Msg("descriptors are short: declined at the door")
+		return &protocol.Response{Status: http.StatusServiceUnavailable}
 	}
-	answer.Write(w)
+	return s.handle(ctx, request)
+}
+
+// endsConnection reports whether the connection is closed after the response.
+func (s *Server) endsConnection(r *http.Request, conn *clientConn, response *protocol.Response) bool {
+	chunked := r.TransferEncoding != nil // where the next request begins is not known
+	return conn.rejectOnly || chunked || s.closeAfterResponse.Load() ||
+		response.ClientClosed || response.Status == http.StatusConflict
 }
+
+// closeConnectionAfter has the connection closed after the response.
+func closeConnectionAfter(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
+
+// writeResponse writes a response. An error means that the client has gone, and nothing is left to do.
+func writeResponse(w http.ResponseWriter, response *protocol.Response) { _ = response.Write(w) }
--- a/internal/transport/server_client.go
+++ b/internal/transport/server_client.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -15,155 +16,226 @@
 	"fernrail/internal/protocol"
 )
 
-// responseTailTimeout is how long the end of an answer is waited for once its last line is in, to keep the connection.
-const responseTailTimeout = time.Second
-
-// errSendDenied says that a connection was not tried, or a request not written, since this node's share allows no more now.
-var errSendDenied = errors.New("held back: the share of it is used up")
-
-// errUnexpectedResponse says that an answer was there before its request.
-var errUnexpectedResponse = errors.New("an answer to an earlier request")
-
-// errNoDescriptor says that a connection was not tried, for want of a descriptor.
-var errNoDescriptor = errors.New("no descriptor left")
+const (
+	// responseTailTimeout is how long the end of a response is waited for once its last line is in, so that the
+	// connection can be used again.
+	responseTailTimeout = time.Second
+	// responseTailLimit is how many bytes are read meanwhile; more than that is not worth a connection.
+	responseTailLimit = 4096
+	// maxResponseHeaderBytes limits the head of a response.
+	maxResponseHeaderBytes = 16 << 10
+	// serverWriteBuffer is the size in bytes that most requests fit into, so that they go out in one write.
+	serverWriteBuffer = 8 << 10
+	serverReadBuffer  = 4 << 10
+	// unlimitedIdleConns leaves the limit to the connection budget.
+	unlimitedIdleConns = 1 << 20
+)
 
-// errDialDelayed says that a connection did not come up in time, as far as a process can tell that was itself late to look.
-var errDialDelayed = errors.New("no connection in time, at a process that is behind")
+// errUnexpectedResponse says that a response was there before its request.
+var errUnexpectedResponse = errors.New("a response to an earlier request")
 
-// ServerClient holds the connections to executors.
+// ServerClient forwards attempts and probes to the servers of the pool, on connections that it keeps open.
 type ServerClient struct {
-	transport       *http.Transport
-	reportKeys      protocol.LoadReportKeys // of load reports
-	requestWritten  func()                  // told of each posting whose last byte was written
-	mayDial         func(address string) bool
-	schedulingDelay func() int64                                                         // how long work of this process waits until it runs, in ns
-	dialContext     func(ctx context.Context, network, address string) (net.Conn, error) // tests alone put another one here
+	transport      *http.Transport
+	dialer         *serverDialer
+	reportKeys     protocol.LoadReportKeys
+	requestWritten func()
+}
+
+// NewServerClient returns a client whose connections take their places from a budget. dialTimeout is how long a
+// connection may take to come up, idleTimeout how long servers keep an unused one, reportKeys the names of the
+// values in their load reports. requestWritten is called for each attempt when its last byte was written.
+func NewServerClient(
+	budget *ConnectionBudget,
+	dialTimeout, idleTimeout time.Duration,
+	reportKeys protocol.LoadReportKeys,
+	requestWritten func(),
+) *ServerClient {
+	dialer := &serverDialer{
+		budget:          budget,
+		timeout:         dialTimeout,
+		mayDial:         func(string) bool { return true },
+		schedulingDelay: func() time.Duration { return 0 },
+		dialContext:     (&net.Dialer{KeepAlive: -1}).DialContext,
+	}
+	return &ServerClient{
+		transport:      newServerTransport(dialer, idleTimeout),
+		dialer:         dialer,
+		reportKeys:     reportKeys,
+		requestWritten: requestWritten,
+	}
 }
 
-// NewServerClient: dial is how long a connection may take to come up, idle how long executors keep an unused one, values
-// what their load reports tell by which name, wrote is told of each posting whose last byte was written.
-func NewServerClient(d *ConnectionBudget, dial, idle time.Duration, values protocol.LoadReportKeys, wrote func()) *ServerClient {
-	dialer := &net.Dialer{KeepAlive: -1}
-	x := &ServerClient{reportKeys: values, requestWritten: wrote, mayDial: func(string) bool { return true }, schedulingDelay: func() int64 { return 0 }, dialContext: dialer.DialContext}
-	x.transport = &http.Transport{
-		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			if !d.acquire(serverSide) {
-				return nil, errNoDescriptor
-			}
-			// Danger: connections that all nodes open together, at an executor that has just come back.
-			if !x.mayDial(address) {
-				d.release(serverSide)
-				return nil, errSendDenied
-			}
-			c, err := x.dialServer(ctx, network, address, dial)
-			if err != nil {
-				d.release(serverSide)
-				return nil, err
-			}
-			fresh := &trackedConn{Conn: c, budget: d, side: serverSide, address: address}
-			d.markIdle(fresh, 0) // its request may have found another meanwhile
-			return fresh, nil
-		},
-		// Danger: a request written to a connection as the executor closes it may have run. Ours end first.
-		IdleConnTimeout:        max(idle-idle/5, time.Millisecond),
-		MaxIdleConnsPerHost:    1 << 20, // the descriptor budget is the limit
+func newServerTransport(dialer *serverDialer, idleTimeout time.Duration) *http.Transport {
+	return &http.Transport{
+		DialContext: dialer.dial,
+		// A request that is written to a connection as the server closes it may have run. So this side closes first.
+		IdleConnTimeout:        max(idleTimeout-idleTimeout/5, time.Millisecond),
+		MaxIdleConnsPerHost:    unlimitedIdleConns,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: 16 << 10,
-		WriteBufferSize:        8 << 10, // most requests go out in one write; a fleet of connections stays small
-		ReadBufferSize:         4096,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
+		WriteBufferSize:        serverWriteBuffer,
+		ReadBufferSize:         serverReadBuffer,
 	}
-	return x
 }
 
-// Forward carries one posting to its end. It tells of starts and progress by heard, and of the end by ended, once, before
-// it looks after the connection.
-func (x *ServerClient) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
-	ended func(protocol.AttemptResult)) {
+// SetSchedulingDelay sets how the process's own delay is known, in nanoseconds. It must be called before the node
+// serves.
+func (c *ServerClient) SetSchedulingDelay(delay func() int64) {
+	c.dialer.schedulingDelay = func() time.Duration { return time.Duration(delay()) }
+}
+
+// SetDialGate sets a function that is asked before each new connection to a server, at the moment at which it would be
+// opened. It must be called before the node serves.
+func (c *ServerClient) SetDialGate(mayDial func(address string) bool) { c.dialer.mayDial = mayDial }
+
+// Forward carries one attempt to its end. It reports starts and progress by onUpdate, and the end by onEnd, once,
+// before it reads the rest of the response.
+func (c *ServerClient) Forward(
+	ctx context.Context,
+	attempt *protocol.Attempt,
+	onUpdate func(protocol.JobUpdate),
+	onEnd func(protocol.AttemptResult),
+) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h := exchange{attempt: job, schedulingDelay: x.schedulingDelay}
-	trace := h.clientTrace()
-	trace.WroteRequest = func(i httptrace.WroteRequestInfo) {
-		if i.Err == nil {
-			x.requestWritten()
-		}
-	}
-	response, err := x.transport.RoundTrip(job.Encode().WithContext(httptrace.WithClientTrace(ctx, trace)))
-	if err == nil && h.unexpectedResponse {
-		response.Body.Close()
-		err = errUnexpectedResponse
-	}
+	e := exchange{attempt: attempt, schedulingDelay: c.dialer.schedulingDelay}
+	response, err := c.send(ctx, &e)
 	if err != nil {
-		ended(protocol.AttemptResult{Outcome: failureOutcome(ctx, &h, err), Cause: err})
+		onEnd(protocol.AttemptResult{Outcome: e.failureOutcome(ctx, err), Cause: err})
 		return
 	}
 	defer response.Body.Close()
+	result, ended := statusResult(response)
+	if !ended {
+		result = c.readUpdates(ctx, &e, response.Body, onUpdate)
+	}
+	onEnd(result)
+	if result.Cause == nil {
+		drainBody(response.Body, cancel)
+	}
+}
+
+// send sends the request of an attempt and returns the head of its response.
+func (c *ServerClient) send(ctx context.Context, e *exchange) (*http.Response, error) {
+	trace := e.clientTrace()
+	trace.WroteRequest = func(info httptrace.WroteRequestInfo) {
+		if info.Err == nil {
+			c.requestWritten()
+		}
+	}
+	request := e.attempt.Encode().WithContext(httptrace.WithClientTrace(ctx, trace))
+	response, err := c.transport.RoundTrip(request)
+	if err != nil {
+		return nil, err
+	}
+	if e.unexpectedResponse {
+		response.Body.Close()
+		return nil, errUnexpectedResponse
+	}
+	return response, nil
+}
+
+// statusResult returns the result that a response's status alone gives; ended is false where the body tells it.
+func statusResult(response *http.Response) (result protocol.AttemptResult, ended bool) {
 	switch {
 	case protocol.IsRejection(response):
-		ended(protocol.AttemptResult{Outcome: dispatch.Rejected})
-		drainBody(response.Body, cancel)
-		return
+		return protocol.AttemptResult{Outcome: dispatch.Rejected}, true
 	case response.StatusCode != http.StatusOK:
-		ended(protocol.AttemptResult{Outcome: dispatch.Failed})
-		drainBody(response.Body, cancel)
-		return
+		return protocol.AttemptResult{Outcome: dispatch.Failed}, true
+	default:
+		return protocol.AttemptResult{}, false
 	}
-	lines := protocol.NewUpdateReader(job.Request.ID, x.reportKeys.FreeSlots, response.Body)
+}
+
+// readUpdates reads the lines of a response up to the final one and returns what that says.
+func (c *ServerClient) readUpdates(
+	ctx context.Context,
+	e *exchange,
+	body io.Reader,
+	onUpdate func(protocol.JobUpdate),
+) protocol.AttemptResult {
+	updates := protocol.NewUpdateReader(e.attempt.Request.ID, c.reportKeys.FreeSlots, body)
 	for {
-		line, err := lines.Next()
-		switch {
-		case err != nil:
-			// Danger: the module may send the txn again as soon as it knows; a connection that the library closes a
-			// little later would make that a second copy where none is allowed.
-			h.conn.Close()
-			o := contextOutcome(ctx)
-			if o == dispatch.Succeeded {
-				o = dispatch.ConnectionLost
-			}
-			ended(protocol.AttemptResult{Outcome: o, Cause: err})
-			return
-		case !line.Final():
-			heard(line)
-			continue
-		case line.State == protocol.Done:
-			ended(protocol.AttemptResult{Outcome: dispatch.Succeeded, Result: line.Result, FreeSlots: line.FreeSlots})
-		case line.State == protocol.Returned:
-			ended(protocol.AttemptResult{Outcome: dispatch.Rejected})
-		case line.State == protocol.Killed:
-			ended(protocol.AttemptResult{Outcome: dispatch.ConnectionLost})
-		default:
-			ended(protocol.AttemptResult{Outcome: dispatch.Failed})
+		update, err := updates.Next()
+		if err != nil {
+			return e.brokenOff(ctx, err)
 		}
-		drainBody(response.Body, cancel)
-		return
+		if update.Final() {
+			return finalResult(update)
+		}
+		onUpdate(update)
+	}
+}
+
+// brokenOff closes the connection and returns the result of an attempt whose response ended early. The request may
+// be sent again as soon as the result is known, and must not be out twice. http.Transport would close the
+// connection a little later.
+func (e *exchange) brokenOff(ctx context.Context, cause error) protocol.AttemptResult {
+	_ = e.conn.Close() // the connection is given up whatever this reports
+	outcome, ended := contextOutcome(ctx)
+	if !ended {
+		outcome = dispatch.ConnectionLost
+	}
+	return protocol.AttemptResult{Outcome: outcome, Cause: cause}
+}
+
+// finalResult returns the result that the final line of a response gives.
+func finalResult(update protocol.JobUpdate) protocol.AttemptResult {
+	switch update.State {
+	case protocol.Done:
+		return protocol.AttemptResult{
+			Outcome:   dispatch.Succeeded,
+			Result:    update.Result,
+			FreeSlots: update.FreeSlots,
+		}
+	case protocol.Returned:
+		return protocol.AttemptResult{Outcome: dispatch.Rejected}
+	case protocol.Killed:
+		return protocol.AttemptResult{Outcome: dispatch.ConnectionLost}
+	default:
+		return protocol.AttemptResult{Outcome: dispatch.Failed}
 	}
 }
 
-// Probe asks an executor for its load.
-func (x *ServerClient) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
+// drainBody reads a response to its end, which gives its connection back for the next request.
+func drainBody(body io.Reader, cancel context.CancelFunc) {
+	stop := time.AfterFunc(responseTailTimeout, cancel)
+	defer stop.Stop()
+	_, _ = io.CopyN(io.Discard, body, responseTailLimit) // without the end the connection is closed, which is no fault
+}
+
+// Probe asks a server for its load.
+func (c *ServerClient) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var h exchange
-	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, h.clientTrace()), http.MethodGet, "http://"+address+"/-/load", nil)
+	var e exchange
+	ctx = httptrace.WithClientTrace(ctx, e.clientTrace())
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/-/load", nil)
 	if err != nil {
 		return protocol.LoadReport{}, err
 	}
-	request.Header["User-Agent"] = nil
-	response, err := x.transport.RoundTrip(request)
+	request.Header["User-Agent"] = nil // keeps http.Transport from adding its own
+	response, err := c.transport.RoundTrip(request)
 	if err != nil {
 		return protocol.LoadReport{}, err
 	}
 	defer response.Body.Close()
-	if h.unexpectedResponse {
-		h.conn.Close()
+	if e.unexpectedResponse {
+		_ = e.conn.Close() // what else is on it belongs to other requests
 		return protocol.LoadReport{}, errUnexpectedResponse
 	}
+	return c.readReport(response)
+}
+
+// readReport reads the response to a probe.
+func (c *ServerClient) readReport(response *http.Response) (protocol.LoadReport, error) {
 	text, err := io.ReadAll(io.LimitReader(response.Body, protocol.MaxLoadReportBytes))
 	if err != nil {
 		return protocol.LoadReport{}, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return protocol.LoadReport{}, errors.New("a probe was answered " + response.Status)
+		return protocol.LoadReport{}, fmt.Errorf("response to a probe: %s", response.Status)
 	}
-	return protocol.DecodeLoadReport(text, x.reportKeys)
+	return protocol.DecodeLoadReport(text, c.reportKeys)
 }
--- a/internal/transport/told_span_test.go
+++ b/internal/transport/told_span_test.go
@@ -33,8 +33,8 @@
 	for _, lag := range []time.Duration{0, 80 * time.Millisecond} {
 		_, x := fresh()
 		x.SetSchedulingDelay(func() int64 { return int64(lag) })
-		connect := x.dialContext
-		x.dialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+		connect := x.dialer.dialContext
+		x.dialer.dialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 			time.Sleep(300 * time.Millisecond)
 			return connect(ctx, network, address)
 		}
@@ -58,7 +58,7 @@
 	for lag, want := range map[time.Duration]dispatch.Outcome{0: dispatch.ConnectFailed, 300 * time.Millisecond: dispatch.ConnectFailed, 1100 * time.Millisecond: dispatch.NotSent} {
 		_, x := fresh()
 		x.SetSchedulingDelay(func() int64 { return int64(lag) })
-		x.dialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
+		x.dialer.dialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 		}
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -449,7 +449,7 @@
 	w.mu.Unlock()
 	p.ctx, p.kill = context.WithCancel(w.t.Context())
 	x := NewServerClient(NewConnectionBudget(256), c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, func() {})
-	x.dialContext = p.dial
+	x.dialer.dialContext = p.dial
 	list, err := protocol.DecodeEndpointList([]byte(known), c.Names)
 	if err != nil {
 		w.t.Fatal(err)
--- a/internal/transport/tracked_conn.go
+++ b/internal/transport/tracked_conn.go
@@ -4,94 +4,99 @@
 
 import (
 	"container/list"
+	"errors"
 	"net"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"fernrail/internal/protocol"
+	"syscall"
 )
 
-// trackedConn is a connection with its place in the budget. For those to executors it also keeps what proves that a
-// request was never sent whole.
+// trackedConn is the place that a connection holds in the budget. It is the common part of clientConn and serverConn.
 type trackedConn struct {
-	net.Conn
-	budget     *ConnectionBudget
-	side       connectionSide
-	address    string // of the executor
-	openedAt   time.Time
-	rejectOnly bool // a client's that can only be turned away
-	active     bool // under owner.mu, as are those up to yielded
-	list       *list.List
-	element    *list.Element // of in
-	uses       int
-	closed     bool
-	// reclaimed: told to make room, when it may just have been taken for a request
-	reclaimed     bool
-	lingerStarted bool // it has been given its time to be read
-
-	head            requestHeadScanner // of a client's request
-	responseStarted atomic.Bool        // something was written to a client
-
-	readAheadMu       sync.Mutex
-	requestInProgress bool   // a request is at work; under looking, as are those below
-	readAhead         []byte // what came behind it and is not handed on yet
-	discardedBytes    int    // bytes behind that were thrown away
-	readError         error  // how the client's sending ended; nil: it has not
+	socket  net.Conn
+	budget  *ConnectionBudget
+	side    connectionSide
+	address string // of the server; empty for a client
 
-	writeMu        sync.Mutex
-	exchangeState  atomic.Int32 // how far a request has come that was given this connection
-	writeStarted   bool         // a write since the request was given this connection
-	writeTruncated bool         // a write did not take all its bytes
-	writeDenied    bool         // a write was not made: the share that it needed was gone
-	sendGate       protocol.SendGate
+	// All below are guarded by budget.mu.
+	list    *list.List    // of the budget, that this connection is on; nil: none
+	element *list.Element // of list
+	active  bool          // a client's request is on it
+	uses    int           // how often it has been used
+	closed  bool          // its place was given back
+	// reclaimed says that the budget wants the place back: a client connection was told to close, a connection to a
+	// server was closed, when it may just have been taken for a request.
+	reclaimed bool
 }
 
-// moveTo moves the connection to the end of a list, or out of all. Under owner.mu.
-func (c *trackedConn) moveTo(to *list.List) {
-	if c.list != nil {
-		c.list.Remove(c.element)
-		if c.side == serverSide {
-			if c.budget.idleByAddress[c.address]--; c.budget.idleByAddress[c.address] == 0 {
-				delete(c.budget.idleByAddress, c.address)
-			}
-		}
-	}
-	if to != nil && c.side == serverSide {
+// moveTo puts the connection at the end of a list of the budget. value is the connection as that list holds it. The
+// caller holds budget.mu.
+func (c *trackedConn) moveTo(to *list.List, value any) {
+	c.removeFromList()
+	c.list = to
+	c.element = to.PushBack(value)
+	if c.side == serverSide {
 		c.budget.idleByAddress[c.address]++
 	}
-	if c.list, c.element = to, nil; to != nil {
-		c.element = to.PushBack(c)
+}
+
+// removeFromList takes the connection off the list that it is on. The caller holds budget.mu.
+func (c *trackedConn) removeFromList() {
+	if c.list == nil {
+		return
+	}
+	c.list.Remove(c.element)
+	c.list = nil
+	c.element = nil
+	if c.side == serverSide {
+		c.budget.forgetIdle(c.address)
 	}
 }
 
-func (c *trackedConn) Close() error {
-	if c.side == clientSide {
-		c.waitForClientClose()
+// forgetIdle counts one idle connection to a server less. The caller holds mu.
+func (b *ConnectionBudget) forgetIdle(address string) {
+	b.idleByAddress[address]--
+	if b.idleByAddress[address] == 0 {
+		delete(b.idleByAddress, address)
 	}
-	c.budget.mu.Lock()
-	first := !c.closed
-	c.closed = true
-	c.moveTo(nil)
-	c.budget.mu.Unlock()
-	err := c.Conn.Close()
-	// Danger: who waits for the last connection goes on while it is still open.
+}
+
+// closeAndRelease closes the connection and then gives its place back. Whoever waits for the last connection must
+// not go on while it is still open.
+func (c *trackedConn) closeAndRelease() error {
+	first := c.markClosed()
+	err := c.socket.Close()
 	c.budget.mu.Lock()
 	defer c.budget.mu.Unlock()
-	if c.budget.clearState(c); first {
-		c.budget.held[c.side]--
-		c.budget.changed.Broadcast()
+	c.budget.clearState(c)
+	if first {
+		c.budget.releaseLocked(c.side)
 	}
 	return err
 }
 
-// SetReadDeadline keeps a connection awake that has to give way.
-// Danger: the server sets its own limit for idle ones just after it calls one idle, and would wait on.
-func (c *trackedConn) SetReadDeadline(t time.Time) error {
+// markClosed reports whether the connection had not been closed before.
+func (c *trackedConn) markClosed() (first bool) {
 	c.budget.mu.Lock()
 	defer c.budget.mu.Unlock()
-	if c.reclaimed && c.side == clientSide {
-		return nil
+	first = !c.closed
+	c.closed = true
+	c.removeFromList()
+	return first
+}
+
+// isReclaimed reports whether the budget wants the connection's place back.
+func (c *trackedConn) isReclaimed() bool {
+	c.budget.mu.Lock()
+	defer c.budget.mu.Unlock()
+	return c.reclaimed
+}
+
+// errNoSocket says that a connection is not one of the operating system, such as a pipe in a test.
+var errNoSocket = errors.New("the connection has no socket")
+
+// rawConn returns the socket of a connection.
+func rawConn(c net.Conn) (syscall.RawConn, error) {
+	if s, ok := c.(syscall.Conn); ok {
+		return s.SyscallConn()
 	}
-	return c.Conn.SetReadDeadline(t)
+	return nil, errNoSocket
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -205,20 +205,20 @@
 // TestUnsentProof: a write cut short, and a connection that nothing was written to, prove that a request never ran.
 func TestUnsentProof(t *testing.T) {
 	for name, c := range map[string]struct {
-		use  func(c *trackedConn, peer net.Conn)
+		use  func(c *serverConn, peer net.Conn)
 		want bool
 	}{
-		"nothing written": {func(c *trackedConn, _ net.Conn) {}, true},
-		"written":         {func(c *trackedConn, peer net.Conn) { go io.ReadFull(peer, make([]byte, 3)); c.Write([]byte("abc")) }, false},
-		"cut short":       {func(c *trackedConn, peer net.Conn) { go cut(peer); c.Write([]byte("abc")) }, true},
-		"second part cut": {func(c *trackedConn, peer net.Conn) {
+		"nothing written": {func(c *serverConn, _ net.Conn) {}, true},
+		"written":         {func(c *serverConn, peer net.Conn) { go io.ReadFull(peer, make([]byte, 3)); c.Write([]byte("abc")) }, false},
+		"cut short":       {func(c *serverConn, peer net.Conn) { go cut(peer); c.Write([]byte("abc")) }, true},
+		"second part cut": {func(c *serverConn, peer net.Conn) {
 			go func() { io.ReadFull(peer, make([]byte, 3)); cut(peer) }()
 			c.Write([]byte("abc"))
 			c.Write([]byte("def"))
 		}, true},
 	} {
 		near, far := net.Pipe()
-		u := &trackedConn{Conn: near, budget: NewConnectionBudget(64), side: serverSide}
+		u := newServerConn(near, NewConnectionBudget(64), "")
 		u.beginExchange(nil)
 		c.use(u, far)
 		if never, _ := u.closeAndCheckUnsent(0); never != c.want {
@@ -357,13 +357,13 @@
 func TestRestIsOfTheLastUse(t *testing.T) {
 	d := NewConnectionBudget(64)
 	near, _ := net.Pipe()
-	c := &trackedConn{Conn: near, budget: d, side: serverSide}
-	first := d.markActive(c)
-	second := d.markActive(c)
-	if d.markIdle(c, first); d.idle[serverSide].Len() != 0 {
+	c := newServerConn(near, d, "")
+	first := d.markActive(&c.trackedConn)
+	second := d.markActive(&c.trackedConn)
+	if d.markIdle(&c.trackedConn, first); d.idle[serverSide].Len() != 0 {
 		t.Error("a connection in use counts as idle")
 	}
-	if d.markIdle(c, second); d.idle[serverSide].Len() != 1 {
+	if d.markIdle(&c.trackedConn, second); d.idle[serverSide].Len() != 1 {
 		t.Error("an idle connection is not known")
 	}
 }
@@ -492,8 +492,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	var all []*trackedConn
-	come := func(text string) *trackedConn {
+	var all []*clientConn
+	come := func(text string) *clientConn {
 		call(t, l.Addr().String(), text)
 		c, err := l.Accept()
 		if err != nil {
@@ -636,15 +636,15 @@
 func TestYieldIsNotUndone(t *testing.T) {
 	d := NewConnectionBudget(64)
 	near, far := net.Pipe()
-	c := &trackedConn{Conn: near, budget: d, side: clientSide}
-	d.markIdle(c, d.markActive(c))
+	c := newClientConn(near, d)
+	d.markIdle(&c.trackedConn, d.markActive(&c.trackedConn))
 	d.disableIdle()
 	start := time.Now()
 	c.SetReadDeadline(start.Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(start) > 2*time.Second {
 		t.Fatal(err, time.Since(start))
 	}
-	d.markActive(c) // had its request's first byte come before
+	d.markActive(&c.trackedConn) // had its request's first byte come before
 	go far.Write([]byte("x"))
 	if _, err := c.Read(make([]byte, 1)); err != nil || d.reclaiming != 0 {
 		t.Error(err, d.reclaiming)
--- a/internal/transport/unsafe_test.go
+++ b/internal/transport/unsafe_test.go
@@ -170,7 +170,7 @@
 			}
 		}
 	}
-	x.dialContext = func(ctx context.Context, _, address string) (net.Conn, error) {
+	x.dialer.dialContext = func(ctx context.Context, _, address string) (net.Conn, error) {
 		mu.Lock()
 		bad := trouble && (f.dial != nil || f.never)
 		if bad {
