--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -40,7 +40,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
-		l.log.Warn().Err(err).Msg("accept failed, and is tried again")
+		l.log.Warn().Err(err).Msg("accept failed; retrying")
 		time.Sleep(backoff)
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -131,7 +131,7 @@
 	r.Body = http.MaxBytesReader(w, r.Body, protocol.MaxBodyBytes)
 	request, fault := protocol.DecodeRequest(r, s.names, !conn.head.hasContentLength())
 	if fault != nil {
-		s.log.Warn().Int("status", fault.Status).Str("fault", fault.Text).Msg("request not taken")
+		s.log.Warn().Int("status", fault.Status).Str("fault", fault.Text).Msg("request rejected")
 		closeConnectionAfter(w)
 		writeResponse(w, &protocol.Response{Status: fault.Status, Body: fault.Text + "\n"})
 		return
@@ -183,7 +183,7 @@
 // respond returns the response to a request, nil where there is none.
 func (s *Server) respond(ctx context.Context, conn *clientConn, request *protocol.Request) *protocol.Response {
 	if conn.rejectOnly {
-		s.log.Warn().Msg("descriptors are short: declined at the door")
+		s.log.Warn().Msg("connection limit reached; rejecting the client")
 		return &protocol.Response{Status: http.StatusServiceUnavailable}
 	}
 	return s.handle(ctx, request)
