--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -18,14 +18,14 @@
 	"fernrail/internal/protocol"
 )
 
-// ready asks a node whether clients may come.
-func ready(t *testing.T, address string) bool {
+// isReady asks a node whether clients may come.
+func isReady(t *testing.T, address string) bool {
 	t.Helper()
-	return answer(t, call(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")).StatusCode == http.StatusOK
+	return readResponse(t, dialAndWrite(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")).StatusCode == http.StatusOK
 }
 
-// shuts fails the test unless the connection is closed within a time, with nothing sent on it.
-func shuts(t *testing.T, what string, c net.Conn, within time.Duration) {
+// expectClose fails the test unless the connection is closed within a time, with nothing sent on it.
+func expectClose(t *testing.T, what string, c net.Conn, within time.Duration) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(within))
 	if text, err := io.ReadAll(c); err != nil || len(text) > 0 {
@@ -38,7 +38,7 @@
 func TestDrain(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
 	d := NewConnectionBudget(1024)
-	s, address := node(t, d, func(_ context.Context, q *protocol.Request) *protocol.Response {
+	s, address := startTestServer(t, d, func(_ context.Context, q *protocol.Request) *protocol.Response {
 		if string(q.Body) == "l" {
 			taken <- struct{}{}
 			<-hold
@@ -48,15 +48,15 @@
 	for round := range 5 {
 		var kept []net.Conn
 		for range 10 {
-			c := call(t, address, ask+"b")
-			if got := answer(t, c); got.StatusCode != 200 || got.Close {
+			c := dialAndWrite(t, address, requestHead+"b")
+			if got := readResponse(t, c); got.StatusCode != 200 || got.Close {
 				t.Fatalf("round %d: %+v", round, got)
 			}
 			kept = append(kept, c)
 		}
-		silent, half, busy := call(t, address, ""), call(t, address, ask[:30]), call(t, address, ask+"l")
+		silent, half, busy := dialAndWrite(t, address, ""), dialAndWrite(t, address, requestHead[:30]), dialAndWrite(t, address, requestHead+"l")
 		<-taken
-		if !ready(t, address) {
+		if !isReady(t, address) {
 			t.Fatal("not ready")
 		}
 		start := time.Now()
@@ -65,25 +65,25 @@
 				t.Fatal(err)
 			}
 		}
-		if ready(t, address) {
+		if isReady(t, address) {
 			t.Error("ready while it drains")
 		}
-		if got := answer(t, call(t, address, ask+"b")); got.StatusCode != 200 || !got.Close {
+		if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 || !got.Close {
 			t.Errorf("a late client: %+v", got)
 		}
 		for _, c := range kept {
-			shuts(t, "kept", c, time.Second)
+			expectClose(t, "kept", c, time.Second)
 		}
-		shuts(t, "silent", silent, 1500*time.Millisecond)
-		io.WriteString(half, ask[30:]+"b")
-		if got := answer(t, half); got.StatusCode != 200 || !got.Close {
+		expectClose(t, "silent", silent, 1500*time.Millisecond)
+		io.WriteString(half, requestHead[30:]+"b")
+		if got := readResponse(t, half); got.StatusCode != 200 || !got.Close {
 			t.Errorf("a slow client: %+v", got)
 		}
 		if took := time.Since(start); took > 2*time.Second {
 			t.Errorf("empty after %s", took)
 		}
 		hold <- struct{}{}
-		if got := answer(t, busy); got.StatusCode != 200 || !got.Close {
+		if got := readResponse(t, busy); got.StatusCode != 200 || !got.Close {
 			t.Errorf("a long job: %+v", got)
 		}
 		for range 2 {
@@ -91,7 +91,7 @@
 				t.Fatal(err)
 			}
 		}
-		if !ready(t, address) {
+		if !isReady(t, address) {
 			t.Error("not ready after the drain")
 		}
 	}
@@ -100,7 +100,7 @@
 // TestNoJobIsLostByADrain: clients that go on sending on their kept connections, while the node drains and serves again
 // and again, get an answer to each request or a close with nothing of it begun, which they send once more.
 func TestNoJobIsLostByADrain(t *testing.T) {
-	s, address := node(t, NewConnectionBudget(1024), settled)
+	s, address := startTestServer(t, NewConnectionBudget(1024), succeed)
 	stop, ended := make(chan struct{}), make(chan int)
 	for client := range uint64(8) {
 		go func() {
@@ -114,9 +114,9 @@
 				}
 				fresh := c == nil
 				if fresh {
-					c = call(t, address, "")
+					c = dialAndWrite(t, address, "")
 				}
-				pieces(c, ask+"b", chance)
+				writeInPieces(c, requestHead+"b", chance)
 				text := make([]byte, 1<<10)
 				n, err := c.Read(text)
 				switch {
@@ -137,11 +137,11 @@
 	}
 	for range 60 {
 		s.Drain()
-		if ready(t, address) {
+		if isReady(t, address) {
 			t.Error("ready")
 		}
 		s.Activate()
-		if !ready(t, address) {
+		if !isReady(t, address) {
 			t.Error("not ready")
 		}
 	}
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	client := call(t, l.Addr().String(), "")
+	client := dialAndWrite(t, l.Addr().String(), "")
 	far, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -193,8 +193,8 @@
 	if shut.Ready() || !errors.Is(shut.Drain(), errNotListening) || !errors.Is(shut.Activate(), errNotListening) {
 		t.Error("a server that does not listen")
 	}
-	s, address := node(t, NewConnectionBudget(64), settled)
-	if err := s.Activate(); err != nil || !ready(t, address) {
+	s, address := startTestServer(t, NewConnectionBudget(64), succeed)
+	if err := s.Activate(); err != nil || !isReady(t, address) {
 		t.Error("activate without a drain", err)
 	}
 	s.Drain()
@@ -214,11 +214,11 @@
 // TestResize: what is idle goes when the budget shrinks, and all may come back when it grows.
 func TestResize(t *testing.T) {
 	d := NewConnectionBudget(reservedDescriptors + 100)
-	_, address := node(t, d, settled)
+	_, address := startTestServer(t, d, succeed)
 	var kept []net.Conn
 	for range 20 {
-		c := call(t, address, ask+"b")
-		answer(t, c)
+		c := dialAndWrite(t, address, requestHead+"b")
+		readResponse(t, c)
 		kept = append(kept, c)
 	}
 	d.Resize(reservedDescriptors + 10)
@@ -230,7 +230,7 @@
 	d.Resize(reservedDescriptors + 100)
 	closed := 0
 	for _, c := range kept {
-		io.WriteString(c, ask+"b")
+		io.WriteString(c, requestHead+"b")
 		if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			closed++
 		} else if r.StatusCode != 200 {
--- a/internal/transport/known_test.go
+++ b/internal/transport/known_test.go
@@ -22,15 +22,15 @@
 	"fernrail/internal/routing"
 )
 
-// failing is what a discovery does with a call before it can be reached, and how often that happens.
-type failing struct {
-	name  string
-	does  func(c net.Conn, ended <-chan struct{}) (keep bool)
-	calls int // that end so
+// discoveryFault is what a discovery does with a call before it can be reached, and how often that happens.
+type discoveryFault struct {
+	name        string
+	respond     func(c net.Conn, ended <-chan struct{}) (keep bool)
+	failedPolls int // that end so
 }
 
-// after is a fault that takes a while of its own, or until the caller has gone.
-func after(span time.Duration, text string, keep bool) func(net.Conn, <-chan struct{}) bool {
+// respondAfter is a fault that takes a while of its own, or until the caller has gone.
+func respondAfter(span time.Duration, text string, keep bool) func(net.Conn, <-chan struct{}) bool {
 	return func(c net.Conn, ended <-chan struct{}) bool {
 		select {
 		case <-time.After(span):
@@ -41,9 +41,9 @@
 	}
 }
 
-const busy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+const busyResponse = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
-func reset(c net.Conn, _ <-chan struct{}) bool { c.(*net.TCPConn).SetLinger(0); return false }
+func resetConnection(c net.Conn, _ <-chan struct{}) bool { c.(*net.TCPConn).SetLinger(0); return false }
 
 // trickle goes on with an answer as long as the caller takes it.
 func trickle(c net.Conn, ended <-chan struct{}) bool {
@@ -60,32 +60,32 @@
 	}
 }
 
-var outages = []failing{
-	{"refused at once", after(0, busy, true), 3},
-	{"refused slowly, in a row", after(3900*time.Millisecond, busy, true), 3},
-	{"refused after two seconds, in a row", after(2*time.Second, busy, true), 3},
-	{"half an answer", after(3900*time.Millisecond, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":", false), 2},
+var discoveryFaults = []discoveryFault{
+	{"refused at once", respondAfter(0, busyResponse, true), 3},
+	{"refused slowly, in a row", respondAfter(3900*time.Millisecond, busyResponse, true), 3},
+	{"refused after two seconds, in a row", respondAfter(2*time.Second, busyResponse, true), 3},
+	{"half an answer", respondAfter(3900*time.Millisecond, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":", false), 2},
 	{"an answer without end", trickle, 1},
 	{"an answer over the limit", func(c net.Conn, _ <-chan struct{}) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat(" ", protocol.MaxEndpointListBytes+1))
 		return false
 	}, 3},
-	{"another kind of answer", after(0, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n<html>", true), 3},
-	{"reset", reset, 3},
-	{"silent", after(time.Hour, "", false), 2},
+	{"another kind of answer", respondAfter(0, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n<html>", true), 3},
+	{"reset", resetConnection, 3},
+	{"silent", respondAfter(time.Hour, "", false), 2},
 }
 
-// place is a discovery on loopback. News is there from a moment on, for calls that come then.
-type place struct {
+// fakeDiscovery is a discovery on loopback. News is there from a moment on, for calls that come then.
+type fakeDiscovery struct {
 	net.Listener
-	fault *failing
-	mu    sync.Mutex
-	calls int
-	since time.Time     // from when on it can be reached
-	known chan struct{} // closed then
+	fault      *discoveryFault
+	mu         sync.Mutex
+	polls      int
+	knownSince time.Time     // from when on it can be reached
+	known      chan struct{} // closed then
 }
 
-func (p *place) serve(c net.Conn) {
+func (p *fakeDiscovery) serve(c net.Conn) {
 	defer c.Close()
 	lines, ended := make(chan string, 9), make(chan struct{})
 	go func() {
@@ -106,15 +106,15 @@
 		case <-lines:
 		}
 		p.mu.Lock()
-		p.calls++
-		bad := p.calls <= p.fault.calls
-		if p.calls == p.fault.calls {
-			p.since = time.Now()
+		p.polls++
+		bad := p.polls <= p.fault.failedPolls
+		if p.polls == p.fault.failedPolls {
+			p.knownSince = time.Now()
 			close(p.known)
 		}
 		p.mu.Unlock()
 		if bad {
-			if !p.fault.does(c, ended) {
+			if !p.fault.respond(c, ended) {
 				return
 			}
 			continue
@@ -124,13 +124,13 @@
 	}
 }
 
-func newPlace(t *testing.T, f *failing) *place {
+func startFakeDiscovery(t *testing.T, f *discoveryFault) *fakeDiscovery {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	p := &place{Listener: l, fault: f, known: make(chan struct{})}
+	p := &fakeDiscovery{Listener: l, fault: f, known: make(chan struct{})}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -148,37 +148,37 @@
 // and long graces, from its first call on, and where it is turned to such a place from a silent one.
 func TestAChangeIsKnownInTime(t *testing.T) {
 	t.Parallel()
-	for i := range outages {
+	for i := range discoveryFaults {
 		for _, grace := range []string{"100000000", "2000000000", "60000000000"} {
 			for _, turned := range []bool{false, true} {
 				// The longest waits are those of a long grace, after calls that took long and after such that did not.
 				if turned && grace != "2000000000" || len(grace) > 10 && i%4 > 0 {
 					continue
 				}
-				t.Run(fmt.Sprint(outages[i].name, ", grace ", grace, ", turned ", turned), func(t *testing.T) {
+				t.Run(fmt.Sprint(discoveryFaults[i].name, ", grace ", grace, ", turned ", turned), func(t *testing.T) {
 					t.Parallel()
 					path := filepath.Join(t.TempDir(), "c.json")
-					if err := os.WriteFile(path, []byte(strings.Replace(settings, `Grace":2000000000`, `Grace":`+grace, 1)), 0o600); err != nil {
+					if err := os.WriteFile(path, []byte(strings.Replace(nodeSettings, `Grace":2000000000`, `Grace":`+grace, 1)), 0o600); err != nil {
 						t.Fatal(err)
 					}
 					c, err := config.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": path}[key] })
 					if err != nil {
 						t.Fatal(err)
 					}
-					p := newPlace(t, &outages[i])
+					p := startFakeDiscovery(t, &discoveryFaults[i])
 					first := p
 					if turned {
-						first = newPlace(t, &failing{does: after(time.Hour, "", false), calls: 1})
+						first = startFakeDiscovery(t, &discoveryFault{respond: respondAfter(time.Hour, "", false), failedPolls: 1})
 					}
-					_, x := fresh()
-					known := listing(1, "h:1")
+					_, x := newTestClient()
+					known := endpointList(1, "h:1")
 					known.Endpoints[0].ID = "e"
 					n := routing.New(c.Settings, 1, known, x, time.Second, NewDiscoveryClient(first.Addr().String(), c.Names), nil, zerolog.Nop())
 					ctx, stop := context.WithCancel(t.Context())
 					defer stop()
 					go n.WatchEndpoints(ctx)
 					if turned {
-						within(t, "a call at the first place", first.known)
+						waitFor(t, "a call at the first place", first.known)
 						n.SetEndpointSource(NewDiscoveryClient(p.Addr().String(), c.Names))
 					}
 					select {
@@ -187,7 +187,7 @@
 						t.Fatal("too few calls")
 					}
 					for n.Endpoints()[0].State != dispatch.Draining {
-						if late := time.Since(p.since); late > protocol.NotificationDeadline {
+						if late := time.Since(p.knownSince); late > protocol.NotificationDeadline {
 							t.Fatalf("not known after %s", late)
 						}
 						time.Sleep(time.Millisecond)
--- a/internal/transport/machine_errors_test.go
+++ b/internal/transport/machine_errors_test.go
@@ -42,11 +42,11 @@
 		t.Fatal(err)
 	}
 	names := &protocol.Names{Classes: []string{"pay"}}
-	s := NewServer(NewConnectionBudget(1024), names, settled, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
+	s := NewServer(NewConnectionBudget(1024), names, succeed, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
 	defer s.http.Close()
 	ended := s.Start(&failingListener{Listener: inner, errors: []error{syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ETIMEDOUT, syscall.EPERM}})
-	c := call(t, inner.Addr().String(), ask+"b")
+	c := dialAndWrite(t, inner.Addr().String(), requestHead+"b")
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if answer, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || answer.StatusCode != http.StatusOK {
 		t.Errorf("%v, %v", answer, err)
@@ -64,11 +64,11 @@
 	for cause, want := range map[syscall.Errno]dispatch.Outcome{syscall.EMFILE: dispatch.NotSent, syscall.ENFILE: dispatch.NotSent,
 		syscall.ENOBUFS: dispatch.NotSent, syscall.ENOMEM: dispatch.NotSent, syscall.EADDRNOTAVAIL: dispatch.NotSent,
 		syscall.ECONNREFUSED: dispatch.ConnectFailed, syscall.ENETUNREACH: dispatch.ConnectFailed, syscall.ETIMEDOUT: dispatch.ConnectFailed} {
-		d, x := fresh()
+		d, x := newTestClient()
 		x.dialer.dialContext = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", cause)}
 		}
-		if got := do(t.Context(), x, "127.0.0.1:9"); got.outcome != want {
+		if got := forward(t.Context(), x, "127.0.0.1:9"); got.outcome != want {
 			t.Errorf("%v: %v in place of %v", cause, got.outcome, want)
 		}
 		if d.held[serverSide] != 0 {
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -16,44 +16,44 @@
 	"fernrail/internal/protocol"
 )
 
-// inChunks is the request ask with a body in chunks, and with further lines in its head.
-func inChunks(body, further string) string {
-	first := strings.Replace(ask, "Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n"+further, 1)
+// chunkedRequest is the request ask with a body in chunks, and with further lines in its head.
+func chunkedRequest(body, further string) string {
+	first := strings.Replace(requestHead, "Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n"+further, 1)
 	return fmt.Sprintf("%s%x;part=1\r\n%s\r\n0\r\n\r\n", first, len(body), body)
 }
 
-// odd is a body that reads like the head of a message.
-const odd = "\ncontent-length: 1\r\n\r\nPOST /pay HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+// bodyLikeHead is a body that reads like the head of a message.
+const bodyLikeHead = "\ncontent-length: 1\r\n\r\nPOST /pay HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 
 // TestChunks: a request in chunks is served like any other, however it comes in pieces and whatever its body or an
 // earlier one says; one that tells a length beside is not, wherever it stands.
 func TestChunks(t *testing.T) {
-	sized := strings.Replace(ask, "Length: 1", fmt.Sprintf("Length: %d", len(odd)), 1) + odd
-	both := inChunks("b", "CONTENT-length: 1\r\n")
+	sized := strings.Replace(requestHead, "Length: 1", fmt.Sprintf("Length: %d", len(bodyLikeHead)), 1) + bodyLikeHead
+	both := chunkedRequest("b", "CONTENT-length: 1\r\n")
 	for name, c := range map[string]struct {
 		parts []string
 		want  []int
 	}{
-		"alone":                        {[]string{inChunks("b", "")}, []int{200}},
-		"odd body":                     {[]string{inChunks(odd, "")}, []int{200}},
-		"after an odd body":            {[]string{sized, sized, inChunks(odd, "")}, []int{200, 200, 200}},
+		"alone":                        {[]string{chunkedRequest("b", "")}, []int{200}},
+		"odd body":                     {[]string{chunkedRequest(bodyLikeHead, "")}, []int{200}},
+		"after an odd body":            {[]string{sized, sized, chunkedRequest(bodyLikeHead, "")}, []int{200, 200, 200}},
 		"length beside":                {[]string{both}, []int{411}},
 		"length beside, first":         {[]string{strings.Replace(both, "Transfer", "Content-Length: 1\r\nTransfer", 1)}, []int{411}},
 		"length beside, after another": {[]string{sized, both}, []int{200, 411}},
 		"length beside, pipelined":     {[]string{sized + both}, []int{200, 411}},
-		"odd name":                     {[]string{inChunks("b", "X-Content-Length: 1\r\n")}, []int{200}},
-		"over HTTP/1.0":                {[]string{strings.Replace(inChunks("b", ""), "HTTP/1.1", "HTTP/1.0", 1)}, []int{411}},
+		"odd name":                     {[]string{chunkedRequest("b", "X-Content-Length: 1\r\n")}, []int{200}},
+		"over HTTP/1.0":                {[]string{strings.Replace(chunkedRequest("b", ""), "HTTP/1.1", "HTTP/1.0", 1)}, []int{411}},
 	} {
 		for seed := range uint64(4) {
 			bodies := make(chan string, 10)
-			_, address := node(t, NewConnectionBudget(1024), func(_ context.Context, q *protocol.Request) *protocol.Response {
+			_, address := startTestServer(t, NewConnectionBudget(1024), func(_ context.Context, q *protocol.Request) *protocol.Response {
 				bodies <- string(q.Body)
 				return &protocol.Response{Status: 200}
 			})
-			client := call(t, address, "")
+			client := dialAndWrite(t, address, "")
 			in, answers := bufio.NewReader(client), 0
 			for _, text := range c.parts {
-				go pieces(client, text, rand.New(rand.NewPCG(seed, uint64(answers))))
+				go writeInPieces(client, text, rand.New(rand.NewPCG(seed, uint64(answers))))
 				for range strings.Count(text, "X-Call-Class") {
 					r, err := http.ReadResponse(in, nil)
 					if err != nil || r.StatusCode != c.want[answers] {
@@ -64,7 +64,7 @@
 				}
 			}
 			for close(bodies); len(bodies) > 0; {
-				if b := <-bodies; b != "b" && b != odd {
+				if b := <-bodies; b != "b" && b != bodyLikeHead {
 					t.Errorf("%s: a body became %q", name, b)
 				}
 			}
@@ -72,8 +72,8 @@
 	}
 }
 
-// pieces writes a text cut at places by chance.
-func pieces(c net.Conn, text string, chance *rand.Rand) {
+// writeInPieces writes a text cut at places by chance.
+func writeInPieces(c net.Conn, text string, chance *rand.Rand) {
 	for len(text) > 0 {
 		n := 1 + chance.IntN(min(len(text), 1+chance.IntN(200)))
 		io.WriteString(c, text[:n])
@@ -84,7 +84,7 @@
 // FuzzHeading: however bytes are cut, a head goes on whole and nothing is changed, doubled or left behind; and a
 // length in the first head is seen if the library sees it.
 func FuzzHeading(f *testing.F) {
-	for _, text := range []string{ask + "b", inChunks(odd, ""), inChunks("b", "content-LENGTH: 1\r\n"), "\r\n\r\n", "x", "POST / HTTP/1.1\nContent-Length: 4\n\nbody"} {
+	for _, text := range []string{requestHead + "b", chunkedRequest(bodyLikeHead, ""), chunkedRequest("b", "content-LENGTH: 1\r\n"), "\r\n\r\n", "x", "POST / HTTP/1.1\nContent-Length: 4\n\nbody"} {
 		f.Add(text, uint64(1))
 	}
 	f.Fuzz(func(t *testing.T, text string, seed uint64) {
--- a/internal/transport/told_span_test.go
+++ b/internal/transport/told_span_test.go
@@ -31,7 +31,7 @@
 	}))
 	defer executor.Close()
 	for _, lag := range []time.Duration{0, 80 * time.Millisecond} {
-		_, x := fresh()
+		_, x := newTestClient()
 		x.SetSchedulingDelay(func() int64 { return int64(lag) })
 		connect := x.dialer.dialContext
 		x.dialer.dialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -56,13 +56,13 @@
 // have looked too late. Danger: all executors lose their reliability while a node is short of processor time.
 func TestLateLookIsNobodysFault(t *testing.T) {
 	for lag, want := range map[time.Duration]dispatch.Outcome{0: dispatch.ConnectFailed, 300 * time.Millisecond: dispatch.ConnectFailed, 1100 * time.Millisecond: dispatch.NotSent} {
-		_, x := fresh()
+		_, x := newTestClient()
 		x.SetSchedulingDelay(func() int64 { return int64(lag) })
 		x.dialer.dialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 		}
-		if got := do(t.Context(), x, "127.0.0.1:9"); got.outcome != want {
+		if got := forward(t.Context(), x, "127.0.0.1:9"); got.outcome != want {
 			t.Errorf("lag %v: %v in place of %v", lag, got.outcome, want)
 		}
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -24,29 +24,29 @@
 	"fernrail/internal/protocol"
 )
 
-// executor is a stand-in on loopback: it reads each request that comes and lets a script answer it.
-type executor struct {
+// fakeServer is a stand-in on loopback: it reads each request that comes and lets a script answer it.
+type fakeServer struct {
 	net.Listener
-	mu       sync.Mutex
-	accepted int
-	requests int
-	ids      []string      // of the requests
-	closed   chan struct{} // one entry for each connection that the node closed
+	mu         sync.Mutex
+	accepted   int
+	requests   int
+	requestIDs []string      // of the requests
+	closed     chan struct{} // one entry for each connection that the node closed
 }
 
-func (e *executor) seen() (accepted, requests int) {
+func (e *fakeServer) counts() (accepted, requests int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.accepted, e.requests
 }
 
-// play answers by script; one that returns false ends the connection.
-func play(t *testing.T, script func(c net.Conn, nth int) bool) *executor {
+// startFakeServer answers by script; one that returns false ends the connection.
+func startFakeServer(t *testing.T, script func(c net.Conn, nth int) bool) *fakeServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &executor{Listener: l, closed: make(chan struct{}, 100)}
+	e := &fakeServer{Listener: l, closed: make(chan struct{}, 100)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -70,7 +70,7 @@
 					}
 					e.mu.Lock()
 					e.requests++
-					e.ids = append(e.ids, r.Header.Get("X-Call-Id"))
+					e.requestIDs = append(e.requestIDs, r.Header.Get("X-Call-Id"))
 					n := e.requests
 					e.mu.Unlock()
 					if !script(c, n) {
@@ -84,32 +84,32 @@
 }
 
 const (
-	head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	end  = "0\r\n\r\n"
+	chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	chunkedEnd  = "0\r\n\r\n"
 )
 
 func chunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
 
-func line(state string) string {
+func updateLine(state string) string {
 	return chunk(`{"id":"j","from":"s","state":"` + state + `","share":0.5,"result":"r"}`)
 }
 
-// says answers every request with the same text.
-func says(text string, keep bool) func(net.Conn, int) bool {
+// respondWith answers every request with the same text.
+func respondWith(text string, keep bool) func(net.Conn, int) bool {
 	return func(c net.Conn, _ int) bool { io.WriteString(c, text); return keep }
 }
 
-type ending struct {
+type forwardResult struct {
 	outcome dispatch.Outcome
 	result  string
-	heard   []protocol.JobState
+	states  []protocol.JobState
 }
 
-func do(ctx context.Context, x *ServerClient, address string, then ...func()) (e ending) {
+func forward(ctx context.Context, x *ServerClient, address string, then ...func()) (e forwardResult) {
 	job := &protocol.Attempt{Address: address, Deadline: time.Now().Add(time.Second), Request: &protocol.Request{ID: "j", Target: "/p",
 		Header: http.Header{"X-Call-Id": {"j"}, "Idempotency-Key": {"k"}}, Body: []byte("b")}}
 	ends := 0
-	x.Forward(ctx, job, func(l protocol.JobUpdate) { e.heard = append(e.heard, l.State) },
+	x.Forward(ctx, job, func(l protocol.JobUpdate) { e.states = append(e.states, l.State) },
 		func(end protocol.AttemptResult) {
 			e.outcome, e.result, ends = end.Outcome, end.Result, ends+1
 			for _, f := range then {
@@ -122,7 +122,7 @@
 	return e
 }
 
-func fresh() (*ConnectionBudget, *ServerClient) {
+func newTestClient() (*ConnectionBudget, *ServerClient) {
 	d := NewConnectionBudget(1024)
 	return d, NewServerClient(d, time.Second, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
 }
@@ -132,29 +132,29 @@
 		text string
 		want dispatch.Outcome
 	}{
-		"done":                 {head + line("started") + line("running") + line("done") + end, dispatch.Succeeded},
-		"done, bytes after":    {head + line("done") + chunk("more") + line("failed") + end, dispatch.Succeeded},
-		"failed":               {head + line("started") + line("failed") + end, dispatch.Failed},
+		"done":                 {chunkedHead + updateLine("started") + updateLine("running") + updateLine("done") + chunkedEnd, dispatch.Succeeded},
+		"done, bytes after":    {chunkedHead + updateLine("done") + chunk("more") + updateLine("failed") + chunkedEnd, dispatch.Succeeded},
+		"failed":               {chunkedHead + updateLine("started") + updateLine("failed") + chunkedEnd, dispatch.Failed},
 		"500":                  {"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
 		"503 with the mark":    {"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
 		"503 without the mark": {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
 		"redirect":             {"HTTP/1.1 307 Away\r\nLocation: /q\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
-		"returned":             {head + line("returned") + end, dispatch.Rejected},
-		"lost":                 {head + line("started") + line("lost") + end, dispatch.ConnectionLost},
-		"ends early":           {head + line("started") + end, dispatch.ConnectionLost},
-		"breaks":               {head + line("started"), dispatch.ConnectionLost},
-		"breaks within a line": {head + "40\r\n{\"id\":\"j\",\"state\":\"do", dispatch.ConnectionLost},
-		"foreign":              {head + chunk(`{"id":"k","state":"done","result":"r"}`) + end, dispatch.ConnectionLost},
+		"returned":             {chunkedHead + updateLine("returned") + chunkedEnd, dispatch.Rejected},
+		"lost":                 {chunkedHead + updateLine("started") + updateLine("lost") + chunkedEnd, dispatch.ConnectionLost},
+		"ends early":           {chunkedHead + updateLine("started") + chunkedEnd, dispatch.ConnectionLost},
+		"breaks":               {chunkedHead + updateLine("started"), dispatch.ConnectionLost},
+		"breaks within a line": {chunkedHead + "40\r\n{\"id\":\"j\",\"state\":\"do", dispatch.ConnectionLost},
+		"foreign":              {chunkedHead + chunk(`{"id":"k","state":"done","result":"r"}`) + chunkedEnd, dispatch.ConnectionLost},
 		"not HTTP":             {"hello\r\n\r\n", dispatch.ConnectionLost},
 		"nothing, then closed": {"", dispatch.ConnectionLost},
 	} {
-		e := play(t, says(c.text, false))
-		_, x := fresh()
-		got := do(t.Context(), x, e.Addr().String())
+		e := startFakeServer(t, respondWith(c.text, false))
+		_, x := newTestClient()
+		got := forward(t.Context(), x, e.Addr().String())
 		if got.outcome != c.want || (got.result == "r") != (c.want == dispatch.Succeeded) {
 			t.Errorf("%s: %+v, want %d", name, got, c.want)
 		}
-		if _, requests := e.seen(); requests != 1 {
+		if _, requests := e.counts(); requests != 1 {
 			t.Errorf("%s: %d requests", name, requests)
 		}
 	}
@@ -164,9 +164,9 @@
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	address := l.Addr().String()
 	l.Close()
-	d, x := fresh()
+	d, x := newTestClient()
 	before := d.held
-	if got := do(t.Context(), x, address); got.outcome != dispatch.ConnectFailed {
+	if got := forward(t.Context(), x, address); got.outcome != dispatch.ConnectFailed {
 		t.Errorf("%+v", got)
 	}
 	if d.held != before {
@@ -196,7 +196,7 @@
 	}
 	d := NewConnectionBudget(1024)
 	x, before, start := NewServerClient(d, 50*time.Millisecond, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {}), d.held, time.Now()
-	got := do(t.Context(), x, address)
+	got := forward(t.Context(), x, address)
 	if took := time.Since(start); got.outcome != dispatch.ConnectFailed || took > time.Second || d.held != before {
 		t.Errorf("%+v after %s", got, took)
 	}
@@ -210,9 +210,9 @@
 	}{
 		"nothing written": {func(c *serverConn, _ net.Conn) {}, true},
 		"written":         {func(c *serverConn, peer net.Conn) { go io.ReadFull(peer, make([]byte, 3)); c.Write([]byte("abc")) }, false},
-		"cut short":       {func(c *serverConn, peer net.Conn) { go cut(peer); c.Write([]byte("abc")) }, true},
+		"cut short":       {func(c *serverConn, peer net.Conn) { go readByteAndClose(peer); c.Write([]byte("abc")) }, true},
 		"second part cut": {func(c *serverConn, peer net.Conn) {
-			go func() { io.ReadFull(peer, make([]byte, 3)); cut(peer) }()
+			go func() { io.ReadFull(peer, make([]byte, 3)); readByteAndClose(peer) }()
 			c.Write([]byte("abc"))
 			c.Write([]byte("def"))
 		}, true},
@@ -230,32 +230,32 @@
 	}
 }
 
-func cut(c net.Conn) { io.ReadFull(c, make([]byte, 1)); c.Close() }
+func readByteAndClose(c net.Conn) { io.ReadFull(c, make([]byte, 1)); c.Close() }
 
 // TestConnectionsAreKeptAndClosed: an answer read to its end gives its connection back, a posting given up closes it.
 func TestConnectionsAreKeptAndClosed(t *testing.T) {
 	withdraw, told := make(chan context.CancelFunc, 1), make(chan struct{})
-	e := play(t, func(c net.Conn, nth int) bool {
+	e := startFakeServer(t, func(c net.Conn, nth int) bool {
 		if nth < 3 {
-			io.WriteString(c, head+line("done"))
+			io.WriteString(c, chunkedHead+updateLine("done"))
 			<-told // the end of the answer comes after the last line was passed on
-			io.WriteString(c, end)
+			io.WriteString(c, chunkedEnd)
 			return true
 		}
-		io.WriteString(c, head+line("started"))
+		io.WriteString(c, chunkedHead+updateLine("started"))
 		(<-withdraw)()
 		return true
 	})
-	d, x := fresh()
+	d, x := newTestClient()
 	tell := func() { told <- struct{}{} }
-	do(t.Context(), x, e.Addr().String(), tell)
-	do(t.Context(), x, e.Addr().String(), tell)
-	if accepted, _ := e.seen(); accepted != 1 || d.idle[serverSide].Len() != 1 {
+	forward(t.Context(), x, e.Addr().String(), tell)
+	forward(t.Context(), x, e.Addr().String(), tell)
+	if accepted, _ := e.counts(); accepted != 1 || d.idle[serverSide].Len() != 1 {
 		t.Errorf("%d connections, %d idle", accepted, d.idle[serverSide].Len())
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	withdraw <- cancel
-	if got := do(ctx, x, e.Addr().String()); got.outcome != dispatch.Canceled {
+	if got := forward(ctx, x, e.Addr().String()); got.outcome != dispatch.Canceled {
 		t.Errorf("%+v", got)
 	}
 	<-e.closed
@@ -263,15 +263,15 @@
 
 // TestClosedBeforeToldOf: once a posting's end is known the txn may go again, and must not be out twice.
 func TestClosedBeforeToldOf(t *testing.T) {
-	for name, text := range map[string]string{"no head": "", "no last line": head + line("started"),
-		"foreign": head + chunk("odd")} {
+	for name, text := range map[string]string{"no head": "", "no last line": chunkedHead + updateLine("started"),
+		"foreign": chunkedHead + chunk("odd")} {
 		for range 20 {
 			// All is new each time: what an earlier attempt at a connection comes to later is not this posting's.
-			e := play(t, says(text, true))
-			d, x := fresh()
+			e := startFakeServer(t, respondWith(text, true))
+			d, x := newTestClient()
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
-			do(ctx, x, e.Addr().String(), func() {
-				_, came := e.seen()
+			forward(ctx, x, e.Addr().String(), func() {
+				_, came := e.counts()
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				// A busy machine may not have come to a connection by then; the place is that of the attempt at one.
@@ -285,11 +285,11 @@
 }
 
 func TestTimeOut(t *testing.T) {
-	e := play(t, says(head+line("started"), true))
-	_, x := fresh()
+	e := startFakeServer(t, respondWith(chunkedHead+updateLine("started"), true))
+	_, x := newTestClient()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if got := do(ctx, x, e.Addr().String()); got.outcome != dispatch.TimedOut {
+	if got := forward(ctx, x, e.Addr().String()); got.outcome != dispatch.TimedOut {
 		t.Errorf("%+v", got)
 	}
 	<-e.closed
@@ -298,16 +298,16 @@
 // TestNothingIsSentAgain: the executor takes a request on a kept connection and breaks it.
 // Danger: the library sends a request with a mark against repeats again by itself.
 func TestNothingIsSentAgain(t *testing.T) {
-	e := play(t, func(c net.Conn, nth int) bool {
+	e := startFakeServer(t, func(c net.Conn, nth int) bool {
 		if nth == 1 {
-			io.WriteString(c, head+line("done")+end)
+			io.WriteString(c, chunkedHead+updateLine("done")+chunkedEnd)
 		}
 		return nth == 1
 	})
-	_, x := fresh()
-	do(t.Context(), x, e.Addr().String())
-	got := do(t.Context(), x, e.Addr().String())
-	if accepted, requests := e.seen(); got.outcome != dispatch.StaleConnection || accepted != 1 || requests != 2 {
+	_, x := newTestClient()
+	forward(t.Context(), x, e.Addr().String())
+	got := forward(t.Context(), x, e.Addr().String())
+	if accepted, requests := e.counts(); got.outcome != dispatch.StaleConnection || accepted != 1 || requests != 2 {
 		t.Errorf("%+v, %d connections, %d requests", got, accepted, requests)
 	}
 }
@@ -316,24 +316,28 @@
 func TestBudget(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
-	slow := play(t, func(c net.Conn, _ int) bool { io.WriteString(c, head+line("started")); <-hold; return false })
-	quick := play(t, says(head+line("done")+end, true))
-	d, x := fresh()
+	slow := startFakeServer(t, func(c net.Conn, _ int) bool {
+		io.WriteString(c, chunkedHead+updateLine("started"))
+		<-hold
+		return false
+	})
+	quick := startFakeServer(t, respondWith(chunkedHead+updateLine("done")+chunkedEnd, true))
+	d, x := newTestClient()
 	d.maxHeld[serverSide] = 1
-	if got := do(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.Succeeded {
+	if got := forward(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.Succeeded {
 		t.Fatalf("%+v", got)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	out := make(chan ending)
-	go func() { out <- do(ctx, x, slow.Addr().String()) }()
+	out := make(chan forwardResult)
+	go func() { out <- forward(ctx, x, slow.Addr().String()) }()
 	<-quick.closed // gave way
 	for {
-		if _, requests := slow.seen(); requests == 1 {
+		if _, requests := slow.counts(); requests == 1 {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if got := do(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.NotSent {
+	if got := forward(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.NotSent {
 		t.Errorf("%+v", got)
 	}
 	cancel()
@@ -342,13 +346,13 @@
 
 // TestUnusedConnectionGivesWay: one whose request found another meanwhile was never used, and must not keep its place.
 func TestUnusedConnectionGivesWay(t *testing.T) {
-	e := play(t, says(head+line("done")+end, true))
-	d, x := fresh()
+	e := startFakeServer(t, respondWith(chunkedHead+updateLine("done")+chunkedEnd, true))
+	d, x := newTestClient()
 	d.maxHeld[serverSide] = 1
 	if _, err := x.transport.DialContext(t.Context(), "tcp", e.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	if got := do(t.Context(), x, e.Addr().String()); got.outcome != dispatch.Succeeded {
+	if got := forward(t.Context(), x, e.Addr().String()); got.outcome != dispatch.Succeeded {
 		t.Errorf("%+v", got)
 	}
 }
@@ -368,8 +372,8 @@
 	}
 }
 
-// node is the clients' side on a loopback address.
-func node(t *testing.T, d *ConnectionBudget, serve ServeFunc, adjust ...func(*http.Server)) (*Server, string) {
+// startTestServer is the clients' side on a loopback address.
+func startTestServer(t *testing.T, d *ConnectionBudget, serve ServeFunc, adjust ...func(*http.Server)) (*Server, string) {
 	names := &protocol.Names{Classes: []string{"pay"}}
 	s := NewServer(d, names, serve, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
 	for _, a := range adjust {
@@ -384,10 +388,10 @@
 	return s, s.listener.Addr().String()
 }
 
-const ask = "POST /pay HTTP/1.1\r\nHost: h\r\nX-Call-Id: j\r\nX-Call-Class: pay\r\nX-Budget-Ms: 900\r\nContent-Length: 1\r\n\r\n"
+const requestHead = "POST /pay HTTP/1.1\r\nHost: h\r\nX-Call-Id: j\r\nX-Call-Class: pay\r\nX-Budget-Ms: 900\r\nContent-Length: 1\r\n\r\n"
 
-// call opens a connection and writes to it.
-func call(t *testing.T, address, text string) net.Conn {
+// dialAndWrite opens a connection and writes to it.
+func dialAndWrite(t *testing.T, address, text string) net.Conn {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -397,7 +401,7 @@
 	return c
 }
 
-func answer(t *testing.T, c net.Conn) *http.Response {
+func readResponse(t *testing.T, c net.Conn) *http.Response {
 	t.Helper()
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -406,22 +410,22 @@
 	return r
 }
 
-func settled(context.Context, *protocol.Request) *protocol.Response {
+func succeed(context.Context, *protocol.Request) *protocol.Response {
 	return &protocol.Response{Status: 200, Body: "r"}
 }
 
 func TestServer(t *testing.T) {
-	_, address := node(t, NewConnectionBudget(1024), settled)
+	_, address := startTestServer(t, NewConnectionBudget(1024), succeed)
 	for text, want := range map[string]int{
-		ask + "b": 200,
-		"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n":            200,
-		strings.Replace(ask, "pay", "odd", 1) + "b":           404,
-		strings.Replace(ask, "POST", "PUT", 1) + "b":          405,
-		strings.Replace(ask, "Host: h", "Host h", 1) + "b":    400,
-		strings.Replace(ask, "Length: 1", "Length: 70000", 1): 413,
+		requestHead + "b":                                             200,
+		"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n":                    200,
+		strings.Replace(requestHead, "pay", "odd", 1) + "b":           404,
+		strings.Replace(requestHead, "POST", "PUT", 1) + "b":          405,
+		strings.Replace(requestHead, "Host: h", "Host h", 1) + "b":    400,
+		strings.Replace(requestHead, "Length: 1", "Length: 70000", 1): 413,
 	} {
-		got := answer(t, call(t, address, text))
-		if got.StatusCode != want || got.Close != (text != ask+"b") {
+		got := readResponse(t, dialAndWrite(t, address, text))
+		if got.StatusCode != want || got.Close != (text != requestHead+"b") {
 			t.Errorf("%.40q: %d, want %d, close %t", text, got.StatusCode, want, got.Close)
 		}
 	}
@@ -429,14 +433,14 @@
 
 // TestHalfARequest: one that is broken off is never served; one that never ends or begins is ended within 3 s.
 func TestHalfARequest(t *testing.T) {
-	_, address := node(t, NewConnectionBudget(1024), func(context.Context, *protocol.Request) *protocol.Response {
+	_, address := startTestServer(t, NewConnectionBudget(1024), func(context.Context, *protocol.Request) *protocol.Response {
 		t.Error("served")
 		return nil
 	})
-	call(t, address, ask[:30]).Close()
+	dialAndWrite(t, address, requestHead[:30]).Close()
 	var parts sync.WaitGroup
-	for _, part := range []string{"", ask[:3], ask[:30], ask, strings.Replace(ask, "Content-Length: 1", "Transfer-Encoding: chunked", 1)} {
-		c, start := call(t, address, part), time.Now()
+	for _, part := range []string{"", requestHead[:3], requestHead[:30], requestHead, strings.Replace(requestHead, "Content-Length: 1", "Transfer-Encoding: chunked", 1)} {
+		c, start := dialAndWrite(t, address, part), time.Now()
 		parts.Go(func() {
 			if text, err := io.ReadAll(c); err != nil || time.Since(start) > 3*time.Second {
 				t.Errorf("%q: %q %v after %s", part, text, err, time.Since(start))
@@ -451,20 +455,20 @@
 func TestStrangersGiveWay(t *testing.T) {
 	d := NewConnectionBudget(64)
 	d.evictionGrace = 0
-	_, address := node(t, d, settled)
-	kept := call(t, address, ask+"b")
-	if got := answer(t, kept); got.StatusCode != 200 {
+	_, address := startTestServer(t, d, succeed)
+	kept := dialAndWrite(t, address, requestHead+"b")
+	if got := readResponse(t, kept); got.StatusCode != 200 {
 		t.Fatal(got)
 	}
 	var silent []net.Conn
 	for i := range 100 {
-		silent = append(silent, call(t, address, []string{"", ask[:40], strings.Replace(ask, ": 1", ": 90000000", 1)}[i%3]))
+		silent = append(silent, dialAndWrite(t, address, []string{"", requestHead[:40], strings.Replace(requestHead, ": 1", ": 90000000", 1)}[i%3]))
 	}
-	if got := answer(t, call(t, address, ask+"b")); got.StatusCode != 200 {
+	if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 {
 		t.Error(got)
 	}
-	io.WriteString(kept, ask+"b")
-	if got := answer(t, kept); got.StatusCode != 200 {
+	io.WriteString(kept, requestHead+"b")
+	if got := readResponse(t, kept); got.StatusCode != 200 {
 		t.Error(got)
 	}
 	start := time.Now()
@@ -494,7 +498,7 @@
 	defer l.Close()
 	var all []*clientConn
 	come := func(text string) *clientConn {
-		call(t, l.Addr().String(), text)
+		dialAndWrite(t, l.Addr().String(), text)
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -502,15 +506,15 @@
 		fresh := d.acceptClient(c)
 		t.Cleanup(func() { fresh.Close() })
 		all = append(all, fresh)
-		until(t, "its bytes", func() bool { return text == "" || fresh.hasUnreadData() })
+		waitUntil(t, "its bytes", func() bool { return text == "" || fresh.hasUnreadData() })
 		return fresh
 	}
 	for range d.maxPending - 1 {
-		come(ask + "b")
+		come(requestHead + "b")
 	}
 	silent := come("")
 	for range 4 {
-		come(ask + "b")
+		come(requestHead + "b")
 	}
 	for i, c := range all {
 		if c.closed != (c == silent) {
@@ -523,14 +527,14 @@
 func TestYoungStrangersAreServed(t *testing.T) {
 	d := NewConnectionBudget(64)
 	d.evictionGrace = time.Minute
-	_, address := node(t, d, settled)
+	_, address := startTestServer(t, d, succeed)
 	var all []net.Conn
 	for range 2 * d.maxPending {
-		all = append(all, call(t, address, ask))
+		all = append(all, dialAndWrite(t, address, requestHead))
 	}
 	for _, c := range all {
 		io.WriteString(c, "b")
-		if got := answer(t, c); got.StatusCode != 200 {
+		if got := readResponse(t, c); got.StatusCode != 200 {
 			t.Error(got)
 		}
 	}
@@ -550,8 +554,8 @@
 
 // TestIdleClientIsKept: the time to hand a request in does not run while a connection rests.
 func TestIdleClientIsKept(t *testing.T) {
-	_, address := node(t, NewConnectionBudget(1024), settled, func(h *http.Server) { h.ReadTimeout = 20 * time.Millisecond })
-	c := call(t, address, ask+"b")
+	_, address := startTestServer(t, NewConnectionBudget(1024), succeed, func(h *http.Server) { h.ReadTimeout = 20 * time.Millisecond })
+	c := dialAndWrite(t, address, requestHead+"b")
 	in := bufio.NewReader(c)
 	if r, err := http.ReadResponse(in, nil); err != nil {
 		t.Fatal(err)
@@ -567,7 +571,7 @@
 // TestClientLeaves: the wait for an answer ends when the client goes, and not when the time to hand in is over.
 func TestClientLeaves(t *testing.T) {
 	taken, left := make(chan struct{}), make(chan struct{})
-	_, address := node(t, NewConnectionBudget(1024), func(ctx context.Context, _ *protocol.Request) *protocol.Response {
+	_, address := startTestServer(t, NewConnectionBudget(1024), func(ctx context.Context, _ *protocol.Request) *protocol.Response {
 		select {
 		case taken <- struct{}{}:
 			<-ctx.Done()
@@ -579,10 +583,10 @@
 		}
 		return &protocol.Response{Status: 200}
 	}, func(h *http.Server) { h.ReadTimeout = 50 * time.Millisecond })
-	if got := answer(t, call(t, address, ask+"b")); got.StatusCode != 200 {
+	if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 {
 		t.Error(got)
 	}
-	c := call(t, address, ask+"b")
+	c := dialAndWrite(t, address, requestHead+"b")
 	<-taken
 	c.Close()
 	<-left
@@ -593,19 +597,19 @@
 	taken, hold := make(chan struct{}), make(chan struct{})
 	d := NewConnectionBudget(1024)
 	d.maxHeld[clientSide], d.rejectReserve = 2, 1
-	_, address := node(t, d, func(context.Context, *protocol.Request) *protocol.Response {
+	_, address := startTestServer(t, d, func(context.Context, *protocol.Request) *protocol.Response {
 		taken <- struct{}{}
 		<-hold
 		return &protocol.Response{Status: 200}
 	})
-	first := call(t, address, ask+"b")
+	first := dialAndWrite(t, address, requestHead+"b")
 	<-taken
-	second := call(t, address, ask+"b")
-	if got := answer(t, second); got.StatusCode != 503 || !got.Close {
+	second := dialAndWrite(t, address, requestHead+"b")
+	if got := readResponse(t, second); got.StatusCode != 503 || !got.Close {
 		t.Errorf("%+v", got)
 	}
 	close(hold)
-	if got := answer(t, first); got.StatusCode != 200 {
+	if got := readResponse(t, first); got.StatusCode != 200 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -613,21 +617,21 @@
 // TestYieldSparesARequestBeingRead: a connection told to make room whose next request is being read serves it first.
 func TestYieldSparesARequestBeingRead(t *testing.T) {
 	d := NewConnectionBudget(1024)
-	_, address := node(t, d, settled)
-	c := call(t, address, ask+"b")
-	if got := answer(t, c); got.StatusCode != 200 {
+	_, address := startTestServer(t, d, succeed)
+	c := dialAndWrite(t, address, requestHead+"b")
+	if got := readResponse(t, c); got.StatusCode != 200 {
 		t.Fatal(got)
 	}
-	half := len(ask) / 2
-	io.WriteString(c, ask[:half])
+	half := len(requestHead) / 2
+	io.WriteString(c, requestHead[:half])
 	for read := 0; read == 0; time.Sleep(time.Millisecond) { // until its first bytes are read
 		d.mu.Lock()
 		read = 1 - d.idle[clientSide].Len()
 		d.mu.Unlock()
 	}
 	d.disableIdle()
-	io.WriteString(c, ask[half:]+"b")
-	if got := answer(t, c); got.StatusCode != 200 {
+	io.WriteString(c, requestHead[half:]+"b")
+	if got := readResponse(t, c); got.StatusCode != 200 {
 		t.Error(got)
 	}
 }
@@ -655,10 +659,10 @@
 func TestIdleClientsGiveWay(t *testing.T) {
 	d := NewConnectionBudget(1024)
 	d.maxHeld[clientSide], d.rejectReserve = 3, 2
-	_, address := node(t, d, settled)
+	_, address := startTestServer(t, d, succeed)
 	for range 20 {
-		c := call(t, address, ask+"b")
-		if got := answer(t, c); got.StatusCode != 200 {
+		c := dialAndWrite(t, address, requestHead+"b")
+		if got := readResponse(t, c); got.StatusCode != 200 {
 			t.Fatal(got)
 		}
 		// Danger: one that was told to give way and has not closed yet holds its place; on a loaded machine the next
@@ -675,16 +679,16 @@
 // between requests.
 func TestStop(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
-	s, address := node(t, NewConnectionBudget(1024), func(context.Context, *protocol.Request) *protocol.Response {
+	s, address := startTestServer(t, NewConnectionBudget(1024), func(context.Context, *protocol.Request) *protocol.Response {
 		taken <- struct{}{}
 		<-hold
 		return &protocol.Response{Status: 200}
 	})
-	first := call(t, address, ask+"b")
+	first := dialAndWrite(t, address, requestHead+"b")
 	<-taken
 	stopped, start := make(chan error, 1), time.Now()
 	go func() { stopped <- s.Stop(2*time.Second, false) }()
-	second := call(t, address, ask+"b")
+	second := dialAndWrite(t, address, requestHead+"b")
 	<-taken
 	for { // until nothing new is taken
 		c, err := net.Dial("tcp", address)
@@ -704,7 +708,7 @@
 	}
 	close(hold)
 	for _, c := range []net.Conn{first, second} {
-		if got := answer(t, c); got.StatusCode != 200 || !got.Close {
+		if got := readResponse(t, c); got.StatusCode != 200 || !got.Close {
 			t.Errorf("%+v", got)
 		}
 	}
@@ -716,8 +720,8 @@
 // TestStopLeavesHalfRequests: what a stranger never finished is no request that the node owes an answer.
 func TestStopLeavesHalfRequests(t *testing.T) {
 	d := NewConnectionBudget(64)
-	s, address := node(t, d, settled)
-	call(t, address, ask[:30])
+	s, address := startTestServer(t, d, succeed)
+	dialAndWrite(t, address, requestHead[:30])
 	for read := 0; read == 0; time.Sleep(time.Millisecond) { // until its first bytes are read
 		d.mu.Lock()
 		read = d.active
@@ -763,27 +767,27 @@
 
 // TestProbe: a probe's answer is its report; refusals, silence and odd bodies are faults, and its connection is kept.
 func TestProbe(t *testing.T) {
-	_, x := fresh()
+	_, x := newTestClient()
 	answer := func(status, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	}
-	good := play(t, says(answer("200 OK", `{"x0":3}`), true))
+	good := startFakeServer(t, respondWith(answer("200 OK", `{"x0":3}`), true))
 	for range 2 {
 		if l, err := x.Probe(t.Context(), good.Addr().String()); err != nil || l.FreeSlots != 3 {
 			t.Errorf("%+v %v", l, err)
 		}
 	}
-	if accepted, requests := good.seen(); accepted != 1 || requests != 2 {
+	if accepted, requests := good.counts(); accepted != 1 || requests != 2 {
 		t.Errorf("%d connections for %d probes", accepted, requests)
 	}
 	for _, text := range []string{answer("404 Not Found", ""), answer("503 Busy", `{"x0":3}`), answer("200 OK", "{}"), "junk"} {
-		if l, err := x.Probe(t.Context(), play(t, says(text, false)).Addr().String()); err == nil {
+		if l, err := x.Probe(t.Context(), startFakeServer(t, respondWith(text, false)).Addr().String()); err == nil {
 			t.Errorf("%q: %+v", text, l)
 		}
 	}
 	short, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 	defer cancel()
-	if _, err := x.Probe(short, play(t, says("", true)).Addr().String()); err == nil {
+	if _, err := x.Probe(short, startFakeServer(t, respondWith("", true)).Addr().String()); err == nil {
 		t.Error("a silent executor told of its load")
 	}
 }
--- a/internal/transport/unsafe_test.go
+++ b/internal/transport/unsafe_test.go
@@ -23,66 +23,66 @@
 	"fernrail/internal/routing"
 )
 
-// fault is what becomes of a posting on its way: it has the executor's end of the connection and what came on it so far.
-type fault struct {
-	dial  error                                         // no connection
-	never bool                                          // a connection that never comes up
-	bytes int                                           // of the request that are read before the rest: -1: all
-	then  func(c net.Conn, id string, gone func() bool) // before the connection is closed; gone says that the node has
-	runs  bool                                          // the job may have run by what the protocol says
-	kept  bool                                          // on a connection that served a job before
+// attemptFault is what becomes of a posting on its way: it has the executor's end of the connection and what came on it so far.
+type attemptFault struct {
+	dialError        error                                         // no connection
+	neverConnects    bool                                          // a connection that never comes up
+	readBytes        int                                           // of the request that are read before the rest: -1: all
+	respond          func(c net.Conn, id string, gone func() bool) // before the connection is closed; gone says that the node has
+	mayRun           bool                                          // the job may have run by what the protocol says
+	reusedConnection bool                                          // on a connection that served a job before
 }
 
-// writes puts a txn's id, of one letter since chunks tell their lengths, in place of j.
-func writes(text string) func(net.Conn, string, func() bool) {
+// respond puts a txn's id, of one letter since chunks tell their lengths, in place of j.
+func respond(text string) func(net.Conn, string, func() bool) {
 	return func(c net.Conn, id string, _ func() bool) {
 		io.WriteString(c, strings.ReplaceAll(text, `"j"`, `"`+id+`"`))
 	}
 }
 
-// stalls says something and then nothing until the node gives up.
-func stalls(text string) func(net.Conn, string, func() bool) {
-	return func(c net.Conn, id string, gone func() bool) { writes(text)(c, id, nil); gone() }
+// respondAndStall says something and then nothing until the node gives up.
+func respondAndStall(text string) func(net.Conn, string, func() bool) {
+	return func(c net.Conn, id string, gone func() bool) { respond(text)(c, id, nil); gone() }
 }
 
-// faults are the outcomes that transport can tell.
-var faults = map[string]fault{
-	"not dialled":                    {dial: errors.New("refused")},
-	"never comes up":                 {never: true},
+// attemptFaults are the outcomes that transport can tell.
+var attemptFaults = map[string]attemptFault{
+	"not dialled":                    {dialError: errors.New("refused")},
+	"never comes up":                 {neverConnects: true},
 	"reset before its bytes":         {},
-	"reset during its bytes":         {bytes: 20},
-	"reset after its bytes":          {bytes: -1, runs: true},
-	"turned away":                    {bytes: -1, then: writes("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")},
-	"handed back":                    {bytes: -1, then: writes(head + line("returned") + end)},
-	"failed":                         {bytes: -1, runs: true, then: writes(head + line("failed") + end)},
-	"500":                            {bytes: -1, runs: true, then: writes("HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n")},
-	"503 without the mark":           {bytes: -1, runs: true, then: writes("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")},
-	"lost":                           {bytes: -1, runs: true, then: writes(head + line("started") + line("lost") + end)},
-	"cut in its head":                {bytes: -1, runs: true, then: writes("HTTP/1.1 200 OK\r\nTransfer-Enc")},
-	"cut after its start":            {bytes: -1, runs: true, then: writes(head + line("started"))},
-	"cut in a line":                  {bytes: -1, runs: true, then: writes(head + "40\r\n{\"id\":\"j\",\"state\":\"do")},
-	"no HTTP":                        {bytes: -1, runs: true, then: writes("<html>\r\n\r\n")},
-	"another's id":                   {bytes: -1, runs: true, then: writes(head + chunk(`{"id":"k","state":"done","result":"k"}`) + end)},
-	"two lengths":                    {bytes: -1, runs: true, then: writes("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 9\r\n\r\nabcde")},
-	"endless head":                   {bytes: -1, runs: true, then: endless("HTTP/1.1 200 OK\r\n", "X-More: more\r\n")},
-	"endless line":                   {bytes: -1, runs: true, then: endless(head, "100\r\n"+strings.Repeat("x", 256)+"\r\n")},
-	"endless notes":                  {bytes: -1, runs: true, then: endless(head, line("running"))},
-	"100 and cut":                    {bytes: -1, runs: true, then: writes("HTTP/1.1 100 Continue\r\n\r\n")},
-	"103 without end":                {bytes: -1, runs: true, then: endless("", "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n")},
-	"silent":                         {bytes: -1, runs: true, then: stalls("")},
-	"silent after 100":               {bytes: -1, runs: true, then: stalls("HTTP/1.1 100 Continue\r\n\r\n")},
-	"silent after its head":          {bytes: -1, runs: true, then: stalls(head)},
-	"silent after its start":         {bytes: -1, runs: true, then: stalls(head + line("started"))},
-	"silent in a line":               {bytes: -1, runs: true, then: stalls(head + "40\r\n{\"id\":\"j\"")},
-	"kept, reset before its bytes":   {kept: true},
-	"kept, reset during its bytes":   {kept: true, bytes: 20},
-	"kept, reset after its bytes":    {kept: true, bytes: -1, runs: true},
-	"kept, cut after its start":      {kept: true, bytes: -1, runs: true, then: writes(head + line("started"))},
-	"kept, silent":                   {kept: true, bytes: -1, runs: true, then: stalls("")},
-	"kept, an answer to none before": {kept: true, bytes: -1, runs: true, then: writes(head + chunk(`{"id":"0","state":"done","result":"0"}`) + end)},
+	"reset during its bytes":         {readBytes: 20},
+	"reset after its bytes":          {readBytes: -1, mayRun: true},
+	"turned away":                    {readBytes: -1, respond: respond("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")},
+	"handed back":                    {readBytes: -1, respond: respond(chunkedHead + updateLine("returned") + chunkedEnd)},
+	"failed":                         {readBytes: -1, mayRun: true, respond: respond(chunkedHead + updateLine("failed") + chunkedEnd)},
+	"500":                            {readBytes: -1, mayRun: true, respond: respond("HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n")},
+	"503 without the mark":           {readBytes: -1, mayRun: true, respond: respond("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")},
+	"lost":                           {readBytes: -1, mayRun: true, respond: respond(chunkedHead + updateLine("started") + updateLine("lost") + chunkedEnd)},
+	"cut in its head":                {readBytes: -1, mayRun: true, respond: respond("HTTP/1.1 200 OK\r\nTransfer-Enc")},
+	"cut after its start":            {readBytes: -1, mayRun: true, respond: respond(chunkedHead + updateLine("started"))},
+	"cut in a line":                  {readBytes: -1, mayRun: true, respond: respond(chunkedHead + "40\r\n{\"id\":\"j\",\"state\":\"do")},
+	"no HTTP":                        {readBytes: -1, mayRun: true, respond: respond("<html>\r\n\r\n")},
+	"another's id":                   {readBytes: -1, mayRun: true, respond: respond(chunkedHead + chunk(`{"id":"k","state":"done","result":"k"}`) + chunkedEnd)},
+	"two lengths":                    {readBytes: -1, mayRun: true, respond: respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 9\r\n\r\nabcde")},
+	"endless head":                   {readBytes: -1, mayRun: true, respond: respondForever("HTTP/1.1 200 OK\r\n", "X-More: more\r\n")},
+	"endless line":                   {readBytes: -1, mayRun: true, respond: respondForever(chunkedHead, "100\r\n"+strings.Repeat("x", 256)+"\r\n")},
+	"endless notes":                  {readBytes: -1, mayRun: true, respond: respondForever(chunkedHead, updateLine("running"))},
+	"100 and cut":                    {readBytes: -1, mayRun: true, respond: respond("HTTP/1.1 100 Continue\r\n\r\n")},
+	"103 without end":                {readBytes: -1, mayRun: true, respond: respondForever("", "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n")},
+	"silent":                         {readBytes: -1, mayRun: true, respond: respondAndStall("")},
+	"silent after 100":               {readBytes: -1, mayRun: true, respond: respondAndStall("HTTP/1.1 100 Continue\r\n\r\n")},
+	"silent after its head":          {readBytes: -1, mayRun: true, respond: respondAndStall(chunkedHead)},
+	"silent after its start":         {readBytes: -1, mayRun: true, respond: respondAndStall(chunkedHead + updateLine("started"))},
+	"silent in a line":               {readBytes: -1, mayRun: true, respond: respondAndStall(chunkedHead + "40\r\n{\"id\":\"j\"")},
+	"kept, reset before its bytes":   {reusedConnection: true},
+	"kept, reset during its bytes":   {reusedConnection: true, readBytes: 20},
+	"kept, reset after its bytes":    {reusedConnection: true, readBytes: -1, mayRun: true},
+	"kept, cut after its start":      {reusedConnection: true, readBytes: -1, mayRun: true, respond: respond(chunkedHead + updateLine("started"))},
+	"kept, silent":                   {reusedConnection: true, readBytes: -1, mayRun: true, respond: respondAndStall("")},
+	"kept, an answer to none before": {reusedConnection: true, readBytes: -1, mayRun: true, respond: respond(chunkedHead + chunk(`{"id":"0","state":"done","result":"0"}`) + chunkedEnd)},
 }
 
-func endless(first, again string) func(net.Conn, string, func() bool) {
+func respondForever(first, again string) func(net.Conn, string, func() bool) {
 	return func(c net.Conn, id string, _ func() bool) {
 		text := strings.ReplaceAll(again, `"j"`, `"`+id+`"`)
 		for _, err := io.WriteString(c, first); err == nil; _, err = io.WriteString(c, text) {
@@ -91,29 +91,29 @@
 	}
 }
 
-// byBytes reads no more than it is asked for, where it matters what was read.
-type byBytes struct {
+// singleByteConn reads no more than it is asked for, where it matters what was read.
+type singleByteConn struct {
 	net.Conn
 	single bool
 }
 
-func (b byBytes) Read(p []byte) (int, error) {
+func (b singleByteConn) Read(p []byte) (int, error) {
 	if b.single {
 		p = p[:1]
 	}
 	return b.Conn.Read(p)
 }
 
-// came is one request whose last byte has come.
-type came struct {
+// arrival is one request whose last byte has come.
+type arrival struct {
 	id  string
 	bad bool // it meets the fault
 }
 
-// plays has one txn meet a fault at whichever executor it is sent to first; all later ones serve.
-func plays(t *testing.T, f fault, effect dispatch.Idempotency, body string) (status int, result string, arrivals []came, written int) {
+// runWithFault has one txn meet a fault at whichever executor it is sent to first; all later ones serve.
+func runWithFault(t *testing.T, f attemptFault, effect dispatch.Idempotency, body string) (status int, result string, arrivals []arrival, written int) {
 	var mu sync.Mutex
-	trouble, open := !f.kept, 0
+	trouble, open := !f.reusedConnection, 0
 	most := 0
 	x := NewServerClient(NewConnectionBudget(256), time.Second, time.Minute, protocol.LoadReportKeys{}, func() {
 		mu.Lock()
@@ -122,9 +122,9 @@
 	})
 	serve := func(c net.Conn) {
 		defer c.Close()
-		in := bufio.NewReader(byBytes{c, f.bytes >= 0})
+		in := bufio.NewReader(singleByteConn{c, f.readBytes >= 0})
 		for {
-			if !f.kept && f.bytes == 0 {
+			if !f.reusedConnection && f.readBytes == 0 {
 				mu.Lock()
 				bad := trouble
 				trouble = false
@@ -140,8 +140,8 @@
 			bad := trouble
 			trouble = false
 			mu.Unlock()
-			if bad && f.bytes >= 0 {
-				io.ReadFull(in, make([]byte, f.bytes))
+			if bad && f.readBytes >= 0 {
+				io.ReadFull(in, make([]byte, f.readBytes))
 				return
 			}
 			r, err := http.ReadRequest(in)
@@ -153,14 +153,14 @@
 			}
 			id := r.Header.Get("X-Call-Id")
 			mu.Lock()
-			arrivals, open = append(arrivals, came{id, bad}), open+1
+			arrivals, open = append(arrivals, arrival{id, bad}), open+1
 			most = max(most, open)
 			mu.Unlock()
 			if !bad {
 				time.Sleep(10 * time.Millisecond)
-				writes(head+line("started")+line("done")+end)(c, id, nil)
-			} else if f.then != nil {
-				f.then(c, id, func() bool { _, err := in.Peek(1); return err != nil })
+				respond(chunkedHead+updateLine("started")+updateLine("done")+chunkedEnd)(c, id, nil)
+			} else if f.respond != nil {
+				f.respond(c, id, func() bool { _, err := in.Peek(1); return err != nil })
 			}
 			mu.Lock()
 			open--
@@ -172,19 +172,19 @@
 	}
 	x.dialer.dialContext = func(ctx context.Context, _, address string) (net.Conn, error) {
 		mu.Lock()
-		bad := trouble && (f.dial != nil || f.never)
+		bad := trouble && (f.dialError != nil || f.neverConnects)
 		if bad {
 			trouble = false
 		}
 		mu.Unlock()
-		if bad && f.never {
+		if bad && f.neverConnects {
 			select {
 			case <-time.After(time.Second):
 			case <-ctx.Done():
 			}
 			return nil, errors.New("timed out")
 		} else if bad {
-			return nil, f.dial
+			return nil, f.dialError
 		}
 		here, there := net.Pipe()
 		go serve(there)
@@ -198,7 +198,7 @@
 		return n.Serve(t.Context(), &protocol.Request{ID: id, Target: "/j", Slots: 1, Timeout: 3 * time.Second, Body: []byte(body),
 			Header: http.Header{"X-Call-Id": {id}, "Idempotency-Key": {id}}})
 	}
-	if f.kept {
+	if f.reusedConnection {
 		if a := txn("0"); a.Status != http.StatusOK {
 			t.Errorf("%+v", a)
 		}
@@ -223,32 +223,32 @@
 // and is never declined where it may have; others are served elsewhere. With and without a body nothing arrives that this node's
 // module did not send: the library repeats nothing by itself.
 func TestUnsafeToRepeat(t *testing.T) {
-	for name, f := range faults {
+	for name, f := range attemptFaults {
 		for _, effect := range []dispatch.Idempotency{dispatch.Idempotent, dispatch.IdempotentInGroup, dispatch.NonIdempotent} {
 			for _, body := range []string{"", "body"} {
 				at := fmt.Sprintf("%s, effect %d, body %q", name, effect, body)
 				t.Run(at, func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { check(t, f, effect, body) })
+					synctest.Test(t, func(t *testing.T) { checkRepeat(t, f, effect, body) })
 				})
 			}
 		}
 	}
 }
 
-func check(t *testing.T, f fault, effect dispatch.Idempotency, body string) {
-	status, result, arrivals, written := plays(t, f, effect, body)
+func checkRepeat(t *testing.T, f attemptFault, effect dispatch.Idempotency, body string) {
+	status, result, arrivals, written := runWithFault(t, f, effect, body)
 	want := status
 	switch {
-	case effect == dispatch.NonIdempotent && f.runs:
+	case effect == dispatch.NonIdempotent && f.mayRun:
 		want = http.StatusInternalServerError
-	case !f.runs || status != http.StatusServiceUnavailable:
+	case !f.mayRun || status != http.StatusServiceUnavailable:
 		want = http.StatusOK
 	}
 	if status != want || status == http.StatusOK && result != "r" {
 		t.Errorf("answered %d %q, want %d", status, result, want)
 	}
 	most := 2
-	if effect == dispatch.NonIdempotent && f.runs || f.bytes >= 0 {
+	if effect == dispatch.NonIdempotent && f.mayRun || f.readBytes >= 0 {
 		most = 1
 	}
 	if len(arrivals) > most || effect == dispatch.NonIdempotent && len(arrivals) != most {
@@ -263,17 +263,17 @@
 // request on that connection, which has run all the same, and must not count as never run.
 func TestSecondAnswers(t *testing.T) {
 	var mu sync.Mutex
-	e := play(t, func(c net.Conn, n int) bool {
-		io.WriteString(c, head+line("done")+end+"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
+	e := startFakeServer(t, func(c net.Conn, n int) bool {
+		io.WriteString(c, chunkedHead+updateLine("done")+chunkedEnd+"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	_, x := fresh()
+	_, x := newTestClient()
 	var callers sync.WaitGroup
 	outcomes := map[dispatch.Outcome]int{}
 	for range 8 {
 		callers.Go(func() {
 			for range 500 {
-				o := do(t.Context(), x, e.Addr().String()).outcome
+				o := forward(t.Context(), x, e.Addr().String()).outcome
 				mu.Lock()
 				outcomes[o]++
 				mu.Unlock()
@@ -281,7 +281,7 @@
 		})
 	}
 	callers.Wait()
-	_, came := e.seen()
+	_, came := e.counts()
 	never := outcomes[dispatch.Rejected] + outcomes[dispatch.NotSent] + outcomes[dispatch.ConnectFailed]
 	if may := 8*500 - never; came > may || outcomes[dispatch.Rejected] > 0 {
 		t.Errorf("%d came, %d may have run: %v", came, may, outcomes)
