--- a/cmd/fleetsim/emulate.go
+++ b/cmd/fleetsim/emulate.go
@@ -86,22 +86,22 @@
 	if fault = errors.Join(fault, flush(nil)); fault != nil {
 		return verdict{fault, 2}
 	}
-	f := count.End()
-	fmt.Fprintf(out, "%s, seed %d, %s: %.4f in time, worst 10 s %.4f (emulated)\n", filepath.Base(c.Scenario), c.Seed, c.Policy, f.All.Share(), f.Worst)
-	for _, name := range invariants.Names(f.Schemes) {
-		fmt.Fprintf(out, "  scheme %-12s %.4f in time\n", name, f.Schemes[name].Share())
+	f := count.Summary()
+	fmt.Fprintf(out, "%s, seed %d, %s: %.4f in time, worst 10 s %.4f (emulated)\n", filepath.Base(c.Scenario), c.Seed, c.Policy, f.All.Share(), f.WorstTenSeconds)
+	for _, name := range invariants.SortedNames(f.Classes) {
+		fmt.Fprintf(out, "  scheme %-12s %.4f in time\n", name, f.Classes[name].Share())
 	}
-	for _, name := range invariants.Names(f.Tenants) {
+	for _, name := range invariants.SortedNames(f.Tenants) {
 		fmt.Fprintf(out, "  tenant %-12s %.4f in time\n", name, f.Tenants[name].Share())
 	}
 	fmt.Fprintf(out, "  waits: half %v, 99 of 100 %v; %d tries, %d postings, %d declined, %d reversed, %d handshakes, %.0f connections held\n",
-		time.Duration(f.At(0.5)).Round(time.Millisecond), time.Duration(f.At(0.99)).Round(time.Millisecond), f.Tries, f.Postings, f.Declined, f.Reversed, report.Handshakes, report.Held)
+		time.Duration(f.Latency(0.5)).Round(time.Millisecond), time.Duration(f.Latency(0.99)).Round(time.Millisecond), f.Requests, f.Attempts, f.Shed, f.Compensated, report.Handshakes, report.Held)
 	fmt.Fprintf(out, "  work done %.1f of %.1f asked for; effects run twice %d; cold executors pushed over %d; %d events in %v\n",
 		report.Work, report.Offered, report.Twice, report.Fallen, report.Events, time.Since(began).Round(time.Millisecond))
 	fmt.Fprintf(out, "  budgets %s: %.1f of work sent to cold executors, %d calls for leases\n", s.Leases.Mode, report.Cold, report.Calls)
-	breaches := j.End(last)
+	breaches := j.Violations(last)
 	for _, b := range breaches[:min(len(breaches), c.Max)] {
-		fmt.Fprintf(out, "  rule %d, event %d: %s\n", b.Rule, b.Event, b.Text)
+		fmt.Fprintf(out, "  rule %d, event %d: %s\n", b.Rule, b.Event, b.Message)
 	}
 	if len(breaches) > 0 {
 		return verdict{fmt.Errorf("%d breaches; again with: fleetsim emulate %s --seed %d --policy %s", len(breaches), c.Scenario, c.Seed, c.Policy), 1}
--- a/cmd/fleetsim/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -242,11 +242,11 @@
 	if err != nil {
 		return nil, err
 	}
-	f := count.End()
+	f := count.Summary()
 	return &experiment.Result{Run: *r, Key: r.Key(), Machine: fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version()),
-		Took: time.Since(began).Seconds(), Figures: map[string]float64{"in time": f.All.Share(), "worst 10 s": f.Worst, "p99 ms": float64(f.At(0.99)) / 1e6,
+		Took: time.Since(began).Seconds(), Figures: map[string]float64{"in time": f.All.Share(), "worst 10 s": f.WorstTenSeconds, "p99 ms": float64(f.Latency(0.99)) / 1e6,
 			"handshakes": float64(report.Handshakes), "held": report.Held, "fallen": float64(report.Fallen), "cold work": report.Cold, "work": report.Work,
-			"twice": float64(report.Twice), "breaches": float64(len(j.End(last)))}}, nil
+			"twice": float64(report.Twice), "breaches": float64(len(j.Violations(last)))}}, nil
 }
 
 // revision is the version that plays. Danger: results of another program taken for this one's, where the build knows of no commit
--- a/cmd/fleetsim/judge.go
+++ b/cmd/fleetsim/judge.go
@@ -62,10 +62,10 @@
 		}
 		events, last = events+1, e.At
 	}
-	breaches := j.End(last)
+	breaches := j.Violations(last)
 	var told bytes.Buffer
 	for _, b := range breaches[:min(len(breaches), c.Max)] {
-		fmt.Fprintf(&told, "rule %d, event %d: %s\n", b.Rule, b.Event, b.Text)
+		fmt.Fprintf(&told, "rule %d, event %d: %s\n", b.Rule, b.Event, b.Message)
 	}
 	fmt.Fprintf(&told, "%d events, %d breaches\n", events, len(breaches))
 	if _, err := told.WriteTo(out); err != nil {
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -41,7 +41,7 @@
 // verdict fails the test for what the judge has seen.
 func (h *herd) verdict(t *testing.T) {
 	t.Helper()
-	if breaches := h.judge.End(h.now); h.fault != nil || len(breaches) > 0 {
+	if breaches := h.judge.Violations(h.now); h.fault != nil || len(breaches) > 0 {
 		t.Fatalf("%v, of %d breaches: %+v", h.fault, len(breaches), breaches[:min(len(breaches), 3)])
 	}
 }
@@ -149,7 +149,7 @@
 		h.off[i] = h.Int64N(2*h.terms.StartTimeError+1) - h.terms.StartTimeError
 	}
 	for _, i := range h.Perm(len(h.since)) {
-		h.tell(invariants.Event{Kind: invariants.ServerStarted, Server: strconv.Itoa(i), Since: h.since[i]})
+		h.tell(invariants.Event{Kind: invariants.ServerStarted, Server: strconv.Itoa(i), StartedAt: h.since[i]})
 	}
 	for _, n := range h.nodes {
 		n.list()
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -48,7 +48,7 @@
 		encoder.Encode(e)
 		last = e.At
 	})
-	return c.End(), j.End(last), r, log.String()
+	return c.Summary(), j.Violations(last), r, log.String()
 }
 
 // record gives the rules that a policy broke.
@@ -61,7 +61,7 @@
 		}
 		last = e.At
 	})
-	for _, b := range j.End(last) {
+	for _, b := range j.Violations(last) {
 		rules = append(rules, b.Rule)
 	}
 	return rules
@@ -111,10 +111,10 @@
 			if len(breaches) > 0 {
 				t.Fatal(breaches[0])
 			}
-			for _, w := range f.Waits {
+			for _, w := range f.Latencies {
 				mean += float64(w) / 1e8
 			}
-			n += len(f.Waits)
+			n += len(f.Latencies)
 			busy += r.Work / 400 / 4
 			if math.Abs(r.Work-r.Offered) > 1e-3*r.Offered {
 				t.Errorf("work is not conserved: %v done of %v", r.Work, r.Offered)
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -184,7 +184,7 @@
 	if len(w.s.Tenant) > 0 {
 		tenant = w.s.Tenant[q.tenant].Name
 	}
-	w.log(invariants.Event{Kind: invariants.RequestAccepted, Node: n.name, Request: q.id, Class: s.Name, Deadline: q.expiry, Client: q.origin.id, LatencyObjective: q.origin.aim, First: q.origin.first, Weight: q.origin.value, Tenant: tenant})
+	w.log(invariants.Event{Kind: invariants.RequestAccepted, Node: n.name, Request: q.id, Class: s.Name, Deadline: q.expiry, Client: q.origin.id, LatencyObjective: q.origin.aim, FirstRequestedAt: q.origin.first, Weight: q.origin.value, Tenant: tenant})
 	n.event(func() { n.decider.Arrive(t) })
 	w.after(q.expiry-w.now, func() { n.timeOut(t) })
 	w.after(q.expiry-w.now+int64(w.s.Rules.Slack), func() { n.drop(t) })
--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -35,14 +35,14 @@
 	Class            string    `json:"scheme,omitempty"`   // taken
 	Client           string    `json:"client,omitempty"`   // taken: what the try is one of
 	Tenant           string    `json:"tenant,omitempty"`   // taken
-	First            int64     `json:"first,omitempty"`    // taken: when the client first asked
+	FirstRequestedAt int64     `json:"first,omitempty"`    // taken: when the client first asked
 	LatencyObjective int64     `json:"aim,omitempty"`      // taken: until when an answer earns its full value
 	Weight           float64   `json:"value,omitempty"`    // taken: billing value
 	Deadline         int64     `json:"expiry,omitempty"`   // taken
 	Server           string    `json:"executor,omitempty"` // posted, told, begun
 	Attempt          int       `json:"posting"`            // posted, ended: from 0 on in each txn
 	Work             float64   `json:"work,omitempty"`     // posted: slots times seconds that it takes
-	Since            int64     `json:"since,omitempty"`    // begun: the moment, if it was earlier
+	StartedAt        int64     `json:"since,omitempty"`    // begun: the moment, if it was earlier
 	Budget           string    `json:"budget,omitempty"`   // held
 	Units            int64     `json:"units,omitempty"`    // held
 	Until            int64     `json:"until,omitempty"`    // held; 0: for good, as a floor is
@@ -83,7 +83,7 @@
 // Violation is a broken rule and the event that proves it, by its number from 0 on.
 type Violation struct {
 	Rule, Event int
-	Text        string
+	Message     string
 }
 
 type posting struct {
@@ -169,7 +169,7 @@
 			j.stops[e.Node][e.Server] = e.At
 		}
 	case ServerStarted:
-		j.begun[e.Server] = cmp.Or(e.Since, e.At)
+		j.begun[e.Server] = cmp.Or(e.StartedAt, e.At)
 		delete(j.sends, e.Server)
 	case QuotaHeld:
 		if _, known := j.rules.Totals[e.Budget]; !known || e.Node == "" || e.Units < 0 {
@@ -330,8 +330,8 @@
 	}
 }
 
-// End closes the log at a time and gives all breaches, in the order of the events that prove them.
-func (j *Checker) End(at int64) []Violation {
+// Violations closes the log at a time and gives all breaches, in the order of the events that prove them.
+func (j *Checker) Violations(at int64) []Violation {
 	j.now = max(j.now, at)
 	j.overdue()
 	return j.breaches
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -85,7 +85,7 @@
 				t.Fatalf("%s: %v", name, err)
 			}
 		}
-		breaches := j.End(3000)
+		breaches := j.Violations(3000)
 		if c.rule == 0 && len(breaches) > 0 || c.rule > 0 && (len(breaches) != 1 || breaches[0].Rule != c.rule || breaches[0].Event != c.event) {
 			t.Errorf("%s: %+v, want rule %d at event %d", name, breaches, c.rule, c.event)
 		}
@@ -103,7 +103,7 @@
 		j.Add(Event{At: at, Kind: AttemptEnded, Request: id, Result: "full"})
 		j.Add(Event{At: at, Kind: RequestAnswered, Request: id, Result: "declined"})
 	}
-	return j.End(2e9)
+	return j.Violations(2e9)
 }
 
 // TestColdIsCountedOverNodes: no node sends much, and all is refused; together it is too much all the same.
@@ -164,11 +164,11 @@
 			last = Event{Kind: RequestAnswered, Request: id, Result: result}
 			add(last)
 		}
-		if b := j.End(at + 5000); len(b) > 0 {
+		if b := j.Violations(at + 5000); len(b) > 0 {
 			t.Fatalf("accused: %+v", b[0])
 		}
 		at += 5000
-		if add(last); len(j.End(at)) != 1 {
+		if add(last); len(j.Violations(at)) != 1 {
 			t.Fatal("a second answer is not seen")
 		}
 	})
@@ -200,7 +200,7 @@
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		if got := j.End(2000); len(got) != c.breaches || len(got) > 0 && got[0].Rule != 5 {
+		if got := j.Violations(2000); len(got) != c.breaches || len(got) > 0 && got[0].Rule != 5 {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/invariants/figures.go
+++ b/internal/invariants/figures.go
@@ -8,40 +8,40 @@
 	"slices"
 )
 
-// Group is the service of one scheme, tenant or stretch of time, in billing value of first tries.
-type Group struct {
-	Asked  float64 `json:"asked"`
-	OnTime float64 `json:"on_time"`
-	Late   float64 `json:"late"` // answered, past the aim; full value, before any part that a late answer earns
+// Service is the service of one scheme, tenant or stretch of time, in billing value of first tries.
+type Service struct {
+	Requested float64 `json:"asked"`
+	OnTime    float64 `json:"on_time"`
+	Late      float64 `json:"late"` // answered, past the aim; full value, before any part that a late answer earns
 }
 
 // Share is the part served in time; one where nothing was asked for.
-func (g Group) Share() float64 {
-	if g.Asked == 0 {
+func (g Service) Share() float64 {
+	if g.Requested == 0 {
 		return 1
 	}
-	return g.OnTime / g.Asked
+	return g.OnTime / g.Requested
 }
 
 // Summary are the service that a log shows. A client's tries count as one, from its first on.
 type Summary struct {
-	All      Group            `json:"all"`
-	Schemes  map[string]Group `json:"schemes"`
-	Tenants  map[string]Group `json:"tenants,omitempty"`
-	Worst    float64          `json:"worst_10s"` // share in time of the worst ten seconds in a row
-	Waits    []int64          `json:"-"`         // from first try to answer of what was served, in order of size
-	Tries    int              `json:"tries"`
-	Postings int              `json:"postings"`
-	Declined int              `json:"declined"`
-	Reversed int              `json:"reversed"`
+	All             Service            `json:"all"`
+	Classes         map[string]Service `json:"schemes"`
+	Tenants         map[string]Service `json:"tenants,omitempty"`
+	WorstTenSeconds float64            `json:"worst_10s"` // share in time of the worst ten seconds in a row
+	Latencies       []int64            `json:"-"`         // from first try to answer of what was served, in order of size
+	Requests        int                `json:"tries"`
+	Attempts        int                `json:"postings"`
+	Shed            int                `json:"declined"`
+	Compensated     int                `json:"reversed"`
 }
 
-// At is the wait that so large a part of what was served did not exceed; 0 if nothing was.
-func (f *Summary) At(part float64) int64 {
-	if len(f.Waits) == 0 {
+// Latency is the wait that so large a part of what was served did not exceed; 0 if nothing was.
+func (f *Summary) Latency(part float64) int64 {
+	if len(f.Latencies) == 0 {
 		return 0
 	}
-	return f.Waits[min(int(part*float64(len(f.Waits))), len(f.Waits)-1)]
+	return f.Latencies[min(int(part*float64(len(f.Latencies))), len(f.Latencies)-1)]
 }
 
 type want struct {
@@ -66,33 +66,33 @@
 	switch e.Kind {
 	case RequestAccepted:
 		if c.wants[e.Client] == nil {
-			c.wants[e.Client] = &want{scheme: e.Class, tenant: e.Tenant, first: e.First, aim: e.LatencyObjective, value: e.Weight}
+			c.wants[e.Client] = &want{scheme: e.Class, tenant: e.Tenant, first: e.FirstRequestedAt, aim: e.LatencyObjective, value: e.Weight}
 		}
 		c.tries[e.Request] = c.wants[e.Client]
-		c.out.Tries++
+		c.out.Requests++
 	case AttemptSent:
-		c.out.Postings++
+		c.out.Attempts++
 	case RequestAnswered:
 		switch w := c.tries[e.Request]; {
 		case e.Result == "declined":
-			c.out.Declined++
+			c.out.Shed++
 		case e.Result == "reversed":
-			c.out.Reversed++
+			c.out.Compensated++
 		case w != nil && w.answered == 0:
 			w.answered = e.At
 		}
 	}
 }
 
-// End gives the figures.
-func (c *Collector) End() *Summary {
+// Summary gives the figures.
+func (c *Collector) Summary() *Summary {
 	f := c.out
-	f.Schemes, f.Tenants = map[string]Group{}, map[string]Group{}
-	bySecond := map[int64]Group{}
+	f.Classes, f.Tenants = map[string]Service{}, map[string]Service{}
+	bySecond := map[int64]Service{}
 	for _, id := range slices.Sorted(maps.Keys(c.wants)) { // sums of fractions depend on their order
 		w := c.wants[id]
-		add := func(g Group) Group {
-			g.Asked += w.value
+		add := func(g Service) Service {
+			g.Requested += w.value
 			if w.answered > 0 && w.answered <= w.aim {
 				g.OnTime += w.value
 			} else if w.answered > 0 {
@@ -100,29 +100,29 @@
 			}
 			return g
 		}
-		f.All, f.Schemes[w.scheme], bySecond[w.first/1e9] = add(f.All), add(f.Schemes[w.scheme]), add(bySecond[w.first/1e9])
+		f.All, f.Classes[w.scheme], bySecond[w.first/1e9] = add(f.All), add(f.Classes[w.scheme]), add(bySecond[w.first/1e9])
 		if w.tenant != "" {
 			f.Tenants[w.tenant] = add(f.Tenants[w.tenant])
 		}
 		if w.answered > 0 && w.value > 0 {
-			f.Waits = append(f.Waits, w.answered-w.first)
+			f.Latencies = append(f.Latencies, w.answered-w.first)
 		}
 	}
-	slices.Sort(f.Waits)
-	f.Worst = f.All.Share()
+	slices.Sort(f.Latencies)
+	f.WorstTenSeconds = f.All.Share()
 	for from := range bySecond {
-		var g Group
+		var g Service
 		for s := from; s < from+10; s++ {
-			g.Asked, g.OnTime = g.Asked+bySecond[s].Asked, g.OnTime+bySecond[s].OnTime
+			g.Requested, g.OnTime = g.Requested+bySecond[s].Requested, g.OnTime+bySecond[s].OnTime
 		}
-		if g.Asked > 0 && bySecond[from].Asked > 0 && bySecond[from+9].Asked > 0 {
-			f.Worst = min(f.Worst, g.Share())
+		if g.Requested > 0 && bySecond[from].Requested > 0 && bySecond[from+9].Requested > 0 {
+			f.WorstTenSeconds = min(f.WorstTenSeconds, g.Share())
 		}
 	}
 	return &f
 }
 
-// Names gives the keys of groups in order.
-func Names(groups map[string]Group) []string {
+// SortedNames gives the keys of groups in order.
+func SortedNames(groups map[string]Service) []string {
 	return slices.SortedFunc(maps.Keys(groups), cmp.Compare[string])
 }
--- a/internal/transport/notification_test.go
+++ b/internal/transport/notification_test.go
@@ -177,9 +177,9 @@
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
-		breaches = j.End(int64(time.Since(w.started)))
+		breaches = j.Violations(int64(time.Since(w.started)))
 		for _, b := range breaches {
-			t.Errorf("seed %d, rule %d at %.3f s: %s", seed, b.Rule, float64(w.events[b.Event].At)/1e9, b.Text)
+			t.Errorf("seed %d, rule %d at %.3f s: %s", seed, b.Rule, float64(w.events[b.Event].At)/1e9, b.Message)
 		}
 	})
 	return breaches, posted, drains
