--- a/internal/fleet/accept_queue.go
+++ b/internal/fleet/accept_queue.go
@@ -8,55 +8,66 @@
 	"sync"
 )
 
-// voterAddress is a seat's id as an address.
+// voterAddress is a voter's id as a network address. It implements net.Addr.
 type voterAddress string
 
-func (n voterAddress) Network() string { return "fleet" }
+// Network implements net.Addr.
+func (a voterAddress) Network() string { return "fleet" }
 
-func (n voterAddress) String() string { return string(n) }
+// String implements net.Addr.
+func (a voterAddress) String() string { return string(a) }
 
-// handshakeConn is a connection of which some bytes have been read.
+// handshakeConn is a connection whose first bytes were read already.
 type handshakeConn struct {
 	net.Conn
 	reader *bufio.Reader
 	layer  *streamLayer
 }
 
-func (b *handshakeConn) Close() error { return b.layer.closeConnection(b.Conn) }
+// Read implements net.Conn.
+func (c *handshakeConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-func (b *handshakeConn) Read(p []byte) (int, error) { return b.reader.Read(p) }
+// Close implements net.Conn.
+func (c *handshakeConn) Close() error { return c.layer.closeConnection(c.Conn) }
 
-// acceptQueue is a listener that is handed its connections.
+// acceptQueue is a net.Listener for connections that were accepted elsewhere.
 type acceptQueue struct {
-	address   net.Addr
-	conns     chan net.Conn
-	closed    chan struct{}
-	closeOnce func()
+	address net.Addr
+	conns   chan net.Conn
+	closed  chan struct{}
+	close   func() // may be called more than once
 }
 
 func newAcceptQueue(address net.Addr) *acceptQueue {
-	l := &acceptQueue{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
-	l.closeOnce = sync.OnceFunc(func() { close(l.closed) })
-	return l
+	q := &acceptQueue{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
+	q.close = sync.OnceFunc(func() { close(q.closed) })
+	return q
 }
 
-func (l *acceptQueue) deliver(c net.Conn) {
+// deliver waits until somebody accepts the connection. If the queue is closed the connection is as well.
+func (q *acceptQueue) deliver(conn net.Conn) {
 	select {
-	case l.conns <- c:
-	case <-l.closed:
-		c.Close()
+	case q.conns <- conn:
+	case <-q.closed:
+		conn.Close()
 	}
 }
 
-func (l *acceptQueue) Accept() (net.Conn, error) {
+// Accept implements net.Listener.
+func (q *acceptQueue) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.conns:
-		return c, nil
-	case <-l.closed:
+	case conn := <-q.conns:
+		return conn, nil
+	case <-q.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *acceptQueue) Close() error { l.closeOnce(); return nil }
+// Close implements net.Listener.
+func (q *acceptQueue) Close() error {
+	q.close()
+	return nil
+}
 
-func (l *acceptQueue) Addr() net.Addr { return l.address }
+// Addr implements net.Listener.
+func (q *acceptQueue) Addr() net.Addr { return q.address }
--- a/internal/fleet/cluster.go
+++ b/internal/fleet/cluster.go
@@ -8,151 +8,201 @@
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"fernrail/internal/config"
+)
+
+const (
+	// peerCallTimeout bounds a call to another voter, and a change of the cluster's members.
+	peerCallTimeout = time.Second
+	// minDiscoveryInterval is the least time between two looks at the cluster.
+	minDiscoveryInterval = 50 * time.Millisecond
 )
 
-// statusResponse is what a seat says of itself.
-type statusResponse struct {
-	Name  string `json:"name"`
-	ID    string `json:"id"`
-	Blank bool   `json:"blank"`
+// voterIdentity is what a voter says of itself, in status and join calls and in the responses to them.
+type voterIdentity struct {
+	Name  string `json:"name"`  // of its node
+	ID    string `json:"id"`    // of the voter
+	Blank bool   `json:"blank"` // it knows of no cluster
 }
 
-// discoverCluster sees to it that the seat is part of the group. A group is founded once, when all seats are there and none has any
-// memory; after that whoever has lost its memory is let in by the others, under its new id.
-func (s *voter) discoverCluster(ctx context.Context) {
-	tick := time.NewTicker(max(s.cfg.ElectionTimeout, 50*time.Millisecond))
-	defer tick.Stop()
-	since := s.clock()
+// discoverCluster makes this voter a member of the cluster and keeps it one. A cluster is founded once, when all
+// voters are up and none has any state. After that the members add whoever has lost its state, under its new id.
+func (v *voter) discoverCluster(ctx context.Context) {
+	ticker := time.NewTicker(max(v.cfg.ElectionTimeout, minDiscoveryInterval))
+	defer ticker.Stop()
+	lastUsable := v.clock()
 	for {
-		if !s.isBlank() && s.isMember() {
-			if !s.clusterLost(ctx) {
-				since = s.clock()
-			} else if s.clock()-since > s.cfg.Agreement.Lease {
-				s.log.Error().Msg("most seats have lost their memory: this one forgets as well, and the group is founded anew")
-				close(s.quorumLost)
-				return
+		switch {
+		case v.isBlank() || !v.isMember():
+			if !v.bootstrapCluster(ctx) {
+				v.joinCluster(ctx)
 			}
-		} else if !s.bootstrapCluster(ctx) {
-			s.joinCluster(ctx)
+		case !v.clusterLost(ctx):
+			lastUsable = v.clock()
+		case v.clock()-lastUsable > v.cfg.Agreement.Lease:
+			v.log.Error().Msg("quorum lost its durable state; founding a new cluster")
+			close(v.quorumLost)
+			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// clusterLost says whether the group can never decide again: nobody is elected, and most seats are there without the memory that
-// was theirs. Only where seats have no directory, for what is on a disk may come back.
-// Danger: two of three that start anew while the third goes on; nobody can let them in, and all live on floors for good.
-func (s *voter) clusterLost(ctx context.Context) bool {
-	if _, id := s.raft.LeaderWithID(); s.cfg.DataDir != "" || id != "" {
+// clusterLost reports whether the cluster can never elect a leader again: there is none, and most voters are up
+// without the state that was theirs. Nobody could add them, and all nodes would live on their floors for good.
+//
+// With data directories the answer is always no, since a disk may come back; then operators decide.
+func (v *voter) clusterLost(ctx context.Context) bool {
+	if v.cfg.DataDir != "" {
 		return false
 	}
-	blanks := 0
-	for _, x := range s.cfg.Voters {
-		if x.Name == s.name {
+	if _, leader := v.raft.LeaderWithID(); leader != "" {
+		return false
+	}
+	blank := 0
+	for _, peer := range v.cfg.Voters {
+		if peer.Name == v.name {
 			continue
 		}
-		call, cancel := context.WithTimeout(ctx, time.Second)
-		var w statusResponse
-		if s.client.post(call, x.Address, "/who", &statusResponse{s.name, s.id, false}, &w) == nil && w.Blank && w.Name == x.Name {
-			blanks++
+		identity, err := v.identify(ctx, peer, voterIdentity{Name: v.name, ID: v.id})
+		if err == nil && identity.Blank && identity.Name == peer.Name {
+			blank++
 		}
-		cancel()
 	}
-	return 2*blanks > len(s.cfg.Voters)
+	return 2*blank > len(v.cfg.Voters)
 }
 
-// isBlank says whether the seat remembers no group.
-func (s *voter) isBlank() bool {
-	c := s.raft.GetConfiguration()
-	return c.Error() != nil || len(c.Configuration().Servers) == 0
+// isBlank reports whether this voter knows of no cluster.
+func (v *voter) isBlank() bool {
+	members := v.raft.GetConfiguration()
+	return members.Error() != nil || len(members.Configuration().Servers) == 0
 }
 
-func (s *voter) isMember() bool {
-	c := s.raft.GetConfiguration()
-	if c.Error() != nil {
+// isMember reports whether this voter is part of the cluster that it knows of.
+func (v *voter) isMember() bool {
+	members := v.raft.GetConfiguration()
+	if members.Error() != nil {
 		return true
 	}
-	for _, x := range c.Configuration().Servers {
-		if string(x.ID) == s.id {
+	return hasServer(members.Configuration(), v.id)
+}
+
+func hasServer(members raft.Configuration, id string) bool {
+	for _, server := range members.Servers {
+		if string(server.ID) == id {
 			return true
 		}
 	}
 	return false
 }
 
-// bootstrapCluster founds the group if this seat is the one that does.
-func (s *voter) bootstrapCluster(ctx context.Context) bool {
+// identity returns what this voter says of itself.
+func (v *voter) identity() voterIdentity {
+	return voterIdentity{Name: v.name, ID: v.id, Blank: v.isBlank()}
+}
+
+// identify asks another voter what it says of itself.
+func (v *voter) identify(ctx context.Context, peer config.Voter, own voterIdentity) (voterIdentity, error) {
+	return v.callPeer(ctx, peer, statusPath, own)
+}
+
+// callPeer makes a status or join call to another voter.
+func (v *voter) callPeer(
+	ctx context.Context, peer config.Voter, path string, own voterIdentity,
+) (voterIdentity, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+	defer cancel()
+	var identity voterIdentity
+	err := v.client.post(ctx, peer.Address, path, &own, &identity)
+	return identity, err
+}
+
+// bootstrapCluster founds the cluster if all voters are up and blank, and this is the one that does: the first by
+// name. It reports whether the cluster is founded by this voter or about to be by that one.
+func (v *voter) bootstrapCluster(ctx context.Context) bool {
 	var servers []raft.Server
-	first := s.name
-	for _, x := range s.cfg.Voters {
-		w := statusResponse{s.name, s.id, s.isBlank()}
-		if x.Name != s.name {
-			call, cancel := context.WithTimeout(ctx, time.Second)
-			err := s.client.post(call, x.Address, "/who", &statusResponse{s.name, s.id, s.isBlank()}, &w)
-			cancel()
-			if err != nil || w.Name != x.Name || nodeName(w.ID) != x.Name {
+	first := v.name
+	for _, peer := range v.cfg.Voters {
+		identity := v.identity()
+		if peer.Name != v.name {
+			var err error
+			identity, err = v.identify(ctx, peer, identity)
+			if err != nil || identity.Name != peer.Name || nodeName(identity.ID) != peer.Name {
 				return false
 			}
 		}
-		if !w.Blank {
+		if !identity.Blank {
 			return false
 		}
-		first = min(first, x.Name)
-		servers = append(servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(w.ID), Address: raft.ServerAddress(w.ID)})
+		first = min(first, peer.Name)
+		servers = append(servers, raftServer(identity.ID))
 	}
-	if first != s.name {
-		return true // another one does
+	if first != v.name {
+		return true
 	}
-	err := s.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
-	s.log.Info().Err(err).Int("seats", len(servers)).Msg("the group is founded")
+	err := v.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
+	v.log.Info().Err(err).Int("voters", len(servers)).Msg("founded the cluster")
 	return true
 }
 
-// joinCluster asks the others to let this seat in.
-func (s *voter) joinCluster(ctx context.Context) {
-	for _, x := range s.cfg.Voters {
-		if x.Name == s.name {
+// raftServer returns the raft member with a voter's id. The id is its address as well: the stream layer knows where it
+// is.
+func raftServer(id string) raft.Server {
+	return raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(id), Address: raft.ServerAddress(id)}
+}
+
+// joinCluster asks the other voters to add this one, until one has done so.
+func (v *voter) joinCluster(ctx context.Context) {
+	own := voterIdentity{Name: v.name, ID: v.id, Blank: true}
+	for _, peer := range v.cfg.Voters {
+		if peer.Name == v.name {
 			continue
 		}
-		call, cancel := context.WithTimeout(ctx, time.Second)
-		var done statusResponse
-		err := s.client.post(call, x.Address, "/admit", &statusResponse{s.name, s.id, true}, &done)
-		cancel()
-		if err == nil {
-			s.log.Info().Str("by", x.Name).Msg("this seat is let in")
+		if _, err := v.callPeer(ctx, peer, joinPath, own); err == nil {
+			v.log.Info().Str("by", peer.Name).Msg("joined the cluster")
 			return
 		}
 	}
 }
 
-// addVoter puts a seat's new id in the place of the one that it had.
-func (s *voter) addVoter(w *statusResponse) error {
-	if s.cfg.Voter(w.Name) == nil || nodeName(w.ID) != w.Name {
-		return fmt.Errorf("%.60q has no seat", w.Name)
+// addVoter adds a voter to the cluster in place of the one that its node had before.
+func (v *voter) addVoter(joining *voterIdentity) error {
+	if v.cfg.Voter(joining.Name) == nil || nodeName(joining.ID) != joining.Name {
+		return fmt.Errorf("%.60q has no seat", joining.Name)
 	}
-	c := s.raft.GetConfiguration()
-	if err := c.Error(); err != nil {
+	members := v.raft.GetConfiguration()
+	if err := members.Error(); err != nil {
 		return err
 	}
-	index := c.Index()
-	for _, x := range c.Configuration().Servers {
-		if string(x.ID) == w.ID {
-			return nil
-		}
+	if hasServer(members.Configuration(), joining.ID) {
+		return nil
 	}
-	for _, x := range c.Configuration().Servers {
-		if nodeName(string(x.ID)) == w.Name {
-			f := s.raft.RemoveServer(x.ID, index, time.Second)
-			if err := f.Error(); err != nil {
-				return err
-			}
-			index = f.Index()
+	index, err := v.removeVoters(joining.Name, members)
+	if err != nil {
+		return err
+	}
+	v.log.Warn().Str("voter", joining.Name).Msg("adding a voter that lost its state")
+	server := raftServer(joining.ID)
+	return v.raft.AddVoter(server.ID, server.Address, index, peerCallTimeout).Error()
+}
+
+// removeVoters removes a node's voters from the cluster, and returns the index of the last change.
+func (v *voter) removeVoters(node string, members raft.ConfigurationFuture) (index uint64, err error) {
+	index = members.Index()
+	for _, server := range members.Configuration().Servers {
+		if nodeName(string(server.ID)) != node {
+			continue
+		}
+		future := v.raft.RemoveServer(server.ID, index, peerCallTimeout)
+		if err := future.Error(); err != nil {
+			return 0, err
 		}
+		index = future.Index()
 	}
-	s.log.Warn().Str("seat", w.Name).Msg("a seat that lost its memory is let in anew")
-	return s.raft.AddVoter(raft.ServerID(w.ID), raft.ServerAddress(w.ID), index, time.Second).Error()
+	return index, nil
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fleet holds budgets together with other nodes: it asks for leases, keeps to them at the moment of sending, and on
-// some nodes keeps a seat of the group that grants. What is divided and how is internal/fleet/budget's business.
+// Package fleet shares budgets with other nodes. It requests leases on them, checks at the moment of sending that a
+// lease covers what is sent, and on some nodes runs a voter of the raft cluster that grants the leases. How a budget
+// is divided is decided in package budget.
 package fleet
 
 import (
@@ -19,199 +20,265 @@
 	"fernrail/internal/fleet/budget"
 )
 
-// Fleet is one process's part. It is safe for use by many goroutines.
+// retryInterval is the time between two attempts to take over an address that another process of this node still has.
+const retryInterval = 200 * time.Millisecond
+
+// Fleet is one process's part in sharing budgets. Its methods may be called by many goroutines.
 type Fleet struct {
-	cfg               *config.Fleet
-	name              string
-	clock             Clock
-	log               zerolog.Logger
-	client            *voterClient
-	requestSoon       chan struct{}
-	membershipChanged chan struct{} // of members
-	gossip            *gossipState  // nil: nodes do not tell of executors
-	tasks             sync.WaitGroup
-	cancel            context.CancelFunc
-
-	mu            sync.Mutex
-	voter         *voter      // nil: this process has none, or has none yet
-	membership    *membership // nil: it takes no part, or not yet
+	cfg    *config.Fleet
+	name   string // of this node
+	clock  Clock
+	log    zerolog.Logger
+	client *voterClient
+	gossip *gossipState // nil: nodes don't tell each other of servers
+
+	requestSoon       chan struct{} // wakes the lease loop
+	membershipChanged chan struct{}
+
+	tasks  sync.WaitGroup
+	cancel context.CancelFunc
+
+	mu            sync.Mutex  // guards what follows
+	voter         *voter      // nil: this process runs none, or none yet
+	membership    *membership // nil: this process takes no part in gossip, or not yet
 	holder        *budget.LeaseHolder
 	demand        *budget.DemandEstimator
-	firstAttempts *budget.UsageMeter // first postings, in a window of second ones
-	quotas        map[string]*quota
-}
-
-// Start begins to ask for leases, and takes the seat if the node has one. beside says that other processes of the node may
-// live, one of which may have it. Close ends both.
-func Start(name string, plan *config.Fleet, beside bool, clock Clock, log zerolog.Logger) (*Fleet, error) {
-	ctx, stop := context.WithCancel(context.Background())
-	f := &Fleet{cfg: plan, name: name, clock: clock, log: log.With().Str("part", "fleet").Logger(), requestSoon: make(chan struct{}, 1), membershipChanged: make(chan struct{}, 1),
-		cancel: stop, quotas: map[string]*quota{}}
-	f.holder = budget.NewLeaseHolder(name, randomID(), &plan.Agreement, clock())
-	f.demand, f.firstAttempts = budget.NewDemandEstimator(name, &plan.Agreement), budget.NewUsageMeter(&plan.Agreement, config.BudgetRetries)
-	for b, t := range plan.Agreement.Budgets {
-		for _, part := range plan.Agreement.PartitionNames(b) {
-			f.quotas[part] = &quota{limits: t, meter: budget.NewUsageMeter(&plan.Agreement, part), total: t.Total}
-		}
-	}
-	f.client = newVoterClient(plan)
-	if plan.WitnessQuorum > 0 {
-		f.gossip = newGossipState(name, plan, clock)
-	}
-	if own := plan.Voter(name); own != nil {
-		l, err := net.Listen("tcp", plan.Listen)
-		// Danger: another process of this node has the seat, as in an upgrade; this one takes it once that one has left.
-		if errors.Is(err, syscall.EADDRINUSE) && beside {
-			f.tasks.Go(func() { f.retryStartVoter(ctx) })
-		} else if err != nil {
-			stop()
-			return nil, fmt.Errorf("fleet.listen: %w", err)
-		} else if err := f.startVoter(ctx, l); err != nil {
-			stop()
+	firstAttempts *budget.UsageMeter // in a window of the budget of retries
+	quotas        map[string]*quota  // by name of a budget, or of one of its partitions
+}
+
+// Start begins to request leases, and runs a voter if the configuration names this node as one. beside says that other
+// processes of this node may be alive, which may still have the addresses of the voter and of gossip. Close ends all
+// of it.
+func Start(name string, cfg *config.Fleet, beside bool, clock Clock, log zerolog.Logger) (*Fleet, error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	f := newFleet(name, cfg, clock, log)
+	f.cancel = cancel
+	if cfg.Voter(name) != nil {
+		if err := f.startFirstVoter(ctx, beside); err != nil {
+			cancel()
 			return nil, err
 		}
 	}
-	if plan.Gossip != "" {
-		m, err := joinGossip(ctx, name, plan, f.notifyMembershipChange, f.reportHandler(), f.log)
-		if err != nil && beside {
-			f.tasks.Go(func() { f.retryJoinGossip(ctx) })
-		} else if err != nil {
+	if cfg.Gossip != "" {
+		if err := f.startGossip(ctx, beside); err != nil {
 			f.Close()
-			return nil, fmt.Errorf("fleet.gossip: %w", err)
-		} else {
-			f.membership = m
+			return nil, err
 		}
 	}
 	f.tasks.Go(func() { f.renewLeases(ctx) })
 	return f, nil
 }
 
-func (f *Fleet) notifyMembershipChange() {
-	select {
-	case f.membershipChanged <- struct{}{}:
-	default:
+func newFleet(name string, cfg *config.Fleet, clock Clock, log zerolog.Logger) *Fleet {
+	agreement := &cfg.Agreement
+	f := &Fleet{
+		cfg:               cfg,
+		name:              name,
+		clock:             clock,
+		log:               log.With().Str("part", "fleet").Logger(),
+		client:            newVoterClient(cfg),
+		requestSoon:       make(chan struct{}, 1),
+		membershipChanged: make(chan struct{}, 1),
+		holder:            budget.NewLeaseHolder(name, randomID(), agreement, clock()),
+		demand:            budget.NewDemandEstimator(name, agreement),
+		firstAttempts:     budget.NewUsageMeter(agreement, config.BudgetRetries),
+		quotas:            map[string]*quota{},
 	}
+	for budgetName, limits := range agreement.Budgets {
+		for _, partition := range agreement.PartitionNames(budgetName) {
+			f.quotas[partition] = &quota{
+				limits: limits,
+				meter:  budget.NewUsageMeter(agreement, partition),
+				total:  limits.Total,
+			}
+		}
+	}
+	if cfg.WitnessQuorum > 0 {
+		f.gossip = newGossipState(name, cfg, clock)
+	}
+	return f
 }
 
-// MembershipChanges comes when other members are there than were when they were last looked at.
-func (f *Fleet) MembershipChanges() <-chan struct{} { return f.membershipChanged }
-
-// Peers are the nodes that are there, as this one believes, itself among them where it takes part in gossip.
-func (f *Fleet) Peers() []string {
-	f.mu.Lock()
-	m := f.membership
-	f.mu.Unlock()
-	if m == nil {
+// startFirstVoter starts the node's voter. Where another process of the node has its address, as during an upgrade,
+// the voter starts once that one has released it.
+func (f *Fleet) startFirstVoter(ctx context.Context, beside bool) error {
+	listener, err := net.Listen("tcp", f.cfg.Listen)
+	if errors.Is(err, syscall.EADDRINUSE) && beside {
+		f.tasks.Go(func() { f.retryStartVoter(ctx) })
 		return nil
 	}
-	return m.names()
+	if err != nil {
+		return fmt.Errorf("fleet.listen: %w", err)
+	}
+	return f.startVoter(ctx, listener)
 }
 
-// retryJoinGossip waits for the address at which another process of this node still hears who is there.
-func (f *Fleet) retryJoinGossip(ctx context.Context) {
-	retryUntilDone(ctx, func() bool {
-		m, err := joinGossip(ctx, f.name, f.cfg, f.notifyMembershipChange, f.reportHandler(), f.log)
-		if err != nil {
-			return false
-		}
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.membership = m
-		return true
+// startVoter starts the node's voter on a listener, and replaces it by a new one if its cluster has lost its quorum
+// for good.
+func (f *Fleet) startVoter(ctx context.Context, listener net.Listener) error {
+	v, err := startVoter(ctx, listener, voterConfig{
+		name:   f.name,
+		fleet:  f.cfg,
+		clock:  f.clock,
+		client: f.client,
+		log:    f.log,
 	})
-}
-
-// startVoter takes the node's seat.
-func (f *Fleet) startVoter(ctx context.Context, l net.Listener) error {
-	s, err := startVoter(ctx, f.name, l, f.cfg, f.clock, f.client, f.log)
 	if err != nil {
-		l.Close()
+		listener.Close()
 		return err
 	}
 	f.mu.Lock()
-	f.voter = s
+	f.voter = v
 	f.mu.Unlock()
-	f.tasks.Go(func() {
-		select {
-		case <-ctx.Done():
-		case <-s.closed:
-		case <-s.quorumLost:
-			f.mu.Lock()
-			mine := f.voter == s
-			if mine {
-				f.voter = nil
-			}
-			f.mu.Unlock()
-			if mine {
-				s.close()
-				f.retryStartVoter(ctx)
-			}
-		}
-	})
+	f.tasks.Go(func() { f.superviseVoter(ctx, v) })
 	return nil
 }
 
-// retryUntilDone tries until it is done, or the fleet ends.
-func retryUntilDone(ctx context.Context, try func() (done bool)) {
-	tick := time.NewTicker(200 * time.Millisecond)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-			if try() {
-				return
-			}
+func (f *Fleet) superviseVoter(ctx context.Context, v *voter) {
+	select {
+	case <-ctx.Done():
+	case <-v.closed:
+	case <-v.quorumLost:
+		f.mu.Lock()
+		current := f.voter == v
+		if current {
+			f.voter = nil
+		}
+		f.mu.Unlock()
+		if current {
+			v.close()
+			f.retryStartVoter(ctx)
 		}
 	}
 }
 
-// retryStartVoter waits for the seat's door.
+// retryStartVoter starts the voter once its address is free.
 func (f *Fleet) retryStartVoter(ctx context.Context) {
 	retryUntilDone(ctx, func() bool {
-		l, err := net.Listen("tcp", f.cfg.Listen)
+		listener, err := net.Listen("tcp", f.cfg.Listen)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			return false
 		}
 		if err == nil {
-			err = f.startVoter(ctx, l)
+			err = f.startVoter(ctx, listener)
 		}
 		if err != nil {
-			f.log.Error().Err(err).Msg("the seat is not taken")
+			f.log.Error().Err(err).Msg("starting the voter failed")
 		}
 		return true
 	})
 }
 
-// SetFloorOwner says whether the node's floors are this process's, or another's.
-func (f *Fleet) SetFloorOwner(yes bool) {
+// startGossip joins the gossip of the fleet. Where another process of the node has its address this one joins later.
+func (f *Fleet) startGossip(ctx context.Context, beside bool) error {
+	err := f.joinGossip(ctx)
+	if err != nil && beside {
+		f.tasks.Go(func() { f.retryJoinGossip(ctx) })
+		return nil
+	}
+	if err != nil {
+		return fmt.Errorf("fleet.gossip: %w", err)
+	}
+	return nil
+}
+
+func (f *Fleet) joinGossip(ctx context.Context) error {
+	m, err := joinGossip(ctx, gossipConfig{
+		name:     f.name,
+		fleet:    f.cfg,
+		onChange: f.notifyMembershipChange,
+		onReport: f.reportHandler(),
+		log:      f.log,
+	})
+	if err != nil {
+		return err
+	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.holder.SetFloorOwner(yes, f.clock())
+	f.membership = m
+	return nil
 }
 
-// HandOver leaves the seat and the gossip to another process of this node; leases go on.
-func (f *Fleet) HandOver() {
-	f.leave(false)
+// retryJoinGossip joins the gossip once its address is free.
+func (f *Fleet) retryJoinGossip(ctx context.Context) {
+	retryUntilDone(ctx, func() bool { return f.joinGossip(ctx) == nil })
 }
 
-func (f *Fleet) leave(told bool) {
+// retryUntilDone calls attempt until it returns true, or the context ends.
+func retryUntilDone(ctx context.Context, attempt func() (done bool)) {
+	ticker := time.NewTicker(retryInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			if attempt() {
+				return
+			}
+		}
+	}
+}
+
+func (f *Fleet) notifyMembershipChange() {
+	select {
+	case f.membershipChanged <- struct{}{}:
+	default:
+	}
+}
+
+// MembershipChanges returns a channel that receives a value when nodes joined or left since the last one.
+func (f *Fleet) MembershipChanges() <-chan struct{} { return f.membershipChanged }
+
+// Peers returns the names of the nodes that are alive as far as this one knows, including its own, in order. It
+// returns none where this process takes no part in gossip.
+func (f *Fleet) Peers() []string {
 	f.mu.Lock()
-	s, m := f.voter, f.membership
-	f.voter, f.membership = nil, nil
+	m := f.membership
 	f.mu.Unlock()
+	if m == nil {
+		return nil
+	}
+	return m.names()
+}
+
+// SetFloorOwner says whether the node's floors belong to this process, or to another process of the node.
+func (f *Fleet) SetFloorOwner(owner bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.holder.SetFloorOwner(owner, f.clock())
+}
+
+// HandOver releases the addresses of the voter and of gossip to another process of this node. Leases go on.
+func (f *Fleet) HandOver() {
+	v, m := f.takeServices()
 	if m != nil {
-		m.leave(told)
+		m.shutdown()
 	}
-	if s != nil {
-		s.close()
+	if v != nil {
+		v.close()
 	}
 }
 
-// Close ends all. The lease is not given back: the grants run out by themselves.
+// Close ends all goroutines. The lease is not given back: it expires by itself.
 func (f *Fleet) Close() {
 	f.cancel()
 	f.tasks.Wait()
-	f.leave(true)
+	v, m := f.takeServices()
+	if m != nil {
+		m.leave()
+	}
+	if v != nil {
+		v.close()
+	}
+}
+
+// takeServices returns the voter and the membership, which are the caller's to end from then on.
+func (f *Fleet) takeServices() (*voter, *membership) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	v, m := f.voter, f.membership
+	f.voter, f.membership = nil, nil
+	return v, m
 }
--- a/internal/fleet/handlers.go
+++ b/internal/fleet/handlers.go
@@ -6,17 +6,49 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
+	"time"
 
 	"github.com/hashicorp/raft"
 
 	"fernrail/internal/fleet/budget"
 )
 
-// authenticate lets calls of this fleet in, and no others.
-func (s *voter) authenticate(next http.Handler) http.Handler {
+// Paths of the calls between nodes and voters.
+const (
+	leasePath    = "/ask"
+	statusPath   = "/who"
+	joinPath     = "/admit"
+	setTotalPath = "/whole"
+)
+
+const (
+	// maxNameBytes bounds the names of a node and its process in a lease request, together.
+	maxNameBytes = 256
+	// maxTotalFactor bounds by how much operators may raise a total over the agreed one.
+	maxTotalFactor = 64
+)
+
+// newServer returns the server of the calls of nodes and other voters.
+func (v *voter) newServer() *http.Server {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST "+leasePath, v.handleLease)
+	mux.HandleFunc("POST "+statusPath, v.handleStatus)
+	mux.HandleFunc("POST "+joinPath, v.handleJoin)
+	mux.HandleFunc("POST "+setTotalPath, v.handleSetTotal)
+	return &http.Server{
+		Handler:        v.authenticate(mux),
+		ReadTimeout:    handshakeTimeout,
+		WriteTimeout:   handshakeTimeout + time.Duration(v.cfg.Agreement.Lease),
+		IdleTimeout:    idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+	}
+}
+
+// authenticate rejects calls that don't carry the token of this fleet and protocol version.
+func (v *voter) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
-		if !s.client.isAuthentic(r.Header.Get(tokenHeader)) {
-			s.streams.rejectUnauthenticated("a call of no node of this fleet and version")
+		if !v.client.isAuthentic(r.Header.Get(tokenHeader)) {
+			v.streams.rejectUnauthenticated("a call without the token of this fleet and protocol version")
 			out.Header().Set("Connection", "close")
 			http.Error(out, "not of this fleet, or of another version", http.StatusForbidden)
 			return
@@ -26,102 +58,131 @@
 	})
 }
 
-func decodeRequest(out http.ResponseWriter, r *http.Request, in any) bool {
-	d := json.NewDecoder(r.Body)
-	d.DisallowUnknownFields()
-	if err := d.Decode(in); err != nil {
+// decodeRequest reads the body of a call. If that is not valid it answers the call and returns false.
+func decodeRequest(out http.ResponseWriter, r *http.Request, request any) bool {
+	decoder := json.NewDecoder(r.Body)
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(request); err != nil {
 		http.Error(out, err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-func (s *voter) handleLease(out http.ResponseWriter, r *http.Request) {
-	a := &pendingRequest{response: make(chan *budget.LeaseResponse, 1)}
-	if !decodeRequest(out, r, &a.LeaseRequest) {
+func respond(out http.ResponseWriter, response any) {
+	// A write fails if the caller has gone; it calls again.
+	_ = json.NewEncoder(out).Encode(response)
+}
+
+// handleLease answers a lease request, or names the leader if this voter is not.
+func (v *voter) handleLease(out http.ResponseWriter, r *http.Request) {
+	request := &pendingRequest{response: make(chan *budget.LeaseResponse, 1)}
+	if !decodeRequest(out, r, &request.LeaseRequest) {
 		return
 	}
-	if pact, founded := s.agreementDigest(); founded && r.Header.Get(agreementHeader) != pact {
+	if digest, founded := v.agreementDigest(); founded && r.Header.Get(agreementHeader) != digest {
 		http.Error(out, errAgreementMismatch.Error(), http.StatusConflict)
 		return
 	}
-	if a.Node == "" || a.Holder == "" || len(a.Node)+len(a.Holder) > 256 {
+	if request.Node == "" || request.Holder == "" || len(request.Node)+len(request.Holder) > maxNameBytes {
 		http.Error(out, "no name", http.StatusBadRequest)
 		return
 	}
-	var given *budget.LeaseResponse
-	if s.isServing() {
-		select {
-		case s.pending <- a:
-			select {
-			case given = <-a.response:
-			case <-r.Context().Done():
-				return
-			}
-		default:
-			s.mu.Lock()
-			s.rejected++
-			s.mu.Unlock()
-		}
+	response := v.awaitResponse(r, request)
+	if r.Context().Err() != nil && response == nil {
+		return
 	}
-	if given == nil {
-		_, id := s.raft.LeaderWithID()
-		json.NewEncoder(out).Encode(leaderRedirect{nodeName(string(id))})
+	if response == nil {
+		_, leader := v.raft.LeaderWithID()
+		respond(out, leaderRedirect{Leader: nodeName(string(leader))})
 		return
 	}
-	json.NewEncoder(out).Encode(given)
+	respond(out, response)
+}
+
+// awaitResponse hands a request to the leader loop and waits for its response. It returns nil if this voter is not the
+// leader, if too many requests wait already, or if the caller has gone.
+func (v *voter) awaitResponse(r *http.Request, request *pendingRequest) *budget.LeaseResponse {
+	if !v.isServing() {
+		return nil
+	}
+	select {
+	case v.pending <- request:
+	default:
+		return nil
+	}
+	select {
+	case response := <-request.response:
+		return response
+	case <-r.Context().Done():
+		return nil
+	}
 }
 
-// agreementDigest is the digest of what was agreed on, once a grantor has reigned.
-func (s *voter) agreementDigest() (digest string, founded bool) {
-	s.state.mu.Lock()
-	defer s.state.mu.Unlock()
-	return s.state.ledger.Agreement.Digest(), s.state.ledger.Epoch > 0
+// agreementDigest returns the digest of what the cluster was founded with, once a leader term has begun.
+func (v *voter) agreementDigest() (digest string, founded bool) {
+	v.state.withLedger(func(ledger *budget.Ledger) {
+		digest = ledger.Agreement.Digest()
+		founded = ledger.Epoch > 0
+	})
+	return digest, founded
 }
 
-func (s *voter) handleStatus(out http.ResponseWriter, _ *http.Request) {
-	json.NewEncoder(out).Encode(statusResponse{s.name, s.id, s.isBlank()})
+func (v *voter) handleStatus(out http.ResponseWriter, _ *http.Request) {
+	respond(out, v.identity())
 }
 
-func (s *voter) handleJoin(out http.ResponseWriter, r *http.Request) {
-	var w statusResponse
-	if !decodeRequest(out, r, &w) {
+// handleJoin adds a voter that has lost its state to the cluster, if this voter is the leader.
+func (v *voter) handleJoin(out http.ResponseWriter, r *http.Request) {
+	var joining voterIdentity
+	if !decodeRequest(out, r, &joining) {
 		return
 	}
-	if s.raft.State() != raft.Leader {
+	if v.raft.State() != raft.Leader {
 		http.Error(out, errNotLeader.Error(), http.StatusMisdirectedRequest)
 		return
 	}
-	if err := s.addVoter(&w); err != nil {
+	if err := v.addVoter(&joining); err != nil {
 		http.Error(out, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	json.NewEncoder(out).Encode(statusResponse{s.name, s.id, false})
+	respond(out, voterIdentity{Name: v.name, ID: v.id})
 }
 
-func (s *voter) handleSetTotal(out http.ResponseWriter, r *http.Request) {
-	o := &adminCommand{done: make(chan error, 1)}
-	if !decodeRequest(out, r, &o.totals) {
+// handleSetTotal changes totals for an operator, if this voter is the leader.
+func (v *voter) handleSetTotal(out http.ResponseWriter, r *http.Request) {
+	command := &adminCommand{done: make(chan error, 1)}
+	if !decodeRequest(out, r, &command.totals) {
 		return
 	}
-	for name, whole := range o.totals {
-		t, is := s.cfg.Agreement.Budgets[name]
-		if least := t.Floor*s.cfg.Agreement.MaxNodes + t.Reserve; !is || whole < least || whole > t.Total*64 {
-			http.Error(out, fmt.Sprintf("%.40q: no such budget, or a whole under its floors and reserve (%d)", name, least), http.StatusBadRequest)
-			return
-		}
+	if err := v.validateTotals(command.totals); err != nil {
+		http.Error(out, err.Error(), http.StatusBadRequest)
+		return
 	}
-	if !s.isServing() {
+	if !v.isServing() {
 		http.Error(out, errNotLeader.Error(), http.StatusMisdirectedRequest)
 		return
 	}
 	select {
-	case s.commands <- o:
-		if err := <-o.done; err != nil {
-			http.Error(out, err.Error(), http.StatusServiceUnavailable)
-			return
-		}
-		json.NewEncoder(out).Encode(o.totals)
+	case v.commands <- command:
 	case <-r.Context().Done():
+		return
+	}
+	if err := <-command.done; err != nil {
+		http.Error(out, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	respond(out, command.totals)
+}
+
+// validateTotals checks that the budgets exist and that their totals cover the floors and the reserve.
+func (v *voter) validateTotals(totals map[string]int64) error {
+	for name, total := range totals {
+		limits, known := v.cfg.Agreement.Budgets[name]
+		least := limits.Floor*v.cfg.Agreement.MaxNodes + limits.Reserve
+		if !known || total < least || total > limits.Total*maxTotalFactor {
+			return fmt.Errorf("%.40q: no such budget, or a whole under its floors and reserve (%d)", name, least)
+		}
 	}
+	return nil
 }
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -12,172 +12,236 @@
 	"fernrail/internal/fleet/budget"
 )
 
-// pendingRequest is a request that waits for its answer.
+const (
+	// batchWindow is how long requests are collected into one log entry, so that one write to disk serves them all.
+	batchWindow = 5 * time.Millisecond
+	// maxBatch is the most requests in one log entry.
+	maxBatch = 512
+	// maxPending is the most requests that wait at a voter; more are rejected.
+	maxPending = 4096
+	// expiryInterval is the time between two searches for leases and cooldowns that are over.
+	expiryInterval = 25 * time.Millisecond
+)
+
+var (
+	// errVotersUnreachable ends a leader term: messages get through in one direction only, so that this leader stays
+	// elected and yet no node gets a lease.
+	errVotersUnreachable = errors.New("most voters' nodes get no responses of this leader")
+	// errLeadershipLost ends a leader term.
+	errLeadershipLost = errors.New("another voter was elected")
+)
+
+// pendingRequest is a lease request that waits for its response.
 type pendingRequest struct {
 	budget.LeaseRequest
-	response chan *budget.LeaseResponse // nil comes: not granted here
+	response chan *budget.LeaseResponse // receives one value; nil if this voter does not grant it
 }
 
-// adminCommand is an operators' change of a whole.
+// adminCommand is an operator's change of totals, by budget.
 type adminCommand struct {
 	totals map[string]int64
 	done   chan error
 }
 
-// runLeader grants for as long as this seat is the elected one.
-func (s *voter) runLeader(ctx context.Context) {
+// runLeader serves leases whenever this voter is elected, until the context ends.
+func (v *voter) runLeader(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case elected := <-s.raft.LeaderCh():
+		case elected := <-v.raft.LeaderCh():
 			if !elected {
 				continue
 			}
 		}
-		err := s.serveLeases(ctx)
-		s.mu.Lock()
-		s.serving, s.termError = false, ""
-		if err != nil {
-			s.termError = err.Error()
-		}
-		s.mu.Unlock()
+		err := v.serveLeases(ctx)
+		v.endTerm(err)
 		if ctx.Err() != nil {
 			return
 		}
-		s.log.Warn().Err(err).Msg("this seat grants no more")
-		s.rejectPending()
-		// Danger: a seat with a full disk that stays elected, and grants nothing. The others go on without it.
-		if s.raft.State() == raft.Leader {
-			s.raft.LeadershipTransfer().Error()
+		v.log.Warn().Err(err).Msg("leader term ended")
+		v.rejectPending()
+		// A voter whose disk is full could stay elected and grant nothing, so another one takes over.
+		if v.raft.State() == raft.Leader {
+			// If no other voter can take over there is nobody to hand over to, and the next election decides.
+			_ = v.raft.LeadershipTransfer().Error()
 		}
 	}
 }
 
-// serveLeases is one reign, up to its end.
-func (s *voter) serveLeases(ctx context.Context) error {
-	if err := s.raft.Barrier(time.Duration(s.cfg.Agreement.Lease)).Error(); err != nil {
-		return err
-	}
-	epoch := s.raft.CurrentTerm()
-	if _, err := s.commit(&budget.LogEntry{NewTerm: true, Epoch: epoch, Agreement: &s.cfg.Agreement, ClusterID: randomID()}); err != nil {
+// serveLeases is one leader term, up to its end. It returns why the term ended, nil if the context did.
+func (v *voter) serveLeases(ctx context.Context) error {
+	term, err := v.beginTerm()
+	if err != nil {
 		return err
 	}
-	s.state.mu.Lock()
-	reign := budget.NewLeaderTerm(s.state.ledger, epoch, s.clock())
-	s.state.mu.Unlock()
-	s.mu.Lock()
-	s.serving = true
-	s.mu.Unlock()
-	s.log.Info().Uint64("epoch", epoch).Msg("this seat grants")
-	var names []string
-	for _, x := range s.cfg.Voters {
-		names = append(names, x.Name)
-	}
-	tick := time.NewTicker(expiryInterval)
-	defer tick.Stop()
-	for s.raft.State() == raft.Leader {
+	ticker := time.NewTicker(expiryInterval)
+	defer ticker.Stop()
+	for v.raft.State() == raft.Leader {
 		var err error
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-tick.C:
-			if reign.Unreachable(names, s.clock()) {
-				return errors.New("most nodes with seats get no answers of this one")
-			}
-			s.state.mu.Lock()
-			due := reign.DueExpirations(s.clock())
-			s.state.mu.Unlock()
-			if due != nil {
-				if _, err = s.commit(due); err == nil {
-					s.state.mu.Lock()
-					reign.RecordApplied(s.state.ledger, due, nil, s.clock())
-					s.state.mu.Unlock()
-				}
-			}
-		case o := <-s.commands:
-			_, err = s.commit(&budget.LogEntry{Epoch: epoch, Totals: o.totals})
-			o.done <- err
-		case first := <-s.pending:
-			err = s.answerBatch(reign, s.collectBatch(first))
+		case <-ticker.C:
+			err = v.expireLeases(term)
+		case command := <-v.commands:
+			_, err = v.commit(&budget.LogEntry{Epoch: term.Epoch, Totals: command.totals})
+			command.done <- err
+		case first := <-v.pending:
+			err = v.answerBatch(term, v.collectBatch(first))
 		}
 		if err != nil {
 			return err
 		}
 	}
-	return errors.New("another seat was elected")
+	return errLeadershipLost
 }
 
-// recordClockRate keeps the nodes that say their clocks are beyond the margin, and names each as it turns out to be so.
-func (s *voter) recordClockRate(node string, of float64) {
-	s.mu.Lock()
-	_, was := s.skewedClocks[node]
-	if of != 0 {
-		s.skewedClocks[node] = of
-	} else {
-		delete(s.skewedClocks, node)
+// beginTerm waits until the ledger is up to date and has a majority write that this voter's term has begun.
+func (v *voter) beginTerm() (*budget.LeaderTerm, error) {
+	if err := v.raft.Barrier(time.Duration(v.cfg.Agreement.Lease)).Error(); err != nil {
+		return nil, err
+	}
+	epoch := v.raft.CurrentTerm()
+	_, err := v.commit(&budget.LogEntry{
+		NewTerm:   true,
+		Epoch:     epoch,
+		Agreement: &v.cfg.Agreement,
+		ClusterID: randomID(),
+	})
+	if err != nil {
+		return nil, err
+	}
+	var term *budget.LeaderTerm
+	v.state.withLedger(func(ledger *budget.Ledger) {
+		term = budget.NewLeaderTerm(ledger, epoch, v.clock())
+	})
+	v.mu.Lock()
+	v.serving = true
+	v.mu.Unlock()
+	v.log.Info().Uint64("epoch", epoch).Msg("became leader")
+	return term, nil
+}
+
+func (v *voter) endTerm(err error) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.serving = false
+	v.termError = ""
+	if err != nil {
+		v.termError = err.Error()
+	}
+}
+
+// isServing reports whether this voter is the leader and answers lease requests.
+func (v *voter) isServing() bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.serving
+}
+
+// expireLeases ends the leases and cooldowns that are over by now.
+func (v *voter) expireLeases(term *budget.LeaderTerm) error {
+	if term.Unreachable(v.voterNames(), v.clock()) {
+		return errVotersUnreachable
 	}
-	s.mu.Unlock()
-	if of != 0 && !was {
-		s.log.Error().Str("clock", node).Float64("rate", of).Float64("margin", s.cfg.Agreement.ClockMargin).Msg("a clock is beyond the margin: its node uses no lease")
+	var due *budget.LogEntry
+	v.state.withLedger(func(*budget.Ledger) {
+		due = term.DueExpirations(v.clock())
+	})
+	if due == nil {
+		return nil
 	}
+	if _, err := v.commit(due); err != nil {
+		return err
+	}
+	v.state.withLedger(func(ledger *budget.Ledger) {
+		term.RecordApplied(ledger, due, nil, v.clock())
+	})
+	return nil
 }
 
-// collectBatch gathers requests that come within a moment.
-func (s *voter) collectBatch(first *pendingRequest) []*pendingRequest {
-	all, enough := []*pendingRequest{first}, time.NewTimer(batchWindow)
-	defer enough.Stop()
-	for len(all) < maxBatch {
+func (v *voter) voterNames() []string {
+	names := make([]string, 0, len(v.cfg.Voters))
+	for _, peer := range v.cfg.Voters {
+		names = append(names, peer.Name)
+	}
+	return names
+}
+
+// collectBatch returns the first request and those that come within batchWindow of it.
+func (v *voter) collectBatch(first *pendingRequest) []*pendingRequest {
+	batch := []*pendingRequest{first}
+	timer := time.NewTimer(batchWindow)
+	defer timer.Stop()
+	for len(batch) < maxBatch {
 		select {
-		case a := <-s.pending:
-			all = append(all, a)
-		case <-enough.C:
-			return all
+		case request := <-v.pending:
+			batch = append(batch, request)
+		case <-timer.C:
+			return batch
 		}
 	}
-	return all
+	return batch
 }
 
-func (s *voter) answerBatch(reign *budget.LeaderTerm, all []*pendingRequest) error {
-	e := &budget.LogEntry{Epoch: reign.Epoch}
-	for _, a := range all {
-		s.recordClockRate(a.Node, a.ClockRate)
-		reign.ObserveRequest(&a.LeaseRequest, s.clock())
-		e.Requests = append(e.Requests, a.LeaseRequest)
+// answerBatch commits the requests as one log entry and answers each of them. It returns an error if that was not
+// committed.
+func (v *voter) answerBatch(term *budget.LeaderTerm, batch []*pendingRequest) error {
+	entry := &budget.LogEntry{Epoch: term.Epoch}
+	for _, request := range batch {
+		v.recordClockRate(request.Node, request.ClockRate)
+		term.ObserveRequest(&request.LeaseRequest, v.clock())
+		entry.Requests = append(entry.Requests, request.LeaseRequest)
 	}
-	answers, err := s.commit(e)
-	if err == nil {
-		s.state.mu.Lock()
-		reign.RecordApplied(s.state.ledger, e, answers, s.clock())
-		s.state.mu.Unlock()
+	responses, err := v.commit(entry)
+	if err != nil {
+		for _, request := range batch {
+			request.response <- nil
+		}
+		return err
 	}
-	for i, a := range all {
-		if err != nil {
-			a.response <- nil
-		} else {
-			if answers[i] != nil {
-				answers[i].LeaderTime = s.clock()
-			}
-			a.response <- answers[i]
+	v.state.withLedger(func(ledger *budget.Ledger) {
+		term.RecordApplied(ledger, entry, responses, v.clock())
+	})
+	for i, request := range batch {
+		if responses[i] != nil {
+			responses[i].LeaderTime = v.clock()
 		}
+		request.response <- responses[i]
 	}
-	return err
+	return nil
 }
 
-// rejectPending answers those that still wait.
-func (s *voter) rejectPending() {
+// recordClockRate keeps which nodes proved that their clock's rate differs from the leader's by more than the margin;
+// 0 says that a node's does not. Each is logged once.
+func (v *voter) recordClockRate(node string, clockRate float64) {
+	v.mu.Lock()
+	_, known := v.skewedClocks[node]
+	if clockRate != 0 {
+		v.skewedClocks[node] = clockRate
+	} else {
+		delete(v.skewedClocks, node)
+	}
+	v.mu.Unlock()
+	if clockRate == 0 || known {
+		return
+	}
+	v.log.Error().
+		Str("clock", node).
+		Float64("rate", clockRate).
+		Float64("margin", v.cfg.Agreement.ClockMargin).
+		Msg("clock skew of a node exceeds the margin; it uses no lease")
+}
+
+// rejectPending answers the requests that still wait when a leader term has ended.
+func (v *voter) rejectPending() {
 	for {
 		select {
-		case a := <-s.pending:
-			a.response <- nil
+		case request := <-v.pending:
+			request.response <- nil
 		default:
 			return
 		}
 	}
 }
-
-func (s *voter) isServing() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.serving
-}
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -16,194 +16,254 @@
 
 	"github.com/hashicorp/memberlist"
 	"github.com/rs/zerolog"
-	"golang.org/x/time/rate"
 
 	"fernrail/internal/config"
 )
 
-// membership is who is there, as nodes tell each other. It is a hint: nothing that has to hold rests on it.
+const (
+	// rejoinFactor is the time between two attempts to reach nodes that are not there, in election timeouts. Without
+	// them two halves of a fleet that took each other for dead during a network split would never join again.
+	rejoinFactor = 10
+	// maxAwarenessMultiplier lets a node that is cut off probe the others nearly as often as it does otherwise.
+	maxAwarenessMultiplier = 2
+	// retransmitFactor scales how many times a report is sent on by each node.
+	retransmitFactor = 2
+	// gossipLogInterval is the least time between two log lines of the gossip library.
+	gossipLogInterval = time.Second
+	// gossipLogBurst is how many log lines of the gossip library may come at once.
+	gossipLogBurst = 2
+)
+
+// gossipConfig is what a process takes part in gossip with.
+type gossipConfig struct {
+	name     string // of this node
+	fleet    *config.Fleet
+	onChange func()       // called after nodes joined or left
+	onReport func([]byte) // called with each report on servers; nil: nodes don't send any
+	log      zerolog.Logger
+}
+
+// membership is which nodes are alive, as they tell each other. No budget depends on it.
 type membership struct {
-	name       string
-	cfg        *config.Fleet
-	log        zerolog.Logger
+	gossipConfig
 	list       *memberlist.Memberlist
+	broadcasts memberlist.TransmitLimitedQueue
 	tasks      sync.WaitGroup
 	cancel     context.CancelFunc
-	onChange   func()       // of each change
-	onReport   func([]byte) // what others say of executors; nil: that is off
-	broadcasts memberlist.TransmitLimitedQueue
 
-	mu         sync.Mutex
-	alive      map[string]string // by name: the addresses of those that are there, copied as the library tells of them
-	gone       map[string]string // of those that were
-	duplicates map[string]string // names that two nodes have: the other one's address
+	mu         sync.Mutex        // guards what follows
+	alive      map[string]string // addresses by node, copied as the library notifies of them
+	gone       map[string]string // addresses by node of those that were alive
+	duplicates map[string]string // by node: the address of another node of the same name
 }
 
-// rejoinIntervals is between two looks for those that are not there, in paces. Danger: two halves of a fleet that took each other for
-// dead during a split never call each other again.
-const rejoinIntervals = 10
-
-// joinGossip takes part in the gossip.
-func joinGossip(ctx context.Context, name string, plan *config.Fleet, told func(), hear func([]byte), log zerolog.Logger) (*membership, error) {
-	ctx, stop := context.WithCancel(ctx)
-	m := &membership{name: name, cfg: plan, log: log, cancel: stop, onChange: told, onReport: hear, alive: map[string]string{}, gone: map[string]string{}, duplicates: map[string]string{}}
-	host, port, err := net.SplitHostPort(plan.Gossip)
-	if err != nil {
-		stop()
-		return nil, err
+// joinGossip takes part in the gossip of the fleet.
+func joinGossip(ctx context.Context, c gossipConfig) (*membership, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	m := &membership{
+		gossipConfig: c,
+		cancel:       cancel,
+		alive:        map[string]string{},
+		gone:         map[string]string{},
+		duplicates:   map[string]string{},
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.BindAddr, c.AdvertiseAddr = name, host, host
-	if c.BindPort, err = strconv.Atoi(port); err != nil {
-		stop()
+	m.broadcasts.RetransmitMult = retransmitFactor
+	m.broadcasts.NumNodes = m.count
+	if err := m.create(); err != nil {
+		cancel()
 		return nil, err
 	}
-	c.AdvertisePort = c.BindPort
-	key := sha256.Sum256(fmt.Appendf(nil, "fernrail gossip %d %s", protocolVersion, plan.Secret))
-	c.SecretKey = key[:]
-	c.ProbeInterval, c.ProbeTimeout = 2*plan.ElectionTimeout, plan.ElectionTimeout
-	c.AwarenessMaxMultiplier = 2 // a node that is cut off looks at the others as often, or nearly
-	c.GossipInterval, c.PushPullInterval = plan.ElectionTimeout, rejoinIntervals*plan.ElectionTimeout
-	c.TCPTimeout = 4 * plan.ElectionTimeout
-	c.LogOutput = &libraryLogWriter{log, "gossip", rate.NewLimiter(1, 2)}
-	c.Events, c.Conflict = m, m
-	if hear != nil {
-		c.Delegate, c.GossipInterval = m, plan.ElectionTimeout/3 // news of failures goes two or three nodes far, each in its turn
+	m.tasks.Go(func() { m.rejoinMissing(ctx) })
+	return m, nil
+}
+
+// create opens the address of gossip.
+func (m *membership) create() error {
+	settings, err := m.settings()
+	if err != nil {
+		return err
+	}
+	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+		BindAddrs: []string{settings.BindAddr},
+		BindPort:  settings.BindPort,
+	})
+	if err != nil {
+		return err
 	}
-	m.broadcasts.RetransmitMult, m.broadcasts.NumNodes = 2, func() int {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		return max(len(m.alive), 1)
+	settings.Transport = &routedTransport{NetTransport: transport, routes: m.fleet.Routes}
+	m.list, err = memberlist.Create(settings)
+	if err != nil {
+		// The error above is the one to report.
+		_ = transport.Shutdown()
 	}
-	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: c.BindPort, Logger: nil})
+	return err
+}
+
+// settings returns the library's configuration, with all times in proportion to the election timeout.
+func (m *membership) settings() (*memberlist.Config, error) {
+	host, port, err := net.SplitHostPort(m.fleet.Gossip)
 	if err != nil {
-		stop()
 		return nil, err
 	}
-	c.Transport = &routedTransport{inner, plan.Routes}
-	if m.list, err = memberlist.Create(c); err != nil {
-		inner.Shutdown()
-		stop()
+	settings := memberlist.DefaultLANConfig()
+	settings.Name = m.name
+	settings.BindAddr = host
+	settings.AdvertiseAddr = host
+	settings.BindPort, err = strconv.Atoi(port)
+	if err != nil {
 		return nil, err
 	}
-	m.tasks.Go(func() { m.rejoinMissing(ctx) })
-	return m, nil
+	settings.AdvertisePort = settings.BindPort
+	key := sha256.Sum256(fmt.Appendf(nil, "fernrail gossip %d %s", protocolVersion, m.fleet.Secret))
+	settings.SecretKey = key[:]
+	electionTimeout := m.fleet.ElectionTimeout
+	settings.ProbeInterval = 2 * electionTimeout
+	settings.ProbeTimeout = electionTimeout
+	settings.AwarenessMaxMultiplier = maxAwarenessMultiplier
+	settings.GossipInterval = electionTimeout
+	settings.PushPullInterval = rejoinFactor * electionTimeout
+	settings.TCPTimeout = 4 * electionTimeout
+	settings.LogOutput = newLibraryLogWriter("gossip", gossipLogInterval, gossipLogBurst, m.log)
+	settings.Events = m
+	settings.Conflict = m
+	if m.onReport != nil {
+		settings.Delegate = m
+		// A report reaches most nodes by way of one or two others, each of which sends it in its own turn.
+		settings.GossipInterval = electionTimeout / 3
+	}
+	return settings, nil
 }
 
-// rejoinMissing calls those that are not there: the ones to join at, and those that were there before.
+// count returns the number of nodes that are alive, at least one.
+func (m *membership) count() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return max(len(m.alive), 1)
+}
+
+// rejoinMissing tries to reach nodes that are not alive, until the context ends.
 func (m *membership) rejoinMissing(ctx context.Context) {
-	tick := time.NewTicker(rejoinIntervals * m.cfg.ElectionTimeout)
-	defer tick.Stop()
+	ticker := time.NewTicker(rejoinFactor * m.fleet.ElectionTimeout)
+	defer ticker.Stop()
 	for {
-		there := map[string]bool{}
-		var missing []string
-		m.mu.Lock()
-		for _, address := range m.alive {
-			there[address] = true
-		}
-		for _, address := range m.gone {
-			missing = append(missing, address)
-		}
-		m.mu.Unlock()
-		for _, address := range slices.Compact(slices.Sorted(slices.Values(append(missing, m.cfg.Join...)))) {
-			if !there[address] && ctx.Err() == nil {
-				m.list.Join([]string{address})
+		for _, address := range m.missing() {
+			if ctx.Err() == nil {
+				// A node that is not reached is tried again in the next round.
+				_, _ = m.list.Join([]string{address})
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// leave ends it; told says that the others are to hear of it, which they are not where another process of the node goes on.
-func (m *membership) leave(told bool) {
-	m.cancel()
-	if told {
-		m.list.Leave(m.cfg.ElectionTimeout)
+// missing returns the addresses to join at, and those of nodes that were alive once, without those that are alive.
+func (m *membership) missing() []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	alive := map[string]bool{}
+	for _, address := range m.alive {
+		alive[address] = true
 	}
-	m.list.Shutdown()
-	m.tasks.Wait()
+	addresses := slices.Clone(m.fleet.Join)
+	for _, address := range m.gone {
+		addresses = append(addresses, address)
+	}
+	slices.Sort(addresses)
+	addresses = slices.Compact(addresses)
+	return slices.DeleteFunc(addresses, func(address string) bool { return alive[address] })
 }
 
-// NotifyJoin implements memberlist.EventDelegate, as do the two after it.
-func (m *membership) NotifyJoin(n *memberlist.Node) { m.recordMember(n, true) }
-
-// NotifyLeave is told of nodes that left, or are taken for dead.
-func (m *membership) NotifyLeave(n *memberlist.Node) { m.recordMember(n, false) }
+// leave tells the other nodes that this one leaves, and ends its part.
+func (m *membership) leave() {
+	m.cancel()
+	// Nodes that this was not told to find out by their health checks.
+	_ = m.list.Leave(m.fleet.ElectionTimeout)
+	m.shutdown()
+}
 
-// NotifyUpdate is told of nodes that have changed.
-func (m *membership) NotifyUpdate(*memberlist.Node) {}
+// shutdown ends this process's part without telling the others, as another process of the node continues.
+func (m *membership) shutdown() {
+	m.cancel()
+	// It fails only if it was called before.
+	_ = m.list.Shutdown()
+	m.tasks.Wait()
+}
 
-func (m *membership) recordMember(n *memberlist.Node, there bool) {
+// NotifyJoin implements memberlist.EventDelegate.
+func (m *membership) NotifyJoin(node *memberlist.Node) {
 	m.mu.Lock()
-	from, to := m.alive, m.gone
-	if there {
-		from, to = to, from
-	}
-	delete(from, n.Name)
-	to[n.Name] = n.Address()
+	delete(m.gone, node.Name)
+	m.alive[node.Name] = node.Address()
 	m.mu.Unlock()
-	m.log.Info().Str("member", n.Name).Bool("there", there).Msg("members")
+	m.log.Info().Str("member", node.Name).Msg("member joined")
 	m.onChange()
 }
 
-// broadcast has a node's news go about with gossip, in place of its older ones. Danger: news without bound; what does not fit into gossip's
-// packets waits, and is overtaken.
-func (m *membership) broadcast(node string, text []byte) {
-	m.broadcasts.QueueBroadcast(reportBroadcast{node, text})
-}
-
-// NodeMeta implements memberlist.Delegate, as do the four after it.
-func (m *membership) NodeMeta(int) []byte { return nil }
-
-func (m *membership) NotifyMsg(text []byte) { m.onReport(text) }
-
-func (m *membership) GetBroadcasts(overhead, limit int) [][]byte {
-	return m.broadcasts.GetBroadcasts(overhead, limit)
-}
-
-func (m *membership) LocalState(bool) []byte { return nil }
-
-func (m *membership) MergeRemoteState(text []byte, joined bool) {}
-
-// names of those that are there.
-func (m *membership) names() []string {
+// NotifyLeave implements memberlist.EventDelegate. It is called for nodes that left and for those taken for dead.
+func (m *membership) NotifyLeave(node *memberlist.Node) {
 	m.mu.Lock()
-	defer m.mu.Unlock()
-	return slices.Sorted(maps.Keys(m.alive))
+	delete(m.alive, node.Name)
+	m.gone[node.Name] = node.Address()
+	m.mu.Unlock()
+	m.log.Info().Str("member", node.Name).Msg("member left")
+	m.onChange()
 }
 
-// NotifyConflict implements memberlist.ConflictDelegate.
-// Danger: two nodes of one name have one node's floors together, each all of them.
+// NotifyUpdate implements memberlist.EventDelegate.
+func (m *membership) NotifyUpdate(*memberlist.Node) {}
+
+// NotifyConflict implements memberlist.ConflictDelegate. Two nodes of one name both use the floors that were set aside
+// for one.
 func (m *membership) NotifyConflict(existing, other *memberlist.Node) {
 	m.mu.Lock()
-	_, was := m.duplicates[existing.Name]
+	_, known := m.duplicates[existing.Name]
 	m.duplicates[existing.Name] = other.Address()
 	m.mu.Unlock()
-	if !was {
-		m.log.Error().Str("name", existing.Name).Str("at", existing.Address()).Str("and_at", other.Address()).Msg("two nodes have one name: rename one of them")
+	if known {
+		return
 	}
+	m.log.Error().
+		Str("name", existing.Name).
+		Str("at", existing.Address()).
+		Str("and_at", other.Address()).
+		Msg("two nodes have the same name; rename one of them")
 }
 
-func (m *membership) status() (out []MemberStatus) {
+// names returns the nodes that are alive, in order.
+func (m *membership) names() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for state, of := range map[string]map[string]string{"alive": m.alive, "gone": m.gone} {
-		for name, address := range of {
-			out = append(out, MemberStatus{name, address, state, m.duplicates[name]})
-		}
-	}
-	slices.SortFunc(out, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
-	return out
+	return slices.Sorted(maps.Keys(m.alive))
 }
 
-// MemberStatus is one node as this one believes.
+// MemberStatus is one node as this one knows it.
 type MemberStatus struct {
 	Name             string `json:"name"`
 	Address          string `json:"address"`
-	State            string `json:"state"`              // alive, suspect, gone
-	DuplicateAddress string `json:"twice_at,omitempty"` // another node of the same name
+	State            string `json:"state"`              // alive or gone
+	DuplicateAddress string `json:"twice_at,omitempty"` // of another node of the same name
+}
+
+func (m *membership) status() []MemberStatus {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var members []MemberStatus
+	add := func(state string, addresses map[string]string) {
+		for name, address := range addresses {
+			members = append(members, MemberStatus{
+				Name:             name,
+				Address:          address,
+				State:            state,
+				DuplicateAddress: m.duplicates[name],
+			})
+		}
+	}
+	add("alive", m.alive)
+	add("gone", m.gone)
+	slices.SortFunc(members, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
+	return members
 }
--- a/internal/fleet/reservation.go
+++ b/internal/fleet/reservation.go
@@ -2,100 +2,106 @@
 
 package fleet
 
-import (
-	"fernrail/internal/config"
-	"fernrail/internal/fleet/budget"
-)
+import "fernrail/internal/fleet/budget"
 
-// Reservation is what one sending takes of several budgets. The zero one is of none.
+// Reservation is what one send takes of several budgets. The zero value takes nothing.
 type Reservation struct {
-	fleet          *Fleet
+	fleet          *Fleet // nil while nothing is taken
 	isFirstAttempt bool
 	usages         []reservedUsage
 }
 
 type reservedUsage struct {
-	share *quota
-	name  string
-	use   *budget.Usage
+	quota *quota
+	name  string // of the quota
+	usage *budget.Usage
 }
 
-// Reserve reserves units of one more budget; false: there are none left, and nothing may be sent.
-func (c *Reservation) Reserve(f *Fleet, name, key string, units float64) bool {
+// Reserve takes units of one more budget for a key. It returns false if there are too few left: nothing may be sent
+// then.
+func (r *Reservation) Reserve(f *Fleet, budgetName, key string, units float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	name = f.quotaName(name, key)
-	s := f.quotas[name]
-	if s == nil {
+	name, q := f.quota(budgetName, key)
+	if q == nil {
 		return true
 	}
-	c.fleet = f
+	r.fleet = f
 	now := f.clock()
-	use := s.meter.Reserve(key, units, f.holder.Units(name, now), now)
-	if use == nil {
+	usage := q.meter.Reserve(key, units, f.holder.Units(name, now), now)
+	if usage == nil {
 		f.hurryRequest()
 		return false
 	}
-	c.usages = append(c.usages, reservedUsage{s, name, use})
+	r.usages = append(r.usages, reservedUsage{quota: q, name: name, usage: usage})
 	return true
 }
 
-// CountFirstAttempt has the sending counted as a first posting, of which second ones may be a share.
-func (c *Reservation) CountFirstAttempt(f *Fleet) { c.fleet, c.isFirstAttempt = f, true }
+// CountFirstAttempt has the send counted as the first attempt of a request. The total of retries may be a ratio of
+// these.
+func (r *Reservation) CountFirstAttempt(f *Fleet) {
+	r.fleet = f
+	r.isFirstAttempt = true
+}
 
-// MaySend says whether what was reserved may go out at this very moment. Sent has to be called once it has.
-func (c *Reservation) MaySend() bool {
-	if c.fleet == nil {
+// MaySend reports whether the leases still cover what was reserved at this very moment. If they do, the caller sends
+// and then calls Sent.
+func (r *Reservation) MaySend() bool {
+	f := r.fleet
+	if f == nil {
 		return true
 	}
-	f := c.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	for _, u := range c.usages {
-		if !u.share.meter.Send(u.use, f.holder.Units(u.name, now), now) {
-			u.share.heldBack++
+	for _, u := range r.usages {
+		if !u.quota.meter.Send(u.usage, f.holder.Units(u.name, now), now) {
+			u.quota.heldBack++
 			return false
 		}
 	}
-	for _, u := range c.usages {
-		u.share.sent++
+	for _, u := range r.usages {
+		u.quota.sent++
 	}
-	if c.isFirstAttempt {
+	if r.isFirstAttempt {
 		f.firstAttempts.Record("", 1, now)
 	}
 	return true
 }
 
-// Sent counts what slipped: sent under a lease that had run out by the time the write was over. A process can be stopped
-// between any two of its steps.
-func (c *Reservation) Sent() {
-	if c.fleet == nil {
+// Sent counts the budgets whose lease had expired by the time the write was over. A process can be stopped between any
+// two of its steps, so that MaySend can't rule that out.
+func (r *Reservation) Sent() {
+	f := r.fleet
+	if f == nil {
 		return
 	}
-	f := c.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
-	for _, u := range c.usages {
-		if u.share.meter.Used(u.use.Key(), now) > float64(f.holder.Units(u.name, now)) && now >= f.holder.LeaseExpiry() {
-			u.share.sentAfterExpiry++
+	expired := now >= f.holder.LeaseExpiry()
+	for _, u := range r.usages {
+		covered := u.quota.meter.Used(u.usage.Key(), now) <= float64(f.holder.Units(u.name, now))
+		if expired && !covered {
+			u.quota.sentAfterExpiry++
 		}
 	}
 }
 
-// Release gives back what never left; over says that what was sent is known to have ended, so that jobs in flight are given back
-// as well. What else was sent counts for its window.
-func (c *Reservation) Release(over bool) {
-	if c.fleet == nil {
+// Release gives back what was reserved and never sent. over says that what was sent is known to have ended, so that the
+// tenant's attempts in flight are given back as well. All else that was sent counts until its window is over.
+func (r *Reservation) Release(over bool) {
+	f := r.fleet
+	if f == nil {
 		return
 	}
-	c.fleet.mu.Lock()
-	defer c.fleet.mu.Unlock()
-	for _, u := range c.usages {
-		if u.share.meter.Cancel(u.use); over && u.name == c.fleet.quotaName(config.BudgetTenantAttempts, u.use.Key()) {
-			u.share.meter.Release(u.use)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, u := range r.usages {
+		u.quota.meter.Cancel(u.usage)
+		if over && f.isTenantQuota(u.name, u.usage.Key()) {
+			u.quota.meter.Release(u.usage)
 		}
 	}
-	c.usages = nil
+	r.usages = nil
 }
--- a/internal/fleet/routed_transport.go
+++ b/internal/fleet/routed_transport.go
@@ -9,33 +9,37 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// routedTransport is a transport that reaches some addresses by others.
+// routedTransport is a gossip transport that reaches some addresses by way of others.
 type routedTransport struct {
 	*memberlist.NetTransport
-	routes map[string]string
+	routes map[string]string // the address to use, by the one that gossip names
 }
 
-func (r *routedTransport) route(address string) string {
-	if to, is := r.routes[address]; is {
-		return to
+func (t *routedTransport) route(address string) string {
+	if route, found := t.routes[address]; found {
+		return route
 	}
 	return address
 }
 
-func (r *routedTransport) WriteTo(b []byte, address string) (time.Time, error) {
-	return r.NetTransport.WriteTo(b, r.route(address))
+// WriteTo implements memberlist.Transport.
+func (t *routedTransport) WriteTo(b []byte, address string) (time.Time, error) {
+	return t.NetTransport.WriteTo(b, t.route(address))
 }
 
-func (r *routedTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	a.Addr = r.route(a.Addr)
-	return r.NetTransport.WriteToAddress(b, a)
+// WriteToAddress implements memberlist.NodeAwareTransport.
+func (t *routedTransport) WriteToAddress(b []byte, address memberlist.Address) (time.Time, error) {
+	address.Addr = t.route(address.Addr)
+	return t.NetTransport.WriteToAddress(b, address)
 }
 
-func (r *routedTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
-	return r.NetTransport.DialTimeout(r.route(address), timeout)
+// DialTimeout implements memberlist.Transport.
+func (t *routedTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	return t.NetTransport.DialTimeout(t.route(address), timeout)
 }
 
-func (r *routedTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	a.Addr = r.route(a.Addr)
-	return r.NetTransport.DialAddressTimeout(a, timeout)
+// DialAddressTimeout implements memberlist.NodeAwareTransport.
+func (t *routedTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	address.Addr = t.route(address.Addr)
+	return t.NetTransport.DialAddressTimeout(address, timeout)
 }
--- a/internal/fleet/state_machine.go
+++ b/internal/fleet/state_machine.go
@@ -13,71 +13,87 @@
 	"fernrail/internal/fleet/budget"
 )
 
-// stateMachine are the replicated state; raft alone changes it.
+// stateMachine is the replicated ledger. It implements raft.FSM; only the raft library changes it.
 type stateMachine struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards ledger
 	ledger *budget.Ledger
 }
 
+// applyResult is what Apply hands to the voter that proposed the entry.
 type applyResult struct {
-	responses []*budget.LeaseResponse
+	responses []*budget.LeaseResponse // to the requests of the entry, nil for those that get none
 	err       error
 }
 
-func (b *stateMachine) Apply(l *raft.Log) any {
-	var e budget.LogEntry
-	if err := json.Unmarshal(l.Data, &e); err != nil {
+// withLedger calls f while nobody changes the ledger.
+func (m *stateMachine) withLedger(f func(ledger *budget.Ledger)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	f(m.ledger)
+}
+
+// Apply implements raft.FSM.
+func (m *stateMachine) Apply(entry *raft.Log) any {
+	var decoded budget.LogEntry
+	if err := json.Unmarshal(entry.Data, &decoded); err != nil {
 		return applyResult{err: err}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	answers, err := b.ledger.Apply(&e)
-	return applyResult{answers, err}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	responses, err := m.ledger.Apply(&decoded)
+	return applyResult{responses: responses, err: err}
 }
 
-func (b *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	text, err := json.Marshal(b.ledger)
+// Snapshot implements raft.FSM.
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	text, err := json.Marshal(m.ledger)
 	return ledgerSnapshot(text), err
 }
 
-func (b *stateMachine) Restore(r io.ReadCloser) error {
-	defer r.Close()
-	fresh := budget.NewLedger()
-	if err := json.NewDecoder(r).Decode(fresh); err != nil {
+// Restore implements raft.FSM.
+func (m *stateMachine) Restore(snapshot io.ReadCloser) error {
+	defer snapshot.Close()
+	ledger := budget.NewLedger()
+	if err := json.NewDecoder(snapshot).Decode(ledger); err != nil {
 		return err
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.ledger = fresh
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.ledger = ledger
 	return nil
 }
 
+// ledgerSnapshot is the ledger in JSON at one moment.
 type ledgerSnapshot []byte
 
-func (i ledgerSnapshot) Persist(sink raft.SnapshotSink) error {
-	if _, err := sink.Write(i); err != nil {
-		sink.Cancel()
+// Persist implements raft.FSMSnapshot.
+func (s ledgerSnapshot) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
+		// The error of the write is the one to report; an incomplete snapshot is never used.
+		_ = sink.Cancel()
 		return err
 	}
 	return sink.Close()
 }
 
-func (i ledgerSnapshot) Release() {}
+// Release implements raft.FSMSnapshot.
+func (s ledgerSnapshot) Release() {}
 
-// commit has a step agreed on by most seats, and gives what came of it.
-// Danger: a seat that was stopped and goes on believes that it is still the one that grants. Nothing is answered before
-// most seats have written the step down under its reign, and that proves that no other reign had begun when they did.
-func (s *voter) commit(e *budget.LogEntry) ([]*budget.LeaseResponse, error) {
-	text, err := json.Marshal(e)
+// commit has most voters write an entry, and returns the responses that come of applying it.
+//
+// A voter that was stopped and continues still believes that it is the leader. Nothing is answered before a majority
+// has written the entry in this voter's term, which proves that no later term had begun by then.
+func (v *voter) commit(entry *budget.LogEntry) ([]*budget.LeaseResponse, error) {
+	text, err := json.Marshal(entry)
 	if err != nil {
 		return nil, err
 	}
-	f := s.raft.Apply(text, time.Duration(s.cfg.Agreement.Lease))
-	if err := f.Error(); err != nil {
+	future := v.raft.Apply(text, time.Duration(v.cfg.Agreement.Lease))
+	if err := future.Error(); err != nil {
 		return nil, err
 	}
-	done := f.Response().(applyResult)
-	return done.responses, done.err
+	result := future.Response().(applyResult)
+	return result.responses, result.err
 }
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -14,88 +14,131 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// openStore opens what the seat has agreed to. Without a directory it begins anew, under another id, at each start.
-// Danger: a seat that has lost its memory and answers as before would vote twice in one election, and forget what it had
-// agreed to have granted. The id is lost with the memory, and whoever has another id is not part of the group.
-func (s *voter) openStore() (logs raft.LogStore, stable raft.StableStore, snaps raft.SnapshotStore, err error) {
-	if s.cfg.DataDir == "" {
-		s.id = s.name + "/" + randomID()
+const (
+	// storeFile is the bolt file with the raft log, term and vote, in the voter's data directory.
+	storeFile = "seat.db"
+	// retainedSnapshots is how many snapshots are kept on disk.
+	retainedSnapshots = 2
+	// writeRetryInterval is the time between two attempts to write to a disk that takes nothing.
+	writeRetryInterval = time.Second
+)
+
+// voterIDKey is the key in the bolt file under which the voter's id is stored.
+var voterIDKey = []byte("fernrail id")
+
+// errForeignStore says that the data directory was written by another node's voter.
+var errForeignStore = errors.New("the data directory belongs to another voter")
+
+// raftStorage is what the raft library keeps its state in.
+type raftStorage struct {
+	logs      raft.LogStore
+	stable    raft.StableStore
+	snapshots raft.SnapshotStore
+}
+
+// openStore opens the voter's state and sets its id.
+//
+// The id is part of the state. A voter that lost its state and kept its id could vote twice in one election, and would
+// forget grants that it had acknowledged. Under a new id it is no member of the cluster until the others add it.
+func (v *voter) openStore() (*raftStorage, error) {
+	if v.cfg.DataDir == "" {
+		v.id = newVoterID(v.name)
 		store := raft.NewInmemStore()
-		return store, store, raft.NewInmemSnapshotStore(), nil
+		return &raftStorage{logs: store, stable: store, snapshots: raft.NewInmemSnapshotStore()}, nil
+	}
+	if err := os.MkdirAll(v.cfg.DataDir, 0o700); err != nil {
+		return nil, err
 	}
-	if err := os.MkdirAll(s.cfg.DataDir, 0o700); err != nil {
-		return nil, nil, nil, err
+	store, err := raftboltdb.NewBoltStore(filepath.Join(v.cfg.DataDir, storeFile))
+	if err != nil {
+		return nil, err
+	}
+	v.store = store
+	if v.id, err = loadVoterID(store, v.name); err != nil {
+		return nil, err
 	}
-	store, err := raftboltdb.NewBoltStore(filepath.Join(s.cfg.DataDir, "seat.db"))
+	if owner := nodeName(v.id); owner != v.name {
+		return nil, fmt.Errorf("%w: %s is of %s", errForeignStore, v.cfg.DataDir, owner)
+	}
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(v.cfg.DataDir, retainedSnapshots, hclog.NewNullLogger())
 	if err != nil {
-		return nil, nil, nil, err
+		return nil, err
 	}
-	s.store = store
-	id, err := store.Get([]byte("fernrail id"))
+	retrying := &retryingStore{BoltStore: store, voter: v}
+	return &raftStorage{logs: retrying, stable: retrying, snapshots: snapshots}, nil
+}
+
+// loadVoterID returns the id in the store. A store without one is new and gets one.
+func loadVoterID(store *raftboltdb.BoltStore, node string) (string, error) {
+	stored, err := store.Get(voterIDKey)
 	if err != nil && !errors.Is(err, raftboltdb.ErrKeyNotFound) {
-		return nil, nil, nil, err
+		return "", err
 	}
-	if len(id) == 0 {
-		id = []byte(s.name + "/" + randomID())
-		if err := store.Set([]byte("fernrail id"), id); err != nil {
-			return nil, nil, nil, err
-		}
+	if len(stored) > 0 {
+		return string(stored), nil
 	}
-	// Danger: a directory that was another seat's.
-	if s.id = string(id); nodeName(s.id) != s.name {
-		return nil, nil, nil, fmt.Errorf("%s is the memory of %s", s.cfg.DataDir, nodeName(s.id))
+	id := newVoterID(node)
+	if err := store.Set(voterIDKey, []byte(id)); err != nil {
+		return "", err
 	}
-	snaps, err = raft.NewFileSnapshotStoreWithLogger(s.cfg.DataDir, 2, hclog.NewNullLogger())
-	own := &retryingStore{store, s}
-	return own, own, snaps, err
+	return id, nil
 }
 
-// retryingStore is what the group needs to have written before it goes on: terms and votes. The library ends the whole process if
-// that fails. Here it waits: a seat whose disk takes nothing is silent, as a dead one is, and goes on once it does.
+// retryingStore retries writes of the raft term and vote until they succeed. The raft library ends the whole process
+// if such a write fails. Instead this voter is silent, as one that is down, and continues once the disk takes writes
+// again.
 type retryingStore struct {
 	*raftboltdb.BoltStore
 	voter *voter
 }
 
-func (d *retryingStore) Set(key, value []byte) error {
-	return d.voter.retryWrite(func() error { return d.BoltStore.Set(key, value) })
+// Set implements raft.StableStore.
+func (s *retryingStore) Set(key, value []byte) error {
+	s.voter.retryWrite(func() error { return s.BoltStore.Set(key, value) })
+	return nil
 }
 
-func (d *retryingStore) SetUint64(key []byte, value uint64) error {
-	return d.voter.retryWrite(func() error { return d.BoltStore.SetUint64(key, value) })
+// SetUint64 implements raft.StableStore.
+func (s *retryingStore) SetUint64(key []byte, value uint64) error {
+	s.voter.retryWrite(func() error { return s.BoltStore.SetUint64(key, value) })
+	return nil
 }
 
-// StoreLog and StoreLogs may fail: the library then lets go of the grant, or leaves the step to the others.
-func (d *retryingStore) StoreLog(l *raft.Log) error {
-	return d.voter.recordDiskError(d.BoltStore.StoreLog(l))
+// StoreLog implements raft.LogStore. It may fail: the library then gives up leadership, or leaves the entry to the
+// others.
+func (s *retryingStore) StoreLog(entry *raft.Log) error {
+	return s.voter.recordDiskError(s.BoltStore.StoreLog(entry))
 }
 
-func (d *retryingStore) StoreLogs(l []*raft.Log) error {
-	return d.voter.recordDiskError(d.BoltStore.StoreLogs(l))
+// StoreLogs implements raft.LogStore, as StoreLog does.
+func (s *retryingStore) StoreLogs(entries []*raft.Log) error {
+	return s.voter.recordDiskError(s.BoltStore.StoreLogs(entries))
 }
 
-// recordDiskError keeps what the disk said last, for operators.
-func (s *voter) recordDiskError(err error) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.diskError = ""; err != nil {
-		s.diskError = err.Error()
+// recordDiskError keeps the result of the latest write for the status, and returns it.
+func (v *voter) recordDiskError(err error) error {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.diskError = ""
+	if err != nil {
+		v.diskError = err.Error()
 	}
 	return err
 }
 
-// retryWrite tries until it is written, or the seat is left; then its door is shut, so that nobody hears of what was not.
-func (s *voter) retryWrite(write func() error) error {
+// retryWrite repeats a write until it succeeds or the voter is closed. A closed voter sends nothing any more, so that
+// nobody learns of a vote that was not written.
+func (v *voter) retryWrite(write func() error) {
 	for {
-		err := s.recordDiskError(write())
+		err := v.recordDiskError(write())
 		if err == nil {
-			return nil
+			return
 		}
-		s.log.Error().Err(err).Msg("the seat's disk takes nothing: it is silent until it does")
+		v.log.Error().Err(err).Msg("write to the voter's disk failed; silent until a retry succeeds")
 		select {
-		case <-s.closed:
-			return nil
-		case <-time.After(time.Second):
+		case <-v.closed:
+			return
+		case <-time.After(writeRetryInterval):
 		}
 	}
 }
--- a/internal/fleet/stored_calls_test.go
+++ b/internal/fleet/stored_calls_test.go
@@ -132,13 +132,14 @@
 
 // TestStoredStatusCall exchanges the status call with a voter of the version before.
 func TestStoredStatusCall(t *testing.T) {
-	request := statusResponse{Name: "n1", ID: "n1/0123456789abcdef", Blank: true}
+	request := voterIdentity{Name: "n1", ID: "n1/0123456789abcdef", Blank: true}
 	checkRequest(t, "status", request)
-	var response statusResponse
-	if err := replayingClient(t, "status").post(context.Background(), "127.0.0.1:1", "/who", &request, &response); err != nil {
+	var response voterIdentity
+	client := replayingClient(t, "status")
+	if err := client.post(context.Background(), "127.0.0.1:1", statusPath, &request, &response); err != nil {
 		t.Fatal(err)
 	}
-	if want := (statusResponse{Name: "n0", ID: "n0/dab0d43402211e7d"}); response != want {
+	if want := (voterIdentity{Name: "n0", ID: "n0/dab0d43402211e7d"}); response != want {
 		t.Errorf("response %+v, want %+v", response, want)
 	}
 	checkEncoding(t, response, recordedResponseBody(t, "status"))
@@ -149,7 +150,8 @@
 	totals := map[string]int64{"connect": 50}
 	checkRequest(t, "set_total", totals)
 	var response map[string]int64
-	if err := replayingClient(t, "set_total").post(context.Background(), "127.0.0.1:1", "/whole", totals, &response); err != nil {
+	client := replayingClient(t, "set_total")
+	if err := client.post(context.Background(), "127.0.0.1:1", setTotalPath, totals, &response); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(response, totals) {
--- a/internal/fleet/stored_data_test.go
+++ b/internal/fleet/stored_data_test.go
@@ -22,7 +22,8 @@
 )
 
 // The files under testdata were written by the program as of commit be9205f. A voter is restarted over the data of the
-// version before it, and voters of both versions talk to each other during an upgrade, so each of them has to stay readable.
+// version before it, and voters of both versions talk to each other during an upgrade, so each of them has to stay
+// readable.
 
 // fixtureConfig is the configuration that the voter of the fixtures had.
 func fixtureConfig(address, dataDir string) *config.Fleet {
@@ -59,7 +60,8 @@
 	return data
 }
 
-// checkFixture decodes a JSON fixture, compares it with what it has to hold, and encodes it again: the bytes are to be the same.
+// checkFixture decodes a JSON fixture, compares it with what it has to hold, and encodes it again: the bytes are to be
+// the same.
 func checkFixture[T any](t *testing.T, data []byte, want T) {
 	t.Helper()
 	var got T
@@ -172,8 +174,8 @@
 	return dir
 }
 
-// TestStoredVoter starts a voter over the durable folder of the version before it. It keeps its id, and its ledger holds
-// what the snapshot and the log entry after that say.
+// TestStoredVoter starts a voter over the durable folder of the version before it. It keeps its id, and its ledger
+// holds what the snapshot and the log entry after that say.
 func TestStoredVoter(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -181,7 +183,13 @@
 	}
 	cfg := fixtureConfig(listener.Addr().String(), restoreVoterDir(t))
 	frozen := func() int64 { return 1 } // no lease expires during the test
-	v, err := startVoter(t.Context(), "n0", listener, cfg, frozen, newVoterClient(cfg), zerolog.Nop())
+	v, err := startVoter(t.Context(), listener, voterConfig{
+		name:   "n0",
+		fleet:  cfg,
+		clock:  frozen,
+		client: newVoterClient(cfg),
+		log:    zerolog.Nop(),
+	})
 	if err != nil {
 		listener.Close()
 		t.Fatal(err)
--- a/internal/fleet/stream_layer.go
+++ b/internal/fleet/stream_layer.go
@@ -18,145 +18,188 @@
 	"fernrail/internal/config"
 )
 
-// streamLayer is the one door of a seat, shared by calls and the group's own streams. A stream says with its first bytes that it
-// is one, that it is of this fleet, and which id it is for; all else is a call. It is raft's StreamLayer.
+const (
+	// streamMarker is the first byte of a raft stream. No HTTP request begins with it.
+	streamMarker = 0x01
+	// maxIDBytes bounds a voter's id in a stream's handshake: its length is sent as one byte.
+	maxIDBytes = 255
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 4096
+	// acceptRetryInterval is the pause after a connection could not be accepted.
+	acceptRetryInterval = 100 * time.Millisecond
+)
+
+// streamLayer shares one listener between the raft streams of other voters and HTTP calls. A raft stream begins with
+// the marker, the fleet's token and the id of the voter that it is for; anything else is taken for HTTP. It implements
+// raft.StreamLayer.
 type streamLayer struct {
-	id         string
+	id         string // of this voter
 	cfg        *config.Fleet
 	client     *voterClient
 	log        zerolog.Logger
-	logLimiter *rate.Limiter
+	logLimiter *rate.Limiter // of rejected peers
 	listener   net.Listener
-	raftQueue  *acceptQueue // to raft
-	httpQueue  *acceptQueue // to the server of calls
+	raftQueue  *acceptQueue
+	httpQueue  *acceptQueue
+	handshakes sync.WaitGroup
 
-	mu          sync.Mutex
-	connections map[net.Conn]bool // that came in and have not gone
+	mu          sync.Mutex // guards what follows
+	connections map[net.Conn]bool
 	closed      bool
 }
 
-// streamMarker begins a stream. No HTTP request begins with it.
-const streamMarker = 0x01
-
-func newStreamLayer(l net.Listener, id string, plan *config.Fleet, c *voterClient, log zerolog.Logger) *streamLayer {
-	return &streamLayer{id: id, cfg: plan, client: c, log: log, logLimiter: rate.NewLimiter(1, 1), listener: l, connections: map[net.Conn]bool{},
-		raftQueue: newAcceptQueue(voterAddress(id)), httpQueue: newAcceptQueue(l.Addr())}
+func newStreamLayer(l net.Listener, id string, cfg *config.Fleet, c *voterClient, log zerolog.Logger) *streamLayer {
+	return &streamLayer{
+		id:          id,
+		cfg:         cfg,
+		client:      c,
+		log:         log,
+		logLimiter:  rate.NewLimiter(1, 1),
+		listener:    l,
+		raftQueue:   newAcceptQueue(voterAddress(id)),
+		httpQueue:   newAcceptQueue(l.Addr()),
+		connections: map[net.Conn]bool{},
+	}
 }
 
-// rejectUnauthenticated tells of one, at a bounded rate.
-func (w *streamLayer) rejectUnauthenticated(what string) {
-	if w.logLimiter.Allow() {
-		w.log.Warn().Str("fault", what).Msg("stranger at the fleet's door")
+// rejectUnauthenticated logs a peer that was rejected, at a bounded rate.
+func (s *streamLayer) rejectUnauthenticated(reason string) {
+	if s.logLimiter.Allow() {
+		s.log.Warn().Str("reason", reason).Msg("rejected unauthenticated peer")
 	}
 }
 
-// acceptConnections takes connections until the listener is closed.
-func (w *streamLayer) acceptConnections() {
+// acceptConnections accepts connections until the listener is closed, and waits for their handshakes to end.
+func (s *streamLayer) acceptConnections() {
+	defer s.handshakes.Wait()
 	for {
-		c, err := w.listener.Accept()
+		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			w.log.Warn().Err(err).Msg("a connection was not taken")
-			time.Sleep(100 * time.Millisecond)
+			s.log.Warn().Err(err).Msg("accepting a connection failed")
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
-		go w.handshake(c)
+		s.handshakes.Go(func() { s.handshake(conn) })
 	}
 }
 
-// handshake finds out what a connection is.
-func (w *streamLayer) handshake(c net.Conn) {
-	if !w.track(c) {
+// handshake finds out what a connection is for and hands it to raft or to the HTTP server.
+func (s *streamLayer) handshake(conn net.Conn) {
+	if !s.track(conn) {
 		return
 	}
-	c.SetReadDeadline(time.Now().Add(handshakeTimeout))
-	in := bufio.NewReaderSize(c, 4096)
-	first, err := in.Peek(1)
+	conn.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
+	first, err := reader.Peek(1)
 	if err != nil {
-		w.closeConnection(c)
+		s.drop(conn)
 		return
 	}
-	if first[0] != streamMarker {
-		c.SetReadDeadline(time.Time{})
-		w.httpQueue.deliver(&handshakeConn{c, in, w})
-		return
+	queue := s.httpQueue
+	if first[0] == streamMarker {
+		if err := s.readStreamHeader(reader); err != nil {
+			s.rejectUnauthenticated(err.Error())
+			s.drop(conn)
+			return
+		}
+		queue = s.raftQueue
 	}
-	head := make([]byte, 1+64+1)
-	if _, err := io.ReadFull(in, head); err != nil || !w.client.isAuthentic(string(head[1:65])) {
-		w.rejectUnauthenticated("a stream of no node of this fleet and version")
-		w.closeConnection(c)
-		return
+	conn.SetReadDeadline(time.Time{})
+	queue.deliver(&handshakeConn{Conn: conn, reader: reader, layer: s})
+}
+
+var (
+	errStreamToken = errors.New("a stream without the token of this fleet and protocol version")
+	errStreamID    = errors.New("a stream for a voter id that is no longer here")
+)
+
+// readStreamHeader reads the handshake of a raft stream. A stream for another id is rejected, since a voter that has
+// lost its state must not take part under the id that it had.
+func (s *streamLayer) readStreamHeader(reader io.Reader) error {
+	header := make([]byte, 1+tokenBytes+1) // marker, token and the length of the id
+	if _, err := io.ReadFull(reader, header); err != nil || !s.client.isAuthentic(string(header[1:1+tokenBytes])) {
+		return errStreamToken
 	}
-	id := make([]byte, head[65])
-	// Danger: a seat that has lost its memory takes part under the id that went with it.
-	if _, err := io.ReadFull(in, id); err != nil || string(id) != w.id {
-		w.rejectUnauthenticated("a stream for a seat that is not here any more")
-		w.closeConnection(c)
-		return
+	id := make([]byte, header[1+tokenBytes])
+	if _, err := io.ReadFull(reader, id); err != nil || string(id) != s.id {
+		return errStreamID
 	}
-	c.SetReadDeadline(time.Time{})
-	w.raftQueue.deliver(&handshakeConn{c, in, w})
+	return nil
+}
+
+// streamHeader returns the handshake of a raft stream to a voter.
+func (s *streamLayer) streamHeader(id raft.ServerAddress) []byte {
+	header := append([]byte{streamMarker}, s.client.token...)
+	header = append(header, byte(len(id)))
+	return append(header, id...)
 }
 
-// track notes a connection until it is closed, so that all end with the door; false: that is shut.
-func (w *streamLayer) track(c net.Conn) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.closed {
-		c.Close()
+// track remembers a connection until it is closed, so that Close can end it. If the layer is closed already the
+// connection is as well, and track returns false.
+func (s *streamLayer) track(conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		conn.Close()
 		return false
 	}
-	w.connections[c] = true
+	s.connections[conn] = true
 	return true
 }
 
-func (w *streamLayer) closeConnection(c net.Conn) error {
-	w.mu.Lock()
-	delete(w.connections, c)
-	w.mu.Unlock()
-	return c.Close()
+func (s *streamLayer) closeConnection(conn net.Conn) error {
+	s.mu.Lock()
+	delete(s.connections, conn)
+	s.mu.Unlock()
+	return conn.Close()
 }
 
-// Dial is raft's: addresses in the group are ids.
-func (w *streamLayer) Dial(id raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	seat := w.cfg.Voter(nodeName(string(id)))
-	if seat == nil || len(id) > 255 {
-		return nil, fmt.Errorf("%q has no seat", id)
+// drop closes a connection that nothing is owed to.
+func (s *streamLayer) drop(conn net.Conn) {
+	_ = s.closeConnection(conn) // its peer sees the end in any case
+}
+
+// Dial implements raft.StreamLayer. A voter's raft address is its id.
+func (s *streamLayer) Dial(id raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	peer := s.cfg.Voter(nodeName(string(id)))
+	if peer == nil || len(id) > maxIDBytes {
+		return nil, fmt.Errorf("%q is no voter of this fleet", id)
 	}
-	c, err := net.DialTimeout("tcp", seat.Address, min(timeout, w.cfg.ElectionTimeout))
+	conn, err := net.DialTimeout("tcp", peer.Address, min(timeout, s.cfg.ElectionTimeout))
 	if err != nil {
 		return nil, err
 	}
-	if !w.track(c) {
+	if !s.track(conn) {
 		return nil, net.ErrClosed
 	}
-	c.SetWriteDeadline(time.Now().Add(timeout))
-	head := append([]byte{streamMarker}, w.client.token...)
-	head = append(append(head, byte(len(id))), id...)
-	if _, err := c.Write(head); err != nil {
-		w.closeConnection(c)
+	conn.SetWriteDeadline(time.Now().Add(timeout))
+	if _, err := conn.Write(s.streamHeader(id)); err != nil {
+		s.drop(conn)
 		return nil, err
 	}
-	c.SetWriteDeadline(time.Time{})
-	return &handshakeConn{c, bufio.NewReaderSize(c, 4096), w}, nil
+	conn.SetWriteDeadline(time.Time{})
+	return &handshakeConn{Conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes), layer: s}, nil
 }
 
-func (w *streamLayer) Accept() (net.Conn, error) { return w.raftQueue.Accept() }
-
-func (w *streamLayer) Addr() net.Addr { return voterAddress(w.id) }
-
-// Close ends the door and all that stand in it.
-func (w *streamLayer) Close() error {
-	err := w.listener.Close()
-	w.raftQueue.Close()
-	w.httpQueue.Close()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.closed = true
-	for c := range w.connections {
-		c.Close()
+// Accept implements net.Listener for raft.
+func (s *streamLayer) Accept() (net.Conn, error) { return s.raftQueue.Accept() }
+
+// Addr implements net.Listener for raft.
+func (s *streamLayer) Addr() net.Addr { return voterAddress(s.id) }
+
+// Close ends the listener and all connections.
+func (s *streamLayer) Close() error {
+	err := s.listener.Close()
+	s.raftQueue.close()
+	s.httpQueue.close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	for conn := range s.connections {
+		conn.Close()
 	}
 	return err
 }
--- a/internal/fleet/voter_status.go
+++ b/internal/fleet/voter_status.go
@@ -5,63 +5,89 @@
 import (
 	"maps"
 	"strings"
+
+	"fernrail/internal/fleet/budget"
 )
 
-// VoterStatus is what operators see of a seat.
+// VoterStatus is what operators see of a voter.
 type VoterStatus struct {
 	ID         string                  `json:"id"`
-	State      string                  `json:"state"`
-	IsLeader   bool                    `json:"grants"`
-	Leader     string                  `json:"granter"`
-	Epoch      uint64                  `json:"epoch"`
-	Voters     []string                `json:"seats"`
+	State      string                  `json:"state"`   // of raft: follower, candidate, leader or shutdown
+	IsLeader   bool                    `json:"grants"`  // it answers lease requests
+	Leader     string                  `json:"granter"` // the leader's node; empty: not known
+	Epoch      uint64                  `json:"epoch"`   // of the leader term in the ledger
+	Voters     []string                `json:"seats"`   // ids of the cluster's members
 	Budgets    map[string]LedgerStatus `json:"budgets"`
 	Holders    []HolderStatus          `json:"holders"`
-	ClockRates map[string]float64      `json:"clocks,omitempty"` // beyond the margin, their rates by this seat's
-	Error      string                  `json:"fault,omitempty"`
+	ClockRates map[string]float64      `json:"clocks,omitempty"` // by node, if beyond the margin
+	Error      string                  `json:"fault,omitempty"`  // of the disk, or why the latest leader term ended
 }
 
-// LedgerStatus is one budget in a seat's books.
+// LedgerStatus is one budget in a voter's ledger, in units.
 type LedgerStatus struct {
 	Total       int64 `json:"whole"`
-	Floors      int64 `json:"floors"`
+	Floors      int64 `json:"floors"` // of all nodes that may ever be there
 	Granted     int64 `json:"granted"`
 	CoolingDown int64 `json:"resting"`
 	Free        int64 `json:"free"`
 }
 
-// HolderStatus is one process in a seat's books.
+// HolderStatus is one process in a voter's ledger.
 type HolderStatus struct {
 	Node   string           `json:"node"`
-	Units  map[string]int64 `json:"units"`
-	Demand map[string]int64 `json:"want"`
+	Units  map[string]int64 `json:"units"` // that it holds, by budget
+	Demand map[string]int64 `json:"want"`  // that it asked for, by budget
 }
 
-func (s *voter) status() *VoterStatus {
-	_, granter := s.raft.LeaderWithID()
-	out := &VoterStatus{ID: s.id, State: strings.ToLower(s.raft.State().String()), Leader: nodeName(string(granter)), Budgets: map[string]LedgerStatus{}}
-	if c := s.raft.GetConfiguration(); c.Error() == nil {
-		for _, x := range c.Configuration().Servers {
-			out.Voters = append(out.Voters, string(x.ID))
+// status returns what operators see of this voter.
+func (v *voter) status() *VoterStatus {
+	_, leader := v.raft.LeaderWithID()
+	out := &VoterStatus{
+		ID:      v.id,
+		State:   strings.ToLower(v.raft.State().String()),
+		Leader:  nodeName(string(leader)),
+		Budgets: map[string]LedgerStatus{},
+	}
+	if members := v.raft.GetConfiguration(); members.Error() == nil {
+		for _, server := range members.Configuration().Servers {
+			out.Voters = append(out.Voters, string(server.ID))
 		}
 	}
-	s.mu.Lock()
-	out.IsLeader, out.Error, out.ClockRates = s.serving, s.diskError, maps.Clone(s.skewedClocks)
-	if out.Error == "" && (out.Leader == "" || out.Leader == s.name) {
-		out.Error = s.termError // why the last reign ended; of no interest once another one grants
+	v.addLeaderStatus(out)
+	v.state.withLedger(out.addLedger)
+	return out
+}
+
+func (v *voter) addLeaderStatus(out *VoterStatus) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	out.IsLeader = v.serving
+	out.ClockRates = maps.Clone(v.skewedClocks)
+	out.Error = v.diskError
+	// Why this voter's latest term ended is of no interest once another one is the leader.
+	if out.Error == "" && (out.Leader == "" || out.Leader == v.name) {
+		out.Error = v.termError
 	}
-	s.mu.Unlock()
-	s.state.mu.Lock()
-	defer s.state.mu.Unlock()
-	b := s.state.ledger
-	out.Epoch = b.Epoch
-	for name, a := range b.Budgets {
-		floors := b.Outstanding(name) - a.Granted
-		out.Budgets[name] = LedgerStatus{a.Total, floors, a.Granted, a.CoolingDownTotal, a.Total - floors - a.Granted - a.CoolingDownTotal}
+}
+
+func (s *VoterStatus) addLedger(ledger *budget.Ledger) {
+	s.Epoch = ledger.Epoch
+	for name, account := range ledger.Budgets {
+		floors := ledger.Outstanding(name) - account.Granted
+		s.Budgets[name] = LedgerStatus{
+			Total:       account.Total,
+			Floors:      floors,
+			Granted:     account.Granted,
+			CoolingDown: account.CoolingDownTotal,
+			Free:        account.Total - floors - account.Granted - account.CoolingDownTotal,
+		}
 	}
-	for _, name := range b.HolderNames() {
-		h := b.Holders[name]
-		out.Holders = append(out.Holders, HolderStatus{h.Node, maps.Clone(h.Units), maps.Clone(h.Demand)})
+	for _, name := range ledger.HolderNames() {
+		lease := ledger.Holders[name]
+		s.Holders = append(s.Holders, HolderStatus{
+			Node:   lease.Node,
+			Units:  maps.Clone(lease.Units),
+			Demand: maps.Clone(lease.Demand),
+		})
 	}
-	return out
 }
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -515,7 +515,7 @@
 	}
 	b.over(t, wholeConnect)
 	for _, n := range b.Nodes {
-		if strings.Contains(n.Log(), "beyond the margin") {
+		if strings.Contains(n.Log(), "exceeds the margin") {
 			t.Errorf("%s takes a clock within the margin for one that is not", n.Name)
 		}
 	}
@@ -1025,7 +1025,7 @@
 				t.Errorf("%s has %+v in its books", n.Name, h)
 			}
 		}
-		if told := strings.Count(n.Log(), "stranger"); told == 0 || told > 40 {
+		if told := strings.Count(n.Log(), "rejected unauthenticated peer"); told == 0 || told > 40 {
 			t.Errorf("%s told of strangers %d times", n.Name, told)
 		}
 	}
@@ -1130,7 +1130,7 @@
 	double.Start()
 	b.Until("it is named", 2*soon, func() bool {
 		for _, n := range b.Nodes[:3] {
-			if strings.Contains(n.Log(), "two nodes have one name") {
+			if strings.Contains(n.Log(), "two nodes have the same name") {
 				return true
 			}
 		}
