--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -26,7 +26,7 @@
 	Granted          int64           `json:"granted"` // in force or believed to be
 	CoolingDown      map[int64]int64 `json:"resting"` // units given back, by the number of their rest
 	CoolingDownTotal int64           `json:"pause"`   // of these, all together
-	ReleasedThrough  int64           `json:"rested"`  // the latest of those numbers
+	LatestCooldown   int64           `json:"rested"`  // the latest of those numbers
 }
 
 // Lease is what one process of a node has been granted.
@@ -155,8 +155,8 @@
 	if units := h.Units[name] - to; units > 0 {
 		a := b.Budgets[name]
 		// Danger: numbers given in the order of a map would differ from seat to seat.
-		a.ReleasedThrough++
-		a.CoolingDown[a.ReleasedThrough] = units
+		a.LatestCooldown++
+		a.CoolingDown[a.LatestCooldown] = units
 		a.Granted, a.CoolingDownTotal, h.Units[name] = a.Granted-units, a.CoolingDownTotal+units, to
 	}
 }
--- a/internal/fleet/budget/model_test.go
+++ b/internal/fleet/budget/model_test.go
@@ -276,7 +276,7 @@
 // key tells worlds apart that can go on differently. Clocks are absolute: nothing is lost that could matter.
 func (w *world) key() string {
 	var k strings.Builder
-	fmt.Fprint(&k, w.now, w.names, w.books.Epoch, w.books.Budgets["b"].ReleasedThrough, w.asks, w.answers, w.history, len(w.stale), w.reign.expirations, w.reign.cooldowns)
+	fmt.Fprint(&k, w.now, w.names, w.books.Epoch, w.books.Budgets["b"].LatestCooldown, w.asks, w.answers, w.history, len(w.stale), w.reign.expirations, w.reign.cooldowns)
 	for _, e := range w.stale {
 		fmt.Fprint(&k, *e)
 	}
