--- a/cmd/fernrail/desk.go
+++ b/cmd/fernrail/desk.go
@@ -134,7 +134,7 @@
 func (d *desk) handOver() (taken bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seat.SetServing(false)
+	d.seat.StopServing()
 	if d.leaves = d.seat.HasSuccessor(); d.leaves {
 		d.own(false)
 		d.seat.ReleaseOwnership()
@@ -167,17 +167,17 @@
 	return f.JSON()
 }
 
-func (d *desk) Exclude(id string) error { return d.ban(id, true) }
-func (d *desk) Include(id string) error { return d.ban(id, false) }
+func (d *desk) Exclude(id string) error { return d.change(id, d.seat.Exclude) }
+func (d *desk) Include(id string) error { return d.change(id, d.seat.Include) }
 
-func (d *desk) ban(id string, yes bool) error {
+func (d *desk) change(id string, do func(id string) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.apply()
 	if !slices.Contains(d.bans, id) && !d.node.WasListed(id) && !d.seat.WasListed(id) {
 		return fmt.Errorf("no executor %.60q was ever listed", id)
 	}
-	if err := d.seat.SetExcluded(id, yes); err != nil {
+	if err := do(id); err != nil {
 		return fmt.Errorf("the ban can't be kept: %w", err)
 	}
 	d.apply()
--- a/cmd/fernrail/desk_test.go
+++ b/cmd/fernrail/desk_test.go
@@ -40,9 +40,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other.SetServing(true)
+	other.StartServing()
 	check("beside one that serves", 0.2)
-	d.seat.SetServing(true)
+	d.seat.StartServing()
 	check("serves, first look", 0.2)
 	check("serves, second look", 0.5)
 	other.Leave()
--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -125,7 +125,7 @@
 		return err
 	}
 	// Danger: an old process that is told to end at this one's yes, and does not see yet that it has a successor.
-	desk.seat.SetServing(true)
+	desk.seat.StartServing()
 	ended := desk.server.Start(l)
 	if c.PeerMessagesUnsupported && c.Fleet == nil {
 		log.Warn().Str("key", "settings.Limits.MayTell").Msg("messages between nodes have no protocol here: none are sent")
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -46,7 +46,7 @@
 	if process.WasListed("s-9") {
 		t.Error("s-9 was excluded and included alone, and counts as listed")
 	}
-	if err := process.SetExcluded("s-0", true); err != nil {
+	if err := process.Exclude("s-0"); err != nil {
 		t.Fatal(err)
 	}
 	if err := process.RecordListed([]string{"s-0"}); err != nil {
@@ -70,13 +70,13 @@
 		}
 	}
 	check("two processes that start", 0, 1, 16, 17)
-	processes[1].SetServing(true)
+	processes[1].StartServing()
 	check("the second one serves", 0, 1, 9, 16)
-	processes[0].SetServing(true)
+	processes[0].StartServing()
 	check("both serve", 0, 1, 8, 9)
 	processes[0].AcquireOwnership()
 	check("the first one owns the node's part of budgets", 0, 1, 8, 9, 24)
-	processes[0].SetServing(false)
+	processes[0].StopServing()
 	processes[0].ReleaseOwnership()
 	check("the first one hands over", 0, 1, 9)
 	err := processes[1].update(func() bool {
