--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -77,7 +77,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			s.log.Warn().Err(err).Msg("operators' address: a call was not taken")
+			s.log.Warn().Err(err).Msg("accepting an admin connection failed; trying again")
 			time.Sleep(retry)
 			continue
 		}
@@ -179,7 +179,7 @@
 func (s *Server) reply(line string) (text []byte) {
 	defer func() {
 		if r := recover(); r != nil {
-			s.log.Error().Interface("panic", r).Msg("an operators' call failed")
+			s.log.Error().Interface("panic", r).Msg("admin command failed")
 			text = []byte("ERR the call failed in the node; its log says why\n")
 		}
 	}()
@@ -221,7 +221,7 @@
 	}
 	body, err := do(strings.Join(words[1:], ""))
 	if words[0] != "readyz" && words[0] != "telemetry" && words[0] != "fleet" {
-		s.log.Info().Strs("call", words).AnErr("refused", err).Msg("operators call")
+		s.log.Info().Strs("call", words).AnErr("refused", err).Msg("admin command")
 	}
 	if err != nil {
 		return fmt.Appendf(nil, "ERR %s\n", err)
