--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package metrics counts what became of jobs, and says so in the words of the operators' page.
+// Package metrics counts what became of the requests of one process, for the operators' page on figures.
 package metrics
 
 import (
@@ -9,77 +9,84 @@
 	"sync"
 )
 
-// ClassCounts is what became of the jobs of one scheme.
+// ClassCounts is what became of the requests of one class.
 type ClassCounts struct {
-	Served   int64 `json:"served"`
-	Rejected int64 `json:"refused"`
-	Failed   int64 `json:"failed"`
+	Served   int64 `json:"served"`  // a server's result was passed on
+	Rejected int64 `json:"refused"` // shed, by this process or for want of its connections
+	Failed   int64 `json:"failed"`  // ended in any other way
 }
 
-// Snapshot are all counts at one moment.
+// Snapshot holds all figures of one moment, in the form that operators get.
 type Snapshot struct {
-	Requests        map[string]ClassCounts `json:"requests"`
+	Requests        map[string]ClassCounts `json:"requests"` // by the name of the class
 	InFlight        int64                  `json:"in_flight"`
 	Attempts        int64                  `json:"attempts"`
 	ServersKnown    int                    `json:"executors_known"`
 	ServersExcluded int                    `json:"executors_excluded"`
-	Fleet           any                    `json:"fleet,omitempty"` // of budgets held with other nodes; nil: there are none
+	Fleet           any                    `json:"fleet,omitempty"` // status of budgets held with other nodes; nil: none
 }
 
-// JSON is the figures on one line, without its end.
-func (f *Snapshot) JSON() ([]byte, error) { return json.Marshal(f) }
+// JSON returns the figures as one line, without its end.
+func (s *Snapshot) JSON() ([]byte, error) { return json.Marshal(s) }
 
-// Counters is the one owner of the counts of a process. They start at zero with it.
+// Counters counts for one process, from zero at its start. Its methods are safe for concurrent use.
 type Counters struct {
-	names []string // of schemes
+	classNames []string
 
-	mu       sync.Mutex
-	ends     []ClassCounts // by scheme
+	mu       sync.Mutex    // guards what follows
+	ended    []ClassCounts // by class
 	inFlight int64
 	attempts int64
 }
 
-func New(schemes []string) *Counters {
-	return &Counters{names: schemes, ends: make([]ClassCounts, len(schemes))}
+// New returns counters for the classes with these names, which are numbered in that order.
+func New(classNames []string) *Counters {
+	return &Counters{classNames: classNames, ended: make([]ClassCounts, len(classNames))}
 }
 
-// RequestStarted counts a job in. What comes back counts its end, by the status of its answer, and has to be called once;
-// anything but an answer is a failure.
-// Danger: a sum that drifts. A job that was counted in and whose end is told elsewhere stays in flight for good.
-func (c *Counters) RequestStarted(scheme int) (ended func(status int)) {
+// RequestStarted counts a request of a class as in flight. The caller has to call ended once, with the HTTP status of
+// the answer or 0 where there was none; a request whose end is not told stays in flight for good.
+func (c *Counters) RequestStarted(class int) (ended func(status int)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight++
-	return func(status int) {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.inFlight--
-		switch e := &c.ends[scheme]; status {
-		case http.StatusOK:
-			e.Served++
-		case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-			e.Rejected++
-		default:
-			e.Failed++
-		}
+	return func(status int) { c.requestEnded(class, status) }
+}
+
+// requestEnded counts a request by the status of its answer.
+func (c *Counters) requestEnded(class, status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight--
+	counts := &c.ended[class]
+	switch status {
+	case http.StatusOK:
+		counts.Served++
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		counts.Rejected++
+	default:
+		counts.Failed++
 	}
 }
 
-// AttemptSent counts a request to an executor whose last byte was written.
+// AttemptSent counts a request to a server whose last byte was written.
 func (c *Counters) AttemptSent() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.attempts++
 }
 
-// Snapshot gives the counts as they stand.
+// Snapshot returns the counts as they stand. The caller adds the figures that other parts of the node own.
 func (c *Counters) Snapshot() *Snapshot {
-	f := &Snapshot{Requests: make(map[string]ClassCounts, len(c.names))}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, name := range c.names {
-		f.Requests[name] = c.ends[i]
+	s := &Snapshot{
+		Requests: make(map[string]ClassCounts, len(c.classNames)),
+		InFlight: c.inFlight,
+		Attempts: c.attempts,
+	}
+	for i, name := range c.classNames {
+		s.Requests[name] = c.ended[i]
 	}
-	f.InFlight, f.Attempts = c.inFlight, c.attempts
-	return f
+	return s
 }
