--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -171,7 +171,16 @@
 		held = p
 		carrier.SetDialGate(p.dial)
 	}
-	node := routing.New(c.Settings, c.Seed, c.InitialEndpoints, carrier, c.ProbeTimeout, transport.NewDiscoveryClient(c.Discovery, c.Names), held, log)
+	node := routing.New(routing.Config{
+		Settings:         c.Settings,
+		Seed:             c.Seed,
+		InitialEndpoints: c.InitialEndpoints,
+		Forwarder:        carrier,
+		ProbeTimeout:     c.ProbeTimeout,
+		EndpointSource:   transport.NewDiscoveryClient(c.Discovery, c.Names),
+		QuotaSource:      held,
+		Log:              log,
+	})
 	carrier.SetSchedulingDelay(node.SchedulingDelay)
 	if share != nil && c.Fleet.WitnessQuorum > 0 {
 		node.OnOutcome(share.RecordOutcome)
--- a/internal/routing/discovery_outage_test.go
+++ b/internal/routing/discovery_outage_test.go
@@ -72,7 +72,15 @@
 				2: {Version: 2, Endpoints: []protocol.Endpoint{testEndpoint("b", dispatch.Draining)}}}
 			settings := testSettings()
 			settings.DrainGrace, settings.MaxPollInterval = 2e9, int64(protocol.PollRetryInterval)
-			router := New(settings, seed, completeList("a", "b"), c, time.Second, a, nil, zerolog.Nop())
+			router := New(Config{
+				Settings:         settings,
+				Seed:             seed,
+				InitialEndpoints: completeList("a", "b"),
+				Forwarder:        c,
+				ProbeTimeout:     time.Second,
+				EndpointSource:   a,
+				Log:              zerolog.Nop(),
+			})
 			ctx, stop := context.WithCancel(t.Context())
 			go router.WatchEndpoints(ctx)
 			time.Sleep(time.Until(told))
--- a/internal/routing/endpoint_watcher_test.go
+++ b/internal/routing/endpoint_watcher_test.go
@@ -28,7 +28,7 @@
 			&protocol.EndpointList{Version: 3, Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Up)}},
 			&protocol.EndpointList{Version: 2, Complete: true, Endpoints: []protocol.Endpoint{moved}},
 		}}
-		router := New(testSettings(), 1, completeList("old"), c, time.Second, l, nil, zerolog.Nop())
+		router := newTestRouter(c, l, completeList("old"))
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go router.WatchEndpoints(ctx)
@@ -69,7 +69,7 @@
 			l.answers = append(l.answers, &protocol.EndpointList{Version: 3, Endpoints: completeList("gone").Endpoints})
 		}
 		l.answers = append(l.answers, stale)
-		router := New(testSettings(), 1, &protocol.EndpointList{}, &fakeForwarder{}, time.Second, l, nil, zerolog.Nop())
+		router := newTestRouter(&fakeForwarder{}, l, &protocol.EndpointList{})
 		ctx, stop := context.WithCancel(t.Context())
 		go router.WatchEndpoints(ctx)
 		time.Sleep(time.Millisecond)
@@ -98,7 +98,7 @@
 	}{{&protocol.EndpointList{Version: 41, Complete: true, Endpoints: completeList("a").Endpoints}, "41 false"}, {&protocol.EndpointList{}, "0 true"}} {
 		synctest.Test(t, func(t *testing.T) {
 			l := &scriptedSource{}
-			router := New(testSettings(), 1, c.known, &fakeForwarder{}, time.Second, l, nil, zerolog.Nop())
+			router := newTestRouter(&fakeForwarder{}, l, c.known)
 			ctx, stop := context.WithCancel(t.Context())
 			go router.WatchEndpoints(ctx)
 			time.Sleep(2 * time.Second)
@@ -127,7 +127,15 @@
 		}
 		hasty := testSettings()
 		hasty.MaxPollInterval = 0
-		router := New(hasty, 1, &protocol.EndpointList{}, &fakeForwarder{}, time.Second, l, nil, zerolog.Nop())
+		router := New(Config{
+			Settings:         hasty,
+			Seed:             1,
+			InitialEndpoints: &protocol.EndpointList{},
+			Forwarder:        &fakeForwarder{},
+			ProbeTimeout:     time.Second,
+			EndpointSource:   l,
+			Log:              zerolog.Nop(),
+		})
 		ctx, stop := context.WithCancel(t.Context())
 		go router.WatchEndpoints(ctx)
 		time.Sleep(time.Second + time.Millisecond)
@@ -146,7 +154,7 @@
 		old := &scriptedSource{answers: []any{&protocol.EndpointList{Version: 50, Complete: true, Endpoints: completeList("a", "b").Endpoints}}}
 		down := &scriptedSource{answers: []any{errors.New("refused")}}
 		fresh := &scriptedSource{answers: []any{&protocol.EndpointList{Version: 3, Complete: true, Endpoints: completeList("b", "c").Endpoints}}}
-		router := New(testSettings(), 1, completeList("a"), &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Second, old, nil, zerolog.Nop())
+		router := newTestRouter(&fakeForwarder{script: succeedAfter(time.Millisecond)}, old, completeList("a"))
 		ctx, stop := context.WithCancel(t.Context())
 		go router.WatchEndpoints(ctx)
 		time.Sleep(2 * time.Second)
--- a/internal/routing/event_loop_test.go
+++ b/internal/routing/event_loop_test.go
@@ -20,7 +20,15 @@
 func TestPanicEndsOneStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
-		router := New(testSettings(), 1, completeList("a"), &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Second, &scriptedSource{}, nil, zerolog.New(&log))
+		router := New(Config{
+			Settings:         testSettings(),
+			Seed:             1,
+			InitialEndpoints: completeList("a"),
+			Forwarder:        &fakeForwarder{script: succeedAfter(time.Millisecond)},
+			ProbeTimeout:     time.Second,
+			EndpointSource:   &scriptedSource{},
+			Log:              zerolog.New(&log),
+		})
 		broken := *router.settings
 		broken.Classes = []*dispatch.Class{nil}
 		whole := router.settings
@@ -44,7 +52,7 @@
 		c := &fakeForwarder{script: func(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
 			panic("odd")
 		}}
-		router := New(testSettings(), 1, completeList("a"), c, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+		router := newTestRouter(c, &scriptedSource{}, completeList("a"))
 		start := time.Now()
 		a := router.Serve(t.Context(), testRequest("j", 1, time.Second))
 		if took := time.Since(start); a == nil || a.Status != 500 || c.attemptCount() != 1 || took > 100*time.Millisecond {
--- a/internal/routing/exclusions_test.go
+++ b/internal/routing/exclusions_test.go
@@ -9,8 +9,6 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"fernrail/dispatch"
 	"fernrail/internal/protocol"
 )
@@ -20,7 +18,7 @@
 func TestExcludedServerGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
-		router := New(testSettings(), 1, completeList("a", "b"), c, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
 		asked := 0
 		to := func(address string) (count int) {
 			c.attempts = nil
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -11,6 +11,8 @@
 
 	"fernrail/dispatch"
 	"fernrail/internal/protocol"
+
+	"github.com/rs/zerolog"
 )
 
 // fakeForwarder stands in for the executors: a script says what comes of each posting. Time is that of a synctest bubble.
@@ -109,3 +111,16 @@
 func testRequest(id string, scheme int, budget time.Duration) *protocol.Request {
 	return &protocol.Request{ID: id, Class: scheme, Slots: 1, Timeout: budget}
 }
+
+// newTestRouter starts a router with the settings of testSettings that logs nothing.
+func newTestRouter(forwarder Forwarder, source EndpointSource, known *protocol.EndpointList) *Router {
+	return New(Config{
+		Settings:         testSettings(),
+		Seed:             1,
+		InitialEndpoints: known,
+		Forwarder:        forwarder,
+		ProbeTimeout:     time.Second,
+		EndpointSource:   source,
+		Log:              zerolog.Nop(),
+	})
+}
--- a/internal/routing/late_connection_test.go
+++ b/internal/routing/late_connection_test.go
@@ -11,8 +11,6 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"fernrail/dispatch"
 	"fernrail/internal/protocol"
 	"fernrail/internal/transport"
@@ -83,7 +81,7 @@
 				}
 				return true
 			})
-			router := New(testSettings(), 1, &protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{b}}, x, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+			router := newTestRouter(x, &scriptedSource{}, &protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{b}})
 			for _, scheme := range []int{0, 1} {
 				answer := make(chan *protocol.Response, 1)
 				go func() {
--- a/internal/routing/probes_test.go
+++ b/internal/routing/probes_test.go
@@ -27,7 +27,15 @@
 			<-ctx.Done()
 			return protocol.LoadReport{}, ctx.Err()
 		}}
-		router := New(asking, 1, completeList("a", "b", "c"), c, 300*time.Millisecond, &scriptedSource{}, nil, zerolog.Nop())
+		router := New(Config{
+			Settings:         asking,
+			Seed:             1,
+			InitialEndpoints: completeList("a", "b", "c"),
+			Forwarder:        c,
+			ProbeTimeout:     300 * time.Millisecond,
+			EndpointSource:   &scriptedSource{},
+			Log:              zerolog.Nop(),
+		})
 		a := router.Serve(t.Context(), testRequest("j", 0, 5*time.Second))
 		synctest.Wait()
 		c.mu.Lock()
--- a/internal/routing/requests_test.go
+++ b/internal/routing/requests_test.go
@@ -25,7 +25,15 @@
 		synctest.Test(t, func(t *testing.T) {
 			c, settings := &fakeForwarder{script: succeedAfter(15 * time.Second)}, testSettings()
 			settings.Classes[1].DedupWindow = int64(window)
-			router := New(settings, 1, completeList("a", "b"), c, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+			router := New(Config{
+				Settings:         settings,
+				Seed:             1,
+				InitialEndpoints: completeList("a", "b"),
+				Forwarder:        c,
+				ProbeTimeout:     time.Second,
+				EndpointSource:   &scriptedSource{},
+				Log:              zerolog.Nop(),
+			})
 			serve := func(id string, scheme int) int {
 				if a := router.Serve(t.Context(), testRequest(id, scheme, time.Minute)); a != nil {
 					return a.Status
@@ -70,7 +78,7 @@
 func TestRequestSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
-		router := New(testSettings(), 1, completeList("a", "b"), c, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
 		start := time.Now()
 		if a := router.Serve(t.Context(), testRequest("j", 0, time.Second)); a == nil || a.Status != 200 || a.Body != "r" {
 			t.Fatalf("%+v", a)
@@ -90,7 +98,7 @@
 func TestUnfinishedRequestIsAnsweredBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeForwarder{script: succeedAfter(time.Hour)}
-		router := New(testSettings(), 1, completeList("a", "b"), c, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
 		for scheme, status := range []int{503, 500} {
 			start := time.Now()
 			a := router.Serve(t.Context(), testRequest(fmt.Sprint(scheme), scheme, time.Second))
@@ -110,7 +118,7 @@
 func TestClientCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeForwarder{script: succeedAfter(time.Hour)}
-		router := New(testSettings(), 1, completeList("a"), c, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+		router := newTestRouter(c, &scriptedSource{}, completeList("a"))
 		for scheme, status := range []int{503, 500} {
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
@@ -134,7 +142,7 @@
 // TestShutdownAnswersInTime: a node that is told to end answers all that it has, and what still comes, within the time it is given.
 func TestShutdownAnswersInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		router := New(testSettings(), 1, completeList("a", "b", "c"), &fakeForwarder{script: succeedAfter(time.Hour)}, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+		router := newTestRouter(&fakeForwarder{script: succeedAfter(time.Hour)}, &scriptedSource{}, completeList("a", "b", "c"))
 		start, done := time.Now(), make(chan *protocol.Response, 2)
 		go func() { done <- router.Serve(t.Context(), testRequest("j", 1, time.Minute)) }()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -52,24 +52,55 @@
 	unplacedDistance int                                      // how far an executor is that was just listed
 }
 
-// New starts the module on the list as it was last known. purse is nil where nodes share nothing.
-func New(terms *dispatch.Settings, seed uint64, known *protocol.EndpointList, c Forwarder, probe time.Duration, l EndpointSource, purse QuotaSource, log zerolog.Logger) *Router {
-	r := &Router{settings: terms, forwarder: c, probeTimeout: probe, endpointSource: l, initialEndpoints: known, log: log, startTime: time.Now(), delay: newDelayMonitor(), shutdownDeadline: math.MaxInt64, endpoints: map[string]*endpoint{}, listedIDs: map[string]bool{},
-		unansweredUpdate: make(chan struct{}), seenIDs: [2]map[string]int64{{}, {}}, requests: map[*dispatch.Request]*requestState{}, cancelFuncs: map[*dispatch.Attempt]context.CancelFunc{}, pollRequested: make(chan bool, 1), nextEndpointSource: make(chan EndpointSource, 1), endpointsChanged: make(chan struct{}, 1)}
+// Config is what a Router is made of.
+type Config struct {
+	Settings         *dispatch.Settings
+	Seed             uint64                 // of the decision module's random numbers
+	InitialEndpoints *protocol.EndpointList // the endpoint list as it was last known
+	Forwarder        Forwarder
+	ProbeTimeout     time.Duration
+	EndpointSource   EndpointSource
+	QuotaSource      QuotaSource // nil: this node holds no budgets together with others
+	Log              zerolog.Logger
+}
+
+// New starts the decision module on the endpoint list as it was last known.
+func New(c Config) *Router {
+	r := &Router{
+		settings:           c.Settings,
+		forwarder:          c.Forwarder,
+		probeTimeout:       c.ProbeTimeout,
+		endpointSource:     c.EndpointSource,
+		initialEndpoints:   c.InitialEndpoints,
+		unansweredUpdate:   make(chan struct{}),
+		nextEndpointSource: make(chan EndpointSource, 1),
+		log:                c.Log,
+		startTime:          time.Now(),
+		quotaSource:        c.QuotaSource,
+		delay:              newDelayMonitor(),
+		endpoints:          map[string]*endpoint{},
+		listedIDs:          map[string]bool{},
+		shutdownDeadline:   math.MaxInt64,
+		seenIDs:            [2]map[string]int64{{}, {}},
+		requests:           map[*dispatch.Request]*requestState{},
+		cancelFuncs:        map[*dispatch.Attempt]context.CancelFunc{},
+		pollRequested:      make(chan bool, 1),
+		endpointsChanged:   make(chan struct{}, 1),
+	}
 	r.firstUpdate = r.unansweredUpdate
-	for i := range terms.Classes {
+	for i := range r.settings.Classes {
 		r.longestIDWindow = max(r.longestIDWindow, r.idWindow(i))
 	}
-	if r.quotaSource = purse; purse != nil {
-		own := *terms
-		own.Quotas, terms = r, &own
-		r.settings = terms
+	if r.quotaSource != nil {
+		withQuotas := *r.settings
+		withQuotas.Quotas = r
+		r.settings = &withQuotas
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.module = dispatch.New(terms, seed, r, r.clock())
-	r.applyEndpoints(known)
-	if !terms.PollForChanges {
+	r.module = dispatch.New(r.settings, c.Seed, r, r.clock())
+	r.applyEndpoints(c.InitialEndpoints)
+	if !r.settings.PollForChanges {
 		r.module.StartPolling()
 	}
 	return r
--- a/internal/routing/rules_fuzz_test.go
+++ b/internal/routing/rules_fuzz_test.go
@@ -71,7 +71,15 @@
 			}
 		}
 	}
-	router := New(testSettings(), r.Uint64(), completeList(ids...), c, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+	router := New(Config{
+		Settings:         testSettings(),
+		Seed:             r.Uint64(),
+		InitialEndpoints: completeList(ids...),
+		Forwarder:        c,
+		ProbeTimeout:     time.Second,
+		EndpointSource:   &scriptedSource{},
+		Log:              zerolog.Nop(),
+	})
 	var lives sync.WaitGroup
 	for i := range 60 {
 		time.Sleep(time.Duration(dice(100)) * time.Millisecond)
--- a/internal/routing/send_gate_test.go
+++ b/internal/routing/send_gate_test.go
@@ -50,7 +50,15 @@
 			chance := rand.New(rand.NewPCG(seed, 2))
 			ids := []string{"a", "b", "c", "d"}
 			s := &slowForwarder{fakeForwarder: &fakeForwarder{}, rand: rand.New(rand.NewPCG(seed, 3))}
-			router := New(testSettings(), seed, completeList(ids...), s, time.Second, &scriptedSource{}, nil, zerolog.Nop())
+			router := New(Config{
+				Settings:         testSettings(),
+				Seed:             seed,
+				InitialEndpoints: completeList(ids...),
+				Forwarder:        s,
+				ProbeTimeout:     time.Second,
+				EndpointSource:   &scriptedSource{},
+				Log:              zerolog.Nop(),
+			})
 			up, answered, left := map[string]bool{"a": true, "b": true, "c": true, "d": true}, map[string]bool{}, 0
 			var mu sync.Mutex
 			s.onSend = func(address string, job *protocol.Attempt) {
--- a/internal/transport/gone_test.go
+++ b/internal/transport/gone_test.go
@@ -48,7 +48,15 @@
 	}
 	d, x = fresh()
 	news, gone = make(lister), make(chan struct{}, 99)
-	n := routing.New(c.Settings, 1, listing(1, addresses...), x, time.Second, news, nil, zerolog.Nop())
+	n := routing.New(routing.Config{
+		Settings:         c.Settings,
+		Seed:             1,
+		InitialEndpoints: listing(1, addresses...),
+		Forwarder:        x,
+		ProbeTimeout:     time.Second,
+		EndpointSource:   news,
+		Log:              zerolog.Nop(),
+	})
 	follow, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	go n.WatchEndpoints(follow)
--- a/internal/transport/known_test.go
+++ b/internal/transport/known_test.go
@@ -173,7 +173,15 @@
 					_, x := fresh()
 					known := listing(1, "h:1")
 					known.Endpoints[0].ID = "e"
-					n := routing.New(c.Settings, 1, known, x, time.Second, NewDiscoveryClient(first.Addr().String(), c.Names), nil, zerolog.Nop())
+					n := routing.New(routing.Config{
+						Settings:         c.Settings,
+						Seed:             1,
+						InitialEndpoints: known,
+						Forwarder:        x,
+						ProbeTimeout:     time.Second,
+						EndpointSource:   NewDiscoveryClient(first.Addr().String(), c.Names),
+						Log:              zerolog.Nop(),
+					})
 					ctx, stop := context.WithCancel(t.Context())
 					defer stop()
 					go n.WatchEndpoints(ctx)
--- a/internal/transport/told_test.go
+++ b/internal/transport/told_test.go
@@ -454,7 +454,15 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	p.node = routing.New(c.Settings, w.rand.Uint64(), list, x, c.ProbeTimeout, p.discovery("one:1"), nil, zerolog.Nop())
+	p.node = routing.New(routing.Config{
+		Settings:         c.Settings,
+		Seed:             w.rand.Uint64(),
+		InitialEndpoints: list,
+		Forwarder:        x,
+		ProbeTimeout:     c.ProbeTimeout,
+		EndpointSource:   p.discovery("one:1"),
+		Log:              zerolog.Nop(),
+	})
 	go p.node.WatchEndpoints(p.ctx)
 	return p
 }
--- a/internal/transport/unsafe_test.go
+++ b/internal/transport/unsafe_test.go
@@ -193,7 +193,14 @@
 	settings := &dispatch.Settings{Nodes: 1, Tick: 5e6, StartNotices: true, MaxAttempts: 3, AllowCancel: true, AllowHedging: true, MaxRetryAfter: 2e9,
 		IdleTimeout: 6e10, DrainGrace: 2e9, MaxPollInterval: 55e8, Classes: []*dispatch.Class{{LatencyObjective: 3e8, MaxDeadline: 3e9, Weight: 1, LateShare: 0.5, MachineType: -1, Idempotency: effect, DedupWindow: 1e9}}}
 	known := &protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}}}
-	n := routing.New(settings, 1, known, x, time.Second, nil, nil, zerolog.Nop())
+	n := routing.New(routing.Config{
+		Settings:         settings,
+		Seed:             1,
+		InitialEndpoints: known,
+		Forwarder:        x,
+		ProbeTimeout:     time.Second,
+		Log:              zerolog.Nop(),
+	})
 	txn := func(id string) *protocol.Response {
 		return n.Serve(t.Context(), &protocol.Request{ID: id, Target: "/j", Slots: 1, Timeout: 3 * time.Second, Body: []byte(body),
 			Header: http.Header{"X-Call-Id": {id}, "Idempotency-Key": {id}}})
