--- a/internal/routing/endpoint_watcher.go
+++ b/internal/routing/endpoint_watcher.go
@@ -115,7 +115,7 @@
 			spent = a.duration
 		}
 		// Danger: a step that failed sets no alarm, and nothing is asked for ever after.
-		return r.event(func() { r.module.PollFailed(a.duration, spent) }) != nil, wanted, had
+		return r.tryEvent(func() { r.module.PollFailed(a.duration, spent) }) != nil, wanted, had
 	// Danger: a share that ran out between the decision and the call. The module decides anew.
 	case a.noQuota:
 		r.event(r.module.PollEndpoints)
--- a/internal/routing/event_loop.go
+++ b/internal/routing/event_loop.go
@@ -8,11 +8,16 @@
 	"time"
 )
 
-// clock is Unix time that never goes back, the clock that discovery tells starts by.
+// clock gives Unix time in ns that never goes back. Discovery reports the starts of servers by the same clock.
 func (r *Router) clock() int64 { return r.startTime.UnixNano() + int64(time.Since(r.startTime)) }
 
-// event tells the module one thing.
-func (r *Router) event(step func()) error {
+// event runs one step of the decision module. A panic in it is logged and costs that step alone.
+func (r *Router) event(step func()) {
+	_ = r.tryEvent(step) // already logged by recoverPanic
+}
+
+// tryEvent is event for callers that have to act where the step panicked.
+func (r *Router) tryEvent(step func()) error {
 	return r.recoverPanic(func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -23,7 +28,7 @@
 	})
 }
 
-// recoverPanic ends a panic with the step it came from, and tells of it with its stack.
+// recoverPanic turns a panic in a step into an error, and logs it with its stack.
 func (r *Router) recoverPanic(step func()) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -35,8 +40,8 @@
 	return nil
 }
 
-// Schedule implements dispatch.Door, as do the methods after it. All are called under the lock and none blocks.
-func (r *Router) Schedule(after int64, then func()) (forget func()) {
-	alarm := time.AfterFunc(time.Duration(after), func() { r.event(then) })
-	return func() { alarm.Stop() }
+// Schedule implements dispatch.Actions: it runs a step of the module after so many ns. The function that it returns cancels that.
+func (r *Router) Schedule(after int64, then func()) (cancel func()) {
+	timer := time.AfterFunc(time.Duration(after), func() { r.event(then) })
+	return func() { timer.Stop() }
 }
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -45,7 +45,7 @@
 	l := &requestState{request: q, response: make(chan *protocol.Response, 1)}
 	t := &dispatch.Request{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, AffinityKey: q.AffinityKey, ExpectedWork: q.ExpectedWork, UnreadTime: waited,
 		Class: r.settings.Classes[q.Class]}
-	err := r.event(func() {
+	err := r.tryEvent(func() {
 		t.Deadline = r.clock() + int64(q.Timeout)
 		r.requestCount++
 		l.number, l.arrivedAt = r.requestCount, r.clock()
@@ -67,7 +67,7 @@
 		return a
 	case <-ctx.Done():
 		r.log.Debug().Str("id", q.ID).Int64("lag_ms", r.delay.Delay()/1e6).Msg("client closed before its answer")
-		if r.event(func() { r.clientGone(t) }) != nil {
+		if r.tryEvent(func() { r.clientGone(t) }) != nil {
 			r.event(func() { r.abandonRequest(t) })
 		}
 		return <-l.response
