--- a/internal/routing/request_ids.go
+++ b/internal/routing/request_ids.go
@@ -4,48 +4,65 @@
 
 import (
 	"cmp"
+	"iter"
 	"math"
 	"time"
 
 	"fernrail/dispatch"
 )
 
-// defaultIDWindow is how long an id is not taken again once its txn has ended, where the scheme does not say how long repeats are
-// dropped: whoever repeats another client's id goes on for a while after that one has its answer. Clients use an id once.
+// defaultIDWindow is how long the id of a finished request stays reserved where its class sets no deduplication window. Clients use
+// an id once; one that repeats another client's id may go on for a while after that one has its response.
 const defaultIDWindow = 10 * time.Second
 
-// idWindow is the same for one scheme.
-func (r *Router) idWindow(scheme int) int64 {
-	return cmp.Or(r.settings.Classes[scheme].DedupWindow, int64(defaultIDWindow))
+// idWindow is how long the id of a finished request of that class stays reserved, in ns.
+func idWindow(class *dispatch.Class) int64 {
+	return cmp.Or(class.DedupWindow, int64(defaultIDWindow))
 }
 
-// reserveID says whether a txn's id is new to this node, and keeps it.
-// Danger: an id that is another client's, taken a second time; the two would run under one name, and the wrong one might
-// get the answer.
-func (r *Router) reserveID(id string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.clock()
-	if now-r.idsRotatedAt >= r.longestIDWindow {
-		r.seenIDs[1], r.seenIDs[0], r.idsRotatedAt = r.seenIDs[0], map[string]int64{}, now
-		for _, l := range r.requests {
-			r.seenIDs[0][l.request.ID] = math.MaxInt64
-		}
+// requestIDs holds the ids that are reserved. Two requests under one id could get each other's response, and a repeat within its
+// class's deduplication window could run twice.
+//
+// Entries are dropped by generation: after each rotationInterval the older of two maps goes. Times are by the node's clock, in ns.
+type requestIDs struct {
+	rotationInterval int64 // the longest window of any class
+	rotatedAt        int64
+	current          map[string]int64 // until when an id is reserved; math.MaxInt64 while its request is open
+	previous         map[string]int64 // the same, from before rotatedAt
+}
+
+func newRequestIDs(classes []*dispatch.Class) *requestIDs {
+	ids := &requestIDs{current: map[string]int64{}, previous: map[string]int64{}}
+	for _, class := range classes {
+		ids.rotationInterval = max(ids.rotationInterval, idWindow(class))
 	}
-	if max(r.seenIDs[0][id], r.seenIDs[1][id]) > now {
+	return ids
+}
+
+// reserve reserves an id for an open request; false: it is reserved already. open gives the ids of the open requests, which are
+// kept for as long as it takes.
+func (ids *requestIDs) reserve(id string, now int64, open iter.Seq[string]) bool {
+	if now-ids.rotatedAt >= ids.rotationInterval {
+		ids.rotate(now, open)
+	}
+	if max(ids.current[id], ids.previous[id]) > now {
 		return false
 	}
-	r.seenIDs[0][id] = math.MaxInt64
+	ids.current[id] = math.MaxInt64
 	return true
 }
 
-// removeRequest takes a txn out that has its final answer or lost its client; nil: there is none. Under mu.
-func (r *Router) removeRequest(t *dispatch.Request) *requestState {
-	l := r.requests[t]
-	if l != nil {
-		delete(r.requests, t)
-		r.seenIDs[0][l.request.ID] = r.clock() + r.idWindow(l.request.Class)
-		delete(r.seenIDs[1], l.request.ID)
+func (ids *requestIDs) rotate(now int64, open iter.Seq[string]) {
+	ids.previous = ids.current
+	ids.current = map[string]int64{}
+	ids.rotatedAt = now
+	for id := range open {
+		ids.current[id] = math.MaxInt64
 	}
-	return l
+}
+
+// releaseAt keeps the id of a finished request reserved until a time.
+func (ids *requestIDs) releaseAt(id string, until int64) {
+	ids.current[id] = until
+	delete(ids.previous, id)
 }
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -119,3 +119,29 @@
 		l.response <- a
 	}
 }
+
+// reserveID reserves the id of a new request; false: it is in use, or was so until recently.
+func (r *Router) reserveID(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.ids.reserve(id, r.clock(), r.openIDs)
+}
+
+// openIDs iterates over the ids of the open requests. Under mu.
+func (r *Router) openIDs(yield func(id string) bool) {
+	for _, l := range r.requests {
+		if !yield(l.request.ID) {
+			return
+		}
+	}
+}
+
+// removeRequest takes a request out that has its final response or lost its client; nil: there is none. Under mu.
+func (r *Router) removeRequest(t *dispatch.Request) *requestState {
+	l := r.requests[t]
+	if l != nil {
+		delete(r.requests, t)
+		r.ids.releaseAt(l.request.ID, r.clock()+idWindow(t.Class))
+	}
+	return l
+}
--- a/internal/routing/requests_test.go
+++ b/internal/routing/requests_test.go
@@ -68,7 +68,7 @@
 			serve("other", 0)
 			time.Sleep(2 * time.Minute)
 			serve("another", 0)
-			if kept := len(router.seenIDs[0]) + len(router.seenIDs[1]); kept > 4 {
+			if kept := len(router.ids.current) + len(router.ids.previous); kept > 4 {
 				t.Errorf("window %s: %d ids are kept", window, kept)
 			}
 		})
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -37,12 +37,10 @@
 	excluded  map[string]bool // by operators; what is in it drains
 	// listedIDs holds every executor that was ever listed, so that one that is away is told from a slip of the pen
 	listedIDs        map[string]bool
-	listedOrder      []string            // the same in order
-	shutdownDeadline int64               // when the node ends
-	requestCount     int                 // txns, ever
-	seenIDs          [2]map[string]int64 // of txns taken, by when they may come again: since turned, and in the span before
-	idsRotatedAt     int64
-	longestIDWindow  int64                                    // the longest that an id is kept
+	listedOrder      []string // the same in order
+	shutdownDeadline int64    // when the node ends
+	requestCount     int      // txns, ever
+	ids              *requestIDs
 	requests         map[*dispatch.Request]*requestState      // txns without a final answer
 	cancelFuncs      map[*dispatch.Attempt]context.CancelFunc // postings without an outcome
 	pollRequested    chan bool                                // what the module wants of the list, at most one order
@@ -81,16 +79,13 @@
 		endpoints:          map[string]*endpoint{},
 		listedIDs:          map[string]bool{},
 		shutdownDeadline:   math.MaxInt64,
-		seenIDs:            [2]map[string]int64{{}, {}},
+		ids:                newRequestIDs(c.Settings.Classes),
 		requests:           map[*dispatch.Request]*requestState{},
 		cancelFuncs:        map[*dispatch.Attempt]context.CancelFunc{},
 		pollRequested:      make(chan bool, 1),
 		endpointsChanged:   make(chan struct{}, 1),
 	}
 	r.firstUpdate = r.unansweredUpdate
-	for i := range r.settings.Classes {
-		r.longestIDWindow = max(r.longestIDWindow, r.idWindow(i))
-	}
 	if r.quotaSource != nil {
 		withQuotas := *r.settings
 		withQuotas.Quotas = r
