--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -20,7 +20,7 @@
 	deadline := time.Now().Add(time.Duration(till - r.clock()))
 	ctx, withdraw := context.WithDeadline(context.Background(), deadline)
 	r.cancelFuncs[p] = withdraw
-	job := &protocol.Attempt{Request: r.requests[p.Request].request, Deadline: deadline, Address: r.address(p.Server)}
+	job := &protocol.Attempt{Request: r.requests[p.Request].received, Deadline: deadline, Address: r.address(p.Server)}
 	var charge Reservation
 	if r.quotaSource != nil {
 		if charge = r.quotaSource.Reserve(p.Server.Tag, r.tenantName(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
@@ -60,7 +60,7 @@
 	}
 	// Danger: word that a client has closed waits behind work at a full node, and its job is begun for nobody.
 	if l.outgoing.Request.ClientGone() {
-		l.router.event(func() { l.router.clientGone(l.attempt.Request) })
+		l.router.event(func() { l.router.clientClosed(l.attempt.Request) })
 		return false
 	}
 	if l.reservation != nil && !l.reservation.MaySend() {
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -14,110 +14,158 @@
 	"fernrail/internal/protocol"
 )
 
-func (r *Router) Shed(t *dispatch.Request, returnIn int64) {
-	r.respond(t, &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Duration(returnIn)})
-}
-
-func (r *Router) Compensate(t *dispatch.Request) {
-	r.respond(t, &protocol.Response{Status: http.StatusInternalServerError})
-}
-
-// requestState is a txn that has no final answer yet.
+// requestState is an open request: one that has no final response yet.
 type requestState struct {
-	number       int // in the order of arrival
-	request      *protocol.Request
-	arrivedAt    int64                   // by the node's clock, ns
-	clientClosed bool                    // its client has closed
-	response     chan *protocol.Response // holds the one final answer; nil: its client has gone
+	sequence     int // in the order of arrival
+	received     *protocol.Request
+	arrivedAt    int64 // by the node's clock, ns
+	clientClosed bool
+	response     chan *protocol.Response // holds the one final response; nil: the module failed and none is known
 }
 
-// Serve is the life of one txn, from the request read whole to its one final answer; nil: the module failed, and none is known.
-func (r *Router) Serve(ctx context.Context, q *protocol.Request) *protocol.Response {
-	// Danger: a full node that works for clients which closed while their requests waited in the socket.
-	if ctx.Err() != nil || q.ClientGone() {
+// Serve takes a request, read completely, to its one final response. nil: the module failed, and none is known.
+func (r *Router) Serve(ctx context.Context, received *protocol.Request) *protocol.Response {
+	// A client may have closed while its request waited in the socket. Without this an overloaded node would work for nobody.
+	if ctx.Err() != nil || received.ClientGone() {
 		return &protocol.Response{Status: http.StatusServiceUnavailable, ClientClosed: true}
 	}
-	if !r.reserveID(q.ID) {
+	if !r.reserveID(received.ID) {
 		return &protocol.Response{Status: http.StatusConflict}
 	}
-	// Danger: a client counts its time from when it sent, and a node that is behind reads late what lay in the socket meanwhile.
-	waited := r.delay.Delay()
-	l := &requestState{request: q, response: make(chan *protocol.Response, 1)}
-	t := &dispatch.Request{Tag: q.ID, Tenant: q.Tenant, Slots: q.Slots, Memory: q.Memory, AffinityKey: q.AffinityKey, ExpectedWork: q.ExpectedWork, UnreadTime: waited,
-		Class: r.settings.Classes[q.Class]}
-	err := r.tryEvent(func() {
-		t.Deadline = r.clock() + int64(q.Timeout)
-		r.requestCount++
-		l.number, l.arrivedAt = r.requestCount, r.clock()
-		r.requests[t] = l
-		r.module.Arrive(t)
-		// Danger: where clocks may differ the module moves the expiry; a node that ends has no more time for all that.
-		if !t.Done && t.Deadline > r.shutdownDeadline {
-			r.module.SetDeadline(t, r.shutdownDeadline)
-		}
-	})
-	// Danger: a txn that the module lost in a fault; it is owed an answer all the same.
-	if err != nil {
-		r.event(func() { r.abandonRequest(t) })
+	request := r.newRequest(received)
+	state := &requestState{received: received, response: make(chan *protocol.Response, 1)}
+	if err := r.tryEvent(func() { r.arrive(request, state) }); err != nil {
+		// The module may have lost the request in the panic, so that it would never end it.
+		r.event(func() { r.abandonRequest(request) })
 		return &protocol.Response{Status: http.StatusInternalServerError}
 	}
 	select {
-	case a := <-l.response:
-		r.logUnserved(t, l, a)
-		return a
+	case response := <-state.response:
+		r.logUnserved(request, state, response)
+		return response
 	case <-ctx.Done():
-		r.log.Debug().Str("id", q.ID).Int64("lag_ms", r.delay.Delay()/1e6).Msg("client closed before its answer")
-		if r.tryEvent(func() { r.clientGone(t) }) != nil {
-			r.event(func() { r.abandonRequest(t) })
-		}
-		return <-l.response
+		r.endForClosedClient(request)
+		return <-state.response
 	}
 }
 
-// clientGone ends a txn whose client has closed. Danger: one that shut its sending side alone still reads, and what was read from it and
-// ends with no answer is lost.
-func (r *Router) clientGone(t *dispatch.Request) {
-	if l := r.requests[t]; l != nil {
-		l.clientClosed = true
-		r.module.ClientClosed(t)
+// newRequest gives the decision module's form of a request.
+func (r *Router) newRequest(received *protocol.Request) *dispatch.Request {
+	return &dispatch.Request{
+		Tag:          received.ID,
+		Class:        r.settings.Classes[received.Class],
+		Tenant:       received.Tenant,
+		Slots:        received.Slots,
+		Memory:       received.Memory,
+		AffinityKey:  received.AffinityKey,
+		ExpectedWork: received.ExpectedWork,
+		// The client counts its timeout from when it sent. A process that is short of CPU reads late what has lain in the socket.
+		UnreadTime: r.delay.Delay(),
 	}
 }
 
-// logUnserved tells of a request that ends with no result: why, after how long, with how many attempts, and how far the process is behind.
-func (r *Router) logUnserved(t *dispatch.Request, l *requestState, a *protocol.Response) {
-	if a != nil && a.Status != http.StatusOK && !a.ClientClosed {
-		r.log.Debug().Str("id", t.Tag).Int("status", a.Status).Stringer("reason", t.Reason).Int("attempts", len(t.Attempts)).
-			Int64("age_ms", (r.clock()-l.arrivedAt)/1e6).Int64("lag_ms", r.delay.Delay()/1e6).Msg("request not served")
+// arrive registers a request and hands it to the module. Under mu.
+func (r *Router) arrive(request *dispatch.Request, state *requestState) {
+	now := r.clock()
+	request.Deadline = now + int64(state.received.Timeout)
+	r.requestCount++
+	state.sequence = r.requestCount
+	state.arrivedAt = now
+	r.requests[request] = state
+	r.module.Arrive(request)
+	// Where clocks may differ the module has changed the deadline; a node that shuts down has no more time for that.
+	if !request.Done && request.Deadline > r.shutdownDeadline {
+		r.module.SetDeadline(request, r.shutdownDeadline)
 	}
 }
 
-// Shutdown brings forward what is out: the node has been told to end, and all is answered within that time.
+// endForClosedClient has the module end a request whose client has closed.
+func (r *Router) endForClosedClient(request *dispatch.Request) {
+	r.log.Debug().
+		Str("id", request.Tag).
+		Int64("lag_ms", r.delay.Delay()/1e6).
+		Msg("client closed before its answer")
+	if r.tryEvent(func() { r.clientClosed(request) }) != nil {
+		r.event(func() { r.abandonRequest(request) })
+	}
+}
+
+// clientClosed tells the module that a client has closed. The request still gets its final response: a client that has only shut its
+// sending side may read it, and would otherwise not learn what became of its request. Under mu.
+func (r *Router) clientClosed(request *dispatch.Request) {
+	if state := r.requests[request]; state != nil {
+		state.clientClosed = true
+		r.module.ClientClosed(request)
+	}
+}
+
+// logUnserved logs a request that ends without a result: why, how old it is and how long runnable work waits in this process.
+func (r *Router) logUnserved(request *dispatch.Request, state *requestState, response *protocol.Response) {
+	if response == nil || response.Status == http.StatusOK || response.ClientClosed {
+		return
+	}
+	r.log.Debug().
+		Str("id", request.Tag).
+		Int("status", response.Status).
+		Stringer("reason", request.Reason).
+		Int("attempts", len(request.Attempts)).
+		Int64("age_ms", (r.clock()-state.arrivedAt)/1e6).
+		Int64("lag_ms", r.delay.Delay()/1e6).
+		Msg("request not served")
+}
+
+// Shutdown has all requests, open ones and those still to come, answered within a time.
 func (r *Router) Shutdown(within time.Duration) {
 	r.event(func() {
 		r.shutdownDeadline = r.clock() + int64(within)
-		inOrder := slices.SortedFunc(maps.Keys(r.requests), func(a, b *dispatch.Request) int {
-			return cmp.Compare(r.requests[a].number, r.requests[b].number)
-		})
-		for _, t := range inOrder {
-			r.module.SetDeadline(t, r.shutdownDeadline)
+		for _, request := range r.openRequests() {
+			r.module.SetDeadline(request, r.shutdownDeadline)
 		}
 	})
 }
 
-// abandonRequest ends a txn whose client takes no answer any more.
-func (r *Router) abandonRequest(t *dispatch.Request) {
-	if l := r.removeRequest(t); l != nil {
-		r.module.Finish(t)
-		l.response <- nil
+// openRequests gives the open requests in the order of their arrival. Under mu.
+func (r *Router) openRequests() []*dispatch.Request {
+	return slices.SortedFunc(maps.Keys(r.requests), func(a, b *dispatch.Request) int {
+		return cmp.Compare(r.requests[a].sequence, r.requests[b].sequence)
+	})
+}
+
+// Shed implements dispatch.Actions: the request is rejected as one that has not run. retryAfter, in ns, is advice; 0: none.
+func (r *Router) Shed(request *dispatch.Request, retryAfter int64) {
+	r.respond(request, &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Duration(retryAfter)})
+}
+
+// Compensate implements dispatch.Actions: the request fails, and may have run.
+func (r *Router) Compensate(request *dispatch.Request) {
+	r.respond(request, &protocol.Response{Status: http.StatusInternalServerError})
+}
+
+// respond gives a request its final response. Later ones for the same request are dropped. Under mu.
+func (r *Router) respond(request *dispatch.Request, response *protocol.Response) {
+	if state := r.removeRequest(request); state != nil {
+		response.ClientClosed = state.clientClosed
+		state.response <- response
+	}
+}
+
+// abandonRequest ends a request that gets no response any more. Under mu.
+func (r *Router) abandonRequest(request *dispatch.Request) {
+	if state := r.removeRequest(request); state != nil {
+		r.module.Finish(request)
+		state.response <- nil
 	}
 }
 
-// respond gives a txn its final answer, the first one that comes.
-func (r *Router) respond(t *dispatch.Request, a *protocol.Response) {
-	if l := r.removeRequest(t); l != nil {
-		a.ClientClosed = l.clientClosed
-		l.response <- a
+// removeRequest removes an open request and gives its state; nil: it is not open. Under mu.
+func (r *Router) removeRequest(request *dispatch.Request) *requestState {
+	state := r.requests[request]
+	if state == nil {
+		return nil
 	}
+	delete(r.requests, request)
+	r.ids.releaseAt(state.received.ID, r.clock()+idWindow(request.Class))
+	return state
 }
 
 // reserveID reserves the id of a new request; false: it is in use, or was so until recently.
@@ -129,19 +177,9 @@
 
 // openIDs iterates over the ids of the open requests. Under mu.
 func (r *Router) openIDs(yield func(id string) bool) {
-	for _, l := range r.requests {
-		if !yield(l.request.ID) {
+	for _, state := range r.requests {
+		if !yield(state.received.ID) {
 			return
 		}
 	}
 }
-
-// removeRequest takes a request out that has its final response or lost its client; nil: there is none. Under mu.
-func (r *Router) removeRequest(t *dispatch.Request) *requestState {
-	l := r.requests[t]
-	if l != nil {
-		delete(r.requests, t)
-		r.ids.releaseAt(l.request.ID, r.clock()+idWindow(t.Class))
-	}
-	return l
-}
