--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -5,131 +5,167 @@
 import (
 	"context"
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"fernrail/dispatch"
 	"fernrail/internal/protocol"
 )
 
-func (r *Router) StartAttempt(p *dispatch.Attempt) {
-	till := p.Request.Deadline
-	if p.Timeout > 0 {
-		till = min(till, r.clock()+p.Timeout)
+// StartAttempt implements dispatch.Actions: it sends a request to a server.
+func (r *Router) StartAttempt(attempt *dispatch.Attempt) {
+	deadline := r.attemptDeadline(attempt)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	r.cancelFuncs[attempt] = cancel
+	run := &attemptRun{
+		router:  r,
+		attempt: attempt,
+		outgoing: &protocol.Attempt{
+			Request:  r.requests[attempt.Request].received,
+			Deadline: deadline,
+			Address:  r.address(attempt.Server),
+		},
 	}
-	deadline := time.Now().Add(time.Duration(till - r.clock()))
-	ctx, withdraw := context.WithDeadline(context.Background(), deadline)
-	r.cancelFuncs[p] = withdraw
-	job := &protocol.Attempt{Request: r.requests[p.Request].received, Deadline: deadline, Address: r.address(p.Server)}
-	var charge Reservation
 	if r.quotaSource != nil {
-		if charge = r.quotaSource.Reserve(p.Server.Tag, r.tenantName(p.Request), p.Number > 0, p.SlowStartShare); charge == nil {
-			defer withdraw()
-			go r.attemptEnded(p, protocol.AttemptResult{Outcome: dispatch.NotSent}, r.clock())
+		run.reservation = r.reserve(attempt)
+		if run.reservation == nil {
+			cancel()
+			go r.attemptEnded(attempt, protocol.AttemptResult{Outcome: dispatch.NotSent}, r.clock())
 			return
 		}
 	}
-	go r.runAttempt(ctx, withdraw, p, job, charge)
+	go run.forward(ctx, cancel)
 }
 
-func (r *Router) CancelAttempt(p *dispatch.Attempt) {
-	if withdraw := r.cancelFuncs[p]; withdraw != nil {
-		withdraw()
+// attemptDeadline is when an attempt times out: with its request, or after its own timeout if that is earlier.
+func (r *Router) attemptDeadline(attempt *dispatch.Attempt) time.Time {
+	deadline := attempt.Request.Deadline
+	if attempt.Timeout > 0 {
+		deadline = min(deadline, r.clock()+attempt.Timeout)
 	}
+	return time.Now().Add(time.Duration(deadline - r.clock()))
 }
 
-// sendGate is asked by the connection at the first byte of a posting, of each there is.
-// Danger: a posting that was decided before its executor was told of as leaving, or its txn was answered, and waited since
-// for a connection, the processor or a descriptor. Nothing of it has left, so it is proved not run.
-type sendGate struct {
+// CancelAttempt implements dispatch.Actions. The outcome of the attempt still follows.
+func (r *Router) CancelAttempt(attempt *dispatch.Attempt) {
+	if cancel := r.cancelFuncs[attempt]; cancel != nil {
+		cancel()
+	}
+}
+
+// attemptRun takes one attempt to its server and reports its one outcome. It runs on a goroutine of its own, which ends with the
+// attempt's context at the latest.
+type attemptRun struct {
 	router      *Router
 	attempt     *dispatch.Attempt
 	outgoing    *protocol.Attempt
-	ctx         context.Context
-	reservation Reservation  // nil: it takes nothing
-	sentAt      atomic.Int64 // when it was let go; 0: it has not been
+	reservation Reservation // nil: the attempt reserves nothing
+	gate        *sendGate
+	decidedAt   int64 // by the node's clock, ns
+	startedAt   int64 // when the server reported the start, by the node's clock, ns; 0: it did not
 }
 
-func (l *sendGate) MaySend() bool {
-	l.router.mu.Lock()
-	l.router.module.SetSchedulingDelay(l.router.delay.Delay())
-	stands := l.router.module.MaySend(l.attempt) && l.router.address(l.attempt.Server) == l.outgoing.Address
-	l.router.mu.Unlock()
-	if !stands || l.ctx.Err() != nil || l.outgoing.TimeoutOverstated(time.Now()) {
-		return false
+// forward runs the attempt until its outcome.
+func (a *attemptRun) forward(ctx context.Context, cancel context.CancelFunc) {
+	defer cancel()
+	a.decidedAt = a.router.clock()
+	a.gate = &sendGate{
+		router:      a.router,
+		attempt:     a.attempt,
+		outgoing:    a.outgoing,
+		ctx:         ctx,
+		reservation: a.reservation,
 	}
-	// Danger: word that a client has closed waits behind work at a full node, and its job is begun for nobody.
-	if l.outgoing.Request.ClientGone() {
-		l.router.event(func() { l.router.clientClosed(l.attempt.Request) })
-		return false
+	a.outgoing.Gate = a.gate
+	err := a.router.recoverPanic(func() {
+		a.router.forwarder.Forward(ctx, a.outgoing, a.update, a.end)
+	})
+	// After a panic on the way nobody knows whether the attempt has run.
+	if err != nil {
+		a.end(protocol.AttemptResult{Outcome: dispatch.ConnectionLost, Cause: err})
 	}
-	if l.reservation != nil && !l.reservation.MaySend() {
-		return false
+}
+
+// update tells the module what the server reported of the running job.
+func (a *attemptRun) update(update protocol.JobUpdate) {
+	a.router.event(func() {
+		if update.State != protocol.Started {
+			a.router.module.AttemptProgressed(a.attempt)
+			return
+		}
+		a.startedAt = a.router.clock()
+		a.router.module.AttemptStarted(a.attempt)
+	})
+}
+
+// end logs the attempt, gives back what it reserved and tells the module of its outcome.
+func (a *attemptRun) end(result protocol.AttemptResult) {
+	a.trace(result.Outcome)
+	if a.reservation != nil {
+		a.reservation.Release(serverFinished(result.Outcome))
 	}
-	l.sentAt.Store(l.router.clock())
-	return true
+	a.router.attemptEnded(a.attempt, result, a.decidedAt)
 }
 
-func (l *sendGate) Sent() {
-	if l.reservation != nil {
-		l.reservation.Sent()
+// trace writes the line that fleetsim count reads: its text and keys are fixed. Times are Unix time in us.
+func (a *attemptRun) trace(outcome dispatch.Outcome) {
+	a.router.log.Trace().
+		Str("id", a.attempt.Request.Tag).
+		Int("number", a.attempt.Number).
+		Str("executor", a.attempt.Server.Tag).
+		Stringer("outcome", outcome).
+		Int64("sent_us", a.decidedAt/1e3).
+		Int64("left_us", a.gate.sentAt.Load()/1e3).
+		Int64("began_us", a.startedAt/1e3).
+		Int64("ended_us", a.router.clock()/1e3).
+		Msg("posting")
+}
+
+// serverFinished says whether an outcome came from the server, so that nothing of the attempt runs there any more.
+func serverFinished(outcome dispatch.Outcome) bool {
+	return outcome == dispatch.Succeeded || outcome == dispatch.Failed || outcome == dispatch.Rejected
+}
+
+// attemptEnded hands on the one outcome of an attempt.
+func (r *Router) attemptEnded(attempt *dispatch.Attempt, result protocol.AttemptResult, decidedAt int64) {
+	r.event(func() { r.applyResult(attempt, result, decidedAt) })
+	r.reportOutcome(attempt.Server.Tag, result.Outcome)
+	if result.Cause == nil || result.Outcome == dispatch.Canceled {
+		return
 	}
+	r.log.Debug().
+		Err(result.Cause).
+		Str("id", attempt.Request.Tag).
+		Int("number", attempt.Number).
+		Str("executor", attempt.Server.Tag).
+		Stringer("outcome", result.Outcome).
+		Int64("lag_ms", r.delay.Delay()/1e6).
+		Msg("attempt failed")
 }
 
-// runAttempt takes one posting to its executor and tells the module of its one outcome.
-func (r *Router) runAttempt(ctx context.Context, withdraw context.CancelFunc, p *dispatch.Attempt, job *protocol.Attempt, charge Reservation) {
-	sent, gate := r.clock(), &sendGate{router: r, attempt: p, outgoing: job, ctx: ctx, reservation: charge}
-	job.Gate = gate
-	defer withdraw()
-	began := int64(0) // when it told of its start
-	ended := func(e protocol.AttemptResult) {
-		r.log.Trace().Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
-			Int64("sent_us", sent/1e3).Int64("left_us", gate.sentAt.Load()/1e3).Int64("began_us", began/1e3).Int64("ended_us", r.clock()/1e3).Msg("posting")
-		if charge != nil {
-			charge.Release(e.Outcome == dispatch.Succeeded || e.Outcome == dispatch.Failed || e.Outcome == dispatch.Rejected)
-		}
-		r.attemptEnded(p, e, sent)
+// applyResult answers the request if the attempt succeeded, and tells the module. A second result of one attempt, as after a panic
+// that followed the first, is dropped. Under mu.
+func (r *Router) applyResult(attempt *dispatch.Attempt, result protocol.AttemptResult, decidedAt int64) {
+	if r.cancelFuncs[attempt] == nil {
+		return
 	}
-	// Danger: a fault in one posting's goroutine takes the node down; it may have run by then.
-	if err := r.recoverPanic(func() {
-		r.forwarder.Forward(ctx, job, func(line protocol.JobUpdate) {
-			r.event(func() {
-				if line.State == protocol.Started {
-					began = r.clock()
-					r.module.AttemptStarted(p)
-				} else {
-					r.module.AttemptProgressed(p)
-				}
-			})
-		}, ended)
-	}); err != nil {
-		ended(protocol.AttemptResult{Outcome: dispatch.ConnectionLost, Cause: err})
+	delete(r.cancelFuncs, attempt)
+	if result.Outcome == dispatch.Succeeded {
+		r.respond(attempt.Request, &protocol.Response{Status: http.StatusOK, Body: result.Result})
 	}
+	attempt.FreeSlots = result.FreeSlots
+	answered := r.requests[attempt.Request] == nil
+	r.module.AttemptEnded(attempt, result.Outcome, r.clock()-decidedAt, answered)
 }
 
-// attemptEnded tells the module of a posting's one outcome.
-func (r *Router) attemptEnded(p *dispatch.Attempt, e protocol.AttemptResult, sent int64) {
-	r.event(func() {
-		if r.cancelFuncs[p] == nil {
-			return
-		}
-		delete(r.cancelFuncs, p)
-		if e.Outcome == dispatch.Succeeded {
-			r.respond(p.Request, &protocol.Response{Status: http.StatusOK, Body: e.Result})
-		}
-		p.FreeSlots = e.FreeSlots
-		r.module.AttemptEnded(p, e.Outcome, r.clock()-sent, r.requests[p.Request] == nil)
-	})
-	if r.onOutcome != nil {
-		switch e.Outcome {
-		case dispatch.Succeeded:
-			r.onOutcome(p.Server.Tag, false)
-		case dispatch.Failed, dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionLost:
-			r.onOutcome(p.Server.Tag, true)
-		}
+// reportOutcome tells whoever registered by OnOutcome how a server did. Outcomes that say nothing of the server are left out.
+func (r *Router) reportOutcome(serverID string, outcome dispatch.Outcome) {
+	if r.onOutcome == nil {
+		return
 	}
-	if e.Cause != nil && e.Outcome != dispatch.Canceled {
-		r.log.Debug().Err(e.Cause).Str("id", p.Request.Tag).Int("number", p.Number).Str("executor", p.Server.Tag).Stringer("outcome", e.Outcome).
-			Int64("lag_ms", r.delay.Delay()/1e6).Msg("attempt failed")
+	switch outcome {
+	case dispatch.Succeeded:
+		r.onOutcome(serverID, false)
+	case dispatch.Failed, dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionLost:
+		r.onOutcome(serverID, true)
 	}
 }
--- a/internal/routing/quota.go
+++ b/internal/routing/quota.go
@@ -6,33 +6,46 @@
 	"fernrail/dispatch"
 )
 
-// Allow implements dispatch.Shares, under the lock as well.
-func (r *Router) Allow(b dispatch.Budget, e *dispatch.Server, t *dispatch.Request, units float64) bool {
-	switch b {
+// The router is the dispatch.QuotaSource of its module: it gives servers and tenants the names under which its own QuotaSource knows
+// them. The methods are called under mu.
+
+// Allow implements dispatch.QuotaSource.
+func (r *Router) Allow(budget dispatch.Budget, server *dispatch.Server, request *dispatch.Request, units float64) bool {
+	switch budget {
 	case dispatch.BudgetTenantAttempts:
-		return r.quotaSource.Allow(b, r.tenantName(t), units)
+		return r.quotaSource.Allow(budget, r.tenantName(request), units)
 	case dispatch.BudgetRetries, dispatch.BudgetPolls:
-		return r.quotaSource.Allow(b, "", units)
+		return r.quotaSource.Allow(budget, "", units)
 	}
-	return r.quotaSource.Allow(b, r.quotaKey(b, e), units)
+	return r.quotaSource.Allow(budget, r.quotaKey(budget, server), units)
+}
+
+// Quota implements dispatch.QuotaSource.
+func (r *Router) Quota(budget dispatch.Budget, server *dispatch.Server) float64 {
+	return r.quotaSource.Quota(budget, r.quotaKey(budget, server))
 }
 
-// Quota implements dispatch.Shares, under the lock as well.
-func (r *Router) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
-	return r.quotaSource.Quota(b, r.quotaKey(b, e))
+// reserve reserves what an attempt uses; nil: there is not enough of it.
+func (r *Router) reserve(attempt *dispatch.Attempt) Reservation {
+	isRetry := attempt.Number > 0
+	return r.quotaSource.Reserve(attempt.Server.Tag, r.tenantName(attempt.Request), isRetry, attempt.SlowStartShare)
 }
 
-// tenantName is the name of a txn's; empty where there are none.
-func (r *Router) tenantName(t *dispatch.Request) string {
-	if t.Tenant >= len(r.settings.Tenants) {
+// tenantName is the name of a request's tenant; empty where the node has no tenants.
+func (r *Router) tenantName(request *dispatch.Request) string {
+	if request.Tenant >= len(r.settings.Tenants) {
 		return ""
 	}
-	return r.settings.Tenants[t.Tenant].Tag
+	return r.settings.Tenants[request.Tenant].Tag
 }
 
-func (r *Router) quotaKey(b dispatch.Budget, e *dispatch.Server) string {
-	if m := r.endpoints[e.Tag]; b == dispatch.BudgetConnections && m != nil {
-		return m.address
+// quotaKey is the address of a server for connections and its id for all else.
+func (r *Router) quotaKey(budget dispatch.Budget, server *dispatch.Server) string {
+	if budget != dispatch.BudgetConnections {
+		return server.Tag
+	}
+	if e := r.endpoints[server.Tag]; e != nil {
+		return e.address
 	}
-	return e.Tag
+	return server.Tag
 }
