--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -23,8 +23,8 @@
 	probeTimeout       time.Duration  // how long the answer to a probe is waited for
 	endpointSource     EndpointSource // Follow alone uses it
 	initialEndpoints   *protocol.EndpointList
-	unansweredUpdate   chan struct{}       // closed and nil when discovery has first answered; Follow alone uses it
-	firstUpdate        <-chan struct{}     // the same, for others
+	firstUpdate        chan struct{} // closed when discovery has answered for the first time
+	firstUpdateOnce    sync.Once
 	nextEndpointSource chan EndpointSource // the latest new place to ask, at most one
 	log                zerolog.Logger
 	startTime          time.Time
@@ -70,7 +70,7 @@
 		probeTimeout:       c.ProbeTimeout,
 		endpointSource:     c.EndpointSource,
 		initialEndpoints:   c.InitialEndpoints,
-		unansweredUpdate:   make(chan struct{}),
+		firstUpdate:        make(chan struct{}),
 		nextEndpointSource: make(chan EndpointSource, 1),
 		log:                c.Log,
 		startTime:          time.Now(),
@@ -85,7 +85,6 @@
 		pollRequested:      make(chan bool, 1),
 		endpointsChanged:   make(chan struct{}, 1),
 	}
-	r.firstUpdate = r.unansweredUpdate
 	if r.quotaSource != nil {
 		withQuotas := *r.settings
 		withQuotas.Quotas = r
