--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -36,7 +36,8 @@
 	go run.forward(ctx, cancel)
 }
 
-// attemptDeadline is when an attempt times out: with its request, or after its own timeout if that is earlier.
+// attemptDeadline is when an attempt times out: with its request, or after its own timeout if that
+// is earlier.
 func (r *Router) attemptDeadline(attempt *dispatch.Attempt) time.Time {
 	deadline := attempt.Request.Deadline
 	if attempt.Timeout > 0 {
@@ -52,8 +53,8 @@
 	}
 }
 
-// attemptRun takes one attempt to its server and reports its one outcome. It runs on a goroutine of its own, which ends with the
-// attempt's context at the latest.
+// attemptRun takes one attempt to its server and reports its one outcome. It runs on a goroutine of
+// its own, which ends with the attempt's context at the latest.
 type attemptRun struct {
 	router      *Router
 	attempt     *dispatch.Attempt
@@ -106,7 +107,8 @@
 	a.router.attemptEnded(a.attempt, result, a.decidedAt)
 }
 
-// trace writes the line that fleetsim count reads: its text and keys are fixed. Times are Unix time in us.
+// trace writes the line that fleetsim count reads: its text and keys are fixed. Times are Unix time
+// in us.
 func (a *attemptRun) trace(outcome dispatch.Outcome) {
 	a.router.log.Trace().
 		Str("id", a.attempt.Request.Tag).
@@ -120,7 +122,8 @@
 		Msg("posting")
 }
 
-// serverFinished says whether an outcome came from the server, so that nothing of the attempt runs there any more.
+// serverFinished says whether an outcome came from the server, so that nothing of the attempt runs
+// there any more.
 func serverFinished(outcome dispatch.Outcome) bool {
 	return outcome == dispatch.Succeeded || outcome == dispatch.Failed || outcome == dispatch.Rejected
 }
@@ -142,8 +145,8 @@
 		Msg("attempt failed")
 }
 
-// applyResult answers the request if the attempt succeeded, and tells the module. A second result of one attempt, as after a panic
-// that followed the first, is dropped. Under mu.
+// applyResult answers the request if the attempt succeeded, and tells the module. A second result
+// of one attempt, as after a panic that followed the first, is dropped. Under mu.
 func (r *Router) applyResult(attempt *dispatch.Attempt, result protocol.AttemptResult, decidedAt int64) {
 	if r.cancelFuncs[attempt] == nil {
 		return
@@ -157,7 +160,8 @@
 	r.module.AttemptEnded(attempt, result.Outcome, r.clock()-decidedAt, answered)
 }
 
-// reportOutcome tells whoever registered by OnOutcome how a server did. Outcomes that say nothing of the server are left out.
+// reportOutcome tells whoever registered by OnOutcome how a server did. Outcomes that say nothing
+// of the server are left out.
 func (r *Router) reportOutcome(serverID string, outcome dispatch.Outcome) {
 	if r.onOutcome == nil {
 		return
--- a/internal/routing/endpoint_watcher.go
+++ b/internal/routing/endpoint_watcher.go
@@ -11,7 +11,8 @@
 	"fernrail/internal/protocol"
 )
 
-// minPollInterval is the least time between two polls that bring nothing. It is well within the 200 ms after which a watch has ended.
+// minPollInterval is the least time between two polls that bring nothing. It is well within the 200
+// ms after which a watch has ended.
 const minPollInterval = 50 * time.Millisecond
 
 var (
@@ -21,7 +22,8 @@
 	errListIncomplete = errors.New("asked for the complete endpoint list, got changes")
 )
 
-// versionRegressionError says that discovery sent an older endpoint list than the one that this node has.
+// versionRegressionError says that discovery sent an older endpoint list than the one that this
+// node has.
 type versionRegressionError struct {
 	have, got int64
 }
@@ -44,7 +46,8 @@
 	version      int64 // of the list that the module has
 }
 
-// SetEndpointSource has the endpoint list fetched from another source from now on. Of several sources set in a row the last counts.
+// SetEndpointSource has the endpoint list fetched from another source from now on. Of several
+// sources set in a row the last counts.
 func (r *Router) SetEndpointSource(source EndpointSource) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +58,8 @@
 	r.nextEndpointSource <- source
 }
 
-// PollEndpoints implements dispatch.Actions: the module wants the endpoint list polled, or no longer. The latest word counts.
+// PollEndpoints implements dispatch.Actions: the module wants the endpoint list polled, or no
+// longer. The latest word counts.
 func (r *Router) PollEndpoints(on bool) {
 	select {
 	case <-r.pollRequested:
@@ -67,12 +71,14 @@
 // FirstUpdate is closed when discovery has answered a poll for the first time.
 func (r *Router) FirstUpdate() <-chan struct{} { return r.firstUpdate }
 
-// WatchEndpoints keeps the endpoint list up to date while the module wants that, until the context ends. A poll that fails ends the
-// watch, and the module says when to poll again. The scheduling delay is measured for as long.
+// WatchEndpoints keeps the endpoint list up to date while the module wants that, until the context
+// ends. A poll that fails ends the watch, and the module says when to poll again. The scheduling
+// delay is measured for as long.
 func (r *Router) WatchEndpoints(ctx context.Context) {
 	go r.delay.run(ctx, r.log)
-	// The configured list is one like any other, and changes to it cost little. If all nodes of a fleet that starts together
-	// fetched complete lists instead, discovery would be too slow for any of them.
+	// The configured list is one like any other, and changes to it cost little. If all nodes of a
+	// fleet that starts together fetched complete lists instead, discovery would be too slow for
+	// any of them.
 	state := watchState{needComplete: !r.initialEndpoints.Complete, version: r.initialEndpoints.Version}
 	var results chan watchResult // of the poll that is out; nil: none is
 	cancel := func() {}
@@ -89,8 +95,8 @@
 			return
 		case state.polling = <-r.pollRequested:
 		case r.endpointSource = <-r.nextEndpointSource:
-			// A poll that waits at the old source would bring nothing more. Versions of one source say nothing about the
-			// list of another, so the complete one is fetched.
+			// A poll that waits at the old source would bring nothing more. Versions of one source
+			// say nothing about the list of another, so the complete one is fetched.
 			cancel()
 			results = nil
 			state = watchState{polling: true, needComplete: true}
@@ -102,7 +108,8 @@
 	}
 }
 
-// poll polls discovery once. Its result is sent to a channel with room for it, so that poll ends also when nobody waits for it.
+// poll polls discovery once. Its result is sent to a channel with room for it, so that poll ends
+// also when nobody waits for it.
 func (r *Router) poll(ctx context.Context, source EndpointSource, state watchState, results chan<- watchResult) {
 	if !r.mayPoll() {
 		results <- watchResult{err: errNoPollQuota}
@@ -118,7 +125,8 @@
 		result.err = panicked
 	}
 	result.duration = time.Since(start)
-	// A source that answers each poll at once, with an error or nothing new, would otherwise be polled without a pause.
+	// A source that answers each poll at once, with an error or nothing new, would otherwise be
+	// polled without a pause.
 	if result.err != nil || !state.isNews(result.list) {
 		select {
 		case <-time.After(minPollInterval - time.Since(start)):
@@ -138,7 +146,8 @@
 	if s.needComplete && !list.Complete {
 		return errListIncomplete
 	}
-	// A source that lost its state lists servers as they once were. A complete list that was asked for counts all the same.
+	// A source that lost its state lists servers as they once were. A complete list that was asked
+	// for counts all the same.
 	if !s.needComplete && list.Version < s.version {
 		return &versionRegressionError{have: s.version, got: list.Version}
 	}
@@ -179,12 +188,14 @@
 		discoveryTime = duration
 	}
 	err = r.tryEvent(func() { r.module.PollFailed(int64(duration), int64(discoveryTime)) })
-	// If the module panicked it has set no timer for the next poll, and without a poll now there would never be one.
+	// If the module panicked it has set no timer for the next poll, and without a poll now there
+	// would never be one.
 	state.polling = err != nil
 	return state
 }
 
-// applyPolledList hands a list to the module. The line "list" is read by fleetsim count: its text and keys are fixed.
+// applyPolledList hands a list to the module. The line "list" is read by fleetsim count: its text
+// and keys are fixed.
 func (r *Router) applyPolledList(list *protocol.EndpointList) {
 	start := time.Now()
 	r.event(func() { r.applyEndpoints(list) })
@@ -200,7 +211,8 @@
 	r.firstUpdateOnce.Do(func() { close(r.firstUpdate) })
 }
 
-// pollAgain says whether the next poll is sent at once. Where nodes share a budget of polls the module says when.
+// pollAgain says whether the next poll is sent at once. Where nodes share a budget of polls the
+// module says when.
 func (r *Router) pollAgain() bool {
 	if r.quotaSource == nil {
 		return true
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -9,45 +9,33 @@
 	"slices"
 )
 
-// endpoint is an executor of the list with its present address.
+// endpoint is a server of the endpoint list with its present address.
 type endpoint struct {
 	server  *dispatch.Server
-	listed  protocol.Endpoint // what discovery said last
+	listed  protocol.Endpoint // the latest entry of discovery
 	address string
 }
 
-// address is an executor's present address. Under mu.
-// Danger: one that came back elsewhere while a connection to where it was is still under way.
-func (r *Router) address(e *dispatch.Server) string {
-	if m := r.endpoints[e.Tag]; m != nil {
-		return m.address
+// address is a server's present address. It is asked again when a connection is up, as the server
+// may have moved meanwhile. Under mu.
+func (r *Router) address(server *dispatch.Server) string {
+	if e := r.endpoints[server.Tag]; e != nil {
+		return e.address
 	}
 	return ""
 }
 
-// applyEndpoints hands the list to the module and keeps the addresses.
-func (r *Router) applyEndpoints(l *protocol.EndpointList) {
-	var members []dispatch.Endpoint
-	for _, e := range l.Endpoints {
-		m := r.endpoints[e.ID]
-		if m == nil {
-			m = &endpoint{server: &dispatch.Server{Tag: e.ID, Hash: dispatch.HashName(e.ID), Distance: r.unplacedDistance, OutlierScore: r.outlierScores[e.ID]}}
-			r.endpoints[e.ID] = m
-			r.notifyEndpointsChanged()
-		}
-		if e.Address != "" {
-			m.address = e.Address
-		}
-		if m.listed = e; !r.listedIDs[e.ID] {
-			r.listedIDs[e.ID], r.listedOrder = true, append(r.listedOrder, e.ID)
-		}
-		members = append(members, r.moduleEndpoint(m))
+// applyEndpoints hands a list to the module and keeps the addresses. Under mu.
+func (r *Router) applyEndpoints(list *protocol.EndpointList) {
+	var updates []dispatch.Endpoint
+	for _, listed := range list.Endpoints {
+		updates = append(updates, r.updateEndpoint(listed))
 	}
-	r.module.UpdateEndpoints(l.Complete, members)
-	// Danger: a map of thousands that is walked at each change of one of them.
-	if !l.Complete {
-		for _, e := range l.Endpoints {
-			r.dropIfRemoved(e.ID)
+	r.module.UpdateEndpoints(list.Complete, updates)
+	// A change of one server must not cost a walk through thousands.
+	if !list.Complete {
+		for _, listed := range list.Endpoints {
+			r.dropIfRemoved(listed.ID)
 		}
 		return
 	}
@@ -56,14 +44,62 @@
 	}
 }
 
-// dropIfRemoved drops a server that is gone.
+// updateEndpoint keeps what discovery says of a server, and gives the module's form of it.
+func (r *Router) updateEndpoint(listed protocol.Endpoint) dispatch.Endpoint {
+	e := r.endpoints[listed.ID]
+	if e == nil {
+		e = &endpoint{server: r.newServer(listed.ID)}
+		r.endpoints[listed.ID] = e
+		r.notifyEndpointsChanged()
+	}
+	// A removed server is listed without an address, and attempts that are out still compare theirs.
+	if listed.Address != "" {
+		e.address = listed.Address
+	}
+	e.listed = listed
+	if !r.listedIDs[listed.ID] {
+		r.listedIDs[listed.ID] = true
+		r.listedOrder = append(r.listedOrder, listed.ID)
+	}
+	return r.moduleEndpoint(e)
+}
+
+func (r *Router) newServer(id string) *dispatch.Server {
+	return &dispatch.Server{
+		Tag:          id,
+		Hash:         dispatch.HashName(id),
+		Distance:     r.unplacedDistance,
+		OutlierScore: r.outlierScores[id],
+	}
+}
+
+// moduleEndpoint is an endpoint as the module is told of it: an excluded server drains, whatever
+// discovery says.
+func (r *Router) moduleEndpoint(e *endpoint) dispatch.Endpoint {
+	state := e.listed.State
+	if state == dispatch.Up && r.excluded[e.listed.ID] {
+		state = dispatch.Draining
+	}
+	return dispatch.Endpoint{
+		Server:      e.server,
+		State:       state,
+		Zone:        e.listed.Zone,
+		MachineType: e.listed.MachineType,
+		Cell:        e.listed.Cell,
+		StartedAt:   e.listed.Started,
+		Capacity:    e.listed.Capacity,
+	}
+}
+
+// dropIfRemoved drops a server that the module has marked as removed.
 func (r *Router) dropIfRemoved(id string) {
-	if m := r.endpoints[id]; m != nil && m.server.State == dispatch.Removed {
+	if e := r.endpoints[id]; e != nil && e.server.State == dispatch.Removed {
 		delete(r.endpoints, id)
 		r.notifyEndpointsChanged()
 	}
 }
 
+// notifyEndpointsChanged never blocks: one pending notice stands for all changes until it is received.
 func (r *Router) notifyEndpointsChanged() {
 	select {
 	case r.endpointsChanged <- struct{}{}:
@@ -71,10 +107,10 @@
 	}
 }
 
-// EndpointsChanged comes when other executors are listed than were when it came last.
+// EndpointsChanged delivers a notice when servers were added to the list or removed since the last one.
 func (r *Router) EndpointsChanged() <-chan struct{} { return r.endpointsChanged }
 
-// Endpoints are the executors that are listed, as discovery told them last.
+// Endpoints gives the listed servers in the order of their ids, as discovery described them last.
 func (r *Router) Endpoints() (entries []protocol.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,33 +120,24 @@
 	return entries
 }
 
-// moduleEndpoint is an executor as the module is told of it: a banned one drains, whatever discovery says.
-func (r *Router) moduleEndpoint(m *endpoint) dispatch.Endpoint {
-	e := &m.listed
-	state := e.State
-	if state == dispatch.Up && r.excluded[e.ID] {
-		state = dispatch.Draining
-	}
-	return dispatch.Endpoint{Server: m.server, State: state, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, StartedAt: e.Started, Capacity: e.Capacity}
-}
-
-// IsListed says whether an executor is in the list now.
+// IsListed says whether a server is in the list now.
 func (r *Router) IsListed(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endpoints[id] != nil
 }
 
-// WasListed says whether an executor is in the list or ever was.
+// WasListed says whether a server is in the list or ever was.
 func (r *Router) WasListed(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.listedIDs[id]
 }
 
-// EverListed gives the executors that were ever listed, but for the first so many.
-func (r *Router) EverListed(but int) []string {
+// EverListed gives the ids that were ever listed, in the order in which they first were, without
+// the first skip of them.
+func (r *Router) EverListed(skip int) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.listedOrder[but:])
+	return slices.Clone(r.listedOrder[skip:])
 }
--- a/internal/routing/event_loop.go
+++ b/internal/routing/event_loop.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// clock gives Unix time in ns that never goes back. Discovery reports the starts of servers by the same clock.
+// clock gives Unix time in ns that never goes back. Discovery reports the starts of servers by the
+// same clock.
 func (r *Router) clock() int64 { return r.startTime.UnixNano() + int64(time.Since(r.startTime)) }
 
 // event runs one step of the decision module. A panic in it is logged and costs that step alone.
@@ -33,14 +34,18 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("panic: %v", cause)
-			r.log.Error().Err(err).Bytes("stack", debug.Stack()).Msg("recovered from a panic; only this step is lost")
+			r.log.Error().
+				Err(err).
+				Bytes("stack", debug.Stack()).
+				Msg("recovered from a panic; only this step is lost")
 		}
 	}()
 	step()
 	return nil
 }
 
-// Schedule implements dispatch.Actions: it runs a step of the module after so many ns. The function that it returns cancels that.
+// Schedule implements dispatch.Actions: it runs a step of the module after so many ns. The function
+// that it returns cancels that.
 func (r *Router) Schedule(after int64, then func()) (cancel func()) {
 	timer := time.AfterFunc(time.Duration(after), func() { r.event(then) })
 	return func() { timer.Stop() }
--- a/internal/routing/exclusions.go
+++ b/internal/routing/exclusions.go
@@ -9,22 +9,28 @@
 	"fernrail/dispatch"
 )
 
-// SetExcluded has these executors drain, and no others but those that discovery says do.
+// SetExcluded has exactly these servers drain, besides those that discovery drains. Ids that are
+// not listed take effect once they are.
 func (r *Router) SetExcluded(ids []string) {
 	r.event(func() {
-		was := r.excluded
+		before := r.excluded
 		r.excluded = map[string]bool{}
-		var changed []dispatch.Endpoint
 		for _, id := range ids {
 			r.excluded[id] = true
 		}
-		for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-			if m := r.endpoints[id]; was[id] != r.excluded[id] {
-				changed = append(changed, r.moduleEndpoint(m))
-			}
-		}
-		if len(changed) > 0 {
-			r.module.UpdateEndpoints(false, changed)
+		if changes := r.exclusionChanges(before); len(changes) > 0 {
+			r.module.UpdateEndpoints(false, changes)
 		}
 	})
 }
+
+// exclusionChanges gives the listed servers whose exclusion differs from before, in the order of
+// their ids.
+func (r *Router) exclusionChanges(before map[string]bool) (changes []dispatch.Endpoint) {
+	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
+		if before[id] != r.excluded[id] {
+			changes = append(changes, r.moduleEndpoint(r.endpoints[id]))
+		}
+	}
+	return changes
+}
--- a/internal/routing/probes.go
+++ b/internal/routing/probes.go
@@ -9,20 +9,27 @@
 	"fernrail/internal/protocol"
 )
 
-// ProbeCapacity asks an executor for its load. What does not come while the longest probe may last tells of no room.
-func (r *Router) ProbeCapacity(e *dispatch.Server) {
-	address := r.address(e)
+// ProbeCapacity implements dispatch.Actions: it asks a server for its free capacity. A probe
+// without an answer within the probe timeout counts as none. The probe runs on a goroutine of its
+// own, which that timeout ends.
+func (r *Router) ProbeCapacity(server *dispatch.Server) {
+	address := r.address(server)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), r.probeTimeout)
-		defer cancel()
-		var load protocol.LoadReport
-		var err error
-		if fault := r.recoverPanic(func() { load, err = r.forwarder.Probe(ctx, address) }); fault != nil {
-			err = fault
-		}
-		r.event(func() { r.module.CapacityReported(e, err == nil, load.FreeSlots, load.FreeMemory) })
+		report, err := r.probe(address)
+		r.event(func() { r.module.CapacityReported(server, err == nil, report.FreeSlots, report.FreeMemory) })
 	}()
 }
 
-// NotifyPeers implements dispatch.Door. The protocol has no messages between nodes, so the module is told that there are none.
+func (r *Router) probe(address string) (report protocol.LoadReport, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.probeTimeout)
+	defer cancel()
+	panicked := r.recoverPanic(func() { report, err = r.forwarder.Probe(ctx, address) })
+	if panicked != nil {
+		return protocol.LoadReport{}, panicked
+	}
+	return report, err
+}
+
+// NotifyPeers implements dispatch.Actions. The protocol has no messages between nodes, and the
+// settings tell the module so.
 func (r *Router) NotifyPeers(*dispatch.Server, float64) {}
--- a/internal/routing/quota.go
+++ b/internal/routing/quota.go
@@ -6,11 +6,13 @@
 	"fernrail/dispatch"
 )
 
-// The router is the dispatch.QuotaSource of its module: it gives servers and tenants the names under which its own QuotaSource knows
-// them. The methods are called under mu.
+// The router is the dispatch.QuotaSource of its module: it gives servers and tenants the names
+// under which its own QuotaSource knows them. The methods are called under mu.
 
 // Allow implements dispatch.QuotaSource.
-func (r *Router) Allow(budget dispatch.Budget, server *dispatch.Server, request *dispatch.Request, units float64) bool {
+func (r *Router) Allow(
+	budget dispatch.Budget, server *dispatch.Server, request *dispatch.Request, units float64,
+) bool {
 	switch budget {
 	case dispatch.BudgetTenantAttempts:
 		return r.quotaSource.Allow(budget, r.tenantName(request), units)
@@ -28,7 +30,8 @@
 // reserve reserves what an attempt uses; nil: there is not enough of it.
 func (r *Router) reserve(attempt *dispatch.Attempt) Reservation {
 	isRetry := attempt.Number > 0
-	return r.quotaSource.Reserve(attempt.Server.Tag, r.tenantName(attempt.Request), isRetry, attempt.SlowStartShare)
+	tenant := r.tenantName(attempt.Request)
+	return r.quotaSource.Reserve(attempt.Server.Tag, tenant, isRetry, attempt.SlowStartShare)
 }
 
 // tenantName is the name of a request's tenant; empty where the node has no tenants.
--- a/internal/routing/request_ids.go
+++ b/internal/routing/request_ids.go
@@ -11,8 +11,9 @@
 	"fernrail/dispatch"
 )
 
-// defaultIDWindow is how long the id of a finished request stays reserved where its class sets no deduplication window. Clients use
-// an id once; one that repeats another client's id may go on for a while after that one has its response.
+// defaultIDWindow is how long the id of a finished request stays reserved where its class sets no
+// deduplication window. Clients use an id once; one that repeats another client's id may go on for
+// a while after that one has its response.
 const defaultIDWindow = 10 * time.Second
 
 // idWindow is how long the id of a finished request of that class stays reserved, in ns.
@@ -20,10 +21,11 @@
 	return cmp.Or(class.DedupWindow, int64(defaultIDWindow))
 }
 
-// requestIDs holds the ids that are reserved. Two requests under one id could get each other's response, and a repeat within its
-// class's deduplication window could run twice.
+// requestIDs holds the ids that are reserved. Two requests under one id could get each other's
+// response, and a repeat within its class's deduplication window could run twice.
 //
-// Entries are dropped by generation: after each rotationInterval the older of two maps goes. Times are by the node's clock, in ns.
+// Entries are dropped by generation: after each rotationInterval the older of two maps goes. Times
+// are by the node's clock, in ns.
 type requestIDs struct {
 	rotationInterval int64 // the longest window of any class
 	rotatedAt        int64
@@ -39,8 +41,8 @@
 	return ids
 }
 
-// reserve reserves an id for an open request; false: it is reserved already. open gives the ids of the open requests, which are
-// kept for as long as it takes.
+// reserve reserves an id for an open request; false: it is reserved already. open gives the ids of
+// the open requests, which are kept for as long as it takes.
 func (ids *requestIDs) reserve(id string, now int64, open iter.Seq[string]) bool {
 	if now-ids.rotatedAt >= ids.rotationInterval {
 		ids.rotate(now, open)
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -23,9 +23,11 @@
 	response     chan *protocol.Response // holds the one final response; nil: the module failed and none is known
 }
 
-// Serve takes a request, read completely, to its one final response. nil: the module failed, and none is known.
+// Serve takes a request, read completely, to its one final response. nil: the module failed, and
+// none is known.
 func (r *Router) Serve(ctx context.Context, received *protocol.Request) *protocol.Response {
-	// A client may have closed while its request waited in the socket. Without this an overloaded node would work for nobody.
+	// A client may have closed while its request waited in the socket. Without this an overloaded
+	// node would work for nobody.
 	if ctx.Err() != nil || received.ClientGone() {
 		return &protocol.Response{Status: http.StatusServiceUnavailable, ClientClosed: true}
 	}
@@ -59,7 +61,8 @@
 		Memory:       received.Memory,
 		AffinityKey:  received.AffinityKey,
 		ExpectedWork: received.ExpectedWork,
-		// The client counts its timeout from when it sent. A process that is short of CPU reads late what has lain in the socket.
+		// The client counts its timeout from when it sent. A process that is short of CPU reads
+		// late what has lain in the socket.
 		UnreadTime: r.delay.Delay(),
 	}
 }
@@ -73,7 +76,8 @@
 	state.arrivedAt = now
 	r.requests[request] = state
 	r.module.Arrive(request)
-	// Where clocks may differ the module has changed the deadline; a node that shuts down has no more time for that.
+	// Where clocks may differ the module has changed the deadline; a node that shuts down has no
+	// more time for that.
 	if !request.Done && request.Deadline > r.shutdownDeadline {
 		r.module.SetDeadline(request, r.shutdownDeadline)
 	}
@@ -90,8 +94,9 @@
 	}
 }
 
-// clientClosed tells the module that a client has closed. The request still gets its final response: a client that has only shut its
-// sending side may read it, and would otherwise not learn what became of its request. Under mu.
+// clientClosed tells the module that a client has closed. The request still gets its final
+// response: a client that has only shut its sending side may read it, and would otherwise not learn
+// what became of its request. Under mu.
 func (r *Router) clientClosed(request *dispatch.Request) {
 	if state := r.requests[request]; state != nil {
 		state.clientClosed = true
@@ -99,7 +104,8 @@
 	}
 }
 
-// logUnserved logs a request that ends without a result: why, how old it is and how long runnable work waits in this process.
+// logUnserved logs a request that ends without a result: why, how old it is and how long runnable
+// work waits in this process.
 func (r *Router) logUnserved(request *dispatch.Request, state *requestState, response *protocol.Response) {
 	if response == nil || response.Status == http.StatusOK || response.ClientClosed {
 		return
@@ -131,9 +137,13 @@
 	})
 }
 
-// Shed implements dispatch.Actions: the request is rejected as one that has not run. retryAfter, in ns, is advice; 0: none.
+// Shed implements dispatch.Actions: the request is rejected as one that has not run. retryAfter, in
+// ns, is advice; 0: none.
 func (r *Router) Shed(request *dispatch.Request, retryAfter int64) {
-	r.respond(request, &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: time.Duration(retryAfter)})
+	r.respond(request, &protocol.Response{
+		Status:     http.StatusServiceUnavailable,
+		RetryAfter: time.Duration(retryAfter),
+	})
 }
 
 // Compensate implements dispatch.Actions: the request fails, and may have run.
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package routing runs the decision module of one node: under one lock, with a clock and alarms, it tells the
-// module what happens and carries out what it decides. It decides nothing itself.
+// Package routing runs the decision module of one node. Under one lock it tells the module what
+// happens, with a clock and timers, and carries out what the module decides: it sends attempts to
+// servers, answers requests, polls discovery and probes servers. It decides nothing itself.
 package routing
 
 import (
@@ -16,47 +17,48 @@
 	"fernrail/internal/protocol"
 )
 
-// Router is the module with all that it acts through. It is the module's Door.
+// Router runs the decision module of one node. It implements the module's dispatch.Actions, and its
+// dispatch.QuotaSource where nodes hold budgets together. Those methods are called under mu and
+// never block.
 type Router struct {
 	settings           *dispatch.Settings
 	forwarder          Forwarder
-	probeTimeout       time.Duration  // how long the answer to a probe is waited for
-	endpointSource     EndpointSource // Follow alone uses it
+	probeTimeout       time.Duration
+	endpointSource     EndpointSource // used by WatchEndpoints alone
 	initialEndpoints   *protocol.EndpointList
 	firstUpdate        chan struct{} // closed when discovery has answered for the first time
 	firstUpdateOnce    sync.Once
-	nextEndpointSource chan EndpointSource // the latest new place to ask, at most one
+	nextEndpointSource chan EndpointSource // the source to change to; holds one, the latest
+	pollRequested      chan bool           // whether the module wants the endpoint list polled; holds one, the latest
+	endpointsChanged   chan struct{}       // holds one notice
 	log                zerolog.Logger
 	startTime          time.Time
-	quotaSource        QuotaSource // nil: nodes share nothing
+	quotaSource        QuotaSource // nil: this node holds no budgets together with others
 	delay              *delayMonitor
+	onOutcome          func(serverID string, failed bool) // nil: nobody is told; set before Serve is called
 
-	mu        sync.Mutex // round the module and all below; never held over a write, a dial or a log line
-	module    *dispatch.Dispatcher
-	endpoints map[string]*endpoint
-	excluded  map[string]bool // by operators; what is in it drains
-	// listedIDs holds every executor that was ever listed, so that one that is away is told from a slip of the pen
-	listedIDs        map[string]bool
-	listedOrder      []string // the same in order
-	shutdownDeadline int64    // when the node ends
-	requestCount     int      // txns, ever
+	mu               sync.Mutex // guards the module and all below; never held over a write, a dial or a log line
+	module           *dispatch.Dispatcher
+	endpoints        map[string]*endpoint // by server id
+	excluded         map[string]bool      // ids of servers that operators have drained
+	listedIDs        map[string]bool      // ids that were ever listed: a removed server is not a misspelled id
+	listedOrder      []string             // the same in the order in which they were first listed
+	outlierScores    map[string]float64   // by server id, as other nodes agree on
+	unplacedDistance int                  // the distance of a server that was just listed
 	ids              *requestIDs
-	requests         map[*dispatch.Request]*requestState      // txns without a final answer
-	cancelFuncs      map[*dispatch.Attempt]context.CancelFunc // postings without an outcome
-	pollRequested    chan bool                                // what the module wants of the list, at most one order
-	endpointsChanged chan struct{}                            // there are other executors than were; at most one word of it
-	outlierScores    map[string]float64                       // how bad others say that executors are
-	onOutcome        func(executor string, failed bool)       // hears how jobs ended; nil: nobody does
-	unplacedDistance int                                      // how far an executor is that was just listed
+	requests         map[*dispatch.Request]*requestState      // open ones
+	requestCount     int                                      // of all that have arrived
+	cancelFuncs      map[*dispatch.Attempt]context.CancelFunc // of attempts without an outcome
+	shutdownDeadline int64                                    // by the node's clock, ns; far off until Shutdown
 }
 
-// Config is what a Router is made of.
+// Config is what New builds a Router from.
 type Config struct {
 	Settings         *dispatch.Settings
 	Seed             uint64                 // of the decision module's random numbers
 	InitialEndpoints *protocol.EndpointList // the endpoint list as it was last known
 	Forwarder        Forwarder
-	ProbeTimeout     time.Duration
+	ProbeTimeout     time.Duration // how long the answer to a capacity probe is waited for
 	EndpointSource   EndpointSource
 	QuotaSource      QuotaSource // nil: this node holds no budgets together with others
 	Log              zerolog.Logger
@@ -100,21 +102,25 @@
 	return r
 }
 
-// Ready says whether the node can serve.
+// Ready says whether the node knows any server.
 func (r *Router) Ready() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.endpoints) > 0
 }
 
-// SchedulingDelay is how long work of this process waits until it runs, in ns.
+// SchedulingDelay is how long runnable work of this process waits for the processor, in ns.
 func (r *Router) SchedulingDelay() int64 { return r.delay.Delay() }
 
-// ServerCounts counts the executors of the list, and those that the draw leaves out.
+// ServerCounts counts the listed servers, and those among them that the module does not choose at
+// present.
 func (r *Router) ServerCounts() (known, excluded int) {
 	r.event(func() { known, excluded = r.module.ServerCounts() })
 	return known, excluded
 }
 
-// SetSlowStartOwner says whether this process holds the node's part of cold executors' budgets. It does from the start.
-func (r *Router) SetSlowStartOwner(yes bool) { r.event(func() { r.module.SetSlowStartOwner(yes) }) }
+// SetSlowStartOwner says whether this process of the node uses its part of the slow-start budgets.
+// It does from the start.
+func (r *Router) SetSlowStartOwner(owner bool) {
+	r.event(func() { r.module.SetSlowStartOwner(owner) })
+}
--- a/internal/routing/scheduling_delay.go
+++ b/internal/routing/scheduling_delay.go
@@ -13,19 +13,22 @@
 )
 
 const (
-	// delaySampleInterval is between two measurements. Each wakes the process once, which costs it about 10 us.
+	// delaySampleInterval is between two measurements. Each wakes the process once, which costs it
+	// about 10 us.
 	delaySampleInterval = 50 * time.Millisecond
-	// delayLogThreshold is the lag from which the log tells of it, once a second at most: a process with a small share of a core is
-	// behind by some tens of milliseconds whenever two requests meet.
+	// delayLogThreshold is the delay from which it is logged, once a second at most. A process with
+	// a small share of a core is late by some tens of milliseconds whenever two requests meet.
 	delayLogThreshold = 100 * time.Millisecond
 )
 
-// delayMonitor measures how far this process is behind: how long work that is ready waits until it runs. It is behind when it is short of
-// processor time, was stopped, or its host was.
+// delayMonitor measures the scheduling delay of this process: how long runnable work waits for the
+// processor. It grows when the process is short of CPU time, or when the process or its host was
+// stopped.
 //
-// A goroutine sleeps for lagInterval and then yields, so that all that is ready by then runs first; the time beyond the interval is
-// the lag. Between two measurements the next one's delay so far counts, so that a process that runs again after it stood still knows
-// at once how long it did.
+// A goroutine sleeps for delaySampleInterval and then yields, so that all that is runnable by then
+// runs first; the time beyond the interval is the delay. While it sleeps, the time by which it is
+// overdue counts as well, so that a process that runs again after a stop knows at once how long it
+// lasted.
 type delayMonitor struct {
 	lastDelay atomic.Int64 // ns; as measured last
 	due       atomic.Int64 // ns since start, when the next measurement should end; far off while none is made
@@ -39,7 +42,7 @@
 	return d
 }
 
-// Delay is how long what is handled at this moment may have waited, in ns.
+// Delay is how long work that runs at this moment may have waited, in ns.
 func (d *delayMonitor) Delay() int64 {
 	return max(d.lastDelay.Load(), d.now()-d.due.Load(), 0)
 }
@@ -60,12 +63,16 @@
 			return
 		case <-timer.C:
 		}
-		// A timer's goroutine goes before those that are ready; two yields put it behind them.
+		// A goroutine that a timer woke runs before those that are runnable already; two yields put
+		// it behind them.
 		runtime.Gosched()
 		runtime.Gosched()
-		lag := max(d.now()-due, 0)
-		if d.lastDelay.Store(lag); lag >= int64(delayLogThreshold) {
-			log.Warn().Int64("lag_ms", lag/1e6).Msg("process is short of CPU time; runnable work is delayed")
+		delay := max(d.now()-due, 0)
+		d.lastDelay.Store(delay)
+		if delay >= int64(delayLogThreshold) {
+			log.Warn().
+				Int64("lag_ms", delay/1e6).
+				Msg("process is short of CPU time; runnable work is delayed")
 		}
 	}
 }
--- a/internal/routing/send_gate.go
+++ b/internal/routing/send_gate.go
@@ -13,8 +13,9 @@
 
 // sendGate implements protocol.SendGate: the connection asks it at the first byte of an attempt.
 //
-// An attempt that was decided may have waited since for a connection, the processor or a descriptor. Its server may be draining or
-// gone by then, or its request answered. As nothing of it has been sent, it certainly has not run and can be dropped.
+// An attempt that was decided may have waited since for a connection, the processor or a
+// descriptor. Its server may be draining or gone by then, or its request answered. As nothing of it
+// has been sent, it certainly has not run and can be dropped.
 type sendGate struct {
 	router      *Router
 	attempt     *dispatch.Attempt
@@ -29,7 +30,8 @@
 	if !g.moduleAllows() || g.ctx.Err() != nil || g.outgoing.TimeoutOverstated(time.Now()) {
 		return false
 	}
-	// At an overloaded node the notice of a closed client waits behind other work, and a server would work for nobody.
+	// At an overloaded node the notice of a closed client waits behind other work, and a server
+	// would work for nobody.
 	if g.outgoing.Request.ClientGone() {
 		g.router.event(func() { g.router.clientClosed(g.attempt.Request) })
 		return false
@@ -41,7 +43,8 @@
 	return true
 }
 
-// moduleAllows says whether the module still wants the attempt, and its server is still at the address that it goes to.
+// moduleAllows says whether the module still wants the attempt, and its server is still at the
+// address that it goes to.
 func (g *sendGate) moduleAllows() bool {
 	g.router.mu.Lock()
 	defer g.router.mu.Unlock()
--- a/internal/routing/server_hints.go
+++ b/internal/routing/server_hints.go
@@ -2,28 +2,33 @@
 
 package routing
 
-// SetDistances has the module use executors by how far they are from this node; those listed later come after the near ones until they are
-// placed. Danger: a new executor that all nodes use at once.
-func (r *Router) SetDistances(far map[string]int) {
+// This file hands the module what is known of servers from elsewhere than discovery, and tells
+// others what this node saw of them.
+
+// SetDistances has the module prefer servers by how far they are from this node. Servers that are
+// listed later count as far until they are placed; otherwise all nodes would use a new server at
+// once.
+func (r *Router) SetDistances(byID map[string]int) {
 	r.event(func() {
 		r.unplacedDistance = 1
-		for id, m := range r.endpoints {
-			if at, is := far[id]; is {
-				m.server.Distance = at
+		for id, e := range r.endpoints {
+			if distance, placed := byID[id]; placed {
+				e.server.Distance = distance
 			}
 		}
 	})
 }
 
-// OnOutcome has each job's end told: whether its executor failed it. It is called before the node serves.
-func (r *Router) OnOutcome(tell func(executor string, failed bool)) { r.onOutcome = tell }
-
-// SetOutlierScores has the module know how bad many nodes say that executors are; nothing is said of the rest.
-func (r *Router) SetOutlierScores(bad map[string]float64) {
+// SetOutlierScores hands the module the outlier scores that other nodes agree on. Servers that are
+// not named have none.
+func (r *Router) SetOutlierScores(byID map[string]float64) {
 	r.event(func() {
-		r.outlierScores = bad
-		for id, m := range r.endpoints {
-			m.server.OutlierScore = bad[id]
+		r.outlierScores = byID
+		for id, e := range r.endpoints {
+			e.server.OutlierScore = byID[id]
 		}
 	})
 }
+
+// OnOutcome registers who is told how each attempt went at its server. It must be called before Serve.
+func (r *Router) OnOutcome(report func(serverID string, failed bool)) { r.onOutcome = report }
