--- a/internal/transport/client_close_test.go
+++ b/internal/transport/client_close_test.go
@@ -45,7 +45,15 @@
 	}
 	d, x = newTestClient()
 	news, gone = make(listSource), make(chan struct{}, 99)
-	n := routing.New(c.Settings, 1, endpointList(1, addresses...), x, time.Second, news, nil, zerolog.Nop())
+	n := routing.New(routing.Config{
+		Settings:         c.Settings,
+		Seed:             1,
+		InitialEndpoints: endpointList(1, addresses...),
+		Forwarder:        x,
+		ProbeTimeout:     time.Second,
+		EndpointSource:   news,
+		Log:              zerolog.Nop(),
+	})
 	follow, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	go n.WatchEndpoints(follow)
