--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -2,37 +2,55 @@
 
 package dispatch
 
-// Attempt is one sending of a txn to an executor.
-type Attempt struct {
-	Request        *Request
-	Server         *Server
-	Number         int
-	Timeout        int64   // time-out; 0: until the client gives up
-	InFlight       bool    // no outcome yet
-	SlowStartShare float64 // of a cold executor's budget that it takes; 0: the executor is warm
-	FreeSlots      float64 // free slots that the executor reported with the outcome; 0: none, or not told
-
-	sentAt, startedAt, progressAt int64
-	failureRecorded, canceled     bool
-	provedNotRun                  bool   // proved not to have run
-	afterEnd                      func() // what the outcome leads to
-}
-
-// Outcome is how a posting ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
+// The outcomes of an attempt.
 const (
 	Succeeded       Outcome = iota // answered
-	Failed                         // an error, may have run
-	Rejected                       // turned away unseen
+	Failed                         // the server reported an error; may have run
+	Rejected                       // the server has no capacity; never ran
 	TimedOut                       // may have run
-	ConnectFailed                  // no connection, never ran
-	ConnectionLost                 // connection lost, may have run
-	Canceled                       // withdrawn, may have run
-	NotSent                        // never left
-	StaleConnection                // met a kept connection that was gone; may have run
+	ConnectFailed                  // no connection; never ran
+	ConnectionLost                 // may have run
+	Canceled                       // may have run
+	NotSent                        // never left this node
+	StaleConnection                // an idle connection turned out to be closed; may have run
 )
 
-func (o Outcome) String() string {
-	return [...]string{"settled", "erred", "full", "timed out", "undialed", "broken", "revoked", "unsent", "stale"}[o]
+var outcomeTexts = [...]string{
+	Succeeded:       "settled",
+	Failed:          "erred",
+	Rejected:        "full",
+	TimedOut:        "timed out",
+	ConnectFailed:   "undialed",
+	ConnectionLost:  "broken",
+	Canceled:        "revoked",
+	NotSent:         "unsent",
+	StaleConnection: "stale",
+}
+
+// String is the outcome as it stands in logs, where it is counted.
+func (o Outcome) String() string { return outcomeTexts[o] }
+
+// provesNotRun says whether an attempt with this outcome can't have run.
+func (o Outcome) provesNotRun() bool { return o == Rejected || o == ConnectFailed || o == NotSent }
+
+// Attempt is one sending of a request to a server.
+type Attempt struct {
+	Request        *Request
+	Server         *Server
+	Number         int     // among the request's attempts, from 0
+	Timeout        int64   // ns; 0: until the client gives up
+	InFlight       bool    // it has no outcome yet
+	SlowStartShare float64 // share of the server's slow start budget that it takes; 0: the server is warm
+	FreeSlots      float64 // that the server reported with the outcome; 0: none, or not reported
+
+	sentAt          int64
+	startedAt       int64 // 0: not reported
+	progressAt      int64 // of the latest progress report; 0: none
+	failureRecorded bool  // it counts as failed in its server's reliability and scores
+	canceled        bool
+	provedNotRun    bool
+	afterEnd        func() // what the outcome leads to
 }
--- a/dispatch/constants.go
+++ b/dispatch/constants.go
@@ -10,7 +10,6 @@
 	failureFactor         = 0.3  // factor on H for a time-out, failed connection or error; the design's
 	successBonus          = 0.15 // added to H by a success; the design's
 	minReliability        = 0.1  // H under which an executor is left out; the design's
-	decayTime             = 10e9 // ns; time constant of H on its way back to 1, the design's start, and of all that fades
 	crowdedMargin         = 1.0  // jobs over its fair part that make an executor crowded; the least that is not noise
 	limitGrowth           = 0.25 // slots for a prompt start, less under a limit of one; with cut, one in three may wait
 	initialLimit          = 4.0  // slots in flight allowed before anything is known; a small machine's worth
--- a/dispatch/histogram.go
+++ b/dispatch/histogram.go
@@ -4,45 +4,53 @@
 
 import "math"
 
-// maxHistogramCount is the number of entries at which a histogram is halved: some tens of seconds of a scheme's answers.
-const maxHistogramCount = 64
-
-// histogram is a small histogram over ratios or seconds, two bins a doubling from 1/256 upwards.
+const (
+	// maxHistogramCount is the number of values at which all bins are halved, so that old ones lose their weight.
+	maxHistogramCount = 64
+	// binsPerDoubling and histogramStart set the bins' bounds.
+	binsPerDoubling = 2
+	histogramStart  = 256 // one over the upper bound of the first bin
+)
+
+// histogram counts ratios or seconds in bins of equal width on a logarithmic scale.
 type histogram struct {
 	bins  [36]uint16
 	count int
 }
 
-func binOf(v float64) int {
-	return min(int(2*math.Log2(max(v*256, 1))), len(histogram{}.bins)-1)
+func binOf(value float64) int {
+	return min(int(binsPerDoubling*math.Log2(max(value*histogramStart, 1))), len(histogram{}.bins)-1)
 }
 
-func (s *histogram) add(v float64) {
-	s.bins[binOf(v)]++
-	if s.count++; s.count >= maxHistogramCount {
-		s.count = 0
-		for i := range s.bins {
-			s.bins[i] /= 2
-			s.count += int(s.bins[i])
-		}
+func (h *histogram) add(value float64) {
+	h.bins[binOf(value)]++
+	h.count++
+	if h.count < maxHistogramCount {
+		return
+	}
+	h.count = 0
+	for i := range h.bins {
+		h.bins[i] /= 2
+		h.count += int(h.bins[i])
 	}
 }
 
-// shareBelow is the share of entries under a value; half while nothing is known.
-func (s *histogram) shareBelow(v float64) float64 {
-	under := 0
-	for _, c := range s.bins[:binOf(v)] {
-		under += int(c)
+// shareBelow is the share of values under a bound; half while there are none.
+func (h *histogram) shareBelow(bound float64) float64 {
+	below := 0
+	for _, count := range h.bins[:binOf(bound)] {
+		below += int(count)
 	}
-	return (float64(under) + 0.5) / float64(s.count+1)
+	return (float64(below) + 0.5) / float64(h.count+1)
 }
 
-// quantile is the q-quantile, or the given value while nothing is known.
-func (s *histogram) quantile(q, unknown float64) float64 {
-	left := q * float64(s.count)
-	for i, c := range s.bins {
-		if left -= float64(c); left < 0 {
-			return math.Exp2((float64(i)+0.5)/2) / 256
+// quantile is the q-quantile, or the given value while there are no values.
+func (h *histogram) quantile(q, unknown float64) float64 {
+	left := q * float64(h.count)
+	for i, count := range h.bins {
+		left -= float64(count)
+		if left < 0 {
+			return math.Exp2((float64(i)+0.5)/binsPerDoubling) / histogramStart
 		}
 	}
 	return unknown
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -4,87 +4,92 @@
 
 import "slices"
 
-// Idempotency says what a repeat of a txn does.
+// Idempotency says what it does to run a request more than once.
 type Idempotency int
 
+// The kinds of idempotency.
 const (
+	// Idempotent requests may run any number of times.
 	Idempotent Idempotency = iota
+	// IdempotentInGroup requests carry an idempotency key, which the servers of one group remember for a while.
 	IdempotentInGroup
+	// NonIdempotent requests must not run twice.
 	NonIdempotent
 )
 
-// DedupScope is the group of executors that drops repeats of a referenced txn.
+// DedupScope is the group of servers that drops repeats of a request with an idempotency key.
 type DedupScope int
 
+// The groups of servers that share their memory of idempotency keys.
 const (
-	DedupAll DedupScope = iota
-	DedupZone
-	DedupCell
+	DedupAll  DedupScope = iota // all servers
+	DedupZone                   // those of one zone
+	DedupCell                   // those of one cell
 )
 
-// Class holds what the terms say of one scheme. Times are nanoseconds, here as everywhere.
+// Class is what the settings say of one class of requests. Times are nanoseconds, here as everywhere in the package.
 type Class struct {
 	Index            int
 	LatencyObjective int64
-	MaxDeadline      int64   // how long a client waits for all its tries; 0: not told
-	ObjectivePerWork float64 // the SLA time grows by this multiple of the txn's own work
-	Weight           float64 // billing value
-	LateShare        float64 // share of it that a late answer earns
+	MaxDeadline      int64   // how long a client waits for all its attempts; 0: not known
+	ObjectivePerWork float64 // the latency objective grows by this multiple of the request's expected work
+	Weight           float64 // priority weight
+	LateShare        float64 // share of the weight that an answer after the objective earns
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	DedupWindow      int64 // how long a group remembers a referenced txn
-	MachineType      int   // the one kind of machine that runs it, or -1
+	DedupWindow      int64 // how long a group remembers an idempotency key
+	MachineType      int   // the one machine type that runs the class, or -1 for any
 }
 
-// Tenant is one customer with its share of the service.
+// Tenant is one customer and its quota of the service.
 type Tenant struct {
-	Tag   string // the door's own name of it
+	Tag   string // the caller's name of the tenant
 	Quota float64
 }
 
-// Settings are the settings handed over at start, decoded once.
+// Settings are given to New and don't change afterwards.
 type Settings struct {
 	Zone                int // of this node
-	Nodes, NodeIndex    int // how many there are, and this one's index among them
+	Nodes, NodeIndex    int // how many nodes there are, and this one's index among them
 	Tick                int64
 	Classes             []*Class
 	Tenants             []*Tenant
-	WeightByWork        bool // billing value counts for each unit of work
-	OverQuotaWeight     float64
-	LiveCapacity        bool // the list's units are size over one and the txns held a core
-	PollForChanges      bool // list changes come only when asked for
-	LoadReports         bool // executors tell their load with answers
-	PeerMessages        bool // nodes may send one another messages
-	CapacityProbes      bool // executors tell free slots when probed
-	StartNotices        bool
-	ProgressInterval    int64 // between progress notes; 0: none
-	MaxAttempts         int
+	WeightByWork        bool    // the priority weight counts for each unit of work
+	OverQuotaWeight     float64 // factor on the weight of a request beyond its tenant's quota
+	LiveCapacity        bool    // an endpoint's capacity is its size over one and the requests that it holds per core
+	PollForChanges      bool    // changes of the endpoint list come only when polled for
+	LoadReports         bool    // servers report their load with answers
+	PeerMessages        bool    // nodes may send one another messages
+	CapacityProbes      bool    // servers report free slots when probed
+	StartNotices        bool    // servers report that a request has started
+	ProgressInterval    int64   // between two progress reports; 0: there are none
+	MaxAttempts         int     // of one request
 	AllowCancel         bool
 	AllowHedging        bool
-	MaxRetryAfter       int64 // longest advice that a client follows; 0: give none
-	CrossZoneCost       float64
-	FetchCost           float64 // of fetching what a txn is about from the store that all share
-	IdleTimeout         int64   // how long an unused connection stays
-	WorstClassWeight    float64 // weight of the scheme served worst, over that of the whole
-	MissedObjectiveCost float64 // what a missed SLA time costs besides, over the billing value
-	SlowStartShare      float64
-	SlowStart           int64
-	OverloadWindow      int64
-	OverloadFactor      float64
-	UnpolledEventAge    int64       // how long news may lie while no call for the list is out; then it counts as told
-	DeadlineMargin      int64       // by which a txn's expiry may be told too early or too late
-	StartTimeError      int64       // by which an executor's start may be
-	MaxPollInterval     int64       // from the start of a failed call for the list to that of the next at the latest
-	DrainGrace          int64       // how long after that a posting may still be sent to what drains or is gone
-	Quotas              QuotaSource // of what all nodes hold together; nil: they share nothing
+	MaxRetryAfter       int64       // the longest Retry-After that clients follow; 0: give none
+	CrossZoneCost       float64     // price of sending a request to another zone
+	FetchCost           float64     // price of fetching what a request is about from the store that all servers share
+	IdleTimeout         int64       // how long an idle connection stays open
+	WorstClassWeight    float64     // weight of the class that does worst, over the weight of all
+	MissedObjectiveCost float64     // what a missed latency objective costs besides the priority weight
+	SlowStartShare      float64     // share of its capacity that a server has as it starts
+	SlowStart           int64       // how long it takes a server to have all of its capacity
+	OverloadWindow      int64       // over which the work sent to a server in slow start is summed up
+	OverloadFactor      float64     // times its capacity that a server in slow start may be sent in a window
+	UnpolledEventAge    int64       // a change counts as notified after this time if no poll is out
+	DeadlineMargin      int64       // how far a request's deadline may be off, either way
+	StartTimeError      int64       // how far a server's start time may be off, either way
+	MaxPollInterval     int64       // at most from the start of a failed poll to the start of the next one
+	DrainGrace          int64       // how long after a change requests may still be sent to a server that drains or is gone
+	Quotas              QuotaSource // of the budgets that all nodes share; nil: they share none
 }
 
-// MaxPollWait is how long a call for the list can wait at most, after one that brought something or failed.
-func (t *Settings) MaxPollWait() int64 {
-	return min(t.UnpolledEventAge+t.DrainGrace/2, t.MaxPollInterval)
+// MaxPollWait is how long a node may wait with its next poll, after one that brought changes or failed.
+func (s *Settings) MaxPollWait() int64 {
+	return min(s.UnpolledEventAge+s.DrainGrace/2, s.MaxPollInterval)
 }
 
-// requiresMachineType says whether some scheme runs on that kind of machine alone.
-func (t *Settings) requiresMachineType(kind int) bool {
-	return slices.ContainsFunc(t.Classes, func(class *Class) bool { return class.MachineType == kind })
+// requiresMachineType says whether some class runs on that machine type alone.
+func (s *Settings) requiresMachineType(machineType int) bool {
+	return slices.ContainsFunc(s.Classes, func(class *Class) bool { return class.MachineType == machineType })
 }
--- a/dispatch/statistics.go
+++ b/dispatch/statistics.go
@@ -7,45 +7,53 @@
 	"slices"
 )
 
-// decayingRatio is what was asked for and what of it was earned, fading.
+// decayTime (ns) is the time constant by which old observations lose their weight, and reliability returns to 1.
+const decayTime = 10e9
+
+// decayingRatio counts events and those of them that went well. Old ones count less and less.
 type decayingRatio struct {
 	total, hits float64
-	decayedAt   int64
+	decayedAt   int64 // clock time that both are worked out for
 }
 
-// decay lets what is old count less and less.
-func (l *decayingRatio) decay(now int64) *decayingRatio {
-	f := math.Exp(-float64(now-l.decayedAt) / decayTime)
-	l.total, l.hits, l.decayedAt = l.total*f, l.hits*f, now
-	return l
+// decay works both counts out for now. It has to be called before they are read or added to.
+func (r *decayingRatio) decay(now int64) *decayingRatio {
+	factor := math.Exp(-float64(now-r.decayedAt) / decayTime)
+	r.total *= factor
+	r.hits *= factor
+	r.decayedAt = now
+	return r
 }
 
-// record adds one that was asked for.
-func (l *decayingRatio) record(earned bool) {
-	if l.total++; earned {
-		l.hits++
+// record adds an event.
+func (r *decayingRatio) record(hit bool) {
+	r.total++
+	if hit {
+		r.hits++
 	}
 }
 
+// timedAmount is an amount of work or slots at a clock time.
 type timedAmount struct {
 	at     int64
 	amount float64
 }
 
-// recentAmounts are in order of time.
+// recentAmounts are the amounts of the recent past, in order of time.
 type recentAmounts []timedAmount
 
-// add notes one more, and forgets those over a span old.
-func (c recentAmounts) add(at int64, work float64, span int64) recentAmounts {
-	return append(slices.DeleteFunc(c, func(o timedAmount) bool { return at-o.at > span }), timedAmount{at, work})
+// add appends an amount and drops those older than span (ns).
+func (a recentAmounts) add(at int64, amount float64, span int64) recentAmounts {
+	a = slices.DeleteFunc(a, func(old timedAmount) bool { return at-old.at > span })
+	return append(a, timedAmount{at, amount})
 }
 
-// sum adds those from a time on to what there is.
-func (c recentAmounts) sum(all float64, since int64) float64 {
-	for _, o := range c {
-		if o.at >= since {
-			all += o.amount
+// sum adds the amounts since a clock time to a start value.
+func (a recentAmounts) sum(start float64, since int64) float64 {
+	for _, recent := range a {
+		if recent.at >= since {
+			start += recent.amount
 		}
 	}
-	return all
+	return start
 }
