--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -55,11 +55,11 @@
 	const draws = 40000
 	d, _, request := longList(t)
 	want, all, got := map[int]float64{}, 0.0, map[int]float64{}
-	class := func(server *Server) int { return server.scoreSum/scoreWindow*2 + int(2*server.reliability) }
+	class := func(server *Server) int { return server.scores.sum/scoreWindowSize*2 + int(2*server.reliability.value) }
 	for i, server := range d.servers.servers {
-		server.scoreCount, server.scoreSum = scoreWindow, scoreWindow*[...]int{10, 6, 2, 2}[i%4]
+		server.scores.count, server.scores.sum = scoreWindowSize, scoreWindowSize*[...]int{10, 6, 2, 2}[i%4]
 		if i%5 == 0 {
-			server.reliability, server.reliabilityAt = 0.5, d.now
+			server.reliability = reliability{0.5, d.now}
 		}
 		want[class(server)] += d.weight(request, server)
 		all += d.weight(request, server)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -70,7 +70,7 @@
 	server := w.fleet[0].Server
 	near := func(want float64) {
 		t.Helper()
-		if got := w.d.reliability(server); got < want-0.02 || got > want+0.02 {
+		if got := server.reliability.at(w.now); got < want-0.02 || got > want+0.02 {
 			t.Fatalf("H is %v, want %v", got, want)
 		}
 	}
@@ -83,11 +83,11 @@
 	w.end(w.open[0], ConnectFailed)
 	near(failureFactor)
 	again()
-	before := w.d.reliability(server)
+	before := server.reliability.at(w.now)
 	w.end(w.open[0], Rejected)
 	near(before)
 	again()
-	before = w.d.reliability(server)
+	before = server.reliability.at(w.now)
 	w.end(w.open[0], Succeeded)
 	near(before + successBonus)
 	w.pass(decayTime)
@@ -99,7 +99,7 @@
 		attempt := w.open[len(w.open)-1]
 		w.now += took
 		w.d.Advance(w.now)
-		before = w.d.reliability(server)
+		before = server.reliability.at(w.now)
 		w.end(attempt, StaleConnection)
 		near(before * map[int64]float64{0: 1, 1e9: failureFactor}[took])
 	}
@@ -110,11 +110,11 @@
 	w.join(3, false)
 	fast, mid, slow := w.fleet[0].Server, w.fleet[1].Server, w.fleet[2].Server
 	job := func(server *Server, time float64, lost bool) {
-		w.d.recordRank(&Attempt{Request: &Request{Class: w.terms.Classes[0], Slots: 1}, Server: server}, time, lost)
+		w.d.recordRank(&Request{Class: w.terms.Classes[0], Slots: 1}, recentResult{server, time, lost})
 	}
 	job(fast, 1, false)
 	job(mid, 2, false)
-	if fast.scoreCount+mid.scoreCount != 0 {
+	if fast.scores.count+mid.scores.count != 0 {
 		t.Fatal("scored without two others")
 	}
 	for range 60 {
@@ -122,12 +122,12 @@
 		job(fast, 1, false)
 		job(mid, 2, false)
 	}
-	if fast.scoreSum != 10*scoreWindow || mid.scoreSum != 6*scoreWindow || slow.scoreSum != 2*scoreWindow {
-		t.Fatalf("sums %d %d %d", fast.scoreSum, mid.scoreSum, slow.scoreSum)
+	if fast.scores.sum != 10*scoreWindowSize || mid.scores.sum != 6*scoreWindowSize || slow.scores.sum != 2*scoreWindowSize {
+		t.Fatalf("sums %d %d %d", fast.scores.sum, mid.scores.sum, slow.scores.sum)
 	}
 	job(fast, 0, true)
-	if fast.scoreSum != 10*(scoreWindow-1) {
-		t.Fatalf("a lost job must earn 0: sum %d", fast.scoreSum)
+	if fast.scores.sum != 10*(scoreWindowSize-1) {
+		t.Fatalf("a lost job must earn 0: sum %d", fast.scores.sum)
 	}
 }
 
@@ -137,7 +137,7 @@
 	w := newWorld(t, 1, terms)
 	w.join(2, false)
 	good, bad := w.fleet[0].Server, w.fleet[1].Server
-	good.scoreCount, good.scoreSum, bad.scoreCount, bad.scoreSum = 50, 475, 50, 125
+	good.scores.count, good.scores.sum, bad.scores.count, bad.scores.sum = 50, 475, 50, 125
 	count := 0
 	for range 4000 {
 		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0] == good {
@@ -147,7 +147,7 @@
 	if count < 3000 || count > 3220 { // 3111 by the scores and what its kind adds
 		t.Fatalf("%d of 4000 draws for 0.78 of the weight", count)
 	}
-	bad.reliability, bad.reliabilityAt = 0.05, w.now
+	bad.reliability = reliability{0.05, w.now}
 	for range 100 {
 		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0] == bad {
 			t.Fatal("drawn below the least H though another remains")
@@ -858,8 +858,8 @@
 	w.d.AttemptStarted(waiting)
 	w.d.ProcessQueue()
 	w.pass(1e8)
-	if w.d.reliability(server) < 1 || server.limit < limit || len(w.open) != 2 {
-		t.Errorf("H %v, limit %v of %v, %d out", w.d.reliability(server), server.limit, limit, len(w.open))
+	if server.reliability.at(w.now) < 1 || server.limit < limit || len(w.open) != 2 {
+		t.Errorf("H %v, limit %v of %v, %d out", server.reliability.at(w.now), server.limit, limit, len(w.open))
 	}
 }
 
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -12,7 +12,8 @@
 	for _, m := range members {
 		server := m.Server
 		if !server.listed || m.StartedAt > server.startedAt {
-			server.reliability, server.reliabilityAt, server.limit, server.size = 1, d.now, initialLimit, 1
+			server.reliability = reliability{1, d.now}
+			server.limit, server.size = initialLimit, 1
 		}
 		d.servers.add(server)
 		if d.machineTypes[m.MachineType] == nil {
--- a/dispatch/figures_test.go
+++ b/dispatch/figures_test.go
@@ -20,7 +20,7 @@
 	check(1)
 	for i, want := range []int{2, 3, 4, 5, 1} {
 		server := w.fleet[1+i].Server
-		server.reliability, server.reliabilityAt = minReliability/2, w.now
+		server.reliability = reliability{minReliability / 2, w.now}
 		check(want)
 	}
 	w.pass(10 * decayTime)
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -44,11 +44,12 @@
 			d.classValues[request.Class.Index].hits += request.priorityWeight
 		}
 		if !attempt.failureRecorded {
-			server.reliability, server.reliabilityAt, server.idleUntil = min(d.reliability(server)+successBonus, 1), d.now, d.now+d.settings.IdleTimeout
+			server.reliability.recordSuccess(d.now)
+			server.idleUntil = d.now + d.settings.IdleTimeout
 			if server.listed {
 				d.withIdleConnection.add(server)
 			}
-			d.recordRank(attempt, float64(took)/request.workUnit(), false)
+			d.recordRank(request, recentResult{server: server, duration: float64(took) / request.workUnit()})
 		}
 		d.recordRuntime(attempt, d.now-max(attempt.sentAt, attempt.startedAt))
 	case Failed, TimedOut, ConnectFailed, ConnectionLost, StaleConnection: // Danger: a gone connection, at once, is no sick executor
--- a/dispatch/reliability.go
+++ b/dispatch/reliability.go
@@ -4,39 +4,73 @@
 
 import "math"
 
-// reliability is H, drifted back towards 1 up to now.
-func (d *Dispatcher) reliability(server *Server) float64 {
-	// Danger: nearly all executors are well; working out a drift for each at every draw is the dearest step.
-	if server.reliability == 1 || float64(d.now-server.reliabilityAt) > 7*decayTime {
+const (
+	// failureFactor multiplies reliability at a time-out, a failed connection or an error.
+	failureFactor = 0.3
+	// successBonus is added to reliability by a success.
+	successBonus = 0.15
+	// minReliability is the reliability under which a server is an outlier.
+	minReliability = 0.1
+	// fullRecovery is the number of time constants after which reliability counts as 1 again.
+	fullRecovery = 7
+	// ownResultLifetime (ns) is how long a success of this node counts for more than what other nodes say of the server.
+	ownResultLifetime = 1e9
+)
+
+// reliability is a factor on a server's weight, from 0 to 1. It falls by failures, rises by successes and returns to 1 with time.
+type reliability struct {
+	value     float64
+	updatedAt int64 // clock time, ns
+}
+
+// at is the reliability at a clock time.
+func (r *reliability) at(now int64) float64 {
+	// Nearly all servers are at 1, and the exponential is the most expensive step of a draw.
+	if r.value == 1 || float64(now-r.updatedAt) > fullRecovery*decayTime {
 		return 1
 	}
-	return 1 - (1-server.reliability)*math.Exp(-float64(d.now-server.reliabilityAt)/decayTime)
+	return 1 - (1-r.value)*math.Exp(-float64(now-r.updatedAt)/decayTime)
+}
+
+// recordSuccess raises the reliability.
+func (r *reliability) recordSuccess(now int64) {
+	*r = reliability{min(r.at(now)+successBonus, 1), now}
+}
+
+// recordFailure lowers the reliability by a whole failure, or by the share of it that the server is to blame for.
+func (r *reliability) recordFailure(share float64, now int64) {
+	*r = reliability{r.at(now) * (1 - (1-failureFactor)*share), now}
 }
 
-// effectiveReliability is H, or less where many other nodes say so and no job of this one ended well there of late.
-// Danger: old news that beats a fresh outcome; or each of many nodes finds out for itself, at its txns' cost.
+// effectiveReliability is the server's reliability, or less where many nodes together say so and this one had no success there of late.
+// Without them each of many nodes would have to find out at its own requests' cost; a fresh success is newer than what they say.
 func (d *Dispatcher) effectiveReliability(server *Server) float64 {
+	own := server.reliability.at(d.now)
 	if server.OutlierScore > 0 && d.now-server.idleUntil+d.settings.IdleTimeout > ownResultLifetime {
-		return min(d.reliability(server), 1-server.OutlierScore)
+		return min(own, 1-server.OutlierScore)
 	}
-	return d.reliability(server)
+	return own
 }
 
-// outlier says whether the executor is left out while others remain.
+// outlier says whether a server is left out while others remain.
 func (d *Dispatcher) outlier(server *Server) bool {
 	return d.effectiveReliability(server) < minReliability
 }
 
-// recordFailure counts a posting as lost, once; in part where the executor is at fault by that part.
-func (d *Dispatcher) recordFailure(attempt *Attempt, part float64) {
-	if server := attempt.Server; !attempt.failureRecorded {
-		attempt.failureRecorded, server.reliability, server.reliabilityAt = true, d.reliability(server)*(1-(1-failureFactor)*part), d.now
-		d.recordRank(attempt, 0, true)
+// recordFailure counts an attempt as lost in its server's reliability and scores, once, by the server's share of the blame.
+func (d *Dispatcher) recordFailure(attempt *Attempt, share float64) {
+	if attempt.failureRecorded {
+		return
 	}
+	attempt.failureRecorded = true
+	attempt.Server.reliability.recordFailure(share, d.now)
+	d.recordRank(attempt.Request, recentResult{server: attempt.Server, lost: true})
 }
 
-// retrySuccessRate is the chance that a txn which erred is served elsewhere, as others of its thing and scheme were.
+// retrySuccessRate is the chance that a request which failed succeeds at another server, as those of its key and class did. Where it is
+// low the fault lies with the request, or with what is behind all servers.
 func (d *Dispatcher) retrySuccessRate(request *Request) float64 {
-	s, k := d.retrySuccess[request.Class.Index].decay(d.now), request.keyState.retrySuccess.decay(d.now)
-	return (k.hits + (s.hits+1)/(s.total+1)) / (k.total + 1)
+	ofClass := d.retrySuccess[request.Class.Index].decay(d.now)
+	ofKey := request.keyState.retrySuccess.decay(d.now)
+	return (ofKey.hits + (ofClass.hits+1)/(ofClass.total+1)) / (ofKey.total + 1)
 }
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -2,31 +2,49 @@
 
 package dispatch
 
-// machineTypeStats is what is known of one kind of machine.
+const (
+	// lowQuantile, medianQuantile and highQuantile are taken as the low, the middle and the high end of running times.
+	lowQuantile    = 0.25
+	medianQuantile = 0.5
+	highQuantile   = 0.9
+	// minRuntime (ns) is the least running time that is expected of a request.
+	minRuntime = 1e6
+	// runtimePrior is the number of requests by which a machine type is taken to run as long as all types do.
+	runtimePrior = typeScoreWeight
+)
+
+// machineTypeStats is what is known of one machine type.
 type machineTypeStats struct {
-	scores       decayingRatio // over the top score
-	runtimeRatio decayingRatio // how long jobs ran there when warm, over what is expected of all kinds in the middle
-	maxSlots     float64       // the most seen at work in one executor, or told to be free
-	required     bool          // some scheme can't do without it
+	scores       decayingRatio // sum of scores over the top score, and their number
+	runtimeRatio decayingRatio // sum of warm running times over the median of all types, and their number
+	maxSlots     float64       // the most that were seen to run at once on one server, or reported as free
+	required     bool          // some class runs on this type alone
 }
 
-// meanRuntimeRatio is the mean of what jobs take on a kind of machine, by what is expected of all kinds in the middle. Danger: where some
-// kinds are slow, or few jobs run far longer than most, what a cold one bears is taken for twice as much.
+// meanRuntimeRatio is the mean running time on the machine type over the median of all types. Without it servers in slow start of slow
+// types, or of a class where few requests run far longer than most, would be sent a multiple of what they can take.
 func (m *machineTypeStats) meanRuntimeRatio(now int64) float64 {
-	l := m.runtimeRatio.decay(now)
-	return (l.hits + typeScoreWeight) / (l.total + typeScoreWeight)
+	ratio := m.runtimeRatio.decay(now)
+	return (ratio.hits + runtimePrior) / (ratio.total + runtimePrior)
 }
 
-// recordRuntime notes how long a job ran, of its scheme and on its kind of machine, as if that had been warm.
-func (d *Dispatcher) recordRuntime(attempt *Attempt, ran int64) {
-	if request, server := attempt.Request, attempt.Server; ran > 0 {
-		l := server.typeStats.runtimeRatio.decay(d.now)
-		l.total, l.hits = l.total+1, l.hits+float64(ran)*d.settings.warmUpFactor(server, attempt.sentAt)/float64(d.expectedRuntime(request, 0.5))
-		d.runtimes[request.Class.Index].add(float64(ran) / request.workUnit())
+// recordRuntime adds the running time (ns) of an attempt to those of its class, and to those of its machine type as if the server had
+// been warm.
+func (d *Dispatcher) recordRuntime(attempt *Attempt, runtime int64) {
+	if runtime <= 0 {
+		return
 	}
+	request, server := attempt.Request, attempt.Server
+	ratio := server.typeStats.runtimeRatio.decay(d.now)
+	ratio.total++
+	warm := float64(runtime) * d.settings.warmUpFactor(server, attempt.sentAt)
+	ratio.hits += warm / float64(d.expectedRuntime(request, medianQuantile))
+	d.runtimes[request.Class.Index].add(float64(runtime) / request.workUnit())
 }
 
-// expectedRuntime is how long the txn is expected to run, at quantile q.
+// expectedRuntime is the running time (ns) that a share q of requests like this one does not exceed.
 func (d *Dispatcher) expectedRuntime(request *Request, q float64) int64 {
-	return max(int64(request.workUnit()*d.runtimes[request.Class.Index].quantile(q, float64(request.Class.LatencyObjective)/request.workUnit())), 1e6)
+	unit := request.workUnit()
+	unknown := float64(request.Class.LatencyObjective) / unit
+	return max(int64(unit*d.runtimes[request.Class.Index].quantile(q, unknown)), minRuntime)
 }
--- a/dispatch/scores.go
+++ b/dispatch/scores.go
@@ -4,43 +4,78 @@
 
 import "slices"
 
-var rankScores = [4]uint8{10, 6, 2, 0} // scores by rank and for a loss; the design's start
+const (
+	// scoreWindowSize is the number of latest scores that a server's mean is taken of.
+	scoreWindowSize = 50
+	// topScore is the score of the first rank; means are divided by it.
+	topScore = 10.0
+	// initialScore is the share of the top score that a machine type without scores counts with.
+	initialScore = 0.5
+	// typeScoreWeight is the number of scores that the mean of its machine type counts for beside a server's own.
+	typeScoreWeight = 3.0
+	// rankedAgainst is the number of other servers' results that a result is ranked against.
+	rankedAgainst = 2
+)
 
-// recentResult is how a recent job of one scheme and slot count went at one executor.
-type recentResult struct {
-	server   *Server
-	duration float64
-	lost     bool
+// rankScores are the scores of the ranks from the first to the last, and that of a lost request.
+var rankScores = [rankedAgainst + 2]uint8{topScore, 6, 2, 0}
+
+const lostRank = rankedAgainst + 1
+
+// scoreWindow holds a server's latest scores.
+type scoreWindow struct {
+	scores     [scoreWindowSize]uint8
+	count, sum int
+	next       int // index of the oldest score, which the next one replaces
 }
 
-// rankGroup is what jobs have in common that are ranked together.
+func (w *scoreWindow) add(score uint8) {
+	w.count = min(w.count+1, scoreWindowSize)
+	w.sum += int(score) - int(w.scores[w.next])
+	w.scores[w.next] = score
+	w.next = (w.next + 1) % scoreWindowSize
+}
+
+// rankGroup is what requests have in common whose results are ranked against each other.
 type rankGroup struct {
 	class *Class
 	slots float64
 }
 
-// recordRank scores a job against the last two of its family at other executors.
-func (d *Dispatcher) recordRank(attempt *Attempt, time float64, lost bool) {
-	server, key := attempt.Server, rankGroup{attempt.Request.Class, attempt.Request.Slots}
-	marks := slices.DeleteFunc(d.recentResults[key], func(m recentResult) bool { return m.server == server })
-	d.recentResults[key] = append(marks[max(len(marks)-2, 0):], recentResult{server, time, lost})
-	place, lostToo := 0, 0
-	for _, m := range marks[max(len(marks)-2, 0):] {
-		if m.lost {
-			lostToo++
-		} else if m.duration < time {
-			place++
-		}
-	}
-	if len(marks) < 2 || lost && lostToo == 2 {
+// recentResult is how a request of a rank group went at a server.
+type recentResult struct {
+	server   *Server
+	duration float64 // over the request's work unit
+	lost     bool
+}
+
+// recordRank ranks a result against the latest ones of its group at two other servers, and scores its server by the rank. Nothing is
+// scored if all three were lost, since that says nothing of the servers.
+func (d *Dispatcher) recordRank(request *Request, result recentResult) {
+	group := rankGroup{request.Class, request.Slots}
+	others := slices.DeleteFunc(d.recentResults[group], func(r recentResult) bool { return r.server == result.server })
+	others = others[max(len(others)-rankedAgainst, 0):]
+	d.recentResults[group] = append(others, result)
+	if len(others) < rankedAgainst {
 		return
 	}
-	if lost {
-		place = 3
+	rank, lost := 0, 0
+	for _, other := range others {
+		if other.lost {
+			lost++
+		} else if other.duration < result.duration {
+			rank++
+		}
+	}
+	if result.lost {
+		rank = lostRank
+		if lost == rankedAgainst {
+			return
+		}
 	}
-	score := rankScores[place]
-	server.typeStats.scores.decay(d.now).total++
-	server.typeStats.scores.hits += float64(score) / topScore
-	server.scoreCount, server.scoreSum = min(server.scoreCount+1, scoreWindow), server.scoreSum+int(score)-int(server.scores[server.nextScore])
-	server.scores[server.nextScore], server.nextScore = score, (server.nextScore+1)%scoreWindow
+	score := rankScores[rank]
+	stats := &result.server.typeStats.scores
+	stats.decay(d.now).total++
+	stats.hits += float64(score) / topScore
+	result.server.scores.add(score)
 }
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -12,7 +12,7 @@
 func (d *Dispatcher) weight(request *Request, server *Server) float64 {
 	// Danger: one of many nodes meets most executors seldom or never; until then their kind's mean stands in.
 	score := (server.typeStats.scores.hits + initialScore) / (server.typeStats.scores.total + 1)
-	score = (float64(server.scoreSum)/topScore + score*typeScoreWeight) / (float64(server.scoreCount) + typeScoreWeight)
+	score = (float64(server.scores.sum)/topScore + score*typeScoreWeight) / (float64(server.scores.count) + typeScoreWeight)
 	if warmth := d.settings.warmUpFactor(server, d.now); warmth < 1 {
 		_, _, _, groups := d.quotaShare(server) // seldom in turn, it is taken as much likelier then
 		score *= warmth * d.settings.slowStartShareFactor(server, groups)
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -4,66 +4,67 @@
 
 import "hash/fnv"
 
-// Server is a worker that runs jobs.
+// Server is one of the pool that requests are sent to, with what this node knows of it.
 type Server struct {
 	Tag          string
-	Hash         uint64 // by chance, the same at all nodes
+	Hash         uint64 // of its name, the same at all nodes; see HashName
 	State        EndpointState
-	OutlierScore float64 // how bad many nodes together say that it is, from 0 to 1; 0: nothing is said
-	Distance     int     // 0: one that this node is to use; else those of 1 come before those of 2, where the others can't serve
+	OutlierScore float64 // how unreliable many nodes together say that it is, from 0 to 1; 0: nothing is said
+	Distance     int     // servers of a larger distance are sent to only where those of a smaller one can't serve
 
 	zone, machineType, cell int
 	typeStats               *machineTypeStats
-	sampleKey               float64 // drawn, for one txn; the least is picked
-	startedAt               int64
+	startedAt               int64 // its latest start, clock time; 0: long ago
 	listed                  bool
 
-	indexInAll, indexInIdle, indexInSlowStart, indexInLowLimit int // places in the dispatcher's sets, counted from one
-	lastDraw                                                   int // the last draw that considered it
-	inTurn                                                     bool
-	turnUntil                                                  int64 // until when turn holds: whether this node may send to it in slow start
+	// Places in the dispatcher's sets, counted from one; 0: not in the set.
+	indexInAll, indexInIdle, indexInSlowStart, indexInLowLimit int
 
-	scores               [scoreWindow]uint8
-	scoreCount, scoreSum int
-	nextScore            int
-	reliability          float64
-	reliabilityAt        int64
-	idleUntil            int64 // until then a connection should be open and unused
+	sampleKey float64 // drawn for one request; the server with the least is picked
+	lastDraw  int     // number of the last draw that considered it
 
-	probeWaiters          []*Request    // that wait for the answer to a probe
-	capacityReportedAt    int64         // of room
-	reservations          recentAmounts // slots taken since, by this node or others
-	freeSlots, freeMemory float64
+	inTurn    bool  // this node may send to it in slow start,
+	turnUntil int64 // until this clock time
 
-	size        float64 // the most that the list told of it
-	spareFactor float64 // what the list said last of its size less its load; one where that is not told
+	scores      scoreWindow
+	reliability reliability
+	idleUntil   int64 // until then an idle connection to it should be open
+
+	probeWaiters          []*Request    // wait for the answer to a capacity probe
+	capacityReportedAt    int64         // when it was probed last; 0: never
+	reservations          recentAmounts // slots reserved of late, by this node or others, as negative amounts
+	freeSlots, freeMemory float64       // as reported, less what was reserved since
+
+	size        float64 // the highest capacity that the endpoint list gave it
+	spareFactor float64 // the capacity that the list gave it last; 1 where that doesn't change with load
 
 	concurrencyLimit
-	startedSlots          float64 // of these, slots of started ones
-	lateStarts            float64 // starts in a row that came late
-	limitBeforeRejections float64 // what it was before refusals cut it, until a start is late
+	startedSlots          float64 // slots of attempts that have started, of those in flight
+	lateStarts            float64 // in a row
+	limitBeforeRejections float64 // the limit before rejections reduced it; 0 once a start was late
 	recentSends           recentAmounts
 }
 
-// EndpointState is what the list says of an executor.
+// EndpointState is what the endpoint list says of a server.
 type EndpointState int
 
+// The states of an endpoint.
 const (
-	Up EndpointState = iota
-	Draining
-	Removed
+	Up       EndpointState = iota // may be sent to
+	Draining                      // finishes what it has
+	Removed                       // has left the list
 )
 
-// Endpoint is one entry of the list: an executor and what is now said of it.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Server                  *Server
 	State                   EndpointState
 	Zone, MachineType, Cell int
-	StartedAt               int64 // its latest start; 0: long ago
+	StartedAt               int64 // its latest start, clock time; 0: long ago
 	Capacity                float64
 }
 
-// HashName turns a name that all nodes know an executor by into a number by chance that all of them share.
+// HashName hashes a server's name. All nodes get the same number, so that they prefer the same servers for an affinity key.
 func HashName(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
