--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -35,11 +35,11 @@
 // preferredServers are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
 // Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
 func (d *Dispatcher) preferredServers(request *Request, roam bool) []*Server {
-	count := 1 + int(d.promptShare(true)+spareServerShare) + (len(d.servers.servers)*max(request.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
+	count := 1 + int(d.promptShare(true)+spareServerShare) + (len(d.servers.all)*max(request.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
 	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
 	few := count
 	d.preferred, count = d.preferred[:0], count+1
-	for _, server := range d.servers.servers {
+	for _, server := range d.servers.all {
 		luck := float64(rand.NewPCG(request.AffinityKey, server.Hash).Uint64()>>11+1) / (1 << 53)
 		if server.sampleKey = -math.Log(luck) / server.size; request.Class.MachineType < 0 && server.typeStats.required {
 			server.sampleKey /= requiredTypeFactor
@@ -60,11 +60,11 @@
 		d.preferred = slices.Insert(d.preferred, i, server)
 	}
 	if len(d.preferred) == 0 {
-		return d.servers.servers
+		return d.servers.all
 	}
 	d.preferred = d.preferred[:min(count, len(d.preferred))]
 	for _, server := range d.preferred {
-		if d.settings.LiveCapacity && server.sampleKey > 0 && server.size/server.spareFactor-1 > max(crowdedFactor*d.load/float64(len(d.servers.servers)), 1) {
+		if d.settings.LiveCapacity && server.sampleKey > 0 && server.size/server.spareFactor-1 > max(crowdedFactor*d.load/float64(len(d.servers.all)), 1) {
 			server.sampleKey += 2e9
 		}
 	}
--- a/dispatch/arrival.go
+++ b/dispatch/arrival.go
@@ -40,7 +40,7 @@
 	d.classValues[request.Class.Index].decay(d.now).total += request.priorityWeight
 	d.recordKey(request)
 	d.SetDeadline(request, request.Deadline)
-	d.enqueue(request)
+	d.queue.add(request)
 }
 
 // adjustedDeadline is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -16,11 +16,11 @@
 		d.giveUp(request, AttemptsExhausted)
 	} else if d.endpointsMayBeStale() {
 		request.retryAt = d.now + minDelayTicks*d.settings.Tick
-		d.enqueue(request)
+		d.queue.add(request)
 	} else if drawn := d.draw(request, count); len(drawn) == 0 {
 		// Danger: in a jam a node spends its processor time on looking for room that is not there.
 		request.retryAt, request.fruitlessDraws = d.now+d.settings.Tick*min(request.fruitlessDraws, 16), request.fruitlessDraws+1
-		d.enqueue(request)
+		d.queue.add(request)
 	} else if asking {
 		d.probeCapacity(request, drawn)
 	} else {
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -56,7 +56,7 @@
 			b.Run(fmt.Sprintf("%d/%d", executors, waiting), func(b *testing.B) {
 				d, _, terms := stillWorld(executors)
 				d.Advance(1e12)
-				for _, server := range d.servers.servers {
+				for _, server := range d.servers.all {
 					server.limit = 0
 				}
 				for range waiting {
@@ -66,8 +66,8 @@
 				for b.Loop() {
 					d.ProcessQueue()
 				}
-				if len(d.queue) != waiting {
-					b.Fatalf("%d of %d wait", len(d.queue), waiting)
+				if len(d.queue.requests) != waiting {
+					b.Fatalf("%d of %d wait", len(d.queue.requests), waiting)
 				}
 			})
 		}
--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -23,13 +23,13 @@
 
 // findCandidates considers the candidates of a draw.
 func (d *Dispatcher) findCandidates(s *candidateSearch) {
-	if len(d.servers.servers) <= maxSample {
-		for _, server := range d.servers.servers {
+	if len(d.servers.all) <= maxSample {
+		for _, server := range d.servers.all {
 			d.consider(s, server)
 		}
 		return
 	}
-	d.sample(&d.withIdleConnection, sampleSize, func(server *Server) bool {
+	d.withIdleConnection.sample(d.random, sampleSize, func(server *Server) bool {
 		if !server.listed || d.now >= server.idleUntil {
 			return false
 		}
@@ -44,9 +44,9 @@
 		return true
 	}
 	for left := maxSample; left > 0 && !d.enoughCandidates(s, left == maxSample); left -= sampleSize {
-		d.sample(&d.servers, sampleSize, use)
+		d.servers.sample(d.random, sampleSize, use)
 	}
-	for _, server := range d.servers.servers {
+	for _, server := range d.servers.all {
 		if s.foundAllowed {
 			break
 		}
@@ -67,20 +67,20 @@
 
 // considerSlowStart considers the servers in slow start that this node may send to now, sampleMost at most, from a random place on.
 func (d *Dispatcher) considerSlowStart(s *candidateSearch) {
-	for i := 0; i < len(d.inSlowStart.servers); {
-		if server := d.inSlowStart.servers[i]; server.listed && d.settings.warmUpFactor(server, d.now) < 1 {
+	for i := 0; i < len(d.inSlowStart.all); {
+		if server := d.inSlowStart.all[i]; server.listed && d.settings.warmUpFactor(server, d.now) < 1 {
 			i++
 		} else {
 			d.inSlowStart.remove(server)
 		}
 	}
-	count := len(d.inSlowStart.servers)
+	count := len(d.inSlowStart.all)
 	if count == 0 {
 		return
 	}
 	first, considered := d.random.IntN(count), 0
 	for i := 0; i < count && considered < maxSample; i++ {
-		if server := d.inSlowStart.servers[(first+i)%count]; d.inSlowStartTurn(server) {
+		if server := d.inSlowStart.all[(first+i)%count]; d.inSlowStartTurn(server) {
 			d.consider(s, server)
 			considered++
 		}
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -18,7 +18,7 @@
 
 // looked counts the servers that the last draw considered.
 func looked(d *Dispatcher) (n int) {
-	for _, server := range d.servers.servers {
+	for _, server := range d.servers.all {
 		if server.lastDraw == d.drawCount {
 			n++
 		}
@@ -30,7 +30,7 @@
 // servers, and what it took is answered too late.
 func TestDrawLooksAtFew(t *testing.T) {
 	d, _, request := longList(t)
-	for i, server := range d.servers.servers { // an hour in which it used them all
+	for i, server := range d.servers.all { // an hour in which it used them all
 		if i%2 == 0 {
 			server.idleUntil = d.now + 1e9
 			d.withIdleConnection.add(server)
@@ -42,7 +42,7 @@
 	if d.candidates[0].idleUntil == 0 {
 		t.Error("one without a connection was drawn")
 	}
-	for _, server := range d.servers.servers { // none has room
+	for _, server := range d.servers.all { // none has room
 		server.limit = 0
 	}
 	if drawn := d.draw(request, 1); len(drawn) > 0 || looked(d) > 2*maxSample {
@@ -56,7 +56,7 @@
 	d, _, request := longList(t)
 	want, all, got := map[int]float64{}, 0.0, map[int]float64{}
 	class := func(server *Server) int { return server.scores.sum/scoreWindowSize*2 + int(2*server.reliability.value) }
-	for i, server := range d.servers.servers {
+	for i, server := range d.servers.all {
 		server.scores.count, server.scores.sum = scoreWindowSize, scoreWindowSize*[...]int{10, 6, 2, 2}[i%4]
 		if i%5 == 0 {
 			server.reliability = reliability{0.5, d.now}
@@ -78,12 +78,12 @@
 // Danger: a repeat that may go to one small group of servers alone, and finds none of them among those that were looked at.
 func TestNarrowChoiceIsFound(t *testing.T) {
 	d, terms, _ := longList(t)
-	for i, server := range d.servers.servers {
+	for i, server := range d.servers.all {
 		server.cell = i / 2
 	}
 	request := &Request{Class: terms.Classes[1], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
 	d.Arrive(request)
-	home := d.servers.servers[1001]
+	home := d.servers.all[1001]
 	request.Attempts = append(request.Attempts, &Attempt{Request: request, Server: home, sentAt: d.now})
 	for range 20 {
 		if drawn := d.draw(request, 1); len(drawn) != 1 || drawn[0].cell != home.cell {
@@ -97,7 +97,7 @@
 	d, terms, request := longList(t)
 	terms.Nodes, d.slowStartOwnerSince, request.size = 300, 0, request.size/2
 	var members []Endpoint
-	for i, server := range d.servers.servers {
+	for i, server := range d.servers.all {
 		if i%2 == 0 {
 			members = append(members, Endpoint{Server: server, StartedAt: d.now - 2e9 - int64(i)*1e6})
 		}
@@ -118,7 +118,7 @@
 		t.Errorf("%d servers were considered, most of them in slow start", looked(d))
 	}
 	d.UpdateEndpoints(true, members[:10])
-	if n := len(d.servers.servers) + len(d.withIdleConnection.servers) + len(d.inSlowStart.servers); n != 20 {
+	if n := len(d.servers.all) + len(d.withIdleConnection.all) + len(d.inSlowStart.all); n != 20 {
 		t.Errorf("%d places are kept for ten servers", n)
 	}
 }
--- a/dispatch/constants.go
+++ b/dispatch/constants.go
@@ -10,7 +10,6 @@
 	overdueFactor         = 4.0  // times the high end of measured running time that make a job overdue; beyond long jobs
 	missedProgressPeriods = 1.5  // progress periods without a note that mean standing still; one late note is no proof
 	slowStartMargin       = 1.5  // times that nodes of other minds sent what each reckoned with, the most of 800 histories
-	minChance             = 0.5  // part of the billing value to be expected for a txn to wait on; an even chance
 	minRetrySuccess       = 0.1  // chance to be served elsewhere under which two errors end a txn; a third is not worth it
 	delayedByHedge        = 3.0  // jobs made late by one more job where there is no room; a short queue of them
 	overQuotaFactor       = 1.3  // times the others' measure that a tenant may send; usage differs by tens of percent
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -262,11 +262,11 @@
 	w := newWorld(t, 1, basicTerms())
 	w.join(2, false)
 	w.arrive(0, 1, 1e8, 5e9)
-	w.d.queue = []*Request{{Class: w.terms.Classes[0]}}
+	w.d.queue.requests = []*Request{{Class: w.terms.Classes[0]}}
 	if w.d.hedge(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out while a txn waited")
 	}
-	w.d.queue = nil
+	w.d.queue.requests = nil
 	*w.d.startPromptness[true] = decayingRatio{20, 0.5, w.now}
 	if w.d.hedge(w.open[0]); len(w.open) != 1 {
 		t.Fatal("a copy went out though none of those left should find room")
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -4,50 +4,74 @@
 
 import "math/rand/v2"
 
-// Dispatcher is the decision module of one node.
+// Dispatcher takes the decisions of one node. It is not safe for concurrent use.
 type Dispatcher struct {
-	settings                                  *Settings
-	actions                                   Actions
-	slowStartOwnerSince, now, pollDeadline    int64 // by: when a call for the list goes out at the latest
-	capacityReportedAt, reportLifetime        int64 // when an executor last told of its room; how long that counts
-	failedPolls, keyedRequests                int   // calls for the list since one succeeded; txns counted in things
-	lastPollCost, minStartDelay               int64 // on the last of those calls; least time seen from sending to the note of the start
-	random                                    *rand.Rand
-	servers                                   serverSet // all that are listed
-	withIdleConnection, inSlowStart, lowLimit serverSet // of these: with an idle connection; in slow start; whose limit is under firstRoom
-	candidates, preferred                     []*Server // scratch space of homes and draw
-	drawCount                                 int       // so far
-	schedulingDelay                           int64     // how long work of this process waits until it runs, ns
-	queue                                     []*Request
-	recentResults                             map[rankGroup][]recentResult
-	runtimes                                  []histogram               // by scheme: running time over hint, or in seconds without one
-	largeSize                                 float64                   // what a large txn takes, in ns
-	sizes                                     histogram                 // size of txns, in seconds
-	machineTypes                              map[int]*machineTypeStats // by kind of machine
-	keyStates                                 map[uint64]*keyState      // what txns are about
-	tenantArrivals, classValues               []decayingRatio           // arrivals, and billing value
-	deadlineOffsets                           []int64                   // by which the latest txns were told less time than their schemes have
-	load, slotsInFlight                       float64                   // held by all a unit of size, by the list; slots of all open postings
-	queueTimerSet                             bool                      // an alarm to look at the queue is out
-	retrySuccess                              []decayingRatio           // by scheme: txns that erred and went elsewhere; those served there
-	startPromptness                           map[bool]*decayingRatio   // by whether at home: postings whose start was due; the prompt ones
+	settings *Settings
+	actions  Actions
+	random   *rand.Rand
+	now      int64 // clock time, ns
+
+	servers            serverSet // all that are listed
+	withIdleConnection serverSet // an idle connection to them should be open
+	inSlowStart        serverSet
+	lowLimit           serverSet // their limit is under the initial one
+	machineTypes       map[int]*machineTypeStats
+	load               float64 // of all servers, by the endpoint list
+	slotsInFlight      float64 // at all servers
+	polls              pollSchedule
+
+	queue           waitQueue
+	keyStates       map[uint64]*keyState
+	keyedRequests   int             // counted in keyStates
+	tenantArrivals  []decayingRatio // by tenant: arrivals
+	classValues     []decayingRatio // by class: priority weight of arrivals, and of those answered in time
+	deadlineOffsets []int64         // ns by which the deadlines of the latest requests were short of their classes'
+	sizes           histogram       // of requests, in seconds
+	largeSize       float64         // of a large request, ns
+
+	runtimes        []histogram // by class: running times over the work unit
+	recentResults   map[rankGroup][]recentResult
+	retrySuccess    []decayingRatio         // by class: requests that failed and ended elsewhere, and those that succeeded there
+	startPromptness map[bool]*decayingRatio // by whether in this node's zone: attempts that had to start, and those prompt
+	minStartDelay   int64                   // the least from sending an attempt to the report of its start, ns; 0: none seen
+
+	capacityReportedAt  int64 // when a server last reported its capacity
+	reportLifetime      int64 // how long a capacity report counts, ns
+	slowStartOwnerSince int64 // since when this process uses the node's slow start budgets
+	schedulingDelay     int64 // how long work of this process waits until it runs, ns
+
+	drawCount  int       // draws so far
+	candidates []*Server // scratch space of draw
+	preferred  []*Server // scratch space of preferredServers
 }
 
-func New(terms *Settings, seed uint64, door Actions, now int64) *Dispatcher {
-	d := &Dispatcher{settings: terms, actions: door, slowStartOwnerSince: now, now: now, pollDeadline: now + terms.UnpolledEventAge,
-		random:        rand.New(rand.NewPCG(seed, 1)),
-		recentResults: map[rankGroup][]recentResult{}, keyStates: map[uint64]*keyState{}, machineTypes: map[int]*machineTypeStats{},
-		startPromptness: map[bool]*decayingRatio{true: {}, false: {}}, retrySuccess: make([]decayingRatio, len(terms.Classes)),
-		runtimes:       make([]histogram, len(terms.Classes)),
-		tenantArrivals: make([]decayingRatio, len(terms.Tenants)), classValues: make([]decayingRatio, len(terms.Classes)),
-		servers:            serverSet{index: func(server *Server) *int { return &server.indexInAll }},
-		withIdleConnection: serverSet{index: func(server *Server) *int { return &server.indexInIdle }},
-		inSlowStart:        serverSet{index: func(server *Server) *int { return &server.indexInSlowStart }},
-		lowLimit:           serverSet{index: func(server *Server) *int { return &server.indexInLowLimit }}}
-	if terms.PollForChanges {
+// New makes a Dispatcher that knows of no server yet. All its random choices follow from the seed.
+func New(settings *Settings, seed uint64, actions Actions, now int64) *Dispatcher {
+	d := &Dispatcher{
+		settings:            settings,
+		actions:             actions,
+		random:              rand.New(rand.NewPCG(seed, 1)),
+		now:                 now,
+		servers:             serverSet{index: func(server *Server) *int { return &server.indexInAll }},
+		withIdleConnection:  serverSet{index: func(server *Server) *int { return &server.indexInIdle }},
+		inSlowStart:         serverSet{index: func(server *Server) *int { return &server.indexInSlowStart }},
+		lowLimit:            serverSet{index: func(server *Server) *int { return &server.indexInLowLimit }},
+		machineTypes:        map[int]*machineTypeStats{},
+		polls:               pollSchedule{deadline: now + settings.UnpolledEventAge},
+		keyStates:           map[uint64]*keyState{},
+		tenantArrivals:      make([]decayingRatio, len(settings.Tenants)),
+		classValues:         make([]decayingRatio, len(settings.Classes)),
+		runtimes:            make([]histogram, len(settings.Classes)),
+		recentResults:       map[rankGroup][]recentResult{},
+		retrySuccess:        make([]decayingRatio, len(settings.Classes)),
+		startPromptness:     map[bool]*decayingRatio{true: {}, false: {}},
+		slowStartOwnerSince: now,
+	}
+	if settings.PollForChanges {
 		d.PollEndpoints()
 	}
 	return d
 }
 
+// Advance sets the clock. It has to be called before the events of that time are reported.
 func (d *Dispatcher) Advance(now int64) { d.now = now }
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -20,7 +20,7 @@
 	// Danger: copies in a full fleet take the room of txns that wait for it, here or at many other nodes.
 	for _, server := range d.draw(request, 1) {
 		hit, gain := d.promptShare(server.zone == d.settings.Zone), 1-request.Class.LateShare+d.settings.MissedObjectiveCost
-		if len(d.queue) == 0 && left > 0 && request.activeAttempts <= 1 && hit*gain >= (1-hit)*delayedByHedge {
+		if len(d.queue.requests) == 0 && left > 0 && request.activeAttempts <= 1 && hit*gain >= (1-hit)*delayedByHedge {
 			d.startAttempt(request, server)
 		}
 	}
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -39,9 +39,9 @@
 		server.limit += limitGrowth * min(server.limit, 1)
 	}
 	// Danger: limits that only an executor's own starts raise keep machines empty that had one long job.
-	for i := 0; i < len(d.lowLimit.servers); i++ {
-		x := d.lowLimit.servers[i]
-		if x.limit = max(x.limit, min(x.limit+limitGrowth/2*min(x.limit, 1)/float64(len(d.servers.servers)), initialLimit)); x.limit >= initialLimit {
+	for i := 0; i < len(d.lowLimit.all); i++ {
+		x := d.lowLimit.all[i]
+		if x.limit = max(x.limit, min(x.limit+limitGrowth/2*min(x.limit, 1)/float64(len(d.servers.all)), initialLimit)); x.limit >= initialLimit {
 			d.lowLimit.remove(x)
 			i--
 		}
--- a/dispatch/polling.go
+++ b/dispatch/polling.go
@@ -2,34 +2,58 @@
 
 package dispatch
 
-// maxPollSilence is how long no call for the list may be out. Danger: longer, and what counts as told is unknown.
+const (
+	// pollParts is the number of parts that the time for the next poll is cut into: the backoff takes one or two of them.
+	pollParts = 3
+	// maxPollFailures is the number of failed polls in a row up to which the backoff grows.
+	maxPollFailures = 2
+)
+
+// pollSchedule is the state of polling the endpoint list.
+type pollSchedule struct {
+	failures int   // in a row, up to maxPollFailures
+	lastCost int64 // work that the last failed poll cost the discovery service, ns
+	deadline int64 // clock time by which the next poll goes out at the latest
+}
+
+// recordSuccess ends a row of failures.
+func (p *pollSchedule) recordSuccess() { p.failures, p.lastCost = 0, 0 }
+
+// maxPollSilence is how long (ns) no poll may be out. After that a change may count as notified that this node knows nothing of.
 func (d *Dispatcher) maxPollSilence() float64 {
 	return float64(d.settings.UnpolledEventAge + d.settings.DrainGrace/2)
 }
 
-// StartPolling asks for news of the list for the first time; where there is a list to go by, at a time by chance.
-// Danger: nodes that start or fail together ask together; a service that falls behind serves none of them.
+// StartPolling schedules the first poll. A node that has an endpoint list waits for a random time: nodes that start together would poll
+// together, and a service that falls behind serves none of them.
 func (d *Dispatcher) StartPolling() {
-	d.schedulePoll(d.maxPollSilence()*d.random.Float64()*float64(min(len(d.servers.servers), 1)), d.maxPollSilence())
+	silence := d.maxPollSilence()
+	d.schedulePoll(silence*d.random.Float64()*float64(min(len(d.servers.all), 1)), silence)
 }
 
-// PollFailed takes a failed call for the list; the next waits, for the same danger, by what two of them cost.
-// Danger: an agent that could be asked again as the call was out has news that counts some time after that.
-func (d *Dispatcher) PollFailed(took, spent int64) {
-	part := min(max(d.maxPollSilence()/3, float64(min(spent, d.lastPollCost))), float64(max(d.settings.MaxPollInterval-took, 0))/3)
-	d.failedPolls, d.lastPollCost = min(d.failedPolls+1, 2), spent
-	d.schedulePoll(part*float64(d.failedPolls)*(0.5+d.random.Float64()), 3*part)
+// PollFailed schedules the next poll after one that failed. It took so long (ns) and cost the discovery service so much work (ns); the
+// backoff is jittered and grows with what two failures in a row cost. It is bounded, since a discovery service that could be reached as
+// the poll was out has changes that count as notified some time after.
+func (d *Dispatcher) PollFailed(took, cost int64) {
+	part := max(d.maxPollSilence()/pollParts, float64(min(cost, d.polls.lastCost)))
+	left := float64(max(d.settings.MaxPollInterval-took, 0))
+	part = min(part, left/pollParts)
+	d.polls.failures = min(d.polls.failures+1, maxPollFailures)
+	d.polls.lastCost = cost
+	jitter := 0.5 + d.random.Float64()
+	d.schedulePoll(part*float64(d.polls.failures)*jitter, pollParts*part)
 }
 
-// PollSucceeded ends a call that brought something, where nodes hold calls together; the next goes in its turn.
+// PollSucceeded schedules the next poll after one that brought changes, where nodes share a budget of polls.
 func (d *Dispatcher) PollSucceeded() { d.schedulePoll(0, d.maxPollSilence()) }
 
-func (d *Dispatcher) schedulePoll(after, by float64) {
-	d.pollDeadline = d.now + int64(by)
+// schedulePoll schedules a poll after some ns. It goes out within another number of ns, whatever its quota.
+func (d *Dispatcher) schedulePoll(after, within float64) {
+	d.polls.deadline = d.now + int64(within)
 	d.actions.Schedule(int64(after), d.PollEndpoints)
 }
 
-// PollEndpoints has the list asked for, or waits for this node's share.
+// PollEndpoints polls the endpoint list, as soon as this node's quota allows it.
 func (d *Dispatcher) PollEndpoints() {
 	if d.settings.Quotas == nil || d.PollOverdue() || d.settings.Quotas.Allow(BudgetPolls, nil, nil, 1) {
 		d.actions.PollEndpoints(true)
@@ -38,5 +62,5 @@
 	}
 }
 
-// PollOverdue says that a call goes out whatever shares say. Danger: work for what drained, as no news is heard.
-func (d *Dispatcher) PollOverdue() bool { return d.now >= d.pollDeadline }
+// PollOverdue says that a poll goes out whatever the quotas say: without one this node would go on sending to servers that drain.
+func (d *Dispatcher) PollOverdue() bool { return d.now >= d.polls.deadline }
--- a/dispatch/probes.go
+++ b/dispatch/probes.go
@@ -15,7 +15,7 @@
 	round := request.probeRounds
 	d.actions.Schedule(int64(round)*d.reportLifetime, func() {
 		if !request.Done && request.activeAttempts == 0 && request.probeRounds == round {
-			d.enqueue(request)
+			d.queue.add(request)
 		}
 	})
 }
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -27,7 +27,7 @@
 // draw picks executors by chance and weight, idle and prompt ones before uncrowded ones before any with room,
 // home first where crossing is dear. The least of waits drawn at rates of weights is a draw by weight.
 func (d *Dispatcher) draw(request *Request, count int) []*Server {
-	mean := d.slotsInFlight / float64(len(d.servers.servers))
+	mean := d.slotsInFlight / float64(len(d.servers.all))
 	d.drawCount++
 	s := &candidateSearch{request: request, count: count, runtime: d.expectedRuntime(request, 0.5), meanInFlight: mean, draw: d.drawCount}
 	if d.candidates = d.candidates[:0]; request.keyState.exceeded(request.Slots, d.now, s.runtime) {
--- a/dispatch/serverset.go
+++ b/dispatch/serverset.go
@@ -2,52 +2,74 @@
 
 package dispatch
 
-// serverSet is a set of servers that is added to in any order, and from which some are drawn at random.
+import "math/rand/v2"
+
+// serverSet is a set of servers that is added to and removed from in constant time, and from which some are drawn at random.
 type serverSet struct {
-	servers []*Server
-	index   func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
+	all   []*Server
+	index func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
 }
 
 func (s *serverSet) add(server *Server) {
-	if at := s.index(server); *at == 0 {
-		s.servers = append(s.servers, server)
-		*at = len(s.servers)
+	index := s.index(server)
+	if *index == 0 {
+		s.all = append(s.all, server)
+		*index = len(s.all)
 	}
 }
 
+// remove takes a server out. The last one takes its place, so the order changes.
 func (s *serverSet) remove(server *Server) {
-	at := s.index(server)
-	if *at == 0 {
+	index := s.index(server)
+	if *index == 0 {
 		return
 	}
-	last := len(s.servers) - 1
-	s.swap(*at-1, last)
-	s.servers[last] = nil
-	s.servers, *at = s.servers[:last], 0
+	last := len(s.all) - 1
+	moved := s.all[last]
+	s.all[*index-1] = moved
+	*s.index(moved) = *index
+	s.all[last] = nil
+	s.all = s.all[:last]
+	*index = 0
 }
 
-func (s *serverSet) swap(i, j int) {
-	server, b := s.servers[i], s.servers[j]
-	s.servers[i], s.servers[j] = b, server
-	*s.index(server), *s.index(b) = j+1, i+1
+// retain takes out the servers that keep says no to, and leaves the others in order.
+func (s *serverSet) retain(keep func(*Server) bool) {
+	kept := s.all[:0]
+	for _, server := range s.all {
+		if keep(server) {
+			kept = append(kept, server)
+			*s.index(server) = len(kept)
+		} else {
+			*s.index(server) = 0
+		}
+	}
+	clear(s.all[len(kept):])
+	s.all = kept
 }
 
-// sample calls use with count servers of the set, drawn evenly, of which some may be the same; with each once if there are no more.
-// Those that use does not want are taken out.
-func (d *Dispatcher) sample(s *serverSet, count int, use func(*Server) (keep bool)) {
-	if len(s.servers) <= count {
-		for i := 0; i < len(s.servers); {
-			if server := s.servers[i]; use(server) {
-				i++
-			} else {
-				s.remove(server)
-			}
-		}
+// sample calls visit with count servers of the set, drawn evenly, of which some may be the same; with each once if there are no more.
+// Those that visit does not want to keep are taken out.
+func (s *serverSet) sample(random *rand.Rand, count int, visit func(*Server) (keep bool)) {
+	if len(s.all) <= count {
+		s.visitAll(visit)
 		return
 	}
-	for ; count > 0 && len(s.servers) > 0; count-- {
-		if server := s.servers[d.random.IntN(len(s.servers))]; !use(server) {
+	for ; count > 0 && len(s.all) > 0; count-- {
+		server := s.all[random.IntN(len(s.all))]
+		if !visit(server) {
 			s.remove(server)
 		}
 	}
 }
+
+// visitAll calls visit with each server of the set, and takes out those that it does not want to keep.
+func (s *serverSet) visitAll(visit func(*Server) (keep bool)) {
+	for i := 0; i < len(s.all); {
+		if visit(s.all[i]) {
+			i++
+		} else {
+			s.remove(s.all[i])
+		}
+	}
+}
