--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -35,7 +35,7 @@
 // preferredServers are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
 // Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
 func (d *Dispatcher) preferredServers(request *Request, roam bool) []*Server {
-	count := 1 + int(d.promptShare(true)+spareServerShare) + (len(d.servers.all)*max(request.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
+	count := 1 + int(d.promptShare(ownZone)+spareServerShare) + (len(d.servers.all)*max(request.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
 	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
 	few := count
 	d.preferred, count = d.preferred[:0], count+1
@@ -71,3 +71,42 @@
 	slices.SortStableFunc(d.preferred, bySampleKey)
 	return d.preferred[:min(few, len(d.preferred))]
 }
+
+// adjustKeyLimit moves the limit in flight of an affinity key, or of a tenant whose requests have none, by how an attempt went. What waits
+// for one lock behind all servers would hold their slots, and requests that don't need it would starve.
+func (d *Dispatcher) adjustKeyLimit(attempt *Attempt, outcome Outcome, retrySuccess float64) {
+	request := attempt.Request
+	hasKey := request.AffinityKey != 0
+	if !hasKey && len(d.settings.Tenants) <= 1 {
+		return
+	}
+	runtime := d.now - max(attempt.sentAt, attempt.startedAt)
+	overdue := float64(runtime) > overdueFactor*float64(d.expectedRuntime(request, medianQuantile))
+	fails := retrySuccess < likelyRetrySuccess
+	// Requests of one key are alike. Long running times alone say nothing of a tenant's.
+	bad := overdue && fails
+	if hasKey {
+		bad = overdue || outcome == Failed && fails
+	}
+	if bad {
+		d.recordBadRun(attempt)
+	} else if outcome == Succeeded {
+		request.keyState.recordGoodRun(request.Slots)
+	}
+}
+
+// recordGoodRun raises the limit of a key after an attempt with so many slots that went well.
+func (s *keyState) recordGoodRun(slots float64) {
+	s.failedServer = nil
+	s.grow(s.slotsInFlight + slots)
+}
+
+// recordBadRun reduces the limit of a key as the second server in a row agrees that it is not the server's fault.
+func (d *Dispatcher) recordBadRun(attempt *Attempt) {
+	state := attempt.Request.keyState
+	if state.failedServer == nil || state.failedServer == attempt.Server {
+		state.failedServer = attempt.Server
+		return
+	}
+	d.reduceLimit(&state.concurrencyLimit, attempt.sentAt, state.slotsInFlight+attempt.Request.Slots)
+}
--- a/dispatch/arrival.go
+++ b/dispatch/arrival.go
@@ -33,7 +33,7 @@
 	if request.overQuota {
 		request.priorityWeight *= d.settings.OverQuotaWeight
 		// Danger: many quiet nodes hold no queue to sort; what is worth little then jams the machines for all.
-		if d.settings.LoadReports && d.random.Float64() > d.promptShare(true) {
+		if d.settings.LoadReports && d.random.Float64() > d.promptShare(ownZone) {
 			request.priorityWeight = 0
 		}
 	}
--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -2,47 +2,60 @@
 
 package dispatch
 
-// assign posts the txn or lets it wait at the node.
+// maxDrawPause is the number of ticks up to which the pause after a draw without a server grows.
+const maxDrawPause = 16
+
+// assign sends a request to a server, asks servers for their capacity, or lets the request wait.
 func (d *Dispatcher) assign(request *Request) {
 	if request.Done || request.activeAttempts > 0 {
 		return
 	}
-	// Danger: executors that never answer probes. What has heard nothing for some rounds goes out blindly.
-	asking, count := d.settings.CapacityProbes && !d.settings.LiveCapacity && (request.probeRounds < probesPerRound || d.capacityReportedAt >= request.arrivedAt), 1
-	if asking {
-		count = probesPerRound
-	}
-	if len(request.Attempts) >= d.settings.MaxAttempts || request.firstPossibleRun() != nil && d.mayNotRepeat(request) {
+	if len(request.Attempts) >= d.settings.MaxAttempts || !d.mayRepeat(request) {
 		d.giveUp(request, AttemptsExhausted)
-	} else if d.endpointsMayBeStale() {
+		return
+	}
+	if d.endpointsMayBeStale() {
 		request.retryAt = d.now + minDelayTicks*d.settings.Tick
 		d.queue.add(request)
-	} else if drawn := d.draw(request, count); len(drawn) == 0 {
-		// Danger: in a jam a node spends its processor time on looking for room that is not there.
-		request.retryAt, request.fruitlessDraws = d.now+d.settings.Tick*min(request.fruitlessDraws, 16), request.fruitlessDraws+1
+		return
+	}
+	probing := d.shouldProbe(request)
+	count := 1
+	if probing {
+		count = probesPerRound
+	}
+	servers := d.draw(request, count)
+	switch {
+	case len(servers) == 0:
+		// Under congestion a node would spend its processor time on looking for capacity that is not there.
+		request.retryAt = d.now + d.settings.Tick*min(request.fruitlessDraws, maxDrawPause)
+		request.fruitlessDraws++
 		d.queue.add(request)
-	} else if asking {
-		d.probeCapacity(request, drawn)
-	} else {
-		d.startAttempt(request, drawn[0])
+	case probing:
+		d.probeCapacity(request, servers)
+	default:
+		d.startAttempt(request, servers[0])
 	}
 }
 
-// startAttempt sends the txn and leaves behind what its outcome leads to.
+// startAttempt sends a request to a server.
 func (d *Dispatcher) startAttempt(request *Request, server *Server) {
 	attempt := &Attempt{Request: request, Server: server, Number: len(request.Attempts), InFlight: true, sentAt: d.now}
 	request.Attempts = append(request.Attempts, attempt)
-	server.slotsInFlight, d.slotsInFlight, request.keyState.slotsInFlight, request.activeAttempts = server.slotsInFlight+request.Slots, d.slotsInFlight+request.Slots, request.keyState.slotsInFlight+request.Slots, request.activeAttempts+1
-	// Danger: a node that hears of a start late, and has sent to it as to a warm one since.
-	if server.recentSends = server.recentSends.add(d.now, request.size, d.settings.OverloadWindow); d.settings.warmUpFactor(server, d.now) < 1 {
-		attempt.SlowStartShare = request.size / d.slowStartBudget(server, d.now-d.settings.OverloadWindow, 1)
+	request.activeAttempts++
+	request.keyState.slotsInFlight += request.Slots
+	server.slotsInFlight += request.Slots
+	d.slotsInFlight += request.Slots
+	// Counted for warm servers too: the report of a server's restart may come after what is sent here.
+	server.recentSends = server.recentSends.add(d.now, request.size, d.settings.OverloadWindow)
+	if d.settings.warmUpFactor(server, d.now) < 1 {
+		attempt.SlowStartShare = d.slowStartCost(request, server)
 	}
-	attempt.afterEnd = func() { d.assign(request) }
 	d.actions.StartAttempt(attempt)
 	d.superviseAttempt(attempt)
 }
 
-// MaySend says at a posting's first byte whether it may still leave. Danger: news that came while it waited.
+// MaySend says at the first byte of an attempt whether it may still leave. An update of the list may have come while it waited.
 func (d *Dispatcher) MaySend(attempt *Attempt) bool {
 	return attempt.Server.State == Up && !attempt.Request.Done && !attempt.canceled && !d.endpointsMayBeStale()
 }
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -52,5 +52,4 @@
 	failureRecorded bool  // it counts as failed in its server's reliability and scores
 	canceled        bool
 	provedNotRun    bool
-	afterEnd        func() // what the outcome leads to
 }
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -2,12 +2,13 @@
 
 package dispatch
 
-// ClientClosed ends a txn whose client has closed, or shut its sending side and may still read: it gets the final answer that the rules allow.
+// ClientClosed ends a request whose client has closed, or shut its sending side and may still read the final answer.
 func (d *Dispatcher) ClientClosed(request *Request) { d.giveUp(request, ClientGone) }
 
-// Finish ends a txn that is answered, or whose client has gone.
+// Finish ends a request that has its final answer, or whose client has gone.
 func (d *Dispatcher) Finish(request *Request) {
-	if request.Done = true; request.cancelDeadline != nil {
+	request.Done = true
+	if request.cancelDeadline != nil {
 		request.cancelDeadline()
 	}
 	for _, attempt := range request.Attempts {
@@ -15,23 +16,23 @@
 	}
 }
 
+// cancelAttempt withdraws an attempt that is in flight, where that is allowed.
 func (d *Dispatcher) cancelAttempt(attempt *Attempt) {
 	if attempt.InFlight && !attempt.canceled && d.settings.AllowCancel {
-		attempt.canceled, attempt.Request.activeAttempts = true, attempt.Request.activeAttempts-1
+		attempt.canceled = true
+		attempt.Request.activeAttempts--
 		d.actions.CancelAttempt(attempt)
 	}
 }
 
-// giveUp gives the final answer that the rules allow.
-func (d *Dispatcher) giveUp(request *Request, why Reason) {
+// giveUp ends a request that was not served.
+func (d *Dispatcher) giveUp(request *Request, reason Reason) {
 	if request.Done {
 		return
 	}
-	request.Reason = why
+	request.Reason = reason
 	d.Finish(request)
-	// Danger: a decline tells the client that trying again is harmless; where it might not be, reverse.
-	class := request.Class
-	if request.firstPossibleRun() == nil || class.Idempotency == Idempotent || class.Idempotency == IdempotentInGroup && class.DedupScope == DedupAll {
+	if request.mayBeSentAgain() {
 		d.actions.Shed(request, d.settings.MaxRetryAfter)
 	} else {
 		d.actions.Compensate(request)
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -263,21 +263,21 @@
 	w.join(2, false)
 	w.arrive(0, 1, 1e8, 5e9)
 	w.d.queue.requests = []*Request{{Class: w.terms.Classes[0]}}
-	if w.d.hedge(w.open[0]); len(w.open) != 1 {
+	if w.d.hedge(w.open[0].Request); len(w.open) != 1 {
 		t.Fatal("a copy went out while a txn waited")
 	}
 	w.d.queue.requests = nil
-	*w.d.startPromptness[true] = decayingRatio{20, 0.5, w.now}
-	if w.d.hedge(w.open[0]); len(w.open) != 1 {
+	w.d.promptStarts[ownZone] = decayingRatio{20, 0.5, w.now}
+	if w.d.hedge(w.open[0].Request); len(w.open) != 1 {
 		t.Fatal("a copy went out though none of those left should find room")
 	}
 	w.terms.LoadReports = true
-	*w.d.startPromptness[true] = decayingRatio{10, 6, w.now}
-	if w.d.hedge(w.open[0]); len(w.open) != 1 {
+	w.d.promptStarts[ownZone] = decayingRatio{10, 6, w.now}
+	if w.d.hedge(w.open[0].Request); len(w.open) != 1 {
 		t.Fatal("a copy went out though four starts in ten were late, as other nodes' txns wait")
 	}
-	w.d.startPromptness[true].hits = 10
-	if w.d.hedge(w.open[0]); len(w.open) != 2 {
+	w.d.promptStarts[ownZone].hits = 10
+	if w.d.hedge(w.open[0].Request); len(w.open) != 2 {
 		t.Fatal("no copy though there is room")
 	}
 }
@@ -373,7 +373,11 @@
 	w.join(8, false)
 	for _, m := range w.fleet {
 		for range 20 {
-			w.d.adjustLimit(&Attempt{Server: m.Server, sentAt: w.now}, 0, m.Zone != 0)
+			if m.Zone != 0 {
+				w.d.recordPromptStart(m.Server)
+			} else {
+				w.d.recordLateStart(&Attempt{Server: m.Server, sentAt: w.now}, 0)
+			}
 		}
 		m.Server.limit = initialLimit
 	}
@@ -420,7 +424,7 @@
 		terms.LoadReports, terms.OverQuotaWeight, terms.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 		w := newWorld(t, 1, terms)
 		w.join(40, false)
-		*w.d.startPromptness[true] = decayingRatio{400, prompt, w.now}
+		w.d.promptStarts[ownZone] = decayingRatio{400, prompt, w.now}
 		for range 40 {
 			if w.arrive(0, 1, 1e8, 5e9).Done {
 				declined++
@@ -699,7 +703,7 @@
 	for seed := range uint64(100) {
 		w := newWorld(t, seed, terms)
 		w.join(4, false)
-		w.d.startPromptness[true].total, w.d.startPromptness[true].decayedAt = 9, w.now
+		w.d.promptStarts[ownZone].total, w.d.promptStarts[ownZone].decayedAt = 9, w.now
 		tx := w.arrive(0, 1, 1e8, 9e9)
 		if w.d.CapacityReported(w.probes[0], true, 9, 9); len(tx.Attempts) > 0 {
 			taken++
@@ -931,7 +935,7 @@
 		}
 		w.d.keyedRequests = 100
 		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, keyState: &keyState{requests: 1}}
-		*w.d.startPromptness[true] = decayingRatio{9, prompt, w.now}
+		w.d.promptStarts[ownZone] = decayingRatio{9, prompt, w.now}
 		if homes := w.d.preferredServers(tx, true); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
 		}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -29,11 +29,11 @@
 	sizes           histogram       // of requests, in seconds
 	largeSize       float64         // of a large request, ns
 
-	runtimes        []histogram // by class: running times over the work unit
-	recentResults   map[rankGroup][]recentResult
-	retrySuccess    []decayingRatio         // by class: requests that failed and ended elsewhere, and those that succeeded there
-	startPromptness map[bool]*decayingRatio // by whether in this node's zone: attempts that had to start, and those prompt
-	minStartDelay   int64                   // the least from sending an attempt to the report of its start, ns; 0: none seen
+	runtimes      []histogram // by class: running times over the work unit
+	recentResults map[rankGroup][]recentResult
+	retrySuccess  []decayingRatio              // by class: requests that failed and ended elsewhere, and those that succeeded there
+	promptStarts  [zoneRelations]decayingRatio // attempts that had to start, and those that did so promptly
+	minStartDelay int64                        // the least from sending an attempt to the report of its start, ns; 0: none seen
 
 	capacityReportedAt  int64 // when a server last reported its capacity
 	reportLifetime      int64 // how long a capacity report counts, ns
@@ -64,7 +64,6 @@
 		runtimes:            make([]histogram, len(settings.Classes)),
 		recentResults:       map[rankGroup][]recentResult{},
 		retrySuccess:        make([]decayingRatio, len(settings.Classes)),
-		startPromptness:     map[bool]*decayingRatio{true: {}, false: {}},
 		slowStartOwnerSince: now,
 	}
 	if settings.PollForChanges {
--- a/dispatch/probes.go
+++ b/dispatch/probes.go
@@ -31,7 +31,7 @@
 	for _, request := range askers {
 		// Danger: an answer that comes late; the executor may be gone, and the txn out or over.
 		if !request.Done && request.activeAttempts == 0 && !d.reportedFull(request, server) && d.allowed(request, server) &&
-			d.random.Float64() < d.promptShare(server.zone == d.settings.Zone) {
+			d.random.Float64() < d.promptShare(d.zoneOf(server)) {
 			server.freeMemory -= request.Memory
 			d.startAttempt(request, server)
 			d.SlotsReserved(server, request.Slots)
@@ -52,3 +52,12 @@
 func (d *Dispatcher) reportedFull(request *Request, server *Server) bool {
 	return server.capacityReportedAt > 0 && d.now-server.capacityReportedAt < d.reportLifetime && (server.freeSlots < request.Slots || server.freeMemory < request.Memory)
 }
+
+// shouldProbe says whether servers are asked for their capacity before the request is sent. After some rounds without any answer it is
+// sent blindly: such servers never answer probes.
+func (d *Dispatcher) shouldProbe(request *Request) bool {
+	if !d.settings.CapacityProbes || d.settings.LiveCapacity {
+		return false
+	}
+	return request.probeRounds < maxUnansweredRounds || d.capacityReportedAt >= request.arrivedAt
+}
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -34,7 +34,7 @@
 		return nil
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
-	s.anyZone = d.settings.CrossZoneCost < localZoneCost || d.random.Float64()*d.promptShare(false) > d.promptShare(true)
+	s.anyZone = d.settings.CrossZoneCost < localZoneCost || d.random.Float64()*d.promptShare(otherZone) > d.promptShare(ownZone)
 	if request.AffinityKey == 0 {
 		d.findCandidates(s)
 		return d.candidates[:min(count, len(d.candidates))]
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -54,12 +54,17 @@
 		return true
 	}
 	if d.settings.Quotas != nil { // it counts as it is sent
-		return d.settings.Quotas.Allow(BudgetSlowStart, server, request, request.size/d.slowStartBudget(server, d.now-d.settings.OverloadWindow, 1))
+		return d.settings.Quotas.Allow(BudgetSlowStart, server, request, d.slowStartCost(request, server))
 	}
 	part, since, turn, _ := d.quotaShare(server)
 	return turn && d.slowStartOwnerSince < since && server.recentSends.sum(request.size, since) <= part
 }
 
+// slowStartCost is the share of a server's budget in slow start that a request takes.
+func (d *Dispatcher) slowStartCost(request *Request, server *Server) float64 {
+	return request.size / d.slowStartBudget(server, d.now-d.settings.OverloadWindow, 1)
+}
+
 // slowStartBudget is a part of the work that all nodes may send a cold executor in a window, by its warmth at a time.
 // It bears N jobs, two root N + 2 for chance; what is sent has that chance too, so that N / doubt follows.
 func (d *Dispatcher) slowStartBudget(server *Server, at int64, parts float64) float64 {
--- a/dispatch/supervision.go
+++ b/dispatch/supervision.go
@@ -7,110 +7,120 @@
 	"math"
 )
 
+const (
+	// overdueFactor is the multiple of the high end of running times after which an attempt counts as failed.
+	overdueFactor = 4.0
+	// missedProgressPeriods is the number of periods without a progress report after which an attempt counts as stalled.
+	missedProgressPeriods = 1.5
+)
+
+// AttemptStarted takes a server's report that an attempt has started.
 func (d *Dispatcher) AttemptStarted(attempt *Attempt) {
 	if !attempt.InFlight || attempt.startedAt > 0 {
 		return
 	}
 	request, server := attempt.Request, attempt.Server
-	attempt.startedAt, d.minStartDelay = d.now, min(cmp.Or(d.minStartDelay, d.now-attempt.sentAt), d.now-attempt.sentAt)
+	delay := d.now - attempt.sentAt
+	attempt.startedAt = d.now
+	d.minStartDelay = min(cmp.Or(d.minStartDelay, delay), delay)
 	server.startedSlots += request.Slots
 	server.typeStats.maxSlots = max(server.typeStats.maxSlots, server.startedSlots)
-	if d.now-attempt.sentAt <= d.startTimeout(attempt) {
-		d.adjustLimit(attempt, server.slotsInFlight, true)
+	if delay <= d.startTimeout(attempt) {
+		d.recordPromptStart(server)
 	}
-	// Tied copies: the first to start is kept, the others are still waiting and cost nothing to take back.
-	for _, q := range request.Attempts {
-		if q != attempt && q.startedAt == 0 {
-			d.cancelAttempt(q)
+	// The first of the hedged attempts to start is kept. Those that still wait cost nothing to cancel.
+	for _, other := range request.Attempts {
+		if other != attempt && other.startedAt == 0 {
+			d.cancelAttempt(other)
 		}
 	}
 	d.superviseAttempt(attempt)
 }
 
+// AttemptProgressed takes a server's progress report.
 func (d *Dispatcher) AttemptProgressed(attempt *Attempt) { attempt.progressAt = d.now }
 
-// checkLater looks after a while at a posting that is still out.
-// Danger: a node that stood still finds alarms and notes at once; its lateness looks like its executors'.
-func (d *Dispatcher) checkLater(attempt *Attempt, after int64, then func()) {
-	due := d.now + after + d.minStartTimeout()
+// checkLater calls check after some ns, if the attempt is still in flight then. A process that was held up finds due timers and unread
+// reports together and would take its own delay for the servers', so it first reads the reports, for a tick.
+func (d *Dispatcher) checkLater(attempt *Attempt, after int64, check func()) {
+	latest := d.now + after + d.minStartTimeout()
 	d.actions.Schedule(after, func() {
 		switch {
 		case !attempt.InFlight || attempt.Request.Done:
-		case d.now > due:
-			d.checkLater(attempt, d.settings.Tick, then)
+		case d.now > latest:
+			d.checkLater(attempt, d.settings.Tick, check)
 		default:
-			then()
+			check()
 		}
 	})
 }
 
-// superviseAttempt sees to a posting's start, where executors tell of it, and then to its end.
+// superviseAttempt waits for an attempt's start, where servers report it, and then for its end.
 func (d *Dispatcher) superviseAttempt(attempt *Attempt) {
 	if attempt.startedAt > 0 || !d.settings.StartNotices {
 		d.awaitEnd(attempt, d.settings.Tick)
 		return
 	}
 	d.checkLater(attempt, d.startTimeout(attempt), func() {
-		if server := attempt.Server; attempt.startedAt == 0 {
-			// Danger: many slots stand half empty, or one that slowed is judged by its best. Late in a row, ever less.
-			least := min(server.limit, server.typeStats.maxSlots/float64(max(d.settings.Nodes, 1))*math.Exp2(-server.lateStarts))
-			d.adjustLimit(attempt, server.slotsInFlight, false)
-			server.limitBeforeRejections, server.limit, server.lateStarts = 0, max(server.limit, least), server.lateStarts+1
-			d.recordLowLimit(server)
+		if attempt.startedAt == 0 {
+			d.startIsLate(attempt)
 			d.awaitStart(attempt)
 		}
 	})
 }
 
-// awaitStart decides what becomes of a posting that waits at its executor.
+// startIsLate reduces the limit of a server where an attempt waits for its start, at first not below this node's share of the slots that
+// its machine type is known to have: servers with many slots would stand half empty. Each late start in a row halves that bound, since a
+// server that has become slow does not run as many any more.
+func (d *Dispatcher) startIsLate(attempt *Attempt) {
+	server := attempt.Server
+	share := server.typeStats.maxSlots / float64(max(d.settings.Nodes, 1))
+	least := min(server.limit, share*math.Exp2(-server.lateStarts))
+	d.recordLateStart(attempt, server.slotsInFlight)
+	server.limitBeforeRejections = 0
+	server.limit = max(server.limit, least)
+	server.lateStarts++
+	d.recordLowLimit(server)
+}
+
+// awaitStart decides from time to time what becomes of an attempt that waits at its server.
 func (d *Dispatcher) awaitStart(attempt *Attempt) {
-	wait, class := d.slack(attempt.Request, d.now)/2, attempt.Request.Class
-	switch {
-	case attempt.startedAt > 0:
+	if attempt.startedAt > 0 {
 		return
-	// Danger: what is declined here may run all the same and comes back as a retry, so that a jam never ends.
-	case class.Idempotency == Idempotent && class.LateShare == 0 && d.expectedValue(attempt.Request) <= 0:
-		d.giveUp(attempt.Request, LateAtServer)
+	}
+	request := attempt.Request
+	// Only where a late answer earns nothing: what is shed here may run all the same and come back as a retry, without an end.
+	worthless := request.Class.Idempotency == Idempotent && request.Class.LateShare == 0
+	if worthless && d.expectedValue(request) <= 0 {
+		d.giveUp(request, LateAtServer)
 		return
-	case !d.settings.LoadReports || wait <= d.minStartTimeout():
-		d.hedge(attempt)
+	}
+	wait := d.slack(request, d.now) / 2
+	if !d.settings.LoadReports || wait <= d.minStartTimeout() {
+		d.hedgeOrRetry(attempt)
 		wait = max((d.now-attempt.sentAt)/2, d.minStartTimeout())
 	}
 	d.checkLater(attempt, wait, func() { d.awaitStart(attempt) })
 }
 
-// awaitEnd decides what becomes of a posting that runs too long or stands still.
+// awaitEnd decides from time to time what becomes of an attempt that runs. It waits longer each time, from a first number of ns on.
 func (d *Dispatcher) awaitEnd(attempt *Attempt, wait int64) {
-	run, period := d.expectedRuntime(attempt.Request, highQuantile), d.settings.ProgressInterval
-	still := period > 0 && d.now-max(attempt.progressAt, attempt.startedAt, attempt.sentAt) > int64(missedProgressPeriods*float64(period))
-	if still || d.now-max(attempt.sentAt, attempt.startedAt) > int64(overdueFactor*float64(run)) {
-		if d.recordFailure(attempt, 1); still || d.settings.AllowHedging {
-			d.hedge(attempt)
+	runtime := d.expectedRuntime(attempt.Request, highQuantile)
+	stalled := d.stalled(attempt)
+	overdue := d.now-max(attempt.sentAt, attempt.startedAt) > int64(overdueFactor*float64(runtime))
+	if stalled || overdue {
+		d.recordFailure(attempt, 1)
+		if stalled || d.settings.AllowHedging {
+			d.hedgeOrRetry(attempt)
 		}
 	}
-	wait = min(max(run/2, wait), cmp.Or(period, run))
+	wait = min(max(runtime/2, wait), cmp.Or(d.settings.ProgressInterval, runtime))
 	d.checkLater(attempt, wait, func() { d.awaitEnd(attempt, 2*wait) })
 }
 
-// minStartTimeout is how long the note of a start is waited for.
-// Danger: measured from common delays it would grow with every jam, so that no limit ever fell.
-func (d *Dispatcher) minStartTimeout() int64 { return 4 * (d.settings.Tick + d.minStartDelay) }
-
-// startTimeout is how long a posting may wait at its executor before that counts as full: a part of its slack.
-func (d *Dispatcher) startTimeout(attempt *Attempt) int64 {
-	if !d.settings.LoadReports {
-		return d.minStartTimeout()
-	}
-	return max(d.minStartTimeout(), d.slack(attempt.Request, attempt.sentAt)/4)
-}
-
-// slack is the time left to start in. Without a hint a long job's SLA time is long too; the middle one tells.
-func (d *Dispatcher) slack(request *Request, from int64) int64 {
-	return request.objectiveAt - d.expectedRuntime(request, [2]float64{0.5, highQuantile}[min(max(request.ExpectedWork, 0), 1)]) - from
-}
-
-// promptShare is the share of postings that started promptly, at home or away; one while nothing is known.
-func (d *Dispatcher) promptShare(home bool) float64 {
-	l := d.startPromptness[home].decay(d.now)
-	return (l.hits + 1) / (l.total + 1)
+// stalled says whether an attempt owes a progress report for too long.
+func (d *Dispatcher) stalled(attempt *Attempt) bool {
+	period := d.settings.ProgressInterval
+	silence := d.now - max(attempt.progressAt, attempt.startedAt, attempt.sentAt)
+	return period > 0 && silence > int64(missedProgressPeriods*float64(period))
 }
