--- a/dispatch/arrival.go
+++ b/dispatch/arrival.go
@@ -33,14 +33,14 @@
 	if request.overQuota {
 		request.priorityWeight *= d.settings.OverQuotaWeight
 		// Danger: many quiet nodes hold no queue to sort; what is worth little then jams the machines for all.
-		if d.settings.LoadReports && d.random.Float64() > d.promptShare(true) {
+		if d.settings.LoadReports && d.random.Float64() > d.promptShare(ownZone) {
 			request.priorityWeight = 0
 		}
 	}
 	d.classValues[request.Class.Index].decay(d.now).total += request.priorityWeight
 	d.recordKey(request)
 	d.SetDeadline(request, request.Deadline)
-	d.enqueue(request)
+	d.queue.add(request)
 }
 
 // adjustedDeadline is when the txn's client gives up, the one notion of time left: as told, or where clocks differ, later
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -12,7 +12,7 @@
 func (d *Dispatcher) weight(request *Request, server *Server) float64 {
 	// Danger: one of many nodes meets most executors seldom or never; until then their kind's mean stands in.
 	score := (server.typeStats.scores.hits + initialScore) / (server.typeStats.scores.total + 1)
-	score = (float64(server.scoreSum)/topScore + score*typeScoreWeight) / (float64(server.scoreCount) + typeScoreWeight)
+	score = (float64(server.scores.sum)/topScore + score*typeScoreWeight) / (float64(server.scores.count) + typeScoreWeight)
 	if warmth := d.settings.warmUpFactor(server, d.now); warmth < 1 {
 		_, _, _, groups := d.quotaShare(server) // seldom in turn, it is taken as much likelier then
 		score *= warmth * d.settings.slowStartShareFactor(server, groups)
@@ -27,14 +27,14 @@
 // draw picks executors by chance and weight, idle and prompt ones before uncrowded ones before any with room,
 // home first where crossing is dear. The least of waits drawn at rates of weights is a draw by weight.
 func (d *Dispatcher) draw(request *Request, count int) []*Server {
-	mean := d.slotsInFlight / float64(len(d.servers.servers))
+	mean := d.slotsInFlight / float64(len(d.servers.all))
 	d.drawCount++
 	s := &candidateSearch{request: request, count: count, runtime: d.expectedRuntime(request, 0.5), meanInFlight: mean, draw: d.drawCount}
 	if d.candidates = d.candidates[:0]; request.keyState.exceeded(request.Slots, d.now, s.runtime) {
 		return nil
 	}
 	// Danger: a zone with more traffic than its machines can carry drowns while others idle.
-	s.anyZone = d.settings.CrossZoneCost < localZoneCost || d.random.Float64()*d.promptShare(false) > d.promptShare(true)
+	s.anyZone = d.settings.CrossZoneCost < localZoneCost || d.random.Float64()*d.promptShare(otherZone) > d.promptShare(ownZone)
 	if request.AffinityKey == 0 {
 		d.findCandidates(s)
 		return d.candidates[:min(count, len(d.candidates))]
