--- a/internal/transport/client_close_test.go
+++ b/internal/transport/client_close_test.go
@@ -108,11 +108,11 @@
 	},
 }
 
-// TestNothingBeginsForWhoHasGone: a client closes, in any way, while its request waits for a server, for a
+// TestNothingIsSentForAClosedClient: a client closes, in any way, while its request waits for a server, for a
 // connection or between two attempts. Not a byte of it is sent from then on, and its place is free again.
 //
 // net/http stops looking for the close at the first byte that comes behind a request.
-func TestNothingBeginsForWhoHasGone(t *testing.T) {
+func TestNothingIsSentForAClosedClient(t *testing.T) {
 	for how, closing := range clientCloses {
 		for _, state := range []string{"no server", "a connection comes up", "an attempt is out"} {
 			t.Run(how+", "+state, func(t *testing.T) {
@@ -175,11 +175,11 @@
 	}
 }
 
-// TestTheLastLookIsAtTheClient: word of a close is held back for good; the look at the client's socket before a
+// TestClientIsCheckedBeforeTheFirstByte: word of a close is held back for good; the look at the client's socket before a
 // posting's first byte holds the job back all the same, and ends it.
 //
 // Otherwise a busy node, at which that word waits behind other work, would start jobs for clients that left long ago.
-func TestTheLastLookIsAtTheClient(t *testing.T) {
+func TestClientIsCheckedBeforeTheFirstByte(t *testing.T) {
 	for how, closing := range clientCloses {
 		t.Run(how, func(t *testing.T) {
 			e := startFakeServer(t, respondWith(doneResponse, true))
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestGoneBeforeItIsRead: a request and its client's close are in the socket before the node reads either.
-func TestGoneBeforeItIsRead(t *testing.T) {
+// TestClosedBeforeItIsRead: a request and its client's close are in the socket before the node reads either.
+func TestClosedBeforeItIsRead(t *testing.T) {
 	e := startFakeServer(t, respondWith(doneResponse, true))
 	node := startNode(t, closeNotSignaled, e.Addr().String())
 	address, gone := node.address, node.gone
@@ -219,12 +219,12 @@
 	}
 }
 
-// TestWhoShutsTheirSendingGetsNoResult: a client that closes its sending side counts as gone, and no attempt begins
+// TestHalfClosedClientGetsNoResult: a client that closes its sending side counts as gone, and no attempt begins
 // for it. It may still read: it gets one final refusal, and then the end.
 //
 // A request that was read and ends without a response is lost, and a handler that returns without one has sent
 // status 200, as a result that no server made.
-func TestWhoShutsTheirSendingGetsNoResult(t *testing.T) {
+func TestHalfClosedClientGetsNoResult(t *testing.T) {
 	for state, known := range map[string][]string{"waits": nil, "is read after that": {"127.0.0.1:9"}} {
 		node := startNode(t, closeSignaled, known...)
 		address, gone := node.address, node.gone
--- a/internal/transport/connection_budget_test.go
+++ b/internal/transport/connection_budget_test.go
@@ -47,8 +47,8 @@
 	<-out
 }
 
-// TestUnusedConnectionGivesWay: one whose request found another meanwhile was never used, and must not keep its place.
-func TestUnusedConnectionGivesWay(t *testing.T) {
+// TestUnusedConnectionIsEvicted: one whose request found another meanwhile was never used, and must not keep its place.
+func TestUnusedConnectionIsEvicted(t *testing.T) {
 	e := startFakeServer(t, respondWith(chunkedHead+updateLine("done")+chunkedEnd, true))
 	d, x := newTestClient()
 	d.maxHeld[serverSide] = 1
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestIdleClientsGiveWay: a connection that rests is closed for a new one, which is served.
-func TestIdleClientsGiveWay(t *testing.T) {
+// TestIdleClientsAreReclaimed: a connection that rests is closed for a new one, which is served.
+func TestIdleClientsAreReclaimed(t *testing.T) {
 	d := NewConnectionBudget(1024)
 	d.maxHeld[clientSide], d.rejectReserve = 3, 2
 	_, address := startServer(t, d, succeed)
--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestStrangersGiveWay: connections that say nothing, or never stop, take each other's places and not those of clients
+// TestPendingConnectionsAreEvicted: connections that say nothing, or never stop, take each other's places and not those of clients
 // that work; what a connection got an error for is one of them while it lingers.
-func TestStrangersGiveWay(t *testing.T) {
+func TestPendingConnectionsAreEvicted(t *testing.T) {
 	d := NewConnectionBudget(64)
 	d.evictionGrace = 0
 	_, address := startServer(t, d, succeed)
@@ -48,10 +48,10 @@
 	}
 }
 
-// TestUnreadRequestsDoNotGiveWay: new connections come to a process that has not read what lies in the sockets of
+// TestUnreadRequestsAreNotEvicted: new connections come to a process that has not read what lies in the sockets of
 // older ones. One that has sent nothing gives way, and none whose request waits there while there are places.
 // At a process that is behind these wait the longest, and would be closed without a response.
-func TestUnreadRequestsDoNotGiveWay(t *testing.T) {
+func TestUnreadRequestsAreNotEvicted(t *testing.T) {
 	d := NewConnectionBudget(64)
 	d.evictionGrace = 0
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestYoungStrangersAreServed: clients that all come at once are not taken for such as say nothing.
-func TestYoungStrangersAreServed(t *testing.T) {
+// TestNewConnectionsAreServed: clients that all come at once are not taken for such as say nothing.
+func TestNewConnectionsAreServed(t *testing.T) {
 	d := NewConnectionBudget(64)
 	d.evictionGrace = time.Minute
 	_, address := startServer(t, d, succeed)
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestYieldSparesARequestBeingRead: a connection told to make room whose next request is being read serves it first.
-func TestYieldSparesARequestBeingRead(t *testing.T) {
+// TestReclaimSparesARequestBeingRead: a connection told to make room whose next request is being read serves it first.
+func TestReclaimSparesARequestBeingRead(t *testing.T) {
 	d := NewConnectionBudget(1024)
 	_, address := startServer(t, d, succeed)
 	c := dialAndWrite(t, address, requestHead+"b")
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestYieldIsNotUndone: the server sets its limit for idle connections after it has called one idle.
-func TestYieldIsNotUndone(t *testing.T) {
+// TestReclaimIsNotUndone: the server sets its limit for idle connections after it has called one idle.
+func TestReclaimIsNotUndone(t *testing.T) {
 	d := NewConnectionBudget(64)
 	near, far := net.Pipe()
 	c := newClientConn(near, d)
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestCrossing: a request that is there when its connection is waked to be closed is served.
-func TestCrossing(t *testing.T) {
+// TestReclaimServesARequestThatArrived: a request that is there when its connection is waked to be closed is served.
+func TestReclaimServesARequestThatArrived(t *testing.T) {
 	d := NewConnectionBudget(1024)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -18,10 +18,10 @@
 	"fernrail/internal/protocol"
 )
 
-// TestToldSpanIsWhatIsLeft: a server is told no more time than its client has left when the request goes out,
+// TestForwardedBudgetIsWhatIsLeft: a server is told no more time than its client has left when the request goes out,
 // though a connection took its time to come up or the process is behind. A span computed at the
 // decision would have the server work when its client has left.
-func TestToldSpanIsWhatIsLeft(t *testing.T) {
+func TestForwardedBudgetIsWhatIsLeft(t *testing.T) {
 	told := make(chan time.Duration, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
--- a/internal/transport/notification_deadline_test.go
+++ b/internal/transport/notification_deadline_test.go
@@ -144,11 +144,11 @@
 	return p
 }
 
-// TestAChangeIsKnownInTime: discovery fails in each way, so often that pauses are at their longest, and has news of
+// TestChangeIsKnownInTime: discovery fails in each way, so often that pauses are at their longest, and has news of
 // a drain that it would tell from the moment at which the last failing call has just gone out. The node knows 6 s
 // after that, with settings of short and long graces, from its first call on, and where it is turned to such a
 // place from a silent one.
-func TestAChangeIsKnownInTime(t *testing.T) {
+func TestChangeIsKnownInTime(t *testing.T) {
 	t.Parallel()
 	for i := range discoveryFaults {
 		for _, grace := range []string{"100000000", "2000000000", "60000000000"} {
--- a/internal/transport/notification_test.go
+++ b/internal/transport/notification_test.go
@@ -27,9 +27,9 @@
 	},
 }
 
-// TestWaysOfBeingTold: however it comes to be told, a node sends nothing to what leaves once the grace is over, by
+// TestDrainNotifications: however it comes to be told, a node sends nothing to what leaves once the grace is over, by
 // first bytes.
-func TestWaysOfBeingTold(t *testing.T) {
+func TestDrainNotifications(t *testing.T) {
 	for name, steps := range notificationSteps {
 		t.Run(name, func(t *testing.T) {
 			// One after the other: real processes of other packages want their time meanwhile.
@@ -42,8 +42,8 @@
 	}
 }
 
-// FuzzWaysOfBeingTold plays random histories of all of them.
-func FuzzWaysOfBeingTold(f *testing.F) {
+// FuzzDrainNotifications plays random histories of all of them.
+func FuzzDrainNotifications(f *testing.F) {
 	for seed := range uint64(4) {
 		f.Add(100 + seed)
 	}
--- a/internal/transport/repeat_test.go
+++ b/internal/transport/repeat_test.go
@@ -94,10 +94,10 @@
 	}
 }
 
-// TestUnsafeToRepeat: whatever becomes of a posting, a once-only txn is sent again only where the one before surely
+// TestNonIdempotentIsNotRepeated: whatever becomes of a posting, a once-only txn is sent again only where the one before surely
 // never ran, and is never declined where it may have; others are served elsewhere. With and without a body nothing
 // arrives that this node's module did not send: the library repeats nothing by itself.
-func TestUnsafeToRepeat(t *testing.T) {
+func TestNonIdempotentIsNotRepeated(t *testing.T) {
 	effects := []dispatch.Idempotency{dispatch.Idempotent, dispatch.IdempotentInGroup, dispatch.NonIdempotent}
 	for name, f := range attemptFaults {
 		for _, effect := range effects {
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestSecondAnswers: servers respond twice, with a rejection behind the result. http.Transport takes it for the answer
+// TestUnexpectedResponses: servers respond twice, with a rejection behind the result. http.Transport takes it for the answer
 // to the next request on that connection, which has run all the same, and must not count as never run.
-func TestSecondAnswers(t *testing.T) {
+func TestUnexpectedResponses(t *testing.T) {
 	var mu sync.Mutex
 	e := startFakeServer(t, func(c net.Conn, n int) bool {
 		io.WriteString(c, chunkedHead+updateLine("done")+chunkedEnd+rejection)
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// FuzzHeading: however bytes are cut, a head goes on whole and nothing is changed, doubled or left behind; and a
+// FuzzRequestHead: however bytes are cut, a head goes on whole and nothing is changed, doubled or left behind; and a
 // length in the first head is seen if the library sees it.
-func FuzzHeading(f *testing.F) {
+func FuzzRequestHead(f *testing.F) {
 	for _, text := range []string{
 		requestHead + "b",
 		chunkedRequest(bodyLikeHead, ""),
--- a/internal/transport/server_client_test.go
+++ b/internal/transport/server_client_test.go
@@ -123,8 +123,8 @@
 	<-e.closed
 }
 
-// TestClosedBeforeToldOf: once a posting's end is known the txn may go again, and must not be out twice.
-func TestClosedBeforeToldOf(t *testing.T) {
+// TestClosedBeforeTheResultIsReported: once a posting's end is known the txn may go again, and must not be out twice.
+func TestClosedBeforeTheResultIsReported(t *testing.T) {
 	for name, text := range map[string]string{"no head": "", "no last line": chunkedHead + updateLine("started"),
 		"foreign": chunkedHead + chunk("odd")} {
 		for range 20 {
--- a/internal/transport/server_conn_test.go
+++ b/internal/transport/server_conn_test.go
@@ -44,8 +44,8 @@
 
 func readByteAndClose(c net.Conn) { io.ReadFull(c, make([]byte, 1)); c.Close() }
 
-// TestRestIsOfTheLastUse: word that a connection rests comes late, when the next request has it already.
-func TestRestIsOfTheLastUse(t *testing.T) {
+// TestMarkIdleIsOfTheLastUse: word that a connection rests comes late, when the next request has it already.
+func TestMarkIdleIsOfTheLastUse(t *testing.T) {
 	d := NewConnectionBudget(64)
 	near, _ := net.Pipe()
 	c := newServerConn(near, d, "")
--- a/internal/transport/server_dialer_test.go
+++ b/internal/transport/server_dialer_test.go
@@ -13,9 +13,9 @@
 	"fernrail/dispatch"
 )
 
-// TestShortageIsNoExecutorsFault: a connection that failed since this machine has no descriptor, port or buffer
+// TestLocalShortageIsNotTheServersFault: a connection that failed since this machine has no descriptor, port or buffer
 // left costs its server nothing; one that was refused or has no route does.
-func TestShortageIsNoExecutorsFault(t *testing.T) {
+func TestLocalShortageIsNotTheServersFault(t *testing.T) {
 	for cause, want := range map[syscall.Errno]dispatch.Outcome{
 		syscall.EMFILE:        dispatch.NotSent,
 		syscall.ENFILE:        dispatch.NotSent,
@@ -39,10 +39,10 @@
 	}
 }
 
-// TestLateLookIsNobodysFault: a connection that is not there in time is its server's fault, but at a process that
+// TestLateDialIsNotTheServersFault: a connection that is not there in time is its server's fault, but at a process that
 // is behind, which may have looked too late. Otherwise all servers would lose their reliability while a node is
 // short of processor time.
-func TestLateLookIsNobodysFault(t *testing.T) {
+func TestLateDialIsNotTheServersFault(t *testing.T) {
 	for lag, want := range map[time.Duration]dispatch.Outcome{
 		0:                       dispatch.ConnectFailed,
 		300 * time.Millisecond:  dispatch.ConnectFailed,
