--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -28,72 +28,72 @@
 	"time"
 )
 
-// Rig is one fleet of processes and all round it.
-type Rig struct {
+// Cluster is one fleet of processes and all round it.
+type Cluster struct {
 	testing.TB
-	Executors []*Executor
+	Servers   []*StandInServer
 	Nodes     []*Node
 	plan      Plan
-	start     time.Time
-	list      net.Listener
+	created   time.Time
+	discovery net.Listener
 	client    *http.Client
 
-	mu      sync.Mutex
-	version int64            // of the list
-	changed chan struct{}    // closed with the next version
-	drained map[string]bool  // executors
-	since   map[string]int64 // the version with which each executor last changed; absent: it never did
-	deaf    bool             // discovery answers that it can't
-	calls   []int64          // when it was asked
+	mu            sync.Mutex
+	version       int64            // of the list
+	changed       chan struct{}    // closed with the next version
+	drained       map[string]bool  // executors
+	changedIn     map[string]int64 // the version with which each executor last changed; absent: it never did
+	discoveryDown bool             // discovery answers that it can't
+	polls         []int64          // when it was asked
 }
 
 // Plan is what a fleet is like.
 type Plan struct {
-	Program   []string       // the program and its arguments
-	Env       []string       // for each process, beside the rig's own
-	Nodes     int            // that may be started
-	Seats     int            // of these, the first
-	Executors int            // stand-ins
-	Settings  map[string]any // of the platform, as in a node's file
-	Fleet     map[string]any // the fleet section, but for listen, seats and dir; nil: none
-	Disk      bool           // seats have a directory
-	Gossip    bool           // nodes hear of each other, by relays for datagrams and streams between each pair
-	Reply     time.Duration  // of an executor
-	Work      time.Duration  // that clients say each job takes; 0: they say nothing
-	Started   time.Time      // of the executors, as discovery tells it; zero: long ago
-	Cores     float64        // share of a core that each process is told of and held to; 0: neither
-	Sockets   int            // descriptors that each process is told of; 0: 400
-	Quiet     bool           // processes log nothing below warnings
-	Starts    bool           // executors tell of each job's start
+	Program        []string       // the program and its arguments
+	Env            []string       // for each process, beside the rig's own
+	Nodes          int            // that may be started
+	Voters         int            // of these, the first
+	Servers        int            // stand-ins
+	Settings       map[string]any // of the platform, as in a node's file
+	Fleet          map[string]any // the fleet section, but for listen, seats and dir; nil: none
+	Disk           bool           // seats have a directory
+	Gossip         bool           // nodes hear of each other, by relays for datagrams and streams between each pair
+	ServeTime      time.Duration  // of an executor
+	JobCost        time.Duration  // that clients say each job takes; 0: they say nothing
+	ServersStarted time.Time      // of the executors, as discovery tells it; zero: long ago
+	Cores          float64        // share of a core that each process is told of and held to; 0: neither
+	Sockets        int            // descriptors that each process is told of; 0: 400
+	Quiet          bool           // processes log nothing below warnings
+	StartNotices   bool           // executors tell of each job's start
 }
 
 // New makes the stand-ins. Nothing is started yet. All of it ends with the test.
-func New(t testing.TB, plan Plan) *Rig {
-	r := &Rig{TB: t, plan: plan, start: time.Now(), version: 1, changed: make(chan struct{}), drained: map[string]bool{}, since: map[string]int64{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+func New(t testing.TB, plan Plan) *Cluster {
+	r := &Cluster{TB: t, plan: plan, created: time.Now(), version: 1, changed: make(chan struct{}), drained: map[string]bool{}, changedIn: map[string]int64{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	t.Cleanup(r.client.CloseIdleConnections)
-	for i := range plan.Executors {
-		r.Executors = append(r.Executors, newExecutor(r, fmt.Sprint("e", i)))
+	for i := range plan.Servers {
+		r.Servers = append(r.Servers, newStandInServer(r, fmt.Sprint("e", i)))
 	}
-	r.list = r.listen()
-	discovery := &http.Server{Handler: http.HandlerFunc(r.discover)}
-	go discovery.Serve(r.list)
+	r.discovery = r.listen()
+	discovery := &http.Server{Handler: http.HandlerFunc(r.serveDiscovery)}
+	go discovery.Serve(r.discovery)
 	t.Cleanup(func() { discovery.Close() })
 	for i := range plan.Nodes {
-		r.Nodes = append(r.Nodes, r.node(i))
+		r.Nodes = append(r.Nodes, r.newNode(i))
 	}
 	for i, n := range r.Nodes {
 		for j := range plan.Nodes {
 			if plan.Gossip && j != i {
-				n.gossips = append(n.gossips, newRelay(t, r.free, r.Nodes[j].gossip))
+				n.gossipRelays = append(n.gossipRelays, newRelay(t, r.unusedAddress, r.Nodes[j].gossipAddress))
 			} else {
-				n.gossips = append(n.gossips, nil)
+				n.gossipRelays = append(n.gossipRelays, nil)
 			}
 		}
-		for j := range plan.Seats {
+		for j := range plan.Voters {
 			if j != i {
-				n.relays = append(n.relays, newRelay(t, func() string { return "127.0.0.1:0" }, r.Nodes[j].Door))
+				n.voterRelays = append(n.voterRelays, newRelay(t, func() string { return "127.0.0.1:0" }, r.Nodes[j].VoterAddress))
 			} else {
-				n.relays = append(n.relays, nil)
+				n.voterRelays = append(n.voterRelays, nil)
 			}
 		}
 	}
@@ -101,9 +101,9 @@
 }
 
 // Now is the rig's one clock: nanoseconds since it was made.
-func (r *Rig) Now() int64 { return int64(time.Since(r.start)) }
+func (r *Cluster) Now() int64 { return int64(time.Since(r.created)) }
 
-func (r *Rig) listen() net.Listener {
+func (r *Cluster) listen() net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		r.Fatal(err)
@@ -112,22 +112,22 @@
 }
 
 // ports that the kernel gives to no outgoing connection, which would take one between its choice and its use.
-const firstPort, lastPort = 14000, 32000
+const firstTestPort, lastTestPort = 14000, 32000
 
-var lastGiven = struct {
+var portAllocator = struct {
 	sync.Mutex
 	port int
-}{port: firstPort + os.Getpid()*37%(lastPort-firstPort)}
-
-// free is an address that nobody listens at, and that is given once.
-func (r *Rig) free() string {
-	lastGiven.Lock()
-	defer lastGiven.Unlock()
-	for range lastPort - firstPort {
-		if lastGiven.port++; lastGiven.port >= lastPort {
-			lastGiven.port = firstPort
+}{port: firstTestPort + os.Getpid()*37%(lastTestPort-firstTestPort)}
+
+// unusedAddress is an address that nobody listens at, and that is given once.
+func (r *Cluster) unusedAddress() string {
+	portAllocator.Lock()
+	defer portAllocator.Unlock()
+	for range lastTestPort - firstTestPort {
+		if portAllocator.port++; portAllocator.port >= lastTestPort {
+			portAllocator.port = firstTestPort
 		}
-		address := fmt.Sprint("127.0.0.1:", lastGiven.port)
+		address := fmt.Sprint("127.0.0.1:", portAllocator.port)
 		if l, err := net.Listen("tcp", address); err == nil {
 			l.Close()
 			return address
@@ -137,39 +137,39 @@
 	return ""
 }
 
-// Executor is a stand-in that does what it is told at once and notes all that arrives.
-type Executor struct {
+// StandInServer is a stand-in that does what it is told at once and notes all that arrives.
+type StandInServer struct {
 	Name    string
 	address string
-	rig     *Rig
+	cluster *Cluster
 
-	mu       sync.Mutex
-	shuns    func(node string) bool // whose jobs break off; nil: nobody's
-	Accepted []int64                // when connections were accepted
-	Jobs     []Job
+	mu           sync.Mutex
+	breaksJobsOf func(node string) bool // whose jobs break off; nil: nobody's
+	accepted     []int64                // when connections were accepted
+	jobs         []Job
 }
 
 // Job is one posting as it arrived.
 type Job struct {
-	At   int64
-	ID   string
-	Work time.Duration // as its client told it
-	From string        // the tenant
-	Over int64         // when it was done, answered or not; 0: it is not
+	ArrivedAt int64
+	ID        string
+	Cost      time.Duration // as its client told it
+	Tenant    string        // the tenant
+	EndedAt   int64         // when it was done, answered or not; 0: it is not
 }
 
-// Most jobs of one tenant that were out at any moment, at all stand-ins together.
-func (r *Rig) Most(tenant string) (most int) {
+// MaxConcurrentJobs jobs of one tenant that were out at any moment, at all stand-ins together.
+func (r *Cluster) MaxConcurrentJobs(tenant string) (most int) {
 	type step struct {
 		at int64
 		by int
 	}
 	var steps []step
-	for _, e := range r.Executors {
-		_, jobs := e.Noted()
+	for _, e := range r.Servers {
+		_, jobs := e.Received()
 		for _, j := range jobs {
-			if j.From == tenant {
-				steps = append(steps, step{j.At, 1}, step{cmp.Or(j.Over, r.Now()), -1})
+			if j.Tenant == tenant {
+				steps = append(steps, step{j.ArrivedAt, 1}, step{cmp.Or(j.EndedAt, r.Now()), -1})
 			}
 		}
 	}
@@ -183,46 +183,46 @@
 	return most
 }
 
-func newExecutor(r *Rig, name string) *Executor {
+func newStandInServer(r *Cluster, name string) *StandInServer {
 	l := r.listen()
-	e := &Executor{Name: name, address: l.Addr().String(), rig: r}
+	e := &StandInServer{Name: name, address: l.Addr().String(), cluster: r}
 	s := &http.Server{Handler: e}
-	go s.Serve(&noted{l, e})
+	go s.Serve(&recordingListener{l, e})
 	r.Cleanup(func() { s.Close() })
 	return e
 }
 
-type noted struct {
+type recordingListener struct {
 	net.Listener
-	e *Executor
+	server *StandInServer
 }
 
-func (n *noted) Accept() (net.Conn, error) {
+func (n *recordingListener) Accept() (net.Conn, error) {
 	c, err := n.Listener.Accept()
 	if err == nil {
-		n.e.mu.Lock()
-		n.e.Accepted = append(n.e.Accepted, n.e.rig.Now())
-		n.e.mu.Unlock()
+		n.server.mu.Lock()
+		n.server.accepted = append(n.server.accepted, n.server.cluster.Now())
+		n.server.mu.Unlock()
 	}
 	return c, err
 }
 
 // ServeHTTP does a job. A request that asks for it in its target fails or is turned away.
-func (e *Executor) ServeHTTP(out http.ResponseWriter, q *http.Request) {
-	at, id := e.rig.Now(), q.Header.Get("X-Call-Id")
+func (e *StandInServer) ServeHTTP(out http.ResponseWriter, q *http.Request) {
+	at, id := e.cluster.Now(), q.Header.Get("X-Call-Id")
 	if _, err := io.ReadAll(q.Body); err != nil {
 		return
 	}
 	e.mu.Lock()
 	cost, _ := strconv.ParseInt(q.Header.Get("X-Call-Cost"), 10, 64)
-	job := len(e.Jobs)
-	shunned := e.shuns != nil && e.shuns(Sender(id))
-	e.Jobs = append(e.Jobs, Job{At: at, ID: id, Work: time.Duration(cost) * time.Microsecond, From: q.Header.Get("X-Caller")})
+	job := len(e.jobs)
+	shunned := e.breaksJobsOf != nil && e.breaksJobsOf(SenderNode(id))
+	e.jobs = append(e.jobs, Job{ArrivedAt: at, ID: id, Cost: time.Duration(cost) * time.Microsecond, Tenant: q.Header.Get("X-Caller")})
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.Jobs[job].Over = e.rig.Now()
+		e.jobs[job].EndedAt = e.cluster.Now()
 	}()
 	if shunned {
 		panic(http.ErrAbortHandler)
@@ -234,40 +234,40 @@
 	if q.URL.Query().Get("close") != "" {
 		out.Header().Set("Connection", "close")
 	}
-	if e.rig.plan.Starts {
+	if e.cluster.plan.StartNotices {
 		fmt.Fprintf(out, `{"id":%q,"from":%q,"state":"started"}`+"\n", id, e.Name)
 		http.NewResponseController(out).Flush()
 	}
 	// It works on, whoever has gone.
 	slow, _ := time.ParseDuration(q.URL.Query().Get("slow"))
-	time.Sleep(e.rig.plan.Reply + slow)
+	time.Sleep(e.cluster.plan.ServeTime + slow)
 	fmt.Fprintf(out, `{"id":%q,"from":%q,"state":"done","result":"r"}`+"\n", id, e.Name)
 }
 
-// Shun has the jobs of some nodes break off, as on links that are bad; nil: of none.
-func (e *Executor) Shun(whose func(node string) bool) {
+// BreakJobsOf has the jobs of some nodes break off, as on links that are bad; nil: of none.
+func (e *StandInServer) BreakJobsOf(whose func(node string) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.shuns = whose
+	e.breaksJobsOf = whose
 }
 
-// Sender is the node that a job of Load went through, by its id.
-func Sender(id string) string {
+// SenderNode is the node that a job of Load went through, by its id.
+func SenderNode(id string) string {
 	if parts := strings.Split(id, "-"); len(parts) > 1 {
 		return parts[1]
 	}
 	return ""
 }
 
-// Noted gives what has arrived so far.
-func (e *Executor) Noted() (accepted []int64, jobs []Job) {
+// Received gives what has arrived so far.
+func (e *StandInServer) Received() (accepted []int64, jobs []Job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]int64(nil), e.Accepted...), append([]Job(nil), e.Jobs...)
+	return append([]int64(nil), e.accepted...), append([]Job(nil), e.jobs...)
 }
 
-// Most is the most of these moments that lie within any window of that length.
-func Most(at []int64, window time.Duration) (most int) {
+// MaxInWindow is the most of these moments that lie within any window of that length.
+func MaxInWindow(at []int64, window time.Duration) (most int) {
 	for from, to := 0, 0; to < len(at); to++ {
 		for at[to]-at[from] >= int64(window) {
 			from++
@@ -277,15 +277,15 @@
 	return most
 }
 
-// known is the list; after is the version that whoever asks has, from which on changes count. Under mu.
-func (r *Rig) known(after int64) map[string]any {
+// endpointList is the list; after is the version that whoever asks has, from which on changes count. Under mu.
+func (r *Cluster) endpointList(after int64) map[string]any {
 	servers := []map[string]any{}
 	started := int64(0)
-	if !r.plan.Started.IsZero() {
-		started = r.plan.Started.UnixMilli()
+	if !r.plan.ServersStarted.IsZero() {
+		started = r.plan.ServersStarted.UnixMilli()
 	}
-	for _, e := range r.Executors {
-		if after > 0 && r.since[e.Name] <= after {
+	for _, e := range r.Servers {
+		if after > 0 && r.changedIn[e.Name] <= after {
 			continue
 		}
 		state := "Ready"
@@ -297,16 +297,16 @@
 	return map[string]any{"version": r.version, "full": true, "servers": servers}
 }
 
-func (r *Rig) discover(out http.ResponseWriter, q *http.Request) {
+func (r *Cluster) serveDiscovery(out http.ResponseWriter, q *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.calls = append(r.calls, r.Now()); r.deaf {
+	if r.polls = append(r.polls, r.Now()); r.discoveryDown {
 		out.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	since := q.URL.Query().Get("since")
 	after, _ := strconv.ParseInt(since, 10, 64)
-	list := r.known(after)
+	list := r.endpointList(after)
 	if since != "" {
 		list["full"] = false
 	}
@@ -322,68 +322,68 @@
 		if r.mu.Lock(); r.version == list["version"] {
 			list["servers"] = []any{}
 		} else {
-			list = r.known(after)
+			list = r.endpointList(after)
 			list["full"] = false
 		}
 	}
 	json.NewEncoder(out).Encode(list)
 }
 
-// News has discovery tell all who wait of a next version; change is made before it, under the list's lock.
-func (r *Rig) News(change func(drained map[string]bool)) {
+// UpdateEndpoints has discovery tell all who wait of a next version; change is made before it, under the list's lock.
+func (r *Cluster) UpdateEndpoints(change func(drained map[string]bool)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	was := maps.Clone(r.drained)
 	change(r.drained)
 	r.version++
-	for _, e := range r.Executors {
+	for _, e := range r.Servers {
 		if r.drained[e.Name] != was[e.Name] {
-			r.since[e.Name] = r.version
+			r.changedIn[e.Name] = r.version
 		}
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Deafen has discovery answer that it can't, or serve again.
-func (r *Rig) Deafen(yes bool) {
+// SetDiscoveryDown has discovery answer that it can't, or serve again.
+func (r *Cluster) SetDiscoveryDown(yes bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.deaf = yes
+	r.discoveryDown = yes
 }
 
-// Calls for the list so far.
-func (r *Rig) Calls() []int64 {
+// Polls for the list so far.
+func (r *Cluster) Polls() []int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.calls)
+	return slices.Clone(r.polls)
 }
 
 // Node is one node's place: its addresses stay when its process is started anew.
 type Node struct {
-	rig                 *Rig
+	cluster             *Cluster
 	Index               int
 	socket              *os.File // of clients, inherited by each process of the node
 	Name, Listen, Admin string
-	Door                string // of its seat; empty: it has none
+	VoterAddress        string // of its seat; empty: it has none
 	dir                 string
-	relays              []*Relay                   // to the seats; nil: itself
-	gossip              string                     // where it hears of others
-	gossips             []*Relay                   // to each other node\'s such address
+	voterRelays         []*Relay                   // to the seats; nil: itself
+	gossipAddress       string                     // where it hears of others
+	gossipRelays        []*Relay                   // to each other node\'s such address
 	Env                 []string                   // for its next start
-	Change              func(fleet map[string]any) // of its own fleet section; nil: none
-	stops               chan time.Duration         // for which its process is to stand still
-	Disk                string                     // its seat's directory; a part of its own unless told
+	ChangeFleet         func(fleet map[string]any) // of its own fleet section; nil: none
+	pauses              chan time.Duration         // for which its process is to stand still
+	VoterDir            string                     // its seat's directory; a part of its own unless told
 
 	mu      sync.Mutex
 	process *exec.Cmd
-	ended   chan struct{}
-	out     *os.File
-	logs    string
+	exited  chan struct{}
+	logFile *os.File
+	logPath string
 }
 
-func (r *Rig) node(i int) *Node {
-	n := &Node{rig: r, Index: i, Name: fmt.Sprint("n", i), Admin: r.free(), dir: r.TempDir(), stops: make(chan time.Duration, 1)}
+func (r *Cluster) newNode(i int) *Node {
+	n := &Node{cluster: r, Index: i, Name: fmt.Sprint("n", i), Admin: r.unusedAddress(), dir: r.TempDir(), pauses: make(chan time.Duration, 1)}
 	l := r.listen()
 	defer l.Close()
 	var err error
@@ -392,18 +392,18 @@
 	}
 	n.Listen = l.Addr().String()
 	r.Cleanup(func() { n.socket.Close() })
-	if i < r.plan.Seats {
-		n.Door = r.free()
+	if i < r.plan.Voters {
+		n.VoterAddress = r.unusedAddress()
 	}
 	if r.plan.Gossip {
-		n.gossip = r.free()
+		n.gossipAddress = r.unusedAddress()
 	}
 	r.Cleanup(n.Kill)
 	return n
 }
 
-// limits are what each process is told.
-func (r *Rig) limits() map[string]any {
+// processLimits are what each process is told.
+func (r *Cluster) processLimits() map[string]any {
 	told := map[string]any{"sockets": cmp.Or(r.plan.Sockets, 400)}
 	if r.plan.Cores > 0 {
 		told["cores"] = r.plan.Cores
@@ -413,52 +413,52 @@
 
 // configuration is the node's file. Each node calls the seats through relays of its own.
 func (n *Node) configuration() []byte {
-	n.rig.mu.Lock()
-	defer n.rig.mu.Unlock()
-	file := map[string]any{"name": n.Name, "listen": n.Listen, "admin_addr": n.Admin, "discovery": n.rig.list.Addr().String(),
-		"seed": fmt.Sprint(n.Index + 1), "limits": n.rig.limits(), "known": n.rig.known(0), "settings": n.rig.plan.Settings}
-	if n.rig.plan.Fleet != nil {
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
+	file := map[string]any{"name": n.Name, "listen": n.Listen, "admin_addr": n.Admin, "discovery": n.cluster.discovery.Addr().String(),
+		"seed": fmt.Sprint(n.Index + 1), "limits": n.cluster.processLimits(), "known": n.cluster.endpointList(0), "settings": n.cluster.plan.Settings}
+	if n.cluster.plan.Fleet != nil {
 		section := map[string]any{}
-		for key, value := range n.rig.plan.Fleet {
+		for key, value := range n.cluster.plan.Fleet {
 			section[key] = value
 		}
 		var seats []map[string]any
-		for i := range n.rig.plan.Seats {
-			address := n.Door
+		for i := range n.cluster.plan.Voters {
+			address := n.VoterAddress
 			if i != n.Index {
-				address = n.relays[i].Address
+				address = n.voterRelays[i].Address
 			}
-			seats = append(seats, map[string]any{"name": n.rig.Nodes[i].Name, "address": address})
+			seats = append(seats, map[string]any{"name": n.cluster.Nodes[i].Name, "address": address})
 		}
-		if section["seats"] = seats; n.Door != "" {
-			section["listen"] = n.Door
-			if n.rig.plan.Disk {
-				section["dir"] = cmp.Or(n.Disk, filepath.Join(n.dir, "seat"))
+		if section["seats"] = seats; n.VoterAddress != "" {
+			section["listen"] = n.VoterAddress
+			if n.cluster.plan.Disk {
+				section["dir"] = cmp.Or(n.VoterDir, filepath.Join(n.dir, "seat"))
 			}
 		}
-		if n.rig.plan.Gossip {
+		if n.cluster.plan.Gossip {
 			routes := map[string]any{}
-			for j, relay := range n.gossips {
+			for j, relay := range n.gossipRelays {
 				if relay != nil {
-					routes[n.rig.Nodes[j].gossip] = relay.Address
+					routes[n.cluster.Nodes[j].gossipAddress] = relay.Address
 				}
 			}
-			section["gossip"], section["join"], section["routes"] = n.gossip, []string{n.rig.Nodes[0].gossip, n.rig.Nodes[1].gossip}, routes
+			section["gossip"], section["join"], section["routes"] = n.gossipAddress, []string{n.cluster.Nodes[0].gossipAddress, n.cluster.Nodes[1].gossipAddress}, routes
 		}
-		if n.Change != nil {
-			n.Change(section)
+		if n.ChangeFleet != nil {
+			n.ChangeFleet(section)
 		}
 		file["fleet"] = section
 	}
 	text, err := json.MarshalIndent(file, "", " ")
 	if err != nil {
-		n.rig.Fatal(err)
+		n.cluster.Fatal(err)
 	}
 	return text
 }
 
-// starts are processes to be started. All are by one thread that lives as long as this process.
-var starts = sync.OnceValue(func() chan func() {
+// processStarts are processes to be started. All are by one thread that lives as long as this process.
+var processStarts = sync.OnceValue(func() chan func() {
 	all := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -469,12 +469,12 @@
 	return all
 })
 
-// start starts a process that the kernel ends when this one ends, however it does.
+// startProcess starts a process that the kernel ends when this one ends, however it does.
 // Danger: a test that is killed, or runs out of time, leaves fleets behind that take ports and processor time from the next.
-func start(p *exec.Cmd) (err error) {
+func startProcess(p *exec.Cmd) (err error) {
 	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // sent at the end of the thread that started it
 	done := make(chan struct{})
-	starts() <- func() {
+	processStarts() <- func() {
 		err = p.Start()
 		close(done)
 	}
@@ -482,8 +482,8 @@
 	return err
 }
 
-// level is the least that processes log.
-func (r *Rig) level() string {
+// logLevel is the least that processes log.
+func (r *Cluster) logLevel() string {
 	if r.plan.Quiet {
 		return "warn"
 	}
@@ -492,24 +492,24 @@
 
 // Start starts the node's process. It does not wait until it serves.
 func (n *Node) Start() {
-	n.rig.Helper()
+	n.cluster.Helper()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	path := filepath.Join(n.dir, "config.json")
 	if err := os.WriteFile(path, n.configuration(), 0o600); err != nil {
-		n.rig.Fatal(err)
+		n.cluster.Fatal(err)
 	}
-	n.logs = filepath.Join(n.dir, "log")
-	out, err := os.OpenFile(n.logs, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	n.logPath = filepath.Join(n.dir, "log")
+	out, err := os.OpenFile(n.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		n.rig.Fatal(err)
+		n.cluster.Fatal(err)
 	}
-	p := exec.Command(n.rig.plan.Program[0], n.rig.plan.Program[1:]...)
-	p.Env = append(append(append(os.Environ(), n.rig.plan.Env...), n.Env...), "EDGE_CONFIG="+path, "EDGE_LOG="+n.rig.level(), "TMPDIR="+n.dir, "EDGE_LISTEN_FD=3")
+	p := exec.Command(n.cluster.plan.Program[0], n.cluster.plan.Program[1:]...)
+	p.Env = append(append(append(os.Environ(), n.cluster.plan.Env...), n.Env...), "EDGE_CONFIG="+path, "EDGE_LOG="+n.cluster.logLevel(), "TMPDIR="+n.dir, "EDGE_LISTEN_FD=3")
 	p.ExtraFiles = []*os.File{n.socket}
 	p.Stdout, p.Stderr = out, out
-	if err := start(p); err != nil {
-		n.rig.Fatal(err)
+	if err := startProcess(p); err != nil {
+		n.cluster.Fatal(err)
 	}
 	ended := make(chan struct{})
 	go func() {
@@ -517,30 +517,30 @@
 		out.Close()
 		close(ended)
 	}()
-	if share := n.rig.plan.Cores; share > 0 {
-		go hold(p.Process, share, n.stops, ended)
+	if share := n.cluster.plan.Cores; share > 0 {
+		go limitProcessor(p.Process, share, n.pauses, ended)
 	}
-	n.process, n.ended, n.out = p, ended, out
+	n.process, n.exited, n.logFile = p, ended, out
 }
 
 // Upgrade starts a second process on the node's socket, and tells the first to end once that serves.
 func (n *Node) Upgrade() {
-	n.rig.Helper()
+	n.cluster.Helper()
 	n.mu.Lock()
-	old, ended := n.process, n.ended
+	old, ended := n.process, n.exited
 	n.mu.Unlock()
 	// Danger: a test that ends before the second process serves; the first is nobody's by then, and stays for good.
-	n.rig.Cleanup(func() { old.Process.Kill() })
+	n.cluster.Cleanup(func() { old.Process.Kill() })
 	lines := strings.Count(n.Log(), `"node serves"`)
-	n.Admin = n.rig.free() // the first one's is still its own
+	n.Admin = n.cluster.unusedAddress() // the first one's is still its own
 	n.Start()
-	n.rig.Until("the second process serves", 20*time.Second, func() bool { return strings.Count(n.Log(), `"node serves"`) > lines })
+	n.cluster.Until("the second process serves", 20*time.Second, func() bool { return strings.Count(n.Log(), `"node serves"`) > lines })
 	old.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-ended:
 	case <-time.After(8 * time.Second):
 		old.Process.Kill()
-		n.rig.Errorf("the first process of %s does not end", n.Name)
+		n.cluster.Errorf("the first process of %s does not end", n.Name)
 	}
 }
 
@@ -554,14 +554,14 @@
 }
 
 // Kill ends the process at once, stopped or not, and waits for its end.
-func (n *Node) Kill() { n.end(syscall.SIGKILL) }
+func (n *Node) Kill() { n.endProcess(syscall.SIGKILL) }
 
-// End tells the process to end, and waits for it.
-func (n *Node) End() { n.end(syscall.SIGTERM) }
+// Terminate tells the process to end, and waits for it.
+func (n *Node) Terminate() { n.endProcess(syscall.SIGTERM) }
 
-func (n *Node) end(by syscall.Signal) {
+func (n *Node) endProcess(by syscall.Signal) {
 	n.mu.Lock()
-	p, ended := n.process, n.ended
+	p, ended := n.process, n.exited
 	n.process = nil
 	n.mu.Unlock()
 	if p == nil {
@@ -573,14 +573,14 @@
 	case <-time.After(8 * time.Second):
 		p.Process.Kill()
 		<-ended
-		n.rig.Errorf("%s did not end", n.Name)
+		n.cluster.Errorf("%s did not end", n.Name)
 	}
 }
 
-// Forget loses what the node has on disk. Its process must have ended.
-func (n *Node) Forget() {
+// LoseDisk loses what the node has on disk. Its process must have ended.
+func (n *Node) LoseDisk() {
 	if err := os.RemoveAll(filepath.Join(n.dir, "seat")); err != nil {
-		n.rig.Error(err)
+		n.cluster.Error(err)
 	}
 }
 
@@ -592,7 +592,7 @@
 		return false
 	}
 	select {
-	case <-n.ended:
+	case <-n.exited:
 		return false
 	default:
 		return true
@@ -605,8 +605,8 @@
 	return string(text)
 }
 
-// Call makes an operators' call; empty: it was not answered.
-func (n *Node) Call(line string) string {
+// AdminCall makes an operators' call; empty: it was not answered.
+func (n *Node) AdminCall(line string) string {
 	c, err := net.DialTimeout("tcp", n.Admin, time.Second)
 	if err != nil {
 		return ""
@@ -618,9 +618,9 @@
 	return string(answer)
 }
 
-// Ask makes an operators' call that is answered in JSON.
-func (n *Node) Ask(line string, out any) error {
-	text, whole := strings.CutSuffix(n.Call(line), "END\n")
+// AdminQuery makes an operators' call that is answered in JSON.
+func (n *Node) AdminQuery(line string, out any) error {
+	text, whole := strings.CutSuffix(n.AdminCall(line), "END\n")
 	if !whole {
 		return errors.New("no answer: " + text)
 	}
@@ -628,7 +628,7 @@
 }
 
 // Until waits for something that the rig can see, looking many times a second.
-func (r *Rig) Until(what string, within time.Duration, is func() bool) time.Duration {
+func (r *Cluster) Until(what string, within time.Duration, is func() bool) time.Duration {
 	r.Helper()
 	began := time.Now()
 	tick := time.NewTicker(10 * time.Millisecond)
@@ -645,10 +645,10 @@
 	return time.Since(began)
 }
 
-// Ready waits until the node takes clients.
-func (n *Node) Ready() {
-	n.rig.Helper()
-	n.rig.Until(n.Name+" serves", 20*time.Second, func() bool { return strings.HasPrefix(n.Call("readyz"), "OK") })
+// WaitReady waits until the node takes clients.
+func (n *Node) WaitReady() {
+	n.cluster.Helper()
+	n.cluster.Until(n.Name+" serves", 20*time.Second, func() bool { return strings.HasPrefix(n.AdminCall("readyz"), "OK") })
 }
 
 // Send sends one job to the node, and gives the status of its answer; 0: there was none.
@@ -658,7 +658,7 @@
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, "POST", "http://"+n.Listen+target, io.NopCloser(strings.NewReader("b")))
 	if err != nil {
-		n.rig.Error(err)
+		n.cluster.Error(err)
 		return 0
 	}
 	q.ContentLength = 1
@@ -667,10 +667,10 @@
 	if from := q.URL.Query().Get("from"); from != "" {
 		q.Header.Set("X-Caller", from)
 	}
-	if work := n.rig.plan.Work; work > 0 {
+	if work := n.cluster.plan.JobCost; work > 0 {
 		q.Header.Set("X-Call-Cost", fmt.Sprint(work.Microseconds()))
 	}
-	answer, err := n.rig.client.Do(q)
+	answer, err := n.cluster.client.Do(q)
 	if err != nil {
 		return 0
 	}
@@ -679,8 +679,8 @@
 	return answer.StatusCode
 }
 
-// Load has so many clients send jobs to the node, one after another with a pause, until the end of it.
-func (n *Node) Load(name, target string, clients int, pause, budget time.Duration) (end func() (statuses map[int]int)) {
+// StartLoad has so many clients send jobs to the node, one after another with a pause, until the end of it.
+func (n *Node) StartLoad(name, target string, clients int, pause, budget time.Duration) (end func() (statuses map[int]int)) {
 	stop, all, statuses := make(chan struct{}), sync.WaitGroup{}, map[int]int{}
 	var mu sync.Mutex
 	for c := range clients {
@@ -707,8 +707,8 @@
 	}
 }
 
-// Gossip gives the relay by which the node's gossip reaches another; nil: itself.
-func (n *Node) Gossip(other int) *Relay { return n.gossips[other] }
+// GossipRelay gives the relay by which the node's gossip reaches another; nil: itself.
+func (n *Node) GossipRelay(other int) *Relay { return n.gossipRelays[other] }
 
-// Relay gives the relay by which the node calls a seat.
-func (n *Node) Relay(seat int) *Relay { return n.relays[seat] }
+// VoterRelay gives the relay by which the node calls a seat.
+func (n *Node) VoterRelay(seat int) *Relay { return n.voterRelays[seat] }
--- a/internal/testcluster/counts.go
+++ b/internal/testcluster/counts.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// since gives the jobs that came to an executor since a moment, the latest first.
-func (e *Executor) since(at int64) (jobs []Job) {
+// jobsSince gives the jobs that came to an executor since a moment, the latest first.
+func (e *StandInServer) jobsSince(at int64) (jobs []Job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for i := len(e.Jobs) - 1; i >= 0 && e.Jobs[i].At >= at; i-- {
-		jobs = append(jobs, e.Jobs[i])
+	for i := len(e.jobs) - 1; i >= 0 && e.jobs[i].ArrivedAt >= at; i-- {
+		jobs = append(jobs, e.jobs[i])
 	}
 	return jobs
 }
 
-// Heard counts what arrived since: the fewest and most nodes that any executor heard of, and the fewest and most jobs that any
+// Spread counts what arrived since: the fewest and most nodes that any executor heard of, and the fewest and most jobs that any
 // had, as shares of the mean.
-func (r *Rig) Heard(since int64) (fewest, most int, idlest, busiest float64) {
-	all, counts := 0, make([]int, len(r.Executors))
-	for i, e := range r.Executors {
-		from, jobs := map[string]bool{}, e.since(since)
+func (r *Cluster) Spread(since int64) (fewest, most int, idlest, busiest float64) {
+	all, counts := 0, make([]int, len(r.Servers))
+	for i, e := range r.Servers {
+		from, jobs := map[string]bool{}, e.jobsSince(since)
 		for _, j := range jobs {
-			from[Sender(j.ID)] = true
+			from[SenderNode(j.ID)] = true
 		}
 		counts[i] = len(jobs)
 		all += counts[i]
@@ -41,12 +41,12 @@
 	return fewest, most, idlest, busiest
 }
 
-// From are the executors that a node sent jobs to since.
-func (r *Rig) From(node *Node, since int64) map[*Executor]bool {
-	used := map[*Executor]bool{}
-	for _, e := range r.Executors {
-		for _, j := range e.since(since) {
-			if Sender(j.ID) == node.Name {
+// ServersUsedBy are the executors that a node sent jobs to since.
+func (r *Cluster) ServersUsedBy(node *Node, since int64) map[*StandInServer]bool {
+	used := map[*StandInServer]bool{}
+	for _, e := range r.Servers {
+		for _, j := range e.jobsSince(since) {
+			if SenderNode(j.ID) == node.Name {
 				used[e] = true
 			}
 		}
@@ -54,25 +54,25 @@
 	return used
 }
 
-// Sent counts the jobs that came to an executor since, of all nodes but one.
-func (r *Rig) Sent(e *Executor, since int64, but string) (count int) {
-	for _, j := range e.since(since) {
-		if Sender(j.ID) != but {
+// JobsNotFrom counts the jobs that came to an executor since, of all nodes but one.
+func (r *Cluster) JobsNotFrom(e *StandInServer, since int64, but string) (count int) {
+	for _, j := range e.jobsSince(since) {
+		if SenderNode(j.ID) != but {
 			count++
 		}
 	}
 	return count
 }
 
-// Pass lets traffic run for so long.
-func (r *Rig) Pass(span time.Duration) {
+// RunFor lets traffic run for so long.
+func (r *Cluster) RunFor(span time.Duration) {
 	r.Helper()
 	from := r.Now()
 	r.Until("some time has passed", 2*span+10*time.Second, func() bool { return r.Now()-from >= int64(span) })
 }
 
-// End ends all of some traffic at once, and gives the statuses of the answers to each part of it.
-func End(ends []func() map[int]int) []map[int]int {
+// StopLoads ends all of some traffic at once, and gives the statuses of the answers to each part of it.
+func StopLoads(ends []func() map[int]int) []map[int]int {
 	statuses := make([]map[int]int, len(ends))
 	var all sync.WaitGroup
 	for i, end := range ends {
--- a/internal/testcluster/processor.go
+++ b/internal/testcluster/processor.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// step is between two looks at a process that is held to a share of a core.
-	step = time.Millisecond
-	// creditMost is the processor time that a process may use at once after it rested.
-	creditMost = time.Millisecond
-	// debtMost bounds what a process pays back by standing still. Danger: on a busy machine this process looks late, and what the other
+	// checkInterval is between two looks at a process that is held to a share of a core.
+	checkInterval = time.Millisecond
+	// maxCredit is the processor time that a process may use at once after it rested.
+	maxCredit = time.Millisecond
+	// maxDebt bounds what a process pays back by standing still. Danger: on a busy machine this process looks late, and what the other
 	// one used meanwhile would stop it for longer than the share alone ever does.
-	debtMost = 2 * time.Millisecond
+	maxDebt = 2 * time.Millisecond
 )
 
-// hold keeps a process to a share of one core until it has ended, by SIGSTOP and SIGCONT: it runs for about a millisecond and then
+// limitProcessor keeps a process to a share of one core until it has ended, by SIGSTOP and SIGCONT: it runs for about a millisecond and then
 // stands still for the rest of its turn, as a process with a small quota does.
-func hold(p *os.Process, share float64, stops <-chan time.Duration, ended <-chan struct{}) {
-	credit, stopped := creditMost, false
-	then, used := time.Now(), processorTime(p.Pid)
-	tick := time.NewTicker(step)
+func limitProcessor(p *os.Process, share float64, stops <-chan time.Duration, ended <-chan struct{}) {
+	credit, stopped := maxCredit, false
+	then, used := time.Now(), processorTimeOf(p.Pid)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -37,9 +37,9 @@
 			time.Sleep(span)
 			stopped = true
 		}
-		now, usedNow := time.Now(), processorTime(p.Pid)
+		now, usedNow := time.Now(), processorTimeOf(p.Pid)
 		credit += time.Duration(share*float64(now.Sub(then))) - (usedNow - used)
-		credit = max(min(credit, creditMost), -debtMost)
+		credit = max(min(credit, maxCredit), -maxDebt)
 		then, used = now, usedNow
 		if stop := credit < 0; stop != stopped {
 			stopped = stop
@@ -52,9 +52,9 @@
 	}
 }
 
-// processorTime is what a process has used on all its threads, by its clock (clock_getcpuclockid of the C library); nothing once it
+// processorTimeOf is what a process has used on all its threads, by its clock (clock_getcpuclockid of the C library); nothing once it
 // has ended.
-func processorTime(pid int) time.Duration {
+func processorTimeOf(pid int) time.Duration {
 	const scheduler = 2 // CPUCLOCK_SCHED
 	var t unix.Timespec
 	if unix.ClockGettime(int32(^pid<<3|scheduler), &t) != nil {
@@ -63,8 +63,8 @@
 	return time.Duration(t.Nano())
 }
 
-// Stop has the node's process stand still for a while. The plan holds it to a share of a core.
-func (n *Node) Stop(span time.Duration) { n.stops <- span }
+// Pause has the node's process stand still for a while. The plan holds it to a share of a core.
+func (n *Node) Pause(span time.Duration) { n.pauses <- span }
 
 // ProcessorTime is what the node's process has used so far.
 func (n *Node) ProcessorTime() time.Duration {
@@ -73,5 +73,5 @@
 	if n.process == nil {
 		return 0
 	}
-	return processorTime(n.process.Process.Pid)
+	return processorTimeOf(n.process.Process.Pid)
 }
--- a/internal/testcluster/relay.go
+++ b/internal/testcluster/relay.go
@@ -15,30 +15,30 @@
 // Relay is the way from one node to another, each direction on its own. What goes by can be delayed, held, or reset.
 type Relay struct {
 	Address string
-	to      string
+	target  string
 
-	mu     sync.Mutex
-	ways   [2]way // there, back
-	conns  map[net.Conn]bool
-	moved  sync.Cond
-	over   bool
-	chance *rand.Rand
-	kept   [][]byte // the first calls that went there, and the latest
+	mu       sync.Mutex
+	links    [2]link // there, back
+	conns    map[net.Conn]bool
+	changed  sync.Cond
+	closed   bool
+	rand     *rand.Rand
+	recorded [][]byte // the first calls that went there, and the latest
 }
 
-type way struct {
-	cut   bool // nothing goes by, nothing is told: bytes are held until it is healed, datagrams are lost
-	delay time.Duration
-	loss  float64 // of datagrams
-	twice float64 // of datagrams: they come again, some time later
+type link struct {
+	cut       bool // nothing goes by, nothing is told: bytes are held until it is healed, datagrams are lost
+	delay     time.Duration
+	loss      float64 // of datagrams
+	duplicate float64 // of datagrams: they come again, some time later
 }
 
 // Direction is a way of a relay.
 type Direction int
 
 const (
-	There Direction = iota // from the node that calls
-	Back
+	Forward Direction = iota // from the node that calls
+	Backward
 )
 
 // newRelay listens at one of the addresses that at gives, for streams and datagrams.
@@ -59,8 +59,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Relay{Address: l.Addr().String(), to: to, conns: map[net.Conn]bool{}, chance: rand.New(rand.NewPCG(1, 2))}
-	r.moved.L = &r.mu
+	r := &Relay{Address: l.Addr().String(), target: to, conns: map[net.Conn]bool{}, rand: rand.New(rand.NewPCG(1, 2))}
+	r.changed.L = &r.mu
 	var all sync.WaitGroup
 	all.Go(func() {
 		for {
@@ -68,16 +68,16 @@
 			if err != nil {
 				return
 			}
-			all.Go(func() { r.carry(c, &all) })
+			all.Go(func() { r.forwardConn(c, &all) })
 		}
 	})
-	all.Go(func() { r.datagrams(u) })
+	all.Go(func() { r.forwardDatagrams(u) })
 	t.Cleanup(func() {
 		l.Close()
 		u.Close()
 		r.mu.Lock()
-		r.over = true
-		r.moved.Broadcast()
+		r.closed = true
+		r.changed.Broadcast()
 		for c := range r.conns {
 			c.Close()
 		}
@@ -87,9 +87,9 @@
 	return r
 }
 
-// datagrams takes those on that go there; answers name where they are to go, and come by the other's own relay.
-func (r *Relay) datagrams(u net.PacketConn) {
-	to, err := net.ResolveUDPAddr("udp", r.to)
+// forwardDatagrams takes those on that go there; answers name where they are to go, and come by the other's own relay.
+func (r *Relay) forwardDatagrams(u net.PacketConn) {
+	to, err := net.ResolveUDPAddr("udp", r.target)
 	if err != nil {
 		return
 	}
@@ -101,8 +101,8 @@
 		}
 		b := bytes.Clone(buffer[:n])
 		r.mu.Lock()
-		w := r.ways[There]
-		lost, twice, later := w.cut || r.chance.Float64() < w.loss, r.chance.Float64() < w.twice, time.Duration(r.chance.Int64N(int64(time.Second)))
+		w := r.links[Forward]
+		lost, twice, later := w.cut || r.rand.Float64() < w.loss, r.rand.Float64() < w.duplicate, time.Duration(r.rand.Int64N(int64(time.Second)))
 		r.mu.Unlock()
 		send := func() { u.WriteTo(b, to) }
 		switch {
@@ -118,43 +118,43 @@
 	}
 }
 
-// Datagrams has some that go there lost and some come twice, late.
-func (r *Relay) Datagrams(loss, twice float64) {
+// SetDatagramFaults has some that go there lost and some come twice, late.
+func (r *Relay) SetDatagramFaults(loss, twice float64) {
 	if r != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.ways[There].loss, r.ways[There].twice = loss, twice
+		r.links[Forward].loss, r.links[Forward].duplicate = loss, twice
 	}
 }
 
-// carry takes one connection on. While the way there is cut nothing is opened at the other end.
-func (r *Relay) carry(near net.Conn, all *sync.WaitGroup) {
-	if !r.keep(near) {
+// forwardConn takes one connection on. While the way there is cut nothing is opened at the other end.
+func (r *Relay) forwardConn(near net.Conn, all *sync.WaitGroup) {
+	if !r.track(near) {
 		return
 	}
-	defer r.drop(near)
-	if !r.pass(There) {
+	defer r.untrack(near)
+	if !r.waitOpen(Forward) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", r.to, time.Second)
+	far, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
 		near.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	if !r.keep(far) {
+	if !r.track(far) {
 		return
 	}
-	defer r.drop(far)
+	defer r.untrack(far)
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(far, near, There) })
-	both.Go(func() { r.pump(near, far, Back) })
+	both.Go(func() { r.copyStream(far, near, Forward) })
+	both.Go(func() { r.copyStream(near, far, Backward) })
 	both.Wait()
 }
 
-func (r *Relay) keep(c net.Conn) bool {
+func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
+	if r.closed {
 		c.Close()
 		return false
 	}
@@ -162,30 +162,30 @@
 	return true
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) untrack(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
 }
 
-// pass waits until the way is open; false: the rig has ended.
-func (r *Relay) pass(d Direction) bool {
+// waitOpen waits until the way is open; false: the rig has ended.
+func (r *Relay) waitOpen(d Direction) bool {
 	r.mu.Lock()
-	delay := r.ways[d].delay
+	delay := r.links[d].delay
 	r.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(delay) // the link's own time, not a wait for something to happen
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.ways[d].cut && !r.over {
-		r.moved.Wait()
+	for r.links[d].cut && !r.closed {
+		r.changed.Wait()
 	}
-	return !r.over
+	return !r.closed
 }
 
-func (r *Relay) pump(to, from net.Conn, d Direction) {
+func (r *Relay) copyStream(to, from net.Conn, d Direction) {
 	defer func() { // each end hears of the other's
 		to.(*net.TCPConn).CloseWrite()
 	}()
@@ -193,10 +193,10 @@
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if d == There {
+			if d == Forward {
 				r.record(buffer[:n])
 			}
-			if !r.pass(d) {
+			if !r.waitOpen(d) {
 				return
 			}
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -214,7 +214,7 @@
 	if r != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.ways[d].cut = true
+		r.links[d].cut = true
 	}
 }
 
@@ -223,8 +223,8 @@
 	if r != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.ways[There].cut, r.ways[Back].cut = false, false
-		r.moved.Broadcast()
+		r.links[Forward].cut, r.links[Backward].cut = false, false
+		r.changed.Broadcast()
 	}
 }
 
@@ -233,7 +233,7 @@
 	if r != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.ways[d].delay = by
+		r.links[d].delay = by
 	}
 }
 
@@ -249,17 +249,17 @@
 	}
 }
 
-// mostKept is how many calls a relay can bring again.
-const mostKept = 64
+// maxRecorded is how many calls a relay can bring again.
+const maxRecorded = 64
 
 func (r *Relay) record(b []byte) {
 	if bytes.HasPrefix(b, []byte("POST ")) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if len(r.kept) >= mostKept {
-			r.kept = slices.Delete(r.kept, mostKept/2, mostKept/2+1)
+		if len(r.recorded) >= maxRecorded {
+			r.recorded = slices.Delete(r.recorded, maxRecorded/2, maxRecorded/2+1)
 		}
-		r.kept = append(r.kept, bytes.Clone(b))
+		r.recorded = append(r.recorded, bytes.Clone(b))
 	}
 }
 
@@ -269,10 +269,10 @@
 		return 0
 	}
 	r.mu.Lock()
-	kept := slices.Clone(r.kept)
+	kept := slices.Clone(r.recorded)
 	r.mu.Unlock()
 	for _, call := range kept {
-		c, err := net.DialTimeout("tcp", r.to, time.Second)
+		c, err := net.DialTimeout("tcp", r.target, time.Second)
 		if err != nil {
 			continue
 		}
--- a/internal/testcluster/schedule.go
+++ b/internal/testcluster/schedule.go
@@ -14,19 +14,19 @@
 
 // Step is one fault, or the end of one.
 type Step struct {
-	At    time.Duration // from the start of the schedule
-	Kind  string        // kill, start, forget, stop, go, end, upgrade, cut, heal, delay, reset, replay
-	Node  int
-	Other int // cut, delay, reset, replay: the seat called
-	Way   Direction
-	By    time.Duration // delay
+	At        time.Duration // from the start of the schedule
+	Kind      string        // kill, start, forget, stop, go, end, upgrade, cut, heal, delay, reset, replay
+	Node      int
+	Other     int // cut, delay, reset, replay: the seat called
+	Direction Direction
+	Delay     time.Duration // delay
 }
 
 // Schedule is faults in the order of time. As text it is a line a step, which Parse reads.
 type Schedule []Step
 
 func (s Step) String() string {
-	return fmt.Sprintf("%d %s %d %d %d %d", s.At.Milliseconds(), s.Kind, s.Node, s.Other, s.Way, s.By.Milliseconds())
+	return fmt.Sprintf("%d %s %d %d %d %d", s.At.Milliseconds(), s.Kind, s.Node, s.Other, s.Direction, s.Delay.Milliseconds())
 }
 
 func (s Schedule) String() string {
@@ -37,24 +37,24 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads what String wrote.
-func Parse(text string) (s Schedule, err error) {
+// ParseSchedule reads what String wrote.
+func ParseSchedule(text string) (s Schedule, err error) {
 	in := bufio.NewScanner(strings.NewReader(text))
 	for in.Scan() {
 		var step Step
 		var at, by int64
-		if _, err := fmt.Sscan(in.Text(), &at, &step.Kind, &step.Node, &step.Other, &step.Way, &by); err != nil {
+		if _, err := fmt.Sscan(in.Text(), &at, &step.Kind, &step.Node, &step.Other, &step.Direction, &by); err != nil {
 			return nil, fmt.Errorf("%q: %w", in.Text(), err)
 		}
-		step.At, step.By = time.Duration(at)*time.Millisecond, time.Duration(by)*time.Millisecond
+		step.At, step.Delay = time.Duration(at)*time.Millisecond, time.Duration(by)*time.Millisecond
 		s = append(s, step)
 	}
 	return s, nil
 }
 
-// Draw makes a schedule by chance: faults that begin within a span and overlap, each with its end, for so many nodes of which
+// RandomSchedule makes a schedule by chance: faults that begin within a span and overlap, each with its end, for so many nodes of which
 // the first have seats. Seats lose their memory one at a time, and not while another is down: more is no fault to be borne.
-func Draw(seed uint64, nodes, seats, faults int, span time.Duration) (s Schedule) {
+func RandomSchedule(seed uint64, nodes, seats, faults int, span time.Duration) (s Schedule) {
 	chance := rand.New(rand.NewPCG(seed, 11))
 	at := func(from, to time.Duration) time.Duration {
 		return (from + time.Duration(chance.Int64N(int64(max(to-from, 1))))).Truncate(time.Millisecond)
@@ -79,14 +79,14 @@
 		case 2:
 			process("end", "start")
 		case 3:
-			s = append(s, Step{At: begin, Kind: "cut", Node: n, Other: other, Way: way}, Step{At: over, Kind: "heal", Node: n, Other: other})
+			s = append(s, Step{At: begin, Kind: "cut", Node: n, Other: other, Direction: way}, Step{At: over, Kind: "heal", Node: n, Other: other})
 		case 4: // a seat apart from all, both ways or one
 			for i := range nodes {
-				s = append(s, Step{At: begin, Kind: "cut", Node: i, Other: other, Way: way}, Step{At: over, Kind: "heal", Node: i, Other: other})
+				s = append(s, Step{At: begin, Kind: "cut", Node: i, Other: other, Direction: way}, Step{At: over, Kind: "heal", Node: i, Other: other})
 			}
 		case 5:
-			s = append(s, Step{At: begin, Kind: "delay", Node: n, Other: other, Way: way, By: at(50*time.Millisecond, 2*time.Second)},
-				Step{At: over, Kind: "delay", Node: n, Other: other, Way: way}, Step{At: over, Kind: "reset", Node: n, Other: other})
+			s = append(s, Step{At: begin, Kind: "delay", Node: n, Other: other, Direction: way, Delay: at(50*time.Millisecond, 2*time.Second)},
+				Step{At: over, Kind: "delay", Node: n, Other: other, Direction: way}, Step{At: over, Kind: "reset", Node: n, Other: other})
 		case 6:
 			s = append(s, Step{At: begin, Kind: "replay", Node: n, Other: other}, Step{At: over, Kind: "replay", Node: n, Other: other})
 		}
@@ -95,8 +95,8 @@
 	return s
 }
 
-// Play has all that happen, and then ends what still lasts: links are healed, and every node of the fleet has a process.
-func (r *Rig) Play(s Schedule) {
+// RunSchedule has all that happen, and then ends what still lasts: links are healed, and every node of the fleet has a process.
+func (r *Cluster) RunSchedule(s Schedule) {
 	r.Helper()
 	began := time.Now()
 	for _, step := range s {
@@ -106,14 +106,14 @@
 		case "kill":
 			n.Kill()
 		case "end":
-			n.End()
+			n.Terminate()
 		case "start":
 			if !n.Running() {
 				n.Start()
 			}
 		case "forget":
 			n.Kill()
-			n.Forget()
+			n.LoseDisk()
 		case "stop":
 			n.Signal(syscall.SIGSTOP)
 		case "go":
@@ -121,24 +121,24 @@
 		case "upgrade":
 			n.Upgrade()
 		case "cut":
-			n.Relay(step.Other).Cut(step.Way)
+			n.VoterRelay(step.Other).Cut(step.Direction)
 		case "heal":
-			n.Relay(step.Other).Heal()
+			n.VoterRelay(step.Other).Heal()
 		case "delay":
-			n.Relay(step.Other).Delay(step.Way, step.By)
+			n.VoterRelay(step.Other).Delay(step.Direction, step.Delay)
 		case "reset":
-			n.Relay(step.Other).Reset()
+			n.VoterRelay(step.Other).Reset()
 		case "replay":
-			n.Relay(step.Other).Replay()
+			n.VoterRelay(step.Other).Replay()
 		default:
 			r.Fatalf("%s is no kind of step", step.Kind)
 		}
 	}
 	for _, n := range r.Nodes {
-		for i := range r.plan.Seats {
-			n.Relay(i).Heal()
-			n.Relay(i).Delay(There, 0)
-			n.Relay(i).Delay(Back, 0)
+		for i := range r.plan.Voters {
+			n.VoterRelay(i).Heal()
+			n.VoterRelay(i).Delay(Forward, 0)
+			n.VoterRelay(i).Delay(Backward, 0)
 		}
 		n.Signal(syscall.SIGCONT)
 		if !n.Running() {
@@ -147,8 +147,8 @@
 	}
 }
 
-// Shorter cuts a schedule down to one that still fails, by leaving out ever smaller parts of it.
-func (s Schedule) Shorter(fails func(Schedule) bool) Schedule {
+// Minimize cuts a schedule down to one that still fails, by leaving out ever smaller parts of it.
+func (s Schedule) Minimize(fails func(Schedule) bool) Schedule {
 	for part := len(s) / 2; part > 0; {
 		smaller := false
 		for from := 0; from+part <= len(s); {
--- a/internal/testcluster/schedule_test.go
+++ b/internal/testcluster/schedule_test.go
@@ -21,29 +21,29 @@
 			seed = v
 		}
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
-			beside(t)
+			runParallel(t)
 			nodes, seats, faults := 5, 3, 9
 			if seed%2 == 0 {
 				nodes, seats, faults = 9, 5, 14
 			}
-			s := testcluster.Draw(seed, nodes, seats, faults, 9*time.Second)
+			s := testcluster.RandomSchedule(seed, nodes, seats, faults, 9*time.Second)
 			if path := os.Getenv("FERNRAIL_RIG_SCHEDULE"); path != "" {
 				text, err := os.ReadFile(path)
 				if err == nil {
-					s, err = testcluster.Parse(string(text))
+					s, err = testcluster.ParseSchedule(string(text))
 				}
 				if err != nil {
 					t.Fatal(err)
 				}
 			}
 			play := func(t *testing.T, s testcluster.Schedule) {
-				b := begin(t, fleetPlan(nodes, seats, 2), nodes)
-				b.Play(s)
-				b.Until("the whole is in use again", 3*soon, func() bool { return sum(b.Nodes) >= shared(nodes)-int64(nodes) })
-				b.over(t, wholeConnect)
+				b := startLoaded(t, fleetPlan(nodes, seats, 2), nodes)
+				b.RunSchedule(s)
+				b.Until("the whole is in use again", 3*convergeTime, func() bool { return totalQuota(b.Nodes) >= sharedQuota(nodes)-int64(nodes) })
+				b.finish(t, connectTotal)
 			}
 			if os.Getenv("FERNRAIL_RIG_SHORTER") != "" {
-				s = s.Shorter(func(less testcluster.Schedule) bool { return !t.Run("less", func(t *testing.T) { play(t, less) }) })
+				s = s.Minimize(func(less testcluster.Schedule) bool { return !t.Run("less", func(t *testing.T) { play(t, less) }) })
 				t.Fatalf("fails still:\n%s", s)
 			}
 			defer func() {
@@ -61,16 +61,16 @@
 
 // TestScheduleText: what is drawn is the same for a seed, can be written and read, and cut down to what matters.
 func TestScheduleText(t *testing.T) {
-	s := testcluster.Draw(7, 5, 3, 12, 10*time.Second)
-	again, err := testcluster.Parse(s.String())
-	if err != nil || !slices.Equal(s, again) || !slices.Equal(s, testcluster.Draw(7, 5, 3, 12, 10*time.Second)) || slices.Equal(s, testcluster.Draw(8, 5, 3, 12, 10*time.Second)) {
+	s := testcluster.RandomSchedule(7, 5, 3, 12, 10*time.Second)
+	again, err := testcluster.ParseSchedule(s.String())
+	if err != nil || !slices.Equal(s, again) || !slices.Equal(s, testcluster.RandomSchedule(7, 5, 3, 12, 10*time.Second)) || slices.Equal(s, testcluster.RandomSchedule(8, 5, 3, 12, 10*time.Second)) {
 		t.Errorf("%v\n%v\n%v", err, s, again)
 	}
-	if _, err := testcluster.Parse("10 kill"); err == nil {
+	if _, err := testcluster.ParseSchedule("10 kill"); err == nil {
 		t.Error("half a step is read")
 	}
 	both := []testcluster.Step{s[2], s[len(s)-3]}
-	least := s.Shorter(func(less testcluster.Schedule) bool {
+	least := s.Minimize(func(less testcluster.Schedule) bool {
 		return slices.Contains(less, both[0]) && slices.Contains(less, both[1])
 	})
 	if !slices.Equal(least, both) {
--- a/internal/testcluster/shares_test.go
+++ b/internal/testcluster/shares_test.go
@@ -10,11 +10,11 @@
 	"fernrail/internal/testcluster"
 )
 
-// leased waits until each of these nodes has a lease.
-func leased(r *testcluster.Rig, nodes []*testcluster.Node) {
+// waitForLeases waits until each of these nodes has a lease.
+func waitForLeases(r *testcluster.Cluster, nodes []*testcluster.Node) {
 	r.Until("a lease for each", 20*time.Second, func() bool {
 		for _, n := range nodes {
-			if f := figures(n); f == nil || f.LeaseMillis == 0 {
+			if f := statusOf(n); f == nil || f.LeaseMillis == 0 {
 				return false
 			}
 		}
@@ -26,11 +26,11 @@
 // out, the granter is stopped and goes on, and jobs outlast their clients; the other tenant has as much for itself. What a job
 // that ended took is used again at once. Nodes that share nothing have several times as much out: the count can fail.
 func TestJobs(t *testing.T) {
-	beside(t)
+	runParallel(t)
 	const whole = 24
 	for _, held := range []bool{true, false} {
 		plan := fleetPlan(4, 3, 4)
-		plan.Reply = 120 * time.Millisecond
+		plan.ServeTime = 120 * time.Millisecond
 		plan.Settings["Tenants"] = []any{map[string]any{"Name": "large", "Share": 0.5}, map[string]any{"Name": "small", "Share": 0.5}}
 		for _, s := range plan.Settings["Schemes"].([]any) {
 			s.(map[string]any)["Expiry"] = 1_000_000_000
@@ -39,30 +39,30 @@
 			plan.Settings["Limits"].(map[string]any)["MayTell"] = false
 		}
 		plan.Fleet["budgets"].(map[string]any)["jobs"] = map[string]any{"whole": whole, "floor": 1, "reserve": 2, "window_ms": 1000}
-		b := started(t, plan)
+		b := startAll(t, plan)
 		if held {
-			leased(b.Rig, b.Nodes)
+			waitForLeases(b.Cluster, b.Nodes)
 		}
 		for _, n := range b.Nodes {
 			// Some jobs go on when their clients have given up.
-			b.ends = append(b.ends, n.Load("job", "/look?from=large", 10, 5*time.Millisecond, 500*time.Millisecond),
-				n.Load("slow", "/look?from=large&slow=780ms", 10, 5*time.Millisecond, 500*time.Millisecond),
-				n.Load("few", "/look?from=small", 1, 20*time.Millisecond, 500*time.Millisecond))
+			b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look?from=large", 10, 5*time.Millisecond, 500*time.Millisecond),
+				n.StartLoad("slow", "/look?from=large&slow=780ms", 10, 5*time.Millisecond, 500*time.Millisecond),
+				n.StartLoad("few", "/look?from=small", 1, 20*time.Millisecond, 500*time.Millisecond))
 		}
-		b.Pass(3 * time.Second)
+		b.RunFor(3 * time.Second)
 		b.Nodes[3].Kill()
 		if held {
-			stopped := granter(b.Rig)
+			stopped := leader(b.Cluster)
 			stopped.Signal(syscall.SIGSTOP)
-			b.Pass(leaseTime + time.Second)
+			b.RunFor(leaseTime + time.Second)
 			stopped.Signal(syscall.SIGCONT)
-			b.Pass(3 * time.Second)
+			b.RunFor(3 * time.Second)
 		}
-		t.Logf("answers %v", b.end())
-		large, small := b.Most("large"), b.Most("small")
+		t.Logf("answers %v", b.stopAll())
+		large, small := b.MaxConcurrentJobs("large"), b.MaxConcurrentJobs("small")
 		done := 0
-		for _, e := range b.Executors {
-			_, jobs := e.Noted()
+		for _, e := range b.Servers {
+			_, jobs := e.Received()
 			done += len(jobs)
 		}
 		t.Logf("held together: %v: at most %d and %d out of %d, %d in all", held, large, small, whole, done)
@@ -79,7 +79,7 @@
 // with the granter killed, and with a node that the others refuse; what drains is left by all of them within the time that the
 // rules give, share or not. Nodes that share nothing call several times as often: the count can fail.
 func TestCalls(t *testing.T) {
-	beside(t)
+	runParallel(t)
 	const whole, within = 12, 1500 * time.Millisecond
 	for _, held := range []bool{true, false} {
 		plan := fleetPlan(6, 3, 4)
@@ -90,47 +90,47 @@
 		budgets := plan.Fleet["budgets"].(map[string]any)
 		delete(budgets, "connect") // or the odd node could send nothing anyhow
 		budgets["calls"] = map[string]any{"whole": whole, "floor": 1, "reserve": 1, "window_ms": windowTime.Milliseconds()}
-		b := &busy{Rig: testcluster.New(t, plan)}
+		b := &loadedCluster{Cluster: testcluster.New(t, plan)}
 		odd := b.Nodes[5]
-		odd.Change = func(f map[string]any) { f["margin"] = 0.2 }
+		odd.ChangeFleet = func(f map[string]any) { f["margin"] = 0.2 }
 		for _, n := range b.Nodes {
 			n.Start()
 		}
 		for _, n := range b.Nodes {
-			n.Ready()
+			n.WaitReady()
 		}
 		if held {
-			leased(b.Rig, b.Nodes[:5])
+			waitForLeases(b.Cluster, b.Nodes[:5])
 		}
 		for _, n := range b.Nodes {
-			b.ends = append(b.ends, n.Load("job", "/look", 2, 10*time.Millisecond, 400*time.Millisecond))
+			b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 2, 10*time.Millisecond, 400*time.Millisecond))
 		}
 		news := func(span time.Duration) {
-			for end := b.Now() + int64(span); b.Now() < end; b.Pass(30 * time.Millisecond) {
-				b.News(func(map[string]bool) {})
+			for end := b.Now() + int64(span); b.Now() < end; b.RunFor(30 * time.Millisecond) {
+				b.UpdateEndpoints(func(map[string]bool) {})
 			}
 		}
 		from := b.Now()
 		news(2 * time.Second)
 		if held {
-			granter(b.Rig).Kill()
+			leader(b.Cluster).Kill()
 		}
-		b.Deafen(true)
+		b.SetDiscoveryDown(true)
 		news(2 * time.Second)
-		b.Deafen(false)
+		b.SetDiscoveryDown(false)
 		at := b.Now()
-		b.News(func(drained map[string]bool) { drained["e1"] = true })
+		b.UpdateEndpoints(func(drained map[string]bool) { drained["e1"] = true })
 		news(3 * time.Second)
-		b.end()
+		b.stopAll()
 		var calls []int64
-		for _, at := range b.Calls() {
+		for _, at := range b.Polls() {
 			if at >= from {
 				calls = append(calls, at)
 			}
 		}
-		_, jobs := b.Executors[1].Noted()
-		last := jobs[len(jobs)-1].At - at
-		most := testcluster.Most(calls, windowTime-jitter)
+		_, jobs := b.Servers[1].Received()
+		last := jobs[len(jobs)-1].ArrivedAt - at
+		most := testcluster.MaxInWindow(calls, windowTime-jitter)
 		t.Logf("held together: %v: %d calls, %d in a window at most, of %d; the last job for what drains after %v", held, len(calls), most, whole, time.Duration(last))
 		if held != (most <= whole) {
 			t.Errorf("%d calls in a window, the whole is %d", most, whole)
--- a/internal/testcluster/signals_test.go
+++ b/internal/testcluster/signals_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// wary is a fleet whose nodes tell each other of executors, or do not.
-func wary(t *testing.T, nodes int, told bool, pause time.Duration) *busy {
+// startOutlierCluster is a fleet whose nodes tell each other of executors, or do not.
+func startOutlierCluster(t *testing.T, nodes int, told bool, pause time.Duration) *loadedCluster {
 	plan := fleetPlan(nodes, 3, 12)
 	plan.Gossip = true
 	plan.Settings["Limits"].(map[string]any)["IdleClose"] = 1_000_000
@@ -16,10 +16,10 @@
 	if told {
 		plan.Fleet["signals"] = map[string]any{"quorum": 3}
 	}
-	b := started(t, plan)
-	b.Until("all know all", 2*soon, func() bool {
+	b := startAll(t, plan)
+	b.Until("all know all", 2*convergeTime, func() bool {
 		for _, n := range b.Nodes {
-			f := figures(n)
+			f := statusOf(n)
 			if f == nil || len(f.Members) != nodes {
 				return false
 			}
@@ -27,44 +27,44 @@
 		return true
 	})
 	for _, n := range b.Nodes {
-		b.ends = append(b.ends, n.Load("job", "/look", 1, pause, time.Second))
+		b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 1, pause, time.Second))
 	}
-	b.Pass(2 * time.Second)
+	b.RunFor(2 * time.Second)
 	return b
 }
 
 // TestSignals: an executor that fails all is left by all nodes after few jobs, since those that it failed tell the others; one
 // node to which it is well does not keep the others at it. Well again it is used by all within seconds.
 func TestSignals(t *testing.T) {
-	beside(t)
+	runParallel(t)
 	const nodes = 8
 	wasted := map[bool]int{}
 	for _, told := range []bool{false, true} {
-		b := wary(t, nodes, told, 50*time.Millisecond)
-		bad, friend := b.Executors[3], b.Nodes[7].Name
-		bad.Shun(func(node string) bool { return node != friend })
+		b := startOutlierCluster(t, nodes, told, 50*time.Millisecond)
+		bad, friend := b.Servers[3], b.Nodes[7].Name
+		bad.BreakJobsOf(func(node string) bool { return node != friend })
 		since := b.Now()
-		b.Pass(8 * time.Second)
-		wasted[told] = b.Sent(bad, since, friend)
-		if told && b.Sent(bad, since, "") == wasted[told] {
+		b.RunFor(8 * time.Second)
+		wasted[told] = b.JobsNotFrom(bad, since, friend)
+		if told && b.JobsNotFrom(bad, since, "") == wasted[told] {
 			t.Error("the node to which it is well left it")
 		}
-		bad.Shun(nil)
+		bad.BreakJobsOf(nil)
 		since = b.Now()
-		t.Logf("told: %v: %d jobs wasted in 8 s; used by all again after %v", told, wasted[told], b.Until("all use it again", 4*soon, func() bool {
+		t.Logf("told: %v: %d jobs wasted in 8 s; used by all again after %v", told, wasted[told], b.Until("all use it again", 4*convergeTime, func() bool {
 			for _, n := range b.Nodes {
-				if !b.From(n, since)[bad] {
+				if !b.ServersUsedBy(n, since)[bad] {
 					return false
 				}
 			}
 			return true
 		}))
-		for i, statuses := range b.each() {
+		for i, statuses := range b.stopEach() {
 			if statuses[0] > 0 || statuses[200] < 50 {
 				t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
 			}
 		}
-		b.stop()
+		b.killAll()
 	}
 	if wasted[true] > wasted[false]/2 {
 		t.Errorf("%d jobs wasted, %d untold", wasted[true], wasted[false])
@@ -73,29 +73,29 @@
 
 // TestLiar: a node on whose links all executors fail says so of all of them, truly as it seems to it. No other node leaves any.
 func TestLiar(t *testing.T) {
-	beside(t)
-	b := wary(t, 6, true, 25*time.Millisecond)
+	runParallel(t)
+	b := startOutlierCluster(t, 6, true, 25*time.Millisecond)
 	liar := b.Nodes[5].Name
-	for _, e := range b.Executors {
-		e.Shun(func(node string) bool { return node == liar })
+	for _, e := range b.Servers {
+		e.BreakJobsOf(func(node string) bool { return node == liar })
 	}
 	since := b.Now()
 	// Danger: on a busy machine four seconds are not the jobs that the verdict wants; both are waited for.
 	all, least := 0, 0
 	b.Until("jobs by the others", 8*time.Second, func() bool {
 		all, least = 0, 1<<30
-		for _, e := range b.Executors {
-			n := b.Sent(e, since, liar)
+		for _, e := range b.Servers {
+			n := b.JobsNotFrom(e, since, liar)
 			all, least = all+n, min(least, n)
 		}
 		return all >= 300 && b.Now()-since >= int64(4*time.Second)
 	})
 	t.Logf("%d jobs by the others, %d at the executor that had the fewest", all, least)
-	if mean := all / len(b.Executors); least < mean/2 {
+	if mean := all / len(b.Servers); least < mean/2 {
 		t.Errorf("an executor had %d jobs of the others, the mean is %d", least, mean)
 	}
-	if f := figures(b.Nodes[0]); f == nil || f.Outliers == nil || len(f.Outliers.Scores) > 0 {
+	if f := statusOf(b.Nodes[0]); f == nil || f.Outliers == nil || len(f.Outliers.Scores) > 0 {
 		t.Errorf("the others are told: %+v", f.Outliers)
 	}
-	b.end()
+	b.stopAll()
 }
--- a/internal/testcluster/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -9,8 +9,8 @@
 	"fernrail/internal/testcluster"
 )
 
-// parted is a fleet whose nodes use parts of the executors.
-func parted(nodes, size int) testcluster.Plan {
+// subsetPlan is a fleet whose nodes use parts of the executors.
+func subsetPlan(nodes, size int) testcluster.Plan {
 	plan := fleetPlan(nodes, 3, 30)
 	plan.Gossip = true
 	plan.Fleet["most"] = 18
@@ -27,16 +27,16 @@
 // falls to five under traffic, all the time but for what gossip needs; no client of a node that lives goes without its one
 // answer. Nodes that use all executors are heard by each: the count can fail.
 func TestSubsets(t *testing.T) {
-	beside(t)
-	b := &busy{Rig: testcluster.New(t, parted(18, 10))}
+	runParallel(t)
+	b := &loadedCluster{Cluster: testcluster.New(t, subsetPlan(18, 10))}
 	steady := func(what string, fewest, most int) {
 		t.Helper()
 		var since int64
-		took := b.Until(what, 4*soon, func() bool {
+		took := b.Until(what, 4*convergeTime, func() bool {
 			if b.Now()-since < int64(1500*time.Millisecond) {
 				return false
 			}
-			a, z, _, _ := b.Heard(since)
+			a, z, _, _ := b.Spread(since)
 			if a >= fewest && z <= most {
 				return true
 			}
@@ -44,8 +44,8 @@
 			return false
 		})
 		since = b.Now()
-		b.Pass(2 * time.Second)
-		a, z, idlest, busiest := b.Heard(since)
+		b.RunFor(2 * time.Second)
+		a, z, idlest, busiest := b.Spread(since)
 		t.Logf("%s after %v; then %d to %d nodes at an executor, work %.2f to %.2f of the mean", what, took, a, z, idlest, busiest)
 		if a < fewest || z > most || idlest < 0.3 || busiest > 2 {
 			t.Errorf("%s: %d to %d nodes at an executor, %d to %d are promised; work %.2f to %.2f of the mean", what, a, z, fewest, most, idlest, busiest)
@@ -56,8 +56,8 @@
 			n.Start()
 		}
 		for _, n := range nodes {
-			n.Ready()
-			b.ends = append(b.ends, n.Load("job", "/look", 2, 15*time.Millisecond, time.Second))
+			n.WaitReady()
+			b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 2, 15*time.Millisecond, time.Second))
 		}
 	}
 	start(b.Nodes[:9])
@@ -68,48 +68,48 @@
 		n.Kill()
 	}
 	steady("five", 2, 4)
-	for i, statuses := range b.each() {
+	for i, statuses := range b.stopEach() {
 		if i < 5 && (statuses[0] > 0 || statuses[200] < 100) {
 			t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
 		}
 	}
 }
 
-// settle waits until all nodes take so many others for there, and lets a window pass.
-func settle(b *busy, nodes []*testcluster.Node, others int) {
-	b.Until("the nodes that are there are known", 4*soon, func() bool {
+// waitForMembers waits until all nodes take so many others for there, and lets a window pass.
+func waitForMembers(b *loadedCluster, nodes []*testcluster.Node, others int) {
+	b.Until("the nodes that are there are known", 4*convergeTime, func() bool {
 		for _, n := range nodes {
-			if f := figures(n); f == nil || f.Subset == nil || f.Subset.Nodes != others {
+			if f := statusOf(n); f == nil || f.Subset == nil || f.Subset.Nodes != others {
 				return false
 			}
 		}
 		return true
 	})
-	b.Pass(500 * time.Millisecond)
+	b.RunFor(500 * time.Millisecond)
 }
 
 // TestSubsetWidens: what a node is to use breaks off for it alone, then drains; it goes on with others, of which it takes no
 // more than it needs, and comes back once it can. The other nodes keep to theirs.
 func TestSubsetWidens(t *testing.T) {
-	beside(t)
-	plan := parted(6, 6)
+	runParallel(t)
+	plan := subsetPlan(6, 6)
 	plan.Fleet["subset"] = map[string]any{"size": 6, "cover": 1}
-	b := started(t, plan)
+	b := startAll(t, plan)
 	for _, n := range b.Nodes {
-		b.ends = append(b.ends, n.Load("job", "/look", 2, 15*time.Millisecond, time.Second))
+		b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 2, 15*time.Millisecond, time.Second))
 	}
-	settle(b, b.Nodes, 6)
+	waitForMembers(b, b.Nodes, 6)
 	hurt, other := b.Nodes[4], b.Nodes[5]
-	look := func() (mine, theirs map[*testcluster.Executor]bool) {
+	look := func() (mine, theirs map[*testcluster.StandInServer]bool) {
 		since := b.Now()
-		b.Pass(1500 * time.Millisecond)
-		return b.From(hurt, since), b.From(other, since)
+		b.RunFor(1500 * time.Millisecond)
+		return b.ServersUsedBy(hurt, since), b.ServersUsedBy(other, since)
 	}
 	near, theirs := look()
-	if len(near) != figures(hurt).Subset.Assigned || len(near) > 8 || len(theirs) > 8 {
-		t.Fatalf("%d and %d executors are used, %d are to be", len(near), len(theirs), figures(hurt).Subset.Assigned)
+	if len(near) != statusOf(hurt).Subset.Assigned || len(near) > 8 || len(theirs) > 8 {
+		t.Fatalf("%d and %d executors are used, %d are to be", len(near), len(theirs), statusOf(hurt).Subset.Assigned)
 	}
-	same := func(a, b map[*testcluster.Executor]bool) bool {
+	same := func(a, b map[*testcluster.StandInServer]bool) bool {
 		for e := range a {
 			if !b[e] {
 				return false
@@ -119,17 +119,17 @@
 	}
 	check := func(what string) {
 		t.Helper()
-		took := b.Until(what+": it uses others", soon, func() bool {
+		took := b.Until(what+": it uses others", convergeTime, func() bool {
 			since := b.Now()
-			b.Pass(300 * time.Millisecond)
-			for e := range b.From(hurt, since) {
+			b.RunFor(300 * time.Millisecond)
+			for e := range b.ServersUsedBy(hurt, since) {
 				if !near[e] {
 					return true
 				}
 			}
 			return false
 		})
-		b.Pass(time.Second)
+		b.RunFor(time.Second)
 		mine, now := look()
 		t.Logf("%s: after %v it uses %d, of 30", what, took, len(mine))
 		if len(mine) > 20 || !same(now, theirs) {
@@ -138,30 +138,30 @@
 	}
 	back := func() {
 		t.Helper()
-		t.Logf("back after %v", b.Until("it uses its own again", 3*soon, func() bool {
+		t.Logf("back after %v", b.Until("it uses its own again", 3*convergeTime, func() bool {
 			since := b.Now()
-			b.Pass(700 * time.Millisecond)
-			mine := b.From(hurt, since)
+			b.RunFor(700 * time.Millisecond)
+			mine := b.ServersUsedBy(hurt, since)
 			return len(mine) > 3 && same(mine, near)
 		}))
 	}
 	for e := range near {
-		e.Shun(func(node string) bool { return node == hurt.Name })
+		e.BreakJobsOf(func(node string) bool { return node == hurt.Name })
 	}
 	check("broken off")
 	for e := range near {
-		e.Shun(nil)
+		e.BreakJobsOf(nil)
 	}
 	back()
-	b.News(func(drained map[string]bool) {
+	b.UpdateEndpoints(func(drained map[string]bool) {
 		for e := range near {
 			drained[e.Name] = true
 		}
 	})
 	check("drained")
-	b.News(func(drained map[string]bool) { clear(drained) })
+	b.UpdateEndpoints(func(drained map[string]bool) { clear(drained) })
 	back()
-	for i, statuses := range b.each() {
+	for i, statuses := range b.stopEach() {
 		if t.Log(statuses); statuses[0] > 0 || statuses[503] > statuses[200]/10 {
 			t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
 		}
@@ -171,30 +171,30 @@
 // TestSubsetsSplit: gossip is cut into two halves, while all executors are in reach of both. Each half covers all executors by
 // itself; healed they divide them together again, within seconds.
 func TestSubsetsSplit(t *testing.T) {
-	beside(t)
-	plan := parted(8, 6)
-	b := started(t, plan)
+	runParallel(t)
+	plan := subsetPlan(8, 6)
+	b := startAll(t, plan)
 	for _, n := range b.Nodes {
-		b.ends = append(b.ends, n.Load("job", "/look", 2, 15*time.Millisecond, time.Second))
+		b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 2, 15*time.Millisecond, time.Second))
 	}
-	settle(b, b.Nodes, 8)
+	waitForMembers(b, b.Nodes, 8)
 	gossips := func(do func(*testcluster.Relay)) {
 		for i, n := range b.Nodes {
 			for j := range b.Nodes {
 				if (i < 4) != (j < 4) {
-					do(n.Gossip(j))
+					do(n.GossipRelay(j))
 				}
 			}
 		}
 	}
 	look := func() (fewest, most int, half [2]int) {
 		since := b.Now()
-		b.Pass(2 * time.Second)
-		fewest, most, _, _ = b.Heard(since)
+		b.RunFor(2 * time.Second)
+		fewest, most, _, _ = b.Spread(since)
 		for side := range half {
-			used := map[*testcluster.Executor]bool{}
+			used := map[*testcluster.StandInServer]bool{}
 			for _, n := range b.Nodes[4*side : 4*side+4] {
-				for e := range b.From(n, since) {
+				for e := range b.ServersUsedBy(n, since) {
 					used[e] = true
 				}
 			}
@@ -211,17 +211,17 @@
 		}
 	}
 	whole()
-	gossips(func(r *testcluster.Relay) { r.Cut(testcluster.There); r.Cut(testcluster.Back) })
-	settle(b, b.Nodes, 4)
+	gossips(func(r *testcluster.Relay) { r.Cut(testcluster.Forward); r.Cut(testcluster.Backward) })
+	waitForMembers(b, b.Nodes, 4)
 	if _, _, half := look(); half != [2]int{30, 30} {
 		t.Errorf("the halves use %v executors, of 30", half)
 	}
 	gossips(func(r *testcluster.Relay) { r.Heal(); r.Reset() })
 	from := b.Now()
-	settle(b, b.Nodes, 8)
+	waitForMembers(b, b.Nodes, 8)
 	t.Logf("divided together again after %v", time.Duration(b.Now()-from))
 	whole()
-	for i, statuses := range b.each() {
+	for i, statuses := range b.stopEach() {
 		if statuses[0] > 0 || statuses[200] < 100 {
 			t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
 		}
