--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -12,19 +12,20 @@
 	"time"
 )
 
-// TestStrangersGiveWay: connections that say nothing, or never stop, take each other's places and not those of clients
+// TestPendingConnectionsAreEvicted: connections that say nothing, or never stop, take each other's places and not those of clients
 // that work; what a connection got an error for is one of them while it lingers.
-func TestStrangersGiveWay(t *testing.T) {
+func TestPendingConnectionsAreEvicted(t *testing.T) {
 	d := NewConnectionBudget(64)
 	d.evictionGrace = 0
-	_, address := startTestServer(t, d, succeed)
+	_, address := startServer(t, d, succeed)
 	kept := dialAndWrite(t, address, requestHead+"b")
 	if got := readResponse(t, kept); got.StatusCode != 200 {
 		t.Fatal(got)
 	}
+	unfinished := []string{"", requestHead[:40], strings.Replace(requestHead, ": 1", ": 90000000", 1)}
 	var silent []net.Conn
 	for i := range 100 {
-		silent = append(silent, dialAndWrite(t, address, []string{"", requestHead[:40], strings.Replace(requestHead, ": 1", ": 90000000", 1)}[i%3]))
+		silent = append(silent, dialAndWrite(t, address, unfinished[i%3]))
 	}
 	if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 {
 		t.Error(got)
@@ -47,10 +48,10 @@
 	}
 }
 
-// TestUnreadRequestsDoNotGiveWay: new connections come to a process that has not read what lies in the sockets of older ones. One that
-// has sent nothing gives way, and none whose request waits there while there are places.
-// Danger: at a process that is behind these are the longest waiting, and were closed with no answer.
-func TestUnreadRequestsDoNotGiveWay(t *testing.T) {
+// TestUnreadRequestsAreNotEvicted: new connections come to a process that has not read what lies in the sockets of
+// older ones. One that has sent nothing gives way, and none whose request waits there while there are places.
+// At a process that is behind these wait the longest, and would be closed without a response.
+func TestUnreadRequestsAreNotEvicted(t *testing.T) {
 	d := NewConnectionBudget(64)
 	d.evictionGrace = 0
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,11 +86,11 @@
 	}
 }
 
-// TestYoungStrangersAreServed: clients that all come at once are not taken for such as say nothing.
-func TestYoungStrangersAreServed(t *testing.T) {
+// TestNewConnectionsAreServed: clients that all come at once are not taken for such as say nothing.
+func TestNewConnectionsAreServed(t *testing.T) {
 	d := NewConnectionBudget(64)
 	d.evictionGrace = time.Minute
-	_, address := startTestServer(t, d, succeed)
+	_, address := startServer(t, d, succeed)
 	var all []net.Conn
 	for range 2 * d.maxPending {
 		all = append(all, dialAndWrite(t, address, requestHead))
@@ -102,10 +103,10 @@
 	}
 }
 
-// TestYieldSparesARequestBeingRead: a connection told to make room whose next request is being read serves it first.
-func TestYieldSparesARequestBeingRead(t *testing.T) {
+// TestReclaimSparesARequestBeingRead: a connection told to make room whose next request is being read serves it first.
+func TestReclaimSparesARequestBeingRead(t *testing.T) {
 	d := NewConnectionBudget(1024)
-	_, address := startTestServer(t, d, succeed)
+	_, address := startServer(t, d, succeed)
 	c := dialAndWrite(t, address, requestHead+"b")
 	if got := readResponse(t, c); got.StatusCode != 200 {
 		t.Fatal(got)
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestYieldIsNotUndone: the server sets its limit for idle connections after it has called one idle.
-func TestYieldIsNotUndone(t *testing.T) {
+// TestReclaimIsNotUndone: the server sets its limit for idle connections after it has called one idle.
+func TestReclaimIsNotUndone(t *testing.T) {
 	d := NewConnectionBudget(64)
 	near, far := net.Pipe()
 	c := newClientConn(near, d)
@@ -143,8 +144,8 @@
 	}
 }
 
-// TestCrossing: a request that is there when its connection is waked to be closed is served.
-func TestCrossing(t *testing.T) {
+// TestReclaimServesARequestThatArrived: a request that is there when its connection is waked to be closed is served.
+func TestReclaimServesARequestThatArrived(t *testing.T) {
 	d := NewConnectionBudget(1024)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
