--- a/cmd/fleetsim/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return verdict{err, 2}
 	}
-	left := experiment.Left(runs, results)
+	left := experiment.Remaining(runs, results)
 	fmt.Fprintf(out, "%d runs, %d of them to be played\n", len(runs), len(left))
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -36,12 +36,12 @@
 		}
 		results = append(results, Result{Run: r, Figures: map[string]float64{"x": value}})
 	}
-	if left := Left(runs, results); len(runs) != 8 || len(left) != 1 || left[0].Seed != 4 || left[0].Variant.Name != "two" {
-		t.Errorf("%+v", left)
+	if remaining := Remaining(runs, results); len(runs) != 8 || len(remaining) != 1 || remaining[0].Seed != 4 || remaining[0].Variant.Name != "two" {
+		t.Errorf("%+v", remaining)
 	}
 	for _, other := range [][]Run{p.Grid(map[string]string{"a.toml": "i"}, "v1"), p.Grid(map[string]string{"a.toml": "h"}, "v2")} {
-		if left := Left(other, results); len(left) != 8 {
-			t.Errorf("%d of 8 are left", len(left))
+		if remaining := Remaining(other, results); len(remaining) != 8 {
+			t.Errorf("%d of 8 are left", len(remaining))
 		}
 		if rows := p.Rows(other, results); rows[0].Runs != 0 {
 			t.Error("results of other runs count")
@@ -56,15 +56,21 @@
 	if rows[1].Runs != 3 || against.Mean != 2 || math.Abs(against.Half-4.3027/math.Sqrt(3)) > 0.001 {
 		t.Errorf("%+v", rows[1])
 	}
-	if table := string(Table(p, rows, Names(results))); !strings.Contains(table, "| two | 3 | 202 ±") || !strings.Contains(table, "+2 ± 2.5") {
+	if table := string(Table(p, rows, FigureNames(results))); !strings.Contains(table, "| two | 3 | 202 ±") || !strings.Contains(table, "+2 ± 2.5") {
 		t.Error(table)
 	}
 }
 
-// TestPlanFaults: what makes no grid is refused, naming the key.
-func TestPlanFaults(t *testing.T) {
-	for want, change := range map[string][2]string{"seeds": {"seeds = 4", "seeds = 1"}, "scenarios": {`["a.toml"]`, "[]"}, "variant.1.name": {`"two"`, `"one"`},
-		"base": {`title = "t"`, `base = "three"`}, "subsets": {"subset = 3", "subsets = 3"}, "nodes": {"subset = 3", "nodes = -3"}} {
+// TestPlanErrors: a plan that makes no grid is rejected, and the key is named.
+func TestPlanErrors(t *testing.T) {
+	for want, change := range map[string][2]string{
+		"seeds":          {"seeds = 4", "seeds = 1"},
+		"scenarios":      {`["a.toml"]`, "[]"},
+		"variant.1.name": {`"two"`, `"one"`},
+		"base":           {`title = "t"`, `base = "three"`},
+		"subsets":        {"subset = 3", "subsets = 3"},
+		"nodes":          {"subset = 3", "nodes = -3"},
+	} {
 		if _, err := Read([]byte(strings.Replace(plan, change[0], change[1], 1))); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
--- /dev/null
+++ b/internal/experiment/plan.go
@@ -0,0 +1,108 @@
+// SPDX-License-Identifier: Apache-2.0
+
+// Package experiment says which runs a grid of scenarios, variants and seeds consists of, and summarizes their results: means, and
+// differences to a base by pairs of runs with the same seed. It plays nothing itself.
+package experiment
+
+import (
+	"bytes"
+	"cmp"
+	"errors"
+	"fmt"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// Bounds of a plan; larger numbers are typing errors.
+const (
+	maxSeeds    = 1000
+	maxVariants = 64
+)
+
+// defaultPolicy is what decides on the nodes of a variant that names no policy: the decision package.
+const defaultPolicy = "module"
+
+// Plan is an experiment's file.
+type Plan struct {
+	Title     string    `toml:"title"`
+	Scenarios []string  `toml:"scenarios"` // files, relative to the plan's own folder
+	Seeds     uint64    `toml:"seeds"`     // 1 to this many
+	Base      string    `toml:"base"`      // the variant that others are compared with
+	Variants  []Variant `toml:"variant"`
+}
+
+// Variant is one way to run each scenario. What it leaves out is the scenario's.
+type Variant struct {
+	Name    string `toml:"name" json:"name"`
+	Policy  string `toml:"policy" json:"policy"`         // empty in a plan: the decision package
+	Nodes   int    `toml:"nodes" json:"nodes,omitempty"` // of the fleet
+	Subset  *int   `toml:"subset" json:"subset"`         // servers that a node uses; 0: all
+	Budgets string `toml:"budgets" json:"budgets"`       // turns, leased, alone, all
+}
+
+// PlanError says which key of a plan is at fault, and why.
+type PlanError struct {
+	Key    string
+	Reason string
+}
+
+// Error returns the key and the reason.
+func (e *PlanError) Error() string { return e.Key + ": " + e.Reason }
+
+func planError(key, format string, args ...any) error {
+	return &PlanError{Key: key, Reason: fmt.Sprintf(format, args...)}
+}
+
+// Read decodes and checks a plan. Unknown keys are errors.
+func Read(text []byte) (*Plan, error) {
+	plan := &Plan{}
+	decoder := toml.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(plan); err != nil {
+		var unknown *toml.StrictMissingError
+		if errors.As(err, &unknown) {
+			return nil, errors.New(unknown.String())
+		}
+		return nil, err
+	}
+	if err := plan.check(); err != nil {
+		return nil, err
+	}
+	return plan, nil
+}
+
+// check fills in defaults and returns the first key that is at fault.
+func (p *Plan) check() error {
+	switch {
+	case len(p.Scenarios) == 0:
+		return planError("scenarios", "none")
+	case p.Seeds < 2 || p.Seeds > maxSeeds:
+		return planError("seeds", "%d is not from 2 to %d; intervals need pairs", p.Seeds, maxSeeds)
+	case len(p.Variants) == 0 || len(p.Variants) > maxVariants:
+		return planError("variant", "%d are not from 1 to %d", len(p.Variants), maxVariants)
+	}
+	names := map[string]bool{}
+	for i := range p.Variants {
+		if err := p.Variants[i].check(i, names); err != nil {
+			return err
+		}
+	}
+	p.Base = cmp.Or(p.Base, p.Variants[0].Name)
+	if !names[p.Base] {
+		return planError("base", "no variant is called %q", p.Base)
+	}
+	return nil
+}
+
+// check checks the variant at an index and adds its name to those that are taken.
+func (v *Variant) check(index int, names map[string]bool) error {
+	if v.Name == "" || names[v.Name] {
+		return planError(fmt.Sprintf("variant.%d.name", index), "%q is empty or another's", v.Name)
+	}
+	names[v.Name] = true
+	if v.Nodes < 0 {
+		return planError(fmt.Sprintf("variant.%d.nodes", index), "%d is no number of nodes", v.Nodes)
+	}
+	v.Policy = cmp.Or(v.Policy, defaultPolicy)
+	return nil
+}
