--- /dev/null
+++ b/cmd/fleetsim/check.go
@@ -0,0 +1,74 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"fernrail/internal/invariants"
+)
+
+// checkCommand checks an event log against the rules.
+type checkCommand struct {
+	Log string `arg:"" type:"existingfile" help:"JSON values: the rules first, then one event each, in order of time."`
+	Max int    `default:"20" help:"How many violations are printed."`
+}
+
+// Run checks the log and prints to standard output.
+func (c *checkCommand) Run() error {
+	f, err := os.Open(c.Log)
+	if err != nil {
+		return unreadable(err)
+	}
+	defer f.Close()
+	return c.check(f, os.Stdout)
+}
+
+// check reads a log and prints its violations. A log cut short is checked up to the break, where time ends.
+func (c *checkCommand) check(log io.Reader, out io.Writer) error {
+	in := json.NewDecoder(log)
+	in.DisallowUnknownFields()
+	var rules invariants.Rules
+	if err := in.Decode(&rules); err != nil {
+		return unreadable(fmt.Errorf("%s: rules: %w", c.Log, err))
+	}
+	checker := invariants.New(rules)
+	events, last := 0, int64(0)
+	for {
+		var e invariants.Event
+		err := in.Decode(&e)
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if errors.Is(err, io.ErrUnexpectedEOF) {
+			fmt.Fprintf(out, "cut short after event %d\n", events-1)
+			break
+		}
+		if err == nil {
+			err = checker.Add(e)
+		}
+		if err != nil {
+			return unreadable(fmt.Errorf("%s: event %d: %w", c.Log, events, err))
+		}
+		events++
+		last = e.At
+	}
+	violations := checker.Violations(last)
+	printViolations(out, violations, c.Max, "")
+	fmt.Fprintf(out, "%d events, %d violations\n", events, len(violations))
+	if len(violations) > 0 {
+		return ruleBroken("rules are broken")
+	}
+	return nil
+}
+
+// printViolations prints the first of some violations, a line each.
+func printViolations(out io.Writer, violations []invariants.Violation, most int, indent string) {
+	for _, v := range violations[:min(len(violations), most)] {
+		fmt.Fprintf(out, "%srule %d, event %d: %s\n", indent, v.Rule, v.Event, v.Message)
+	}
+}
--- a/cmd/fleetsim/judge_test.go
+++ b/cmd/fleetsim/check_test.go
@@ -16,13 +16,13 @@
 {"at":3,"kind":"ended","txn":"x","posting":0,"result":"broken"}
 `
 
-// TestJudgeEndsWithItsVerdict: scripts tell by the exit code whether rules are kept, broken, or the log is no log.
-func TestJudgeEndsWithItsVerdict(t *testing.T) {
+// TestCheckEndsWithItsExitCode: scripts tell by the exit code whether rules are kept, broken, or the log is no log.
+func TestCheckEndsWithItsExitCode(t *testing.T) {
 	for log, want := range map[string]struct {
 		code int
 		text string
 	}{
-		lawful + `{"at":4,"kind":"answered","txn":"x","result":"reversed"}`: {0, "4 events, 0 breaches"},
+		lawful + `{"at":4,"kind":"answered","txn":"x","result":"reversed"}`: {0, "4 events, 0 violations"},
 		lawful + `{"at":4,"kind":"answered","txn":"x","result":"declined"}`: {1, "rule 2, event 3: request x: shed"},
 		lawful + `{"at":4,"kind":"answered","txn":"x","resu`:                {0, "cut short after event 2"},
 		lawful + `{"at":4,"kind":"answered","txn":"y"}`:                     {2, ""},
@@ -30,8 +30,8 @@
 		`{"odd":1}`:                                                         {2, ""},
 	} {
 		var out strings.Builder
-		err, code := (&judged{Log: "log", Max: 5}).hold(strings.NewReader(log), &out), 0
-		if v := (verdict{}); errors.As(err, &v) {
+		err, code := (&checkCommand{Log: "log", Max: 5}).check(strings.NewReader(log), &out), 0
+		if v := (exitError{}); errors.As(err, &v) {
 			code = v.ExitCode()
 		}
 		if code != want.code || !strings.Contains(out.String(), want.text) {
@@ -40,23 +40,23 @@
 	}
 }
 
-// TestEmulatedLogIsJudged: the log that emulate writes is one that judge reads, and both end alike.
-func TestEmulatedLogIsJudged(t *testing.T) {
+// TestEmulatedLogIsChecked: the log that emulate writes is one that judge reads, and both end alike.
+func TestEmulatedLogIsChecked(t *testing.T) {
 	log := t.TempDir() + "/log"
 	var out bytes.Buffer
-	c := &emulate{Scenario: "../../example/scenarios/troubles.toml", Seed: 2, Policy: "two-choices", Log: log, Max: 1}
+	c := &emulateCommand{Scenario: "../../example/scenarios/troubles.toml", Seed: 2, Policy: "two-choices", Log: log, Max: 1}
 	played := c.play(&out)
 	f, err := os.Open(log)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	held := (&judged{Log: log, Max: 1}).hold(f, &out)
+	held := (&checkCommand{Log: log, Max: 1}).check(f, &out)
 	if (played == nil) != (held == nil) || !strings.Contains(out.String(), "in time") || !strings.Contains(out.String(), " events, ") {
-		t.Errorf("played: %v, judged: %v\n%s", played, held, out.String())
+		t.Errorf("played: %v, checked: %v\n%s", played, held, out.String())
 	}
 	c.Policy = "best"
-	var v verdict
+	var v exitError
 	if err := c.play(&out); !errors.As(err, &v) || v.code != 2 {
 		t.Errorf("an unknown policy: %v", err)
 	}
--- a/cmd/fleetsim/count_test.go
+++ b/cmd/fleetsim/count_test.go
@@ -17,17 +17,18 @@
 
 // TestCountOverNodes: rows add up what several nodes logged; the line that a killed node cut short is passed over.
 func TestCountOverNodes(t *testing.T) {
-	var lines []line
+	var lines []logLine
 	for text := range strings.Lines(logged) {
-		if l, ok := read([]byte(text)); ok {
+		if l, ok := decodeLine([]byte(text)); ok {
 			lines = append(lines, l)
 		}
 	}
-	var out strings.Builder
-	c := &count{Step: time.Second, Late: 20 * time.Millisecond, By: "both"}
-	if err := c.tell(&out, lines); err != nil {
-		t.Fatal(err)
+	if len(lines) != 4 {
+		t.Fatalf("%d lines are counted, want 4", len(lines))
 	}
+	var out strings.Builder
+	c := &countCommand{Step: time.Second, Late: 20 * time.Millisecond, By: "both"}
+	c.print(&out, lines)
 	fields := strings.Join(strings.Fields(out.String()), " ")
 	for _, want := range []string{
 		"0.00 2 1 0 2 1 1.0 0 full 1 settled 1",
--- a/cmd/fleetsim/emulate.go
+++ b/cmd/fleetsim/emulate.go
@@ -16,107 +16,159 @@
 	"fernrail/internal/invariants"
 )
 
-// emulate plays a scenario in virtual time.
-type emulate struct {
+// emulateCommand plays a scenario in virtual time.
+type emulateCommand struct {
 	Scenario string `arg:"" type:"existingfile" help:"A scenario; docs/emulator.md has its keys, example/scenarios some of them."`
 	Seed     uint64 `default:"1" help:"Of all that is drawn. The same scenario and seed give the same log to the byte."`
 	Policy   string `default:"module" help:"What decides on the nodes: module, random, round-robin, least, two-choices, or truth, which sees all."`
-	Subset   int    `default:"-1" help:"In place of the scenario's subset.size: executors that a node uses; 0: all."`
+	Subset   int    `default:"-1" help:"In place of the scenario's subset.size: servers that a node uses; 0: all."`
 	Budgets  string `help:"In place of the scenario's leases.mode: turns, leased, alone, or all, where one sees what all send."`
 	Log      string `help:"Where the event log goes, for fleetsim judge."`
-	Max      int    `default:"5" help:"How many breaches are told of."`
+	Max      int    `default:"5" help:"How many violations are printed."`
 }
 
-func (c *emulate) Run() error { return c.play(os.Stdout) }
+// Run plays the scenario and prints to standard output.
+func (c *emulateCommand) Run() error { return c.play(os.Stdout) }
 
-// scenarioAt gets a scenario; a fault names file and place, with the exit code for what can't be read.
-func scenarioAt(path string) (*emulator.Scenario, error) {
+// readScenario reads a scenario; an error names file and place.
+func readScenario(path string) (*emulator.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, verdict{err, 2}
+		return nil, unreadable(err)
 	}
-	s, err := emulator.Read(text)
+	scenario, err := emulator.Read(text)
 	if err != nil {
-		return nil, verdict{fmt.Errorf("%s: %w", path, err), 2}
+		return nil, unreadable(fmt.Errorf("%s: %w", path, err))
 	}
-	return s, nil
+	return scenario, nil
 }
 
-func (c *emulate) play(out io.Writer) error {
-	s, err := scenarioAt(c.Scenario)
+// scenario reads the scenario and applies the flags that override it.
+func (c *emulateCommand) scenario() (*emulator.Scenario, error) {
+	scenario, err := readScenario(c.Scenario)
 	if err != nil {
-		return err
-	}
-	policy, err := emulator.PolicyOf(c.Policy)
-	if err != nil {
-		return verdict{err, 2}
+		return nil, err
 	}
 	if c.Subset >= 0 {
-		s.Subset.Size = c.Subset
+		scenario.Subset.Size = c.Subset
 	}
 	if c.Budgets != "" {
-		s.Leases.Mode = c.Budgets
+		scenario.Leases.Mode = c.Budgets
 	}
-	if c.Budgets != "" || c.Subset >= 0 {
-		if err := s.Check(); err != nil {
-			return verdict{fmt.Errorf("%s: %w", c.Scenario, err), 2}
-		}
+	if err := scenario.Check(); err != nil {
+		return nil, unreadable(fmt.Errorf("%s: %w", c.Scenario, err))
 	}
-	rules := s.Held()
-	var file *os.File
-	write := func(any) error { return nil }
-	flush := write
-	if c.Log != "" {
-		if file, err = os.Create(c.Log); err != nil {
-			return verdict{err, 2}
-		}
-		defer file.Close()
-		buffer := bufio.NewWriter(file)
-		encoder := json.NewEncoder(buffer)
-		write, flush = encoder.Encode, func(any) error { return buffer.Flush() }
+	return scenario, nil
+}
+
+func (c *emulateCommand) play(out io.Writer) error {
+	scenario, err := c.scenario()
+	if err != nil {
+		return err
 	}
-	fault := write(rules)
-	j, count, last := invariants.New(rules), invariants.NewCollector(), int64(0)
+	policy, err := emulator.PolicyOf(c.Policy)
+	if err != nil {
+		return unreadable(err)
+	}
+	log, err := openEventLog(c.Log)
+	if err != nil {
+		return unreadable(err)
+	}
+	defer log.close()
+	rules := scenario.Held()
+	err = log.write(rules)
+	checker, collector := invariants.New(rules), invariants.NewCollector()
+	last := int64(0)
 	began := time.Now()
-	report := emulator.Run(s, c.Seed, policy, func(e invariants.Event) {
-		fault = errors.Join(fault, write(e), j.Add(e))
-		count.Add(e)
+	report := emulator.Run(scenario, c.Seed, policy, func(e invariants.Event) {
+		err = errors.Join(err, log.write(e), checker.Add(e))
+		collector.Add(e)
 		last = e.At
 	})
-	if fault = errors.Join(fault, flush(nil)); fault != nil {
-		return verdict{fault, 2}
+	if err = errors.Join(err, log.flush()); err != nil {
+		return unreadable(err)
+	}
+	fmt.Fprintf(out, "%s, seed %d, %s: ", filepath.Base(c.Scenario), c.Seed, c.Policy)
+	printSummary(out, collector.Summary())
+	printReport(out, report, time.Since(began))
+	fmt.Fprintf(out, "  budgets %s: %.1f of work sent to servers in slow start, %d lease requests\n", scenario.Leases.Mode, report.Cold, report.Calls)
+	violations := checker.Violations(last)
+	printViolations(out, violations, c.Max, "  ")
+	if len(violations) > 0 {
+		return ruleBroken("%d violations; again with: fleetsim emulate %s --seed %d --policy %s",
+			len(violations), c.Scenario, c.Seed, c.Policy)
+	}
+	return nil
+}
+
+func printSummary(out io.Writer, summary *invariants.Summary) {
+	fmt.Fprintf(out, "%.4f in time, worst 10 s %.4f (emulated)\n", summary.All.Share(), summary.WorstTenSeconds)
+	for _, name := range invariants.SortedNames(summary.Classes) {
+		fmt.Fprintf(out, "  class %-12s %.4f in time\n", name, summary.Classes[name].Share())
+	}
+	for _, name := range invariants.SortedNames(summary.Tenants) {
+		fmt.Fprintf(out, "  tenant %-12s %.4f in time\n", name, summary.Tenants[name].Share())
+	}
+	fmt.Fprintf(out, "  latency: median %v, p99 %v; %d requests, %d attempts, %d shed, %d compensated\n",
+		time.Duration(summary.Latency(0.5)).Round(time.Millisecond), time.Duration(summary.Latency(0.99)).Round(time.Millisecond),
+		summary.Requests, summary.Attempts, summary.Shed, summary.Compensated)
+}
+
+func printReport(out io.Writer, report emulator.Report, took time.Duration) {
+	fmt.Fprintf(out, "  %d handshakes, %.0f connections open in the mean\n", report.Handshakes, report.Held)
+	fmt.Fprintf(out, "  work done %.1f of %.1f asked for; effects run twice %d; servers overloaded in slow start %d; %d events in %v\n",
+		report.Work, report.Offered, report.Twice, report.Fallen, report.Events, took.Round(time.Millisecond))
+}
+
+// eventLog writes JSON values to a file, or nowhere.
+type eventLog struct {
+	file    *os.File // nil: nothing is written
+	buffer  *bufio.Writer
+	encoder *json.Encoder
+}
+
+// openEventLog creates a log; an empty path is a log that keeps nothing.
+func openEventLog(path string) (*eventLog, error) {
+	if path == "" {
+		return &eventLog{}, nil
 	}
-	f := count.Summary()
-	fmt.Fprintf(out, "%s, seed %d, %s: %.4f in time, worst 10 s %.4f (emulated)\n", filepath.Base(c.Scenario), c.Seed, c.Policy, f.All.Share(), f.WorstTenSeconds)
-	for _, name := range invariants.SortedNames(f.Classes) {
-		fmt.Fprintf(out, "  scheme %-12s %.4f in time\n", name, f.Classes[name].Share())
+	file, err := os.Create(path)
+	if err != nil {
+		return nil, err
 	}
-	for _, name := range invariants.SortedNames(f.Tenants) {
-		fmt.Fprintf(out, "  tenant %-12s %.4f in time\n", name, f.Tenants[name].Share())
+	buffer := bufio.NewWriter(file)
+	return &eventLog{file: file, buffer: buffer, encoder: json.NewEncoder(buffer)}, nil
+}
+
+func (l *eventLog) write(value any) error {
+	if l.file == nil {
+		return nil
 	}
-	fmt.Fprintf(out, "  waits: half %v, 99 of 100 %v; %d tries, %d postings, %d declined, %d reversed, %d handshakes, %.0f connections held\n",
-		time.Duration(f.Latency(0.5)).Round(time.Millisecond), time.Duration(f.Latency(0.99)).Round(time.Millisecond), f.Requests, f.Attempts, f.Shed, f.Compensated, report.Handshakes, report.Held)
-	fmt.Fprintf(out, "  work done %.1f of %.1f asked for; effects run twice %d; cold executors pushed over %d; %d events in %v\n",
-		report.Work, report.Offered, report.Twice, report.Fallen, report.Events, time.Since(began).Round(time.Millisecond))
-	fmt.Fprintf(out, "  budgets %s: %.1f of work sent to cold executors, %d calls for leases\n", s.Leases.Mode, report.Cold, report.Calls)
-	breaches := j.Violations(last)
-	for _, b := range breaches[:min(len(breaches), c.Max)] {
-		fmt.Fprintf(out, "  rule %d, event %d: %s\n", b.Rule, b.Event, b.Message)
+	return l.encoder.Encode(value)
+}
+
+func (l *eventLog) flush() error {
+	if l.file == nil {
+		return nil
 	}
-	if len(breaches) > 0 {
-		return verdict{fmt.Errorf("%d breaches; again with: fleetsim emulate %s --seed %d --policy %s", len(breaches), c.Scenario, c.Seed, c.Policy), 1}
+	return l.buffer.Flush()
+}
+
+func (l *eventLog) close() {
+	if l.file != nil {
+		l.file.Close()
 	}
-	return nil
 }
 
-// checked reads scenarios and runs nothing.
-type checked struct {
+// scenarioCheckCommand reads scenarios and runs nothing.
+type scenarioCheckCommand struct {
 	Scenario []string `arg:"" type:"existingfile" help:"Scenarios."`
 }
 
-func (c *checked) Run() error {
+// Run returns what is wrong with the first scenario that can't be read.
+func (c *scenarioCheckCommand) Run() error {
 	for _, path := range c.Scenario {
-		if _, err := scenarioAt(path); err != nil {
+		if _, err := readScenario(path); err != nil {
 			return err
 		}
 	}
--- /dev/null
+++ b/cmd/fleetsim/revision.go
@@ -0,0 +1,38 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package main
+
+import (
+	"os"
+	"runtime/debug"
+
+	"fernrail/internal/experiment"
+)
+
+// revision identifies the program: its commit, or the digest of its binary where the build has no commit or a modified one, so that
+// results of another program are not taken for this one's.
+func revision() (string, error) {
+	commit, modified := "", false
+	if b, ok := debug.ReadBuildInfo(); ok {
+		for _, s := range b.Settings {
+			switch s.Key {
+			case "vcs.revision":
+				commit = s.Value
+			case "vcs.modified":
+				modified = s.Value == "true"
+			}
+		}
+	}
+	if commit != "" && !modified {
+		return commit, nil
+	}
+	path, err := os.Executable()
+	if err != nil {
+		return "", err
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return "", err
+	}
+	return "program " + experiment.Hash(text), nil
+}
