--- a/internal/fleet/budget/leader_term.go
+++ b/internal/fleet/budget/leader_term.go
@@ -7,103 +7,132 @@
 	"slices"
 )
 
-// LeaderTerm is the clock of the seat that grants. It is not part of the books: no two clocks are compared.
+// LeaderTerm is when leases and cooldowns end by the leader's clock. It is not part of the replicated ledger, since no
+// two clocks are compared.
 type LeaderTerm struct {
 	Epoch       uint64
 	agreement   *Agreement
-	expirations map[string]expiration      // by holder
-	cooldowns   map[string]map[int64]int64 // by budget and number of the rest: when it is over
 	startedAt   int64
-	lastContact map[string]int64 // by node: when a request last showed that an answer of this reign had reached it
+	expirations map[string]expiration      // of leases, by holder
+	cooldowns   map[string]map[int64]int64 // by budget and number: when a cooldown is over
+	lastContact map[string]int64           // by node: when a request last showed that it had a response of this term
 }
 
+// expiration is when a lease expires, unless its holder sends a request after the one with seq.
 type expiration struct {
 	seq       uint64
 	expiresAt int64
 }
 
-// NewLeaderTerm begins a reign over the books as they are.
-// Danger: the one before may have granted a moment ago, and its clock is not ours. All that is out counts as granted now,
-// and all that rests as given back now.
-func NewLeaderTerm(b *Ledger, epoch uint64, now int64) *LeaderTerm {
-	r := &LeaderTerm{Epoch: epoch, agreement: &b.Agreement, expirations: map[string]expiration{}, cooldowns: map[string]map[int64]int64{}, startedAt: now, lastContact: map[string]int64{}}
-	for name, h := range b.Holders {
-		r.expirations[name] = expiration{h.Seq, now + r.agreement.withMargin(r.agreement.Lease)}
+// NewLeaderTerm begins a term with the ledger as it is. The leader before may have granted a moment ago by a clock
+// that is not this one's: all leases count as granted now, and all cooldowns as begun now.
+func NewLeaderTerm(ledger *Ledger, epoch uint64, now int64) *LeaderTerm {
+	t := &LeaderTerm{
+		Epoch:       epoch,
+		agreement:   &ledger.Agreement,
+		startedAt:   now,
+		expirations: map[string]expiration{},
+		cooldowns:   map[string]map[int64]int64{},
+		lastContact: map[string]int64{},
 	}
-	r.RecordApplied(b, nil, nil, now)
-	return r
+	for name, lease := range ledger.Holders {
+		t.expirations[name] = expiration{seq: lease.Seq, expiresAt: t.leaseEnd(now)}
+	}
+	t.RecordApplied(ledger, nil, nil, now)
+	return t
+}
+
+// leaseEnd returns when a lease that is granted now has expired by its holder's clock for certain.
+func (t *LeaderTerm) leaseEnd(now int64) int64 {
+	return now + t.agreement.withMargin(t.agreement.Lease)
 }
 
-// RecordApplied takes down a step that was agreed on, once that is known: what it granted runs from now at the latest.
-// answers are those that Apply gave.
-func (r *LeaderTerm) RecordApplied(b *Ledger, e *LogEntry, answers []*LeaseResponse, now int64) {
-	for i, a := range answers {
-		if a != nil {
-			r.expirations[e.Requests[i].Holder] = expiration{a.Seq, now + r.agreement.withMargin(r.agreement.Lease)}
+// RecordApplied takes down what an entry changed, once that is known to be applied: leases that it granted last from
+// now at the latest. responses are those that Apply returned for the entry.
+func (t *LeaderTerm) RecordApplied(ledger *Ledger, entry *LogEntry, responses []*LeaseResponse, now int64) {
+	for i, response := range responses {
+		if response != nil {
+			t.expirations[entry.Requests[i].Holder] = expiration{seq: response.Seq, expiresAt: t.leaseEnd(now)}
 		}
 	}
-	maps.DeleteFunc(r.expirations, func(name string, _ expiration) bool { return b.Holders[name] == nil })
-	for name, a := range b.Budgets {
-		rests := r.cooldowns[name]
-		if rests == nil {
-			rests = map[int64]int64{}
-			r.cooldowns[name] = rests
+	maps.DeleteFunc(t.expirations, func(name string, _ expiration) bool { return ledger.Holders[name] == nil })
+	for name, account := range ledger.Budgets {
+		t.recordCooldowns(name, account, now)
+	}
+}
+
+// recordCooldowns starts the cooldowns of a budget that are new, and forgets those that are over.
+func (t *LeaderTerm) recordCooldowns(name string, account *Account, now int64) {
+	cooldowns := t.cooldowns[name]
+	if cooldowns == nil {
+		cooldowns = map[int64]int64{}
+		t.cooldowns[name] = cooldowns
+	}
+	maps.DeleteFunc(cooldowns, func(number, _ int64) bool {
+		_, isCoolingDown := account.CoolingDown[number]
+		return !isCoolingDown
+	})
+	for number := range account.CoolingDown {
+		if _, known := cooldowns[number]; known {
+			continue
 		}
-		maps.DeleteFunc(rests, func(number, _ int64) bool { _, is := a.CoolingDown[number]; return !is })
-		for number := range a.CoolingDown {
-			if _, known := rests[number]; !known {
-				rests[number] = now + r.agreement.withMargin(r.agreement.limits(name).Window)
-				if number == foundingCooldown {
-					rests[number] += r.agreement.withMargin(r.agreement.Lease)
-				}
-			}
+		cooldowns[number] = now + t.agreement.withMargin(t.agreement.limits(name).Window)
+		if number == foundingCooldown {
+			cooldowns[number] += t.agreement.withMargin(t.agreement.Lease)
 		}
 	}
 }
 
-// DueExpirations is what has run out by now, as a step for the books; nil: nothing has.
-func (r *LeaderTerm) DueExpirations(now int64) *LogEntry {
-	e := &LogEntry{Epoch: r.Epoch, ReleasedAfterCooldown: map[string]int64{}}
-	for _, name := range slices.Sorted(maps.Keys(r.expirations)) {
-		if x := r.expirations[name]; now >= x.expiresAt {
-			e.Expired = append(e.Expired, Expiry{name, x.seq})
+// DueExpirations returns an entry with the leases and cooldowns that are over by now, nil if there are none.
+func (t *LeaderTerm) DueExpirations(now int64) *LogEntry {
+	entry := &LogEntry{Epoch: t.Epoch, ReleasedAfterCooldown: map[string]int64{}}
+	for _, name := range slices.Sorted(maps.Keys(t.expirations)) {
+		if x := t.expirations[name]; now >= x.expiresAt {
+			entry.Expired = append(entry.Expired, Expiry{Holder: name, Seq: x.seq})
 		}
 	}
-	for name, rests := range r.cooldowns {
-		// Rests are numbered in order, but one begun later may not be over when one before it still lasts.
-		upTo := int64(-1)
-		for _, number := range slices.Sorted(maps.Keys(rests)) {
-			if now < rests[number] {
-				break
-			}
-			upTo = number
-		}
-		if upTo >= 0 {
-			e.ReleasedAfterCooldown[name] = upTo
+	for name, cooldowns := range t.cooldowns {
+		if number, isOver := latestOver(cooldowns, now); isOver {
+			entry.ReleasedAfterCooldown[name] = number
 		}
 	}
-	if len(e.Expired) == 0 && len(e.ReleasedAfterCooldown) == 0 {
+	if len(entry.Expired) == 0 && len(entry.ReleasedAfterCooldown) == 0 {
 		return nil
 	}
-	return e
+	return entry
+}
+
+// latestOver returns the highest number up to which all cooldowns are over. They are numbered in order, but a later
+// one can be over before an earlier one: the founding cooldown lasts longer than others.
+func latestOver(cooldowns map[int64]int64, now int64) (number int64, isOver bool) {
+	for _, next := range slices.Sorted(maps.Keys(cooldowns)) {
+		if now < cooldowns[next] {
+			break
+		}
+		number, isOver = next, true
+	}
+	return number, isOver
 }
 
-// ObserveRequest notes what a request shows of the way to its node and back.
-func (r *LeaderTerm) ObserveRequest(a *LeaseRequest, now int64) {
-	if a.Epoch == r.Epoch && a.HasLease {
-		r.lastContact[a.Node] = now
+// ObserveRequest takes from a request whether its node had a response of this term.
+func (t *LeaderTerm) ObserveRequest(request *LeaseRequest, now int64) {
+	if request.Epoch == t.Epoch && request.HasLease {
+		t.lastContact[request.Node] = now
 	}
 }
 
-// Unreachable says that most of these nodes show no answer of this reign, though it has had two leases to reach them.
-// Danger: a link that lets one way through alone. The others' votes arrive and their requests do not, or its answers do
-// not: it stays elected, and nobody has a lease.
-func (r *LeaderTerm) Unreachable(nodes []string, now int64) bool {
+// Unreachable reports whether most of the nodes have shown no response of this term of late, though there were two
+// leases of time for that. Where messages get through in one direction only, a leader would stay elected by the
+// others' votes while no node has a lease.
+func (t *LeaderTerm) Unreachable(nodes []string, now int64) bool {
+	if now-t.startedAt < 2*t.agreement.Lease {
+		return false
+	}
 	reached := 0
-	for _, n := range nodes {
-		if at, is := r.lastContact[n]; is && now-at < r.agreement.Lease {
+	for _, node := range nodes {
+		if at, known := t.lastContact[node]; known && now-at < t.agreement.Lease {
 			reached++
 		}
 	}
-	return now-r.startedAt >= 2*r.agreement.Lease && 2*reached <= len(nodes)
+	return 2*reached <= len(nodes)
 }
--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -6,218 +6,239 @@
 	"cmp"
 	"fmt"
 	"maps"
-	"math"
 	"slices"
 )
 
-// Ledger are what was granted, the same at every seat. They change by Apply alone.
+const (
+	// foundingCooldown is the number of the cooldown that a ledger begins with. It lasts a lease longer than others.
+	foundingCooldown = 0
+	// maxFirstAttempts bounds what is believed of one node's first attempts in a window.
+	maxFirstAttempts = 1 << 24
+)
+
+// Ledger is what was granted. It is replicated: applying the same entries in the same order makes the same ledger at
+// every voter. Only Apply changes it.
 type Ledger struct {
 	Agreement Agreement           `json:"pact"`
-	ClusterID string              `json:"group"` // by chance, as the books were begun
-	Epoch     uint64              `json:"epoch"` // of the grantor that reigns
+	ClusterID string              `json:"group"` // a random one, from the first leader term
+	Epoch     uint64              `json:"epoch"` // of the current leader term
 	Budgets   map[string]*Account `json:"budgets"`
 	Holders   map[string]*Lease   `json:"holders"`
 }
 
-// Account is one budget as it stands.
+// Account is the state of one budget or partition, in units.
 type Account struct {
-	MaxTotal         int64           `json:"most"`    // of Whole, by the pact or operators
-	Total            int64           `json:"whole"`   // aimed at; more may be out while it is being lowered
-	Granted          int64           `json:"granted"` // in force or believed to be
-	CoolingDown      map[int64]int64 `json:"resting"` // units given back, by the number of their rest
-	CoolingDownTotal int64           `json:"pause"`   // of these, all together
-	LatestCooldown   int64           `json:"rested"`  // the latest of those numbers
+	// MaxTotal is the total by the agreement or by operators.
+	MaxTotal int64 `json:"most"`
+	// Total is what may be granted and used as floors. While it is being lowered more may be granted still.
+	Total   int64 `json:"whole"`
+	Granted int64 `json:"granted"` // by leases that are in force or have to be taken for that
+	// CoolingDown is what was given back and may still count at its former holder, by the number of the cooldown.
+	CoolingDown      map[int64]int64 `json:"resting"`
+	CoolingDownTotal int64           `json:"pause"`
+	LatestCooldown   int64           `json:"rested"` // the number of the latest cooldown
 }
 
-// Lease is what one process of a node has been granted.
+// Lease is what one process has been granted. Maps are by budget or partition.
 type Lease struct {
 	Node          string           `json:"node"`
 	Seq           uint64           `json:"seq"`   // of its latest request
-	FirstAttempts int64            `json:"first"` // as it told with that
+	FirstAttempts int64            `json:"first"` // by its latest request
 	Units         map[string]int64 `json:"units"`
 	Demand        map[string]int64 `json:"want"`
 }
 
-// foundingCooldown is the number of the rest with which books begin; it lasts a lease longer than others.
-const foundingCooldown = 0
+// StaleEpochError is returned for an entry of a leader term that is over.
+type StaleEpochError struct {
+	Epoch, Current uint64
+}
 
-// maxFirstAttempts bounds what is believed of one node's first postings in a window.
-const maxFirstAttempts = 1 << 24
+// Error implements error.
+func (e *StaleEpochError) Error() string {
+	return fmt.Sprintf("epoch %d is over, the current one is %d", e.Epoch, e.Current)
+}
 
-// NewLedger are empty; the first reign brings the pact.
+// NewLedger returns an empty ledger. The first leader term brings the agreement.
 func NewLedger() *Ledger {
 	return &Ledger{Budgets: map[string]*Account{}, Holders: map[string]*Lease{}}
 }
 
-// Apply takes a step, and gives the answer to each request in it, nil where that is not due one.
-func (b *Ledger) Apply(e *LogEntry) (answers []*LeaseResponse, err error) {
-	if e.NewTerm {
-		if e.Epoch <= b.Epoch {
-			return nil, fmt.Errorf("epoch %d has passed, %d reigns", e.Epoch, b.Epoch)
+// Apply applies one entry. It returns the response to each request in it, nil for those that were seen before.
+func (l *Ledger) Apply(entry *LogEntry) ([]*LeaseResponse, error) {
+	if entry.NewTerm {
+		return nil, l.beginTerm(entry)
+	}
+	// A leader that was stopped may go on with what it had decided after another term has begun.
+	if entry.Epoch != l.Epoch {
+		return nil, &StaleEpochError{Epoch: entry.Epoch, Current: l.Epoch}
+	}
+	l.setTotals(entry.Totals)
+	l.releaseCooldowns(entry.ReleasedAfterCooldown)
+	l.expire(entry.Expired)
+	responses := make([]*LeaseResponse, len(entry.Requests))
+	for i := range entry.Requests {
+		if l.recordRequest(&entry.Requests[i]) {
+			responses[i] = l.newResponse(entry.Requests[i].Seq)
 		}
-		if b.Epoch == 0 && e.Agreement != nil {
-			b.initialize(e.Agreement)
-			b.ClusterID = e.ClusterID
-		}
-		b.Epoch = e.Epoch
-		return nil, nil
 	}
-	// Danger: a grantor that was stopped goes on with what it had decided, after another one has reigned.
-	if e.Epoch != b.Epoch {
-		return nil, fmt.Errorf("epoch %d has passed, %d reigns", e.Epoch, b.Epoch)
+	l.adjustTotals()
+	for _, name := range slices.Sorted(maps.Keys(l.Budgets)) {
+		l.grant(name, entry.Requests, responses)
 	}
-	for budget, whole := range e.Totals {
-		if t, found := b.Agreement.Budgets[budget]; found && whole >= t.Floor*b.Agreement.MaxNodes+t.Reserve {
-			for _, name := range b.Agreement.PartitionNames(budget) {
-				b.Budgets[name].MaxTotal, b.Budgets[name].Total = whole, whole
-			}
-		}
+	return responses, nil
+}
+
+func (l *Ledger) beginTerm(entry *LogEntry) error {
+	if entry.Epoch <= l.Epoch {
+		return &StaleEpochError{Epoch: entry.Epoch, Current: l.Epoch}
 	}
-	for name, upTo := range e.ReleasedAfterCooldown {
-		if a := b.Budgets[name]; a != nil {
-			for number, units := range a.CoolingDown {
-				if number <= upTo {
-					a.CoolingDownTotal -= units
-					delete(a.CoolingDown, number)
-				}
-			}
-		}
+	if l.Epoch == 0 && entry.Agreement != nil {
+		l.initialize(entry.Agreement)
+		l.ClusterID = entry.ClusterID
 	}
-	for _, x := range e.Expired {
-		if h := b.Holders[x.Holder]; h != nil && h.Seq == x.Seq {
-			for name := range h.Units {
-				b.reduceUnits(h, name, 0)
+	l.Epoch = entry.Epoch
+	return nil
+}
+
+// initialize opens the accounts. All units begin in a cooldown: a cluster before this one, of which no voter has any
+// state left, may have granted them a moment ago.
+func (l *Ledger) initialize(agreement *Agreement) {
+	l.Agreement = *agreement
+	for budget, limits := range agreement.Budgets {
+		pool := limits.Total - limits.Floor*agreement.MaxNodes
+		for _, name := range agreement.PartitionNames(budget) {
+			l.Budgets[name] = &Account{
+				MaxTotal:         limits.Total,
+				Total:            limits.Total,
+				CoolingDown:      map[int64]int64{foundingCooldown: pool},
+				CoolingDownTotal: pool,
 			}
-			delete(b.Holders, x.Holder)
 		}
 	}
-	answers = make([]*LeaseResponse, len(e.Requests))
-	for i := range e.Requests {
-		if b.recordRequest(&e.Requests[i]) {
-			answers[i] = &LeaseResponse{ClusterID: b.ClusterID, Epoch: b.Epoch, Seq: e.Requests[i].Seq, Lease: b.Agreement.Lease, ActiveHolders: len(b.Holders), Units: map[string]int64{}, Target: map[string]int64{}, Totals: map[string]int64{}}
+}
+
+// setTotals takes operators' totals of budgets that exist, if they cover the floors and the reserve.
+func (l *Ledger) setTotals(totals map[string]int64) {
+	for budget, total := range totals {
+		limits, known := l.Agreement.Budgets[budget]
+		if !known || total < limits.minTotal(l.Agreement.MaxNodes) {
+			continue
+		}
+		for _, name := range l.Agreement.PartitionNames(budget) {
+			l.Budgets[name].MaxTotal = total
+			l.Budgets[name].Total = total
 		}
 	}
-	b.adjustTotals()
-	for _, name := range slices.Sorted(maps.Keys(b.Budgets)) {
-		b.grant(name, e.Requests, answers)
-	}
-	return answers, nil
 }
 
-// adjustTotals has wholes that are a share of first postings go up and down with them. A whole that falls waits for what is out.
-func (b *Ledger) adjustTotals() {
-	first := int64(0)
-	for _, h := range b.Holders {
-		first += h.FirstAttempts
-	}
-	for name, a := range b.Budgets {
-		if t := b.Agreement.limits(name); t.FirstAttemptRatio > 0 {
-			a.Total = max(min(int64(t.FirstAttemptRatio*float64(first)), a.MaxTotal), t.Floor*b.Agreement.MaxNodes+t.Reserve)
+// releaseCooldowns ends the cooldowns of each budget up to a number.
+func (l *Ledger) releaseCooldowns(released map[string]int64) {
+	for name, latest := range released {
+		account := l.Budgets[name]
+		if account == nil {
+			continue
+		}
+		for number, units := range account.CoolingDown {
+			if number <= latest {
+				account.CoolingDownTotal -= units
+				delete(account.CoolingDown, number)
+			}
 		}
 	}
 }
 
-func (b *Ledger) initialize(p *Agreement) {
-	b.Agreement = *p
-	for budget, t := range p.Budgets {
-		// Danger: a group before this one, of which no seat remembers anything, may have granted it all a moment ago.
-		pool := t.Total - t.Floor*p.MaxNodes
-		for _, name := range p.PartitionNames(budget) {
-			b.Budgets[name] = &Account{MaxTotal: t.Total, Total: t.Total, CoolingDown: map[int64]int64{foundingCooldown: pool}, CoolingDownTotal: pool}
+// expire ends leases, unless their holders have sent requests since.
+func (l *Ledger) expire(expired []Expiry) {
+	for _, expiry := range expired {
+		lease := l.Holders[expiry.Holder]
+		if lease == nil || lease.Seq != expiry.Seq {
+			continue
+		}
+		for name := range lease.Units {
+			l.reduceUnits(lease, name, 0)
 		}
+		delete(l.Holders, expiry.Holder)
 	}
 }
 
-// recordRequest takes down what a holder says of itself; false: it was heard before.
-// Danger: a request that comes twice or late. What it gave back then is in use again by now, and would be granted twice.
-func (b *Ledger) recordRequest(a *LeaseRequest) bool {
-	h := b.Holders[a.Holder]
-	if h == nil {
-		// Danger: a late request of a process whose lease has run out would have it hold again, for one lease at most.
-		h = &Lease{Node: a.Node, Units: map[string]int64{}}
-		b.Holders[a.Holder] = h
-	} else if a.Seq <= h.Seq {
+// recordRequest takes what a holder says of itself. It returns false for a request that arrived late or twice: what it
+// gave back may be in use elsewhere by now, and would be granted twice.
+func (l *Ledger) recordRequest(request *LeaseRequest) bool {
+	lease := l.Holders[request.Holder]
+	if lease == nil {
+		// A late request of a process whose lease has expired gets here too. It is granted units for one lease at most.
+		lease = &Lease{Node: request.Node, Units: map[string]int64{}}
+		l.Holders[request.Holder] = lease
+	} else if request.Seq <= lease.Seq {
 		return false
 	}
-	h.Seq, h.FirstAttempts, h.Demand = a.Seq, min(max(a.FirstAttempts, 0), maxFirstAttempts), map[string]int64{}
-	for name, account := range b.Budgets {
-		b.reduceUnits(h, name, max(a.MaxUnits[name], 0))
-		if want := min(max(a.Demand[name], 0), account.Total); want > 0 {
-			h.Demand[name] = want
+	lease.Seq = request.Seq
+	lease.FirstAttempts = min(max(request.FirstAttempts, 0), maxFirstAttempts)
+	lease.Demand = map[string]int64{}
+	for name, account := range l.Budgets {
+		l.reduceUnits(lease, name, max(request.MaxUnits[name], 0))
+		demand := min(max(request.Demand[name], 0), account.Total)
+		if demand > 0 {
+			lease.Demand[name] = demand
 		}
 	}
 	return true
 }
 
-// reduceUnits takes units from a holder that uses them no more, and lets them rest.
-// Danger: what was sent on them counts for a window still; granted at once, two would fill the same window.
-func (b *Ledger) reduceUnits(h *Lease, name string, to int64) {
-	if units := h.Units[name] - to; units > 0 {
-		a := b.Budgets[name]
-		// Danger: numbers given in the order of a map would differ from seat to seat.
-		a.LatestCooldown++
-		a.CoolingDown[a.LatestCooldown] = units
-		a.Granted, a.CoolingDownTotal, h.Units[name] = a.Granted-units, a.CoolingDownTotal+units, to
-	}
+// reduceUnits takes units that the holder uses no more from its lease. They cool down before they are granted again,
+// since what was sent on them still counts for a window, and a second holder would fill that window as well.
+func (l *Ledger) reduceUnits(lease *Lease, name string, remaining int64) {
+	units := lease.Units[name] - remaining
+	if units <= 0 {
+		return
+	}
+	// Each account numbers its own cooldowns. Numbers for all of them would depend on the order of a map, and differ
+	// from voter to voter.
+	account := l.Budgets[name]
+	account.LatestCooldown++
+	account.CoolingDown[account.LatestCooldown] = units
+	account.CoolingDownTotal += units
+	account.Granted -= units
+	lease.Units[name] = remaining
 }
 
-// grant gives those that ask what they want, as far as it is fair and free.
-func (b *Ledger) grant(name string, asks []LeaseRequest, answers []*LeaseResponse) {
-	a, t := b.Budgets[name], b.Agreement.limits(name)
-	pool := max(a.Total-t.Floor*b.Agreement.MaxNodes, 0)
-	level := b.fairLevel(name, max(pool-t.Reserve, 0))
-	for i := range asks {
-		if answers[i] == nil {
-			continue
-		}
-		h := b.Holders[asks[i].Holder]
-		has, free := h.Units[name], pool-a.Granted-a.CoolingDownTotal
-		if has > 0 {
-			free -= t.Reserve // is for those that come
-		}
-		target := min(h.Demand[name], max(level, t.Step))
-		switch {
-		case target > has && free > 0 && (target-has >= t.Step || has == 0 || target == h.Demand[name]):
-			more := min(target-has, free)
-			a.Granted, h.Units[name] = a.Granted+more, has+more
-			target = max(target, has+more)
-		// Danger: shares that swing with each breath of demand rest more than they are used.
-		case target < has && has-target < t.Step && h.Demand[name] > 0:
-			target = has
-		}
-		if h.Units[name] > 0 {
-			answers[i].Units[name], answers[i].Target[name] = h.Units[name], target
-		} else {
-			delete(h.Units, name)
-		}
-		answers[i].Totals[name] = a.Total
+func (l *Ledger) newResponse(seq uint64) *LeaseResponse {
+	return &LeaseResponse{
+		ClusterID:     l.ClusterID,
+		Epoch:         l.Epoch,
+		Seq:           seq,
+		Lease:         l.Agreement.Lease,
+		ActiveHolders: len(l.Holders),
+		Units:         map[string]int64{},
+		Target:        map[string]int64{},
+		Totals:        map[string]int64{},
 	}
 }
 
-// fairLevel is the most that anyone gets so that the sum of all wants, cut there, fits: max-min fairness.
-func (b *Ledger) fairLevel(name string, pool int64) int64 {
-	wants := make([]int64, 0, len(b.Holders))
-	for _, h := range b.Holders {
-		wants = append(wants, h.Demand[name])
+// adjustTotals has the totals that are a ratio of first attempts follow these.
+func (l *Ledger) adjustTotals() {
+	firstAttempts := int64(0)
+	for _, lease := range l.Holders {
+		firstAttempts += lease.FirstAttempts
 	}
-	slices.Sort(wants)
-	for i, want := range wants {
-		if each := pool / int64(len(wants)-i); want >= each {
-			return each
+	for name, account := range l.Budgets {
+		limits := l.Agreement.limits(name)
+		if limits.FirstAttemptRatio <= 0 {
+			continue
 		}
-		pool -= want
+		total := min(int64(limits.FirstAttemptRatio*float64(firstAttempts)), account.MaxTotal)
+		account.Total = max(total, limits.minTotal(l.Agreement.MaxNodes))
 	}
-	return math.MaxInt64 // all of it fits
 }
 
-// Outstanding is what holders may have in force of a budget at most, with all floors.
-func (b *Ledger) Outstanding(name string) int64 {
-	return b.Budgets[name].Granted + b.Agreement.limits(name).Floor*b.Agreement.MaxNodes
+// Outstanding returns the most units that may be in use of a budget: all leases and the floors of all nodes.
+func (l *Ledger) Outstanding(name string) int64 {
+	return l.Budgets[name].Granted + l.Agreement.limits(name).Floor*l.Agreement.MaxNodes
 }
 
-// HolderNames are the holders in order.
-func (b *Ledger) HolderNames() []string {
-	return slices.SortedFunc(maps.Keys(b.Holders), func(x, y string) int {
-		return cmp.Or(cmp.Compare(b.Holders[x].Node, b.Holders[y].Node), cmp.Compare(x, y))
+// HolderNames returns the holders, ordered by node and name.
+func (l *Ledger) HolderNames() []string {
+	return slices.SortedFunc(maps.Keys(l.Holders), func(x, y string) int {
+		return cmp.Or(cmp.Compare(l.Holders[x].Node, l.Holders[y].Node), cmp.Compare(x, y))
 	})
 }
--- a/internal/fleet/budget/messages.go
+++ b/internal/fleet/budget/messages.go
@@ -2,46 +2,56 @@
 
 package budget
 
-// LeaseRequest is a holder's request.
+// LeaseRequest is what a lease holder asks the leader for. It says what the holder holds and wants, not what changes,
+// so that it may be lost, or arrive late or twice. Maps are by budget or partition.
 type LeaseRequest struct {
-	Node          string           `json:"node"`
-	Holder        string           `json:"holder"` // the process
-	Seq           uint64           `json:"seq"`    // rises with each request
-	MaxUnits      map[string]int64 `json:"hold"`   // it uses no more than that from now on, until an answer to this very request
-	Demand        map[string]int64 `json:"want"`
-	FirstAttempts int64            `json:"first"`          // first postings that it sent in a window
-	HasLease      bool             `json:"leased"`         // it has a lease, and so has had an answer within that time
-	Epoch         uint64           `json:"epoch"`          // of the latest answer that it took
-	ClockRate     float64          `json:"rate,omitempty"` // of its clock by the seat's, where that is beyond the margin
+	Node   string `json:"node"`
+	Holder string `json:"holder"` // the process
+	Seq    uint64 `json:"seq"`    // rises with each request of the holder
+	// MaxUnits is the most that the holder uses from now on, until it has the response to this very request.
+	MaxUnits map[string]int64 `json:"hold"`
+	Demand   map[string]int64 `json:"want"` // what it could use
+	// FirstAttempts is how many first attempts it sent in a window.
+	FirstAttempts int64 `json:"first"`
+	// HasLease says that its lease is in force, so that it had a response within that time.
+	HasLease bool   `json:"leased"`
+	Epoch    uint64 `json:"epoch"` // of the latest response that it took
+	// ClockRate is the rate of its clock by the leader's, if that is beyond the margin.
+	ClockRate float64 `json:"rate,omitempty"`
 }
 
-// LeaseResponse is what becomes of a request: what the holder may use until the lease has run out, counted from when it sent it.
+// LeaseResponse is a lease. The holder may use it until it expires, counted from when the request was sent.
 type LeaseResponse struct {
-	ClusterID     string           `json:"group"` // epochs are counted in each
-	Epoch         uint64           `json:"epoch"`
-	Seq           uint64           `json:"seq"`
-	Lease         int64            `json:"lease"`
-	Units         map[string]int64 `json:"units"`
-	Target        map[string]int64 `json:"target"` // what it should come down to
-	Totals        map[string]int64 `json:"whole"`
-	ActiveHolders int              `json:"peers"` // processes that hold something or asked within a lease; a hint
-	LeaderTime    int64            `json:"at"`    // by the seat's clock, between the request's coming and the answer's going
+	ClusterID string           `json:"group"` // epochs of one cluster can be compared
+	Epoch     uint64           `json:"epoch"`
+	Seq       uint64           `json:"seq"`    // of the request
+	Lease     int64            `json:"lease"`  // how long it lasts, in nanoseconds
+	Units     map[string]int64 `json:"units"`  // that are granted
+	Target    map[string]int64 `json:"target"` // what the holder should come down to
+	Totals    map[string]int64 `json:"whole"`
+	// ActiveHolders is how many processes hold a lease. Holders use it as a hint alone.
+	ActiveHolders int `json:"peers"`
+	// LeaderTime is a time by the leader's clock between the request's arrival and the response's sending.
+	LeaderTime int64 `json:"at"`
 }
 
-// Expiry says that a holder's lease has run out, if it has not asked since.
+// Expiry says that a holder's lease has expired, unless it has sent a request since the one with Seq.
 type Expiry struct {
 	Holder string `json:"holder"`
 	Seq    uint64 `json:"seq"`
 }
 
-// LogEntry is one step of the books. All of it is taken, or nothing where the epoch is not the one that reigns.
+// LogEntry is one entry of the replicated log. The ledger applies all of it, or nothing if its epoch is not the
+// current one.
 type LogEntry struct {
-	Epoch                 uint64           `json:"epoch"`
-	NewTerm               bool             `json:"reign,omitempty"` // a grantor begins; its epoch is above all before it
-	Agreement             *Agreement       `json:"pact,omitempty"`  // with the first reign
-	ClusterID             string           `json:"group,omitempty"` // the same
-	Requests              []LeaseRequest   `json:"asks,omitempty"`
-	Expired               []Expiry         `json:"expired,omitempty"`
-	ReleasedAfterCooldown map[string]int64 `json:"rested,omitempty"` // by budget: all rests up to that number are over
-	Totals                map[string]int64 `json:"whole,omitempty"`  // by operators
+	Epoch     uint64         `json:"epoch"`
+	NewTerm   bool           `json:"reign,omitempty"` // a leader term begins; its epoch is above all before it
+	Agreement *Agreement     `json:"pact,omitempty"`  // with a new term; only the first one's is used
+	ClusterID string         `json:"group,omitempty"` // as Agreement
+	Requests  []LeaseRequest `json:"asks,omitempty"`
+	Expired   []Expiry       `json:"expired,omitempty"`
+	// ReleasedAfterCooldown ends the cooldowns up to a number, by budget.
+	ReleasedAfterCooldown map[string]int64 `json:"rested,omitempty"`
+	// Totals are operators' new totals, by budget.
+	Totals map[string]int64 `json:"whole,omitempty"`
 }
--- a/internal/fleet/budget/usage_meter.go
+++ b/internal/fleet/budget/usage_meter.go
@@ -4,50 +4,61 @@
 
 import "slices"
 
-// UsageMeter counts what one process sent in the latest window, by what it was sent to. Amounts are parts of units.
+// roundingTolerance is below any amount that counts. Sums of fractions are not exact.
+const roundingTolerance = 1e-9
+
+// UsageMeter counts what one process sent in the latest window, by key: a server, a tenant, or empty where a budget is
+// not counted by any. Amounts are units or fractions of them.
 type UsageMeter struct {
-	window     int64
+	window     int64 // nanoseconds
 	usages     map[string][]*Usage
-	rejections int64 // refused since it was last asked
-	peak       float64
+	rejections int     // since PeakDemand was called last
+	peak       float64 // the same
 }
 
-// Usage is one sending, from the decision on.
+// Usage is one send, from its reservation on.
 type Usage struct {
 	key    string
 	amount float64
-	sentAt int64 // 0: not yet
+	sentAt int64 // 0: not sent yet
 }
 
-// NewUsageMeter counts over the window of the budget, by the pact's margin longer: this node's clock may be fast.
-func NewUsageMeter(pact *Agreement, budget string) *UsageMeter {
-	return &UsageMeter{window: pact.withMargin(pact.limits(budget).Window), usages: map[string][]*Usage{}}
+// Key returns what the usage is counted by.
+func (u *Usage) Key() string { return u.key }
+
+// NewUsageMeter returns a meter over a budget's window, longer by the clock margin as this node's clock may be fast.
+func NewUsageMeter(agreement *Agreement, budget string) *UsageMeter {
+	window := agreement.withMargin(agreement.limits(budget).Window)
+	return &UsageMeter{window: window, usages: map[string][]*Usage{}}
 }
 
-// Used is what counts now.
-func (m *UsageMeter) Used(key string, now int64) (sum float64) {
-	uses := m.usages[key]
-	if len(uses) == 0 {
+// Used returns what counts for a key now: what was reserved, and what was sent within the window.
+func (m *UsageMeter) Used(key string, now int64) float64 {
+	if len(m.usages[key]) == 0 {
 		return 0
 	}
-	uses = slices.DeleteFunc(uses, func(u *Usage) bool { return u.sentAt != 0 && now-u.sentAt >= m.window })
-	if m.usages[key] = uses; len(uses) == 0 {
-		delete(m.usages, key)
-	}
-	for _, u := range uses {
+	m.remove(key, func(u *Usage) bool { return u.sentAt != 0 && now-u.sentAt >= m.window })
+	sum := 0.0
+	for _, u := range m.usages[key] {
 		sum += u.amount
 	}
 	return sum
 }
 
-// roundingTolerance is under any unit that counts; sums of parts are not exact.
-const roundingTolerance = 1e-9
+// remove drops the usages of a key that a condition holds for.
+func (m *UsageMeter) remove(key string, condition func(*Usage) bool) {
+	m.usages[key] = slices.DeleteFunc(m.usages[key], condition)
+	if len(m.usages[key]) == 0 {
+		delete(m.usages, key)
+	}
+}
 
-// Reserve takes room for a sending that was decided on; nil: there is none. What counts is the sending.
-func (m *UsageMeter) Reserve(key string, amount float64, have int64, now int64) *Usage {
+// Reserve reserves an amount for a send, given the units that the process may use now. It returns nil if they don't
+// suffice.
+func (m *UsageMeter) Reserve(key string, amount float64, units int64, now int64) *Usage {
 	used := m.Used(key, now)
 	m.peak = max(m.peak, used+amount)
-	if used+amount > float64(have)+roundingTolerance {
+	if used+amount > float64(units)+roundingTolerance {
 		m.rejections++
 		return nil
 	}
@@ -56,61 +67,56 @@
 	return u
 }
 
-// RecordRejected notes that more could have been used, though nothing was tried.
+// RecordRejected counts that an amount more could have been used, though none was tried to be reserved.
 func (m *UsageMeter) RecordRejected(key string, amount float64, now int64) {
 	m.rejections++
 	m.peak = max(m.peak, m.Used(key, now)+amount)
 }
 
-// Send says whether what was reserved may go out at this moment; the window counts from it.
-// Danger: the process was stopped since it decided, and its lease ran out, or came down.
-func (m *UsageMeter) Send(u *Usage, have int64, now int64) bool {
-	if m.Used(u.key, now) > float64(have)+roundingTolerance {
+// Send reports whether a reserved amount may be sent at this moment, given the units that the process may use now. The
+// process may have been stopped since it reserved, so that its lease expired or was reduced. The window counts from
+// here.
+func (m *UsageMeter) Send(u *Usage, units int64, now int64) bool {
+	if m.Used(u.key, now) > float64(units)+roundingTolerance {
 		return false
 	}
 	u.sentAt = now
 	return true
 }
 
-// Record counts a sending that needs no room.
+// Record counts a send that was not reserved.
 func (m *UsageMeter) Record(key string, amount float64, now int64) {
-	m.usages[key] = append(m.usages[key], &Usage{key, amount, now})
+	m.usages[key] = append(m.usages[key], &Usage{key: key, amount: amount, sentAt: now})
 }
 
-// Cancel gives room back for what never left. What was sent counts for its window.
+// Cancel gives back what was reserved and not sent. What was sent counts until its window is over.
 func (m *UsageMeter) Cancel(u *Usage) {
-	if u.sentAt != 0 {
-		return
+	if u.sentAt == 0 {
+		m.Release(u)
 	}
-	m.Release(u)
 }
 
-// Release gives room back for what is known to have ended, of a budget that counts what is out: a unit is in use until then, or for
-// the window, which nothing outlasts, where the end is never heard of.
+// Release gives back what is known to have ended, for a budget that counts what is in flight. Where the end is never
+// learned of, a usage counts for the window, which nothing in flight outlasts.
 func (m *UsageMeter) Release(u *Usage) {
-	m.usages[u.key] = slices.DeleteFunc(m.usages[u.key], func(x *Usage) bool { return x == u })
-	if len(m.usages[u.key]) == 0 {
-		delete(m.usages, u.key)
-	}
+	m.remove(u.key, func(other *Usage) bool { return other == u })
 }
 
-// PeakDemand is the most that was used or asked for by any one key since the last call, and whether some was refused.
-func (m *UsageMeter) PeakDemand(now int64) (peak float64, refused bool) {
-	for key := range m.usages {
-		m.peak = max(m.peak, m.Used(key, now))
-	}
-	peak, refused = m.peak, m.rejections > 0
-	m.peak, m.rejections = 0, 0
-	return peak, refused
+// PeakDemand returns the most that was used or asked for by any one key since the last call, and whether some was
+// rejected.
+func (m *UsageMeter) PeakDemand(now int64) (peak float64, rejected bool) {
+	peak = max(m.peak, m.Peak(now))
+	rejected = m.rejections > 0
+	m.peak = 0
+	m.rejections = 0
+	return peak, rejected
 }
 
-// Key is what a sending goes to.
-func (u *Usage) Key() string { return u.key }
-
-// Peak is the most that counts now for any one key.
-func (m *UsageMeter) Peak(now int64) (most float64) {
+// Peak returns the most that counts now for any one key.
+func (m *UsageMeter) Peak(now int64) float64 {
+	peak := 0.0
 	for key := range m.usages {
-		most = max(most, m.Used(key, now))
+		peak = max(peak, m.Used(key, now))
 	}
-	return most
+	return peak
 }
