--- a/internal/fleet/signals/report.go
+++ b/internal/fleet/signals/report.go
@@ -8,91 +8,115 @@
 	"slices"
 )
 
-// OutcomeCount is what a node saw of one executor of late: jobs that were answered or failed, and those that failed.
-type OutcomeCount struct {
-	Attempts  float64 `json:"t"`
-	Failures  float64 `json:"f"`
-	updatedAt int64
-}
-
-func (c *OutcomeCount) decay(now int64) *OutcomeCount {
-	f := math.Exp(-float64(max(now-c.updatedAt, 0)) / fadeNanos)
-	c.Attempts, c.Failures, c.updatedAt = c.Attempts*f, c.Failures*f, now
-	return c
-}
+const (
+	// maxReportedServers bounds how many servers a report names.
+	maxReportedServers = 24
+	// maxAttempts bounds what is believed of one node's attempts at one server.
+	maxAttempts = 1e6
+	// reportPrecision is by what counts in reports are rounded, as parts of one attempt.
+	reportPrecision = 100
+)
 
-// Report is what one node tells: how its counts stand, not what changed. So it may come late, twice and in any order: the
-// latest of a node holds.
+// Report is what one node tells the others: how its counts stand, not what changed. So reports may arrive late, twice
+// and in any order; the latest of a node is what counts. Keys are short since gossip's packets are small.
 type Report struct {
 	Node        string                  `json:"n"`
 	Zone        string                  `json:"z"`
-	Incarnation int64                   `json:"l"` // of its process: a later one has a larger number
-	Seq         uint64                  `json:"s"`
-	Outcomes    map[string]OutcomeCount `json:"e"` // by executor
+	Incarnation int64                   `json:"l"` // of the process: a later one has a larger number
+	Seq         uint64                  `json:"s"` // rises with each report of the process
+	Outcomes    map[string]OutcomeCount `json:"e"` // by server
 }
 
-// NextReport gives what the others should know: executors that failed this node of late, worst first, those that another says so of and that
-// this node saw too, and those that were told of before, so many at most; nil: nothing. Calm fleets are silent.
-func (b *OutlierTracker) NextReport(now int64, most int) *Report {
-	// Danger: each executor looked up at each of some hundred witnesses, several times a second.
-	var names []string
-	doubted := map[string]bool{}
-	for _, w := range b.witnesses {
-		for name, s := range w.outcomes {
-			doubted[name] = doubted[name] || s.decay(now).Failures > negligible
-		}
-	}
-	for name, c := range b.own.outcomes {
-		if c.decay(now); c.Attempts >= negligible && (c.Failures >= negligible || doubted[name] || b.reported[name]) {
-			names = append(names, name)
-		}
+// isAfter reports whether r was sent after another report of the same node.
+func (r *Report) isAfter(other *Report) bool {
+	if r.Incarnation != other.Incarnation {
+		return r.Incarnation > other.Incarnation
 	}
+	return r.Seq > other.Seq
+}
+
+// NextReport returns this node's report on at most so many servers, those with the most failures first; nil if there
+// is nothing to report, as in a fleet without failures.
+//
+// It names the servers that failed this node lately, and those that it saw succeed if another node saw them fail, or
+// if its report before named them.
+func (t *OutlierTracker) NextReport(now int64, maxServers int) *Report {
+	names := t.serversToReport(now)
+	clear(t.reported)
 	if len(names) == 0 {
-		clear(b.reported)
 		return nil
 	}
+	own := t.own.outcomes
 	slices.SortFunc(names, func(x, y string) int {
-		return cmp.Or(cmp.Compare(b.own.outcomes[y].Failures, b.own.outcomes[x].Failures), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(own[y].Failures, own[x].Failures), cmp.Compare(x, y))
 	})
-	b.own.Seq++
-	n := b.own.Report
-	n.Outcomes = map[string]OutcomeCount{}
-	clear(b.reported)
-	for _, name := range names[:min(len(names), most, maxReportedServers)] {
-		c := b.own.outcomes[name]
-		n.Outcomes[name] = OutcomeCount{Attempts: math.Round(c.Attempts*100) / 100, Failures: math.Round(c.Failures*100) / 100}
-		b.reported[name] = true
+	t.own.Seq++
+	report := t.own.Report
+	report.Outcomes = map[string]OutcomeCount{}
+	for _, name := range names[:min(len(names), maxServers, maxReportedServers)] {
+		report.Outcomes[name] = OutcomeCount{
+			Attempts: math.Round(own[name].Attempts*reportPrecision) / reportPrecision,
+			Failures: math.Round(own[name].Failures*reportPrecision) / reportPrecision,
+		}
+		t.reported[name] = true
 	}
-	return &n
+	return &report
 }
 
-// MergeReport takes another's news; listed says which executors there are. False: it was not taken, or told nothing new.
-// Danger: news of another node's past, or without bound.
-func (b *OutlierTracker) MergeReport(n *Report, listed func(string) bool, now int64) bool {
-	if n.Node == b.own.Node {
-		return false // its own, come back
+func (t *OutlierTracker) serversToReport(now int64) []string {
+	// All witnesses are gone through once. To look each server up at each of some hundred witnesses, several times a
+	// second, would take much longer.
+	failedElsewhere := map[string]bool{}
+	for _, w := range t.witnesses {
+		for name, count := range w.outcomes {
+			count.decay(now)
+			if count.Failures > negligible {
+				failedElsewhere[name] = true
+			}
+		}
+	}
+	var names []string
+	for name, count := range t.own.outcomes {
+		count.decay(now)
+		isOfInterest := count.Failures >= negligible || failedElsewhere[name] || t.reported[name]
+		if count.Attempts >= negligible && isOfInterest {
+			names = append(names, name)
+		}
 	}
-	if n.Node == "" || len(n.Outcomes) > maxReportedServers {
-		b.RejectedReports++
+	return names
+}
+
+// MergeReport takes a report of another node. listed reports which servers there are. It returns false if the report
+// is not valid or says nothing new.
+func (t *OutlierTracker) MergeReport(report *Report, listed func(string) bool, now int64) bool {
+	if report.Node == t.own.Node {
+		return false // this node's own, sent back by others
+	}
+	if report.Node == "" || len(report.Outcomes) > maxReportedServers {
+		t.RejectedReports++
 		return false
 	}
-	w := b.witnesses[n.Node]
-	if w != nil && (n.Incarnation < w.Incarnation || n.Incarnation == w.Incarnation && n.Seq <= w.Seq) {
+	before := t.witnesses[report.Node]
+	if before != nil && !report.isAfter(&before.Report) {
 		return false
 	}
-	was := map[string]*OutcomeCount{}
-	if w != nil && w.Incarnation == n.Incarnation {
-		was = w.outcomes // what it does not tell of any more fades
+	w := &witness{Report: *report, outcomes: map[string]*OutcomeCount{}}
+	if before != nil && before.Incarnation == report.Incarnation {
+		w.outcomes = before.outcomes // servers that the report does not name any more fade
 	}
-	w = &witness{*n, was}
-	b.witnesses[n.Node] = w
-	for name, c := range n.Outcomes {
-		if !(c.Failures >= 0 && c.Failures <= c.Attempts && c.Attempts <= maxAttempts) || !listed(name) {
-			b.RejectedReports++
+	t.witnesses[report.Node] = w
+	for name, count := range report.Outcomes {
+		if !count.isValid() || !listed(name) {
+			t.RejectedReports++
 			continue
 		}
-		w.outcomes[name] = &OutcomeCount{c.Attempts, c.Failures, now}
+		w.outcomes[name] = &OutcomeCount{Attempts: count.Attempts, Failures: count.Failures, updatedAt: now}
 	}
 	w.prune(now)
 	return true
 }
+
+// isValid reports whether a count of a report can be true. It is false for counts that are not a number.
+func (c OutcomeCount) isValid() bool {
+	return c.Failures >= 0 && c.Failures <= c.Attempts && c.Attempts <= maxAttempts
+}
--- a/internal/fleet/signals/tracker.go
+++ b/internal/fleet/signals/tracker.go
@@ -1,75 +1,108 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package signals adds up what many nodes saw of executors of late, so that what many see together reaches a node that saw nothing,
-// and nobody is condemned by one witness. It is free of I/O and of clocks. docs/fleet.md says what is promised.
+// Package signals detects outlier servers from what many nodes saw of them lately. What many saw together reaches a
+// node that saw nothing, and no single witness can have a server ejected. The package does no I/O and reads no clock:
+// callers pass the time in nanoseconds. docs/fleet.md lists what it promises.
 package signals
 
 import (
 	"cmp"
+	"math"
 	"slices"
 )
 
 const (
-	// fadeNanos is the time constant, in ns, by which what was seen counts less; some times what news takes to get about.
+	// fadeNanos is the time constant, in nanoseconds, by which outcomes lose their weight: some times what a report
+	// takes to reach all nodes.
 	fadeNanos = 5e9
-	// historyWeight is what a job leaves of those before it. Danger: what went well for long hides that it fails now, and as nobody sends
-	// there any more it stays hidden.
+	// historyWeight is what an attempt leaves of the weight of those before it. With more of it the many successes of
+	// before would hide that a server fails now, and for good, as nobody sends there any more.
 	historyWeight = 0.3
-	// fullWeightAttempts is how many jobs of late make a witness count in full.
-	fullWeightAttempts = 1
-	// majority of voices, from which an executor counts as bad at all, and in full from a fifth more; also the share of a witness's
-	// own jobs that makes its voice one of these.
-	majority = 0.5
-	// maxReportedServers bounds what one piece of news holds, and mostKept what is kept of one witness: no list is known to be longer.
-	maxReportedServers, maxTrackedServers = 24, 4096
-	// maxAttempts bounds what is believed of one node's jobs at one executor.
-	maxAttempts = 1e6
-	// negligible is what has faded away.
+	// maxTrackedServers bounds what is kept of one witness. No endpoint list is known to be longer.
+	maxTrackedServers = 4096
+	// negligible is the weight below which outcomes have faded away.
 	negligible = 0.05
+	// minQuorum is the smallest quorum: no witness decides by itself.
+	minQuorum = 2
 )
 
-// OutlierTracker is what one node knows.
+// OutcomeCount is what a node saw of one server lately, in attempts that fade with time.
+type OutcomeCount struct {
+	Attempts  float64 `json:"t"` // that succeeded or failed
+	Failures  float64 `json:"f"`
+	updatedAt int64
+}
+
+// decay lets the counts fade up to now.
+func (c *OutcomeCount) decay(now int64) {
+	factor := math.Exp(-float64(max(now-c.updatedAt, 0)) / fadeNanos)
+	c.Attempts *= factor
+	c.Failures *= factor
+	c.updatedAt = now
+}
+
+// record adds one attempt.
+func (c *OutcomeCount) record(failed bool, now int64) {
+	c.decay(now)
+	c.Attempts = c.Attempts*historyWeight + 1
+	c.Failures *= historyWeight
+	if failed {
+		c.Failures++
+	}
+}
+
+// OutlierTracker is what one node knows of the outcomes at servers, its own and those that others report. It is not
+// safe for use by several goroutines at once.
 type OutlierTracker struct {
-	quorum          float64
-	own             witness
-	witnesses       map[string]*witness
-	reported        map[string]bool // of these the others were told something bad
-	RejectedReports int64           // news, or parts of it, that were not taken
+	// RejectedReports counts reports, or parts of them, that were not valid.
+	RejectedReports int64
+
+	quorum    float64
+	own       witness
+	witnesses map[string]*witness // the other nodes, by name
+	reported  map[string]bool     // servers in this node's latest report
 }
 
+// witness is what one node saw.
 type witness struct {
-	Report
+	Report   // the latest
 	outcomes map[string]*OutcomeCount
 }
 
-// New begins with nothing seen. Quorum is how many witnesses it takes to shut an executor out, two at least; where there is
-// more than one zone they are of two at least.
+// New returns a tracker that knows of no outcomes. incarnation rises with each process of the node. quorum is how many
+// witnesses it takes to have a server ejected, at least two; where nodes are in several zones no zone makes up more
+// than half of it.
 func New(node, zone string, incarnation int64, quorum int) *OutlierTracker {
-	return &OutlierTracker{quorum: float64(max(quorum, 2)), own: witness{Report{Node: node, Zone: zone, Incarnation: incarnation}, map[string]*OutcomeCount{}},
-		witnesses: map[string]*witness{}, reported: map[string]bool{}}
+	return &OutlierTracker{
+		quorum: float64(max(quorum, minQuorum)),
+		own: witness{
+			Report:   Report{Node: node, Zone: zone, Incarnation: incarnation},
+			outcomes: map[string]*OutcomeCount{},
+		},
+		witnesses: map[string]*witness{},
+		reported:  map[string]bool{},
+	}
 }
 
-// RecordOutcome notes how a job of this node's ended.
-func (b *OutlierTracker) RecordOutcome(executor string, failed bool, now int64) {
-	c := b.own.outcomes[executor]
-	if c == nil {
-		if len(b.own.outcomes) >= maxTrackedServers {
-			b.own.prune(now)
+// RecordOutcome counts an attempt of this node.
+func (t *OutlierTracker) RecordOutcome(server string, failed bool, now int64) {
+	count := t.own.outcomes[server]
+	if count == nil {
+		if len(t.own.outcomes) >= maxTrackedServers {
+			t.own.prune(now)
 		}
-		c = &OutcomeCount{updatedAt: now}
-		b.own.outcomes[executor] = c
-	}
-	c.decay(now)
-	if c.Attempts, c.Failures = c.Attempts*historyWeight+1, c.Failures*historyWeight; failed {
-		c.Failures++
+		count = &OutcomeCount{updatedAt: now}
+		t.own.outcomes[server] = count
 	}
+	count.record(failed, now)
 }
 
-// prune forgets what has faded, and the least of the rest if that is too much.
+// prune forgets what has faded, and if too much is left those servers with the fewest attempts.
 func (w *witness) prune(now int64) {
 	names := make([]string, 0, len(w.outcomes))
-	for name, c := range w.outcomes {
-		if c.decay(now).Attempts < negligible {
+	for name, count := range w.outcomes {
+		count.decay(now)
+		if count.Attempts < negligible {
 			delete(w.outcomes, name)
 		} else {
 			names = append(names, name)
@@ -83,12 +116,12 @@
 	}
 }
 
-// RemoveWitness forgets a witness that has gone.
-func (b *OutlierTracker) RemoveWitness(node string) { delete(b.witnesses, node) }
+// RemoveWitness forgets what a node saw.
+func (t *OutlierTracker) RemoveWitness(node string) { delete(t.witnesses, node) }
 
-// RetainServers forgets executors that are not listed any more.
-func (b *OutlierTracker) RetainServers(listed func(string) bool) {
-	for _, w := range append(b.sortedWitnesses(), &b.own) {
+// RetainServers forgets servers that are no longer listed.
+func (t *OutlierTracker) RetainServers(listed func(string) bool) {
+	for _, w := range t.allWitnesses() {
 		for name := range w.outcomes {
 			if !listed(name) {
 				delete(w.outcomes, name)
@@ -96,3 +129,14 @@
 		}
 	}
 }
+
+// allWitnesses returns the other nodes in order of their names, and this one last. Sums of fractions depend on their
+// order.
+func (t *OutlierTracker) allWitnesses() []*witness {
+	all := make([]*witness, 0, len(t.witnesses)+1)
+	for _, w := range t.witnesses {
+		all = append(all, w)
+	}
+	slices.SortFunc(all, func(x, y *witness) int { return cmp.Compare(x.Node, y.Node) })
+	return append(all, &t.own)
+}
