--- a/internal/fleet/subset/divide.go
+++ b/internal/fleet/subset/divide.go
@@ -8,132 +8,213 @@
 	"slices"
 )
 
-// pair is a node and an executor by their places, in order of a number by chance that all nodes know.
+// pair is a node and a server by their indexes. The hash, which all nodes know, puts pairs into an order.
 type pair struct {
 	hash         uint64
 	node, server int
 }
 
-// divide has each node take so many executors of one class, or a few more. First every executor gets the least of nodes that it is
-// to have, then nodes take what they lack, up to the most of each executor, both in one order of pairs by chance. Without the first
-// round a fifth more pairs move.
+// bounds are how many nodes are to use each server at least and at most, by index.
+type bounds struct{ least, most []int }
+
+// classDivider assigns the servers of one class to nodes.
+type classDivider struct {
+	servers  []Server
+	perNode  int // servers that a node takes
+	bounds   bounds
+	pairs    []pair // in order
+	assigned [][]bool
+	used     []int // nodes by server
+	taken    []int // servers by node
+}
+
+// assignClass has each node take perNode servers of one class, or a few more. minNodes is by how many nodes each
+// server is used at least.
 //
-// Danger: an order by places, or by turns, moves nearly all when one node comes. Here a pair depends on its own number, and on others
-// only as far as bounds are met.
-func divide(nodes []string, members []Server, each, cover int) (table [][]bool, took int) {
-	var pairs []pair
-	marks := make([]uint64, len(members))
-	for i, e := range members {
-		marks[i] = nameHash(e.Name)
-	}
-	for n, name := range nodes {
-		m := nameHash(name)
-		for i := range members {
-			pairs = append(pairs, pair{pairHash(m, marks[i]), n, i})
+// All steps go through the pairs in one order by hash, so that a pair depends on other nodes and servers only as far
+// as bounds are met. An order by index, or by turns, would move nearly all pairs when one node joins.
+func assignClass(nodes []string, servers []Server, perNode, minNodes int) classAssignment {
+	hashes := make([]uint64, len(servers))
+	for i, server := range servers {
+		hashes[i] = nameHash(server.Name)
+	}
+	b := newBounds(servers, hashes, perNode, len(nodes), minNodes)
+	// Beside large servers, the nodes that small ones need for minNodes may be more than all nodes take otherwise.
+	for perNode < len(servers) && sum(b.least) > len(nodes)*perNode {
+		perNode++
+		b = newBounds(servers, hashes, perNode, len(nodes), minNodes)
+	}
+	d := &classDivider{
+		servers:  servers,
+		perNode:  perNode,
+		bounds:   b,
+		pairs:    orderedPairs(nodes, hashes),
+		assigned: make([][]bool, len(nodes)),
+		used:     make([]int, len(servers)),
+		taken:    make([]int, len(nodes)),
+	}
+	for node := range d.assigned {
+		d.assigned[node] = make([]bool, len(servers))
+	}
+	// Without the first round a fifth more pairs move when a node joins.
+	d.fill(b.least)
+	d.fill(b.most)
+	d.exchange()
+	d.complete()
+	return classAssignment{servers: servers, serversPerNode: perNode, assigned: d.assigned}
+}
+
+func orderedPairs(nodes []string, serverHashes []uint64) []pair {
+	pairs := make([]pair, 0, len(nodes)*len(serverHashes))
+	for node, name := range nodes {
+		nodeHash := nameHash(name)
+		for server, serverHash := range serverHashes {
+			pairs = append(pairs, pair{hash: pairHash(nodeHash, serverHash), node: node, server: server})
 		}
 	}
-	slices.SortFunc(pairs, func(a, b pair) int {
-		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.node, b.node), cmp.Compare(a.server, b.server))
+	slices.SortFunc(pairs, func(x, y pair) int {
+		return cmp.Or(cmp.Compare(x.hash, y.hash), cmp.Compare(x.node, y.node), cmp.Compare(x.server, y.server))
 	})
-	least, most := bounds(members, marks, len(nodes)*each, len(nodes), cover)
-	// Danger: beside large ones the small ones' cover is more than all nodes would take.
-	for each < len(members) && sum(least) > len(nodes)*each {
-		each++
-		least, most = bounds(members, marks, len(nodes)*each, len(nodes), cover)
-	}
-	table = make([][]bool, len(nodes))
-	has, used := make([]int, len(nodes)), make([]int, len(members))
-	for n := range table {
-		table[n] = make([]bool, len(members))
-	}
-	take := func(p pair, by int) {
-		if by < 0 == table[p.node][p.server] {
-			table[p.node][p.server] = by > 0
-			has[p.node], used[p.server] = has[p.node]+by, used[p.server]+by
-		}
+	return pairs
+}
+
+func (d *classDivider) add(node, server int) {
+	if d.assigned[node][server] {
+		return
 	}
-	for _, bound := range [][]int{least, most} {
-		for _, p := range pairs {
-			if has[p.node] < each && used[p.server] < bound[p.server] {
-				take(p, 1)
-			}
+	d.assigned[node][server] = true
+	d.taken[node]++
+	d.used[server]++
+}
+
+func (d *classDivider) remove(node, server int) {
+	if !d.assigned[node][server] {
+		return
+	}
+	d.assigned[node][server] = false
+	d.taken[node]--
+	d.used[server]--
+}
+
+// fill adds pairs up to what nodes take and up to a bound of each server.
+func (d *classDivider) fill(bound []int) {
+	for _, p := range d.pairs {
+		if d.taken[p.node] < d.perNode && d.used[p.server] < bound[p.server] {
+			d.add(p.node, p.server)
 		}
 	}
-	// Danger: what is left over by bounds that can't all be met, an executor that nobody uses among them.
-	for _, p := range pairs {
-		if used[p.server] >= least[p.server] || table[p.node][p.server] {
+}
+
+// exchange gives servers below their least bound to nodes that take enough already, in place of a server that has
+// nodes to spare. Bounds that can't all be met would otherwise leave servers that no node uses.
+func (d *classDivider) exchange() {
+	for _, p := range d.pairs {
+		if d.used[p.server] >= d.bounds.least[p.server] || d.assigned[p.node][p.server] {
 			continue
 		}
-		give := -1
-		for i := range members {
-			if table[p.node][i] && used[i] > least[i] && (give < 0 || used[i]-least[i] > used[give]-least[give]) {
-				give = i
-			}
-		}
-		if has[p.node] >= each {
-			if give < 0 {
+		if d.taken[p.node] >= d.perNode {
+			spare, found := d.mostSpare(p.node)
+			if !found {
 				continue
 			}
-			take(pair{0, p.node, give}, -1)
+			d.remove(p.node, spare)
 		}
-		take(p, 1)
+		d.add(p.node, p.server)
 	}
-	for _, p := range pairs {
-		if used[p.server] < least[p.server] {
-			take(p, 1) // one more than the others take
+}
+
+// mostSpare returns which of a node's servers exceeds its least bound by the most.
+func (d *classDivider) mostSpare(node int) (server int, found bool) {
+	most := 0
+	for i := range d.servers {
+		spare := d.used[i] - d.bounds.least[i]
+		if d.assigned[node][i] && spare > most {
+			server, most, found = i, spare, true
 		}
 	}
-	return table, each
+	return server, found
 }
 
-func sum(of []int) (all int) {
-	for _, n := range of {
-		all += n
+// complete adds pairs until each server is used by its least number of nodes, some of which then take more than the
+// others.
+func (d *classDivider) complete() {
+	for _, p := range d.pairs {
+		if d.used[p.server] < d.bounds.least[p.server] {
+			d.add(p.node, p.server)
+		}
 	}
-	return all
 }
 
-// bounds are the least and the most of nodes that are to use each executor, of so many uses in all.
-func bounds(members []Server, marks []uint64, uses, nodes, cover int) (least, most []int) {
-	all, known := 0.0, 0
-	for _, e := range members {
-		if e.Size > 0 {
-			all, known = all+e.Size, known+1
+func sum(values []int) int {
+	total := 0
+	for _, value := range values {
+		total += value
+	}
+	return total
+}
+
+// newBounds returns the bounds if each node takes perNode servers.
+func newBounds(servers []Server, hashes []uint64, perNode, nodes, minNodes int) bounds {
+	sizes := effectiveSizes(servers)
+	uses := float64(nodes * perNode)
+	var b bounds
+	for i, size := range sizes.each {
+		due := uses * size / sizes.total
+		// The bounds of each server step at another number of nodes. Bounds that all stepped at once would move a pair
+		// at every server when one node joins.
+		offset := float64(hashes[i]>>11) / (1 << 53) // the hash as a fraction from 0 to 1
+		least, most := int(due/BalanceFactor+offset), int(due*BalanceFactor+offset)
+		// A small server needs enough nodes as well: the few that are to use it may be wrong about who else is alive.
+		if least < minNodes {
+			least, most = minNodes, max(most, minNodes)
+		}
+		b.least = append(b.least, min(least, nodes))
+		b.most = append(b.most, min(most, nodes))
+	}
+	return b
+}
+
+// serverSizes are sizes of servers, with the mean in place of those that are not known.
+type serverSizes struct {
+	each  []float64
+	total float64
+}
+
+func effectiveSizes(servers []Server) serverSizes {
+	total, known := 0.0, 0
+	for _, server := range servers {
+		if server.Size > 0 {
+			total += server.Size
+			known++
 		}
 	}
 	mean := 1.0
 	if known > 0 {
-		mean = all / float64(known)
+		mean = total / float64(known)
 	}
-	all += mean * float64(len(members)-known)
-	for i, e := range members {
-		size := e.Size
-		if size <= 0 {
-			size = mean
-		}
-		due := float64(uses) * size / all
-		// Danger: bounds that all step at one number of nodes move a pair at each executor at once.
-		chance := float64(marks[i]>>11) / (1 << 53)
-		low, high := int(due/BalanceFactor+chance), int(due*BalanceFactor+chance)
-		// Danger: a small one that nobody uses, as the few that are to are wrong about who is there.
-		if low < cover {
-			low, high = cover, max(high, cover)
+	sizes := serverSizes{total: total + mean*float64(len(servers)-known)}
+	for _, server := range servers {
+		if server.Size > 0 {
+			sizes.each = append(sizes.each, server.Size)
+		} else {
+			sizes.each = append(sizes.each, mean)
 		}
-		least, most = append(least, min(low, nodes)), append(most, min(high, nodes))
 	}
-	return least, most
+	return sizes
 }
 
+// nameHash returns a number for a node or server that depends on its name alone.
 func nameHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
-	x := h.Sum64() // its last bytes are hardly mixed into the first bits
+	x := h.Sum64()
+	// FNV hardly mixes the last bytes into the highest bits, which decide the order.
 	return (x ^ x>>33) * 0xff51afd7ed558ccd
 }
 
-// pairHash is a number by chance of a pair of marks.
-func pairHash(a, b uint64) uint64 {
-	x := a ^ (b<<32 | b>>32)
+// pairHash returns a number for the pair of a node and a server, given the hashes of their names.
+func pairHash(node, server uint64) uint64 {
+	x := node ^ (server<<32 | server>>32)
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 	return x ^ x>>33
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package subset says which executors a node is to use, so that each is used by about as many nodes as the next, and few
-// connections are held in all. It is free of I/O: from the same names every node works out the same, and nodes that see other names
-// work out nearly the same. docs/fleet.md says what is promised.
+// Package subset assigns to each node the servers that it is to use, so that servers of one size are used by about as
+// many nodes each, and few connections are held in all. The package does no I/O: from the same names every node works
+// out the same assignment, and from nearly the same names nearly the same one. docs/fleet.md lists what it promises.
 package subset
 
 import (
@@ -11,86 +11,94 @@
 	"slices"
 )
 
+// BalanceFactor bounds by how much the number of nodes that use a server may differ from what its size calls for, as a
+// factor either way, or by less than one node where that is more.
+const BalanceFactor = 1.15
+
 // Settings are what nodes agree on beforehand.
 type Settings struct {
-	Size              int // executors that a node uses, of all classes together
-	MinNodesPerServer int // nodes by which each executor is used at least, as far as there are so many
+	// Size is how many servers a node uses, of all classes together.
+	Size int
+	// MinNodesPerServer is how many nodes use each server at least, as far as there are so many.
+	MinNodesPerServer int
 }
 
-// Server is one of the list. Executors of one class can stand in for each other.
+// Server is a server of the endpoint list. Servers of one zone, machine type and cell, a class, can stand in for each
+// other.
 type Server struct {
 	Name                    string
 	Zone, MachineType, Cell int
-	Size                    float64 // by which it is used; not over nought: as the mean
+	Size                    float64 // in any unit; 0 or less: not known, taken for the mean
 }
 
 type class struct{ zone, machineType, cell int }
 
-// BalanceFactor bounds by how much the number of nodes that use an executor may differ from what its size calls for, as a factor
-// either way, or by less than one where that is more: nodes can't be cut up.
-const BalanceFactor = 1.15
-
-// Assignment is who uses what.
+// Assignment is which nodes use which servers.
 type Assignment struct {
-	nodes   []string
+	nodes   []string // in order
 	classes []classAssignment
 }
 
-// classAssignment is the division of one class.
+// classAssignment is the assignment of the servers of one class.
 type classAssignment struct {
-	servers        []Server
-	serversPerNode int      // executors that a node uses
-	assigned       [][]bool // by node and executor
+	servers        []Server // in order of their names
+	serversPerNode int
+	assigned       [][]bool // by node and server
 }
 
-// Assign works out who uses what. Nodes and executors may come in any order, nodes more than once.
-func Assign(nodes []string, executors []Server, t Settings) *Assignment {
-	d := &Assignment{nodes: slices.Compact(slices.Sorted(slices.Values(nodes)))}
+// Assign assigns servers to nodes. Both may come in any order, and nodes more than once.
+func Assign(nodes []string, servers []Server, settings Settings) *Assignment {
+	a := &Assignment{nodes: slices.Compact(slices.Sorted(slices.Values(nodes)))}
 	classes := map[class][]Server{}
-	for _, e := range executors {
-		c := class{e.Zone, e.MachineType, e.Cell}
-		classes[c] = append(classes[c], e)
+	for _, server := range servers {
+		c := class{zone: server.Zone, machineType: server.MachineType, cell: server.Cell}
+		classes[c] = append(classes[c], server)
 	}
 	for _, members := range classes {
-		slices.SortFunc(members, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
-		table, each := divide(d.nodes, members, t.serversPerNode(len(d.nodes), len(members), len(executors)), t.MinNodesPerServer)
-		d.classes = append(d.classes, classAssignment{members, each, table})
+		slices.SortFunc(members, func(x, y Server) int { return cmp.Compare(x.Name, y.Name) })
+		perNode := settings.serversPerNode(len(a.nodes), len(members), len(servers))
+		a.classes = append(a.classes, assignClass(a.nodes, members, perNode, settings.MinNodesPerServer))
 	}
-	return d
+	return a
+}
+
+// serversPerNode returns how many servers of a class a node uses: in proportion to the class, at least one, and more
+// where there are too few nodes for each server to be used by enough of them.
+func (s Settings) serversPerNode(nodes, classServers, allServers int) int {
+	proportional := int(math.Ceil(float64(s.Size*classServers) / float64(allServers)))
+	covering := (min(s.MinNodesPerServer, nodes)*classServers + nodes - 1) / nodes
+	return min(max(proportional, covering, 1), classServers)
 }
 
-// Distances is how far away executors are from one of the nodes, by name: 0 for those that it is to use, 1 for as many again that it
-// turns to first when those can't serve, 2 for twice as many, and so on.
-func (d *Assignment) Distances(node string) map[string]int {
-	far := map[string]int{}
-	at, is := slices.BinarySearch(d.nodes, node)
-	if !is {
-		return far
+// Distances returns how far each server is from a node, by name: 0 for those that the node is to use, 1 for as many
+// again that it turns to first if those can't serve, 2 for twice as many, and so on. It is empty for a node that is
+// not known.
+func (a *Assignment) Distances(node string) map[string]int {
+	distances := map[string]int{}
+	index, known := slices.BinarySearch(a.nodes, node)
+	if !known {
+		return distances
 	}
-	for _, p := range d.classes {
-		rest := make([]int, 0, len(p.servers))
-		for i := range p.servers {
-			if p.assigned[at][i] {
-				far[p.servers[i].Name] = 0
-			} else {
-				rest = append(rest, i)
-			}
-		}
-		// Danger: what is crowded for many sends them all to the same next one. Each has an order of its own.
-		mine := nameHash(node)
-		slices.SortFunc(rest, func(a, b int) int {
-			return cmp.Compare(pairHash(mine, nameHash(p.servers[a].Name)), pairHash(mine, nameHash(p.servers[b].Name)))
-		})
-		for n, i := range rest {
-			far[p.servers[i].Name] = 1 + int(math.Log2(float64(n/p.serversPerNode+1)))
-		}
+	for _, c := range a.classes {
+		c.addDistances(nameHash(node), c.assigned[index], distances)
 	}
-	return far
+	return distances
 }
 
-// serversPerNode is how many executors of a class a node uses: its part, one at least, and more where nodes are few.
-func (t Settings) serversPerNode(nodes, members, all int) int {
-	part := int(math.Ceil(float64(t.Size*members) / float64(all)))
-	cover := (min(t.MinNodesPerServer, nodes)*members + nodes - 1) / nodes
-	return min(max(part, cover, 1), members)
+// addDistances adds the distances of one class. The order of the servers that the node is not to use is its own:
+// otherwise the nodes whose servers are crowded would all turn to the same next one.
+func (c *classAssignment) addDistances(nodeHash uint64, assigned []bool, distances map[string]int) {
+	var others []int
+	for i, server := range c.servers {
+		if assigned[i] {
+			distances[server.Name] = 0
+		} else {
+			others = append(others, i)
+		}
+	}
+	hash := func(i int) uint64 { return pairHash(nodeHash, nameHash(c.servers[i].Name)) }
+	slices.SortFunc(others, func(x, y int) int { return cmp.Compare(hash(x), hash(y)) })
+	for position, i := range others {
+		distances[c.servers[i].Name] = 1 + int(math.Log2(float64(position/c.serversPerNode+1)))
+	}
 }
