--- a/internal/fleet/budget/budget_test.go
+++ b/internal/fleet/budget/budget_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// settle has holders with these wants ask in turn, with time for all rests between, and gives what each ends up with.
-func settle(pact *Agreement, wants []int64) (units []int64) {
+// settledUnits has holders with these wants ask in turn, with time for all rests between, and gives what each ends up with.
+func settledUnits(pact *Agreement, wants []int64) (units []int64) {
 	b, now := NewLedger(), int64(0)
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
 	r := NewLeaderTerm(b, 1, now)
@@ -40,9 +40,9 @@
 	return units
 }
 
-// TestFair: what is there is divided by max-min fairness, in steps. Danger: a node whose demand fits with all others' that is
+// TestFairShares: what is there is divided by max-min fairness, in steps. Danger: a node whose demand fits with all others' that is
 // taken back to what is left over; seen with processes, where shares swung between a third and a seventh of the whole.
-func TestFair(t *testing.T) {
+func TestFairShares(t *testing.T) {
 	pact := &Agreement{MaxNodes: 4, Lease: 1000, ClockMargin: 0.1, Budgets: map[string]Limits{"b": {Total: 110, Floor: 1, Reserve: 6, Step: 1, Window: 100}}}
 	for _, c := range []struct{ wants, units []int64 }{
 		{[]int64{2, 4, 75}, []int64{2, 4, 75}},
@@ -51,14 +51,14 @@
 		{[]int64{90, 90, 90, 90}, []int64{25, 25, 25, 25}},
 		{[]int64{0, 0, 0, 0}, []int64{0, 0, 0, 0}},
 	} {
-		if got := settle(pact, c.wants); !slices.Equal(got, c.units) {
+		if got := settledUnits(pact, c.wants); !slices.Equal(got, c.units) {
 			t.Errorf("wants %v: %v, want %v", c.wants, got, c.units)
 		}
 	}
 }
 
-// TestSteps: demand that breathes by less than a step moves nothing.
-func TestSteps(t *testing.T) {
+// TestSmallDemandChanges: demand that breathes by less than a step moves nothing.
+func TestSmallDemandChanges(t *testing.T) {
 	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 100, Step: 10, Window: 100}}}
 	b := NewLedger()
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestLowered: a whole that is lowered waits for what is out, and is never lent meanwhile.
-func TestLowered(t *testing.T) {
+// TestLoweredTotal: a whole that is lowered waits for what is out, and is never lent meanwhile.
+func TestLoweredTotal(t *testing.T) {
 	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 100, Floor: 5, Step: 1, Window: 100}}}
 	b, now := NewLedger(), int64(0)
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestFollows: a whole that is a share of first postings goes up and down with what nodes tell, waits for what is out as it
+// TestTotalFollowsFirstAttempts: a whole that is a share of first postings goes up and down with what nodes tell, waits for what is out as it
 // falls, and forgets a node whose lease has run out.
-func TestFollows(t *testing.T) {
+func TestTotalFollowsFirstAttempts(t *testing.T) {
 	pact := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 50, Floor: 2, Step: 1, Window: 100, FirstAttemptRatio: 0.1}}}
 	b := NewLedger()
 	b.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: pact})
@@ -140,9 +140,9 @@
 	}
 }
 
-// TestAnotherGroup: a holder takes answers of a group founded anew, whose epochs are low again, and none of an older epoch of
+// TestNewCluster: a holder takes answers of a group founded anew, whose epochs are low again, and none of an older epoch of
 // its own group.
-func TestAnotherGroup(t *testing.T) {
+func TestNewCluster(t *testing.T) {
 	pact := &Agreement{MaxNodes: 1, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 9, Step: 1, Window: 1}}}
 	h := NewLeaseHolder("n", "p", pact, 0)
 	for i, c := range []struct {
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestMeter: what counts is the moment of sending, by a sliding window; what was reserved and never left gives its room back.
-func TestMeter(t *testing.T) {
+// TestUsageMeter: what counts is the moment of sending, by a sliding window; what was reserved and never left gives its room back.
+func TestUsageMeter(t *testing.T) {
 	pact := &Agreement{Budgets: map[string]Limits{"b": {Window: 99}}}
 	m := NewUsageMeter(pact, "b")
 	first, second := m.Reserve("k", 1, 2, 0), m.Reserve("k", 1, 2, 0)
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestClock: a holder proves that its clock is beyond the margin by what calls show, however long they take, and never takes a
+// TestClockSkew: a holder proves that its clock is beyond the margin by what calls show, however long they take, and never takes a
 // slow call for a slow clock.
-func TestClock(t *testing.T) {
+func TestClockSkew(t *testing.T) {
 	for _, c := range []struct {
 		rate, wait float64
 		off        bool
@@ -204,9 +204,9 @@
 	}
 }
 
-// TestSeatsAgree: the same steps lead to the same books at every seat. Danger: what is numbered in the order of a map has
+// TestVotersAgree: the same steps lead to the same books at every seat. Danger: what is numbered in the order of a map has
 // other numbers at another seat, which then ends a rest that has just begun.
-func TestSeatsAgree(t *testing.T) {
+func TestVotersAgree(t *testing.T) {
 	pact := &Agreement{MaxNodes: 4, Lease: 1000, ClockMargin: 0.1, Budgets: map[string]Limits{}}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		pact.Budgets[name] = Limits{Total: 40, Floor: 1, Step: 1, Window: 100, Partitions: 3}
--- a/internal/fleet/signals/signals_test.go
+++ b/internal/fleet/signals/signals_test.go
@@ -51,8 +51,8 @@
 	})
 }
 
-// say has a node tell that jobs at an executor ended well or not.
-func say(b *OutlierTracker, node, zone, executor string, seq uint64, well, bad int, now int64) bool {
+// mergeReport has a node tell that jobs at an executor ended well or not.
+func mergeReport(b *OutlierTracker, node, zone, executor string, seq uint64, well, bad int, now int64) bool {
 	return b.MergeReport(&Report{node, zone, 1, seq, map[string]OutcomeCount{executor: {Attempts: float64(well + bad), Failures: float64(bad)}}}, all, now)
 }
 
@@ -67,33 +67,33 @@
 			t.Errorf("%s: %v, not %v to %v", what, bad, least, most)
 		}
 	}
-	say(b, "liar", "west", "e", 1, 0, 1e6, now)
+	mergeReport(b, "liar", "west", "e", 1, 0, 1e6, now)
 	check("one witness", 0, 0)
 	b.RemoveWitness("liar")
 	for i := range 5 {
-		say(b, fmt.Sprint("w", i), "west", "e", 1, 0, 10, now)
+		mergeReport(b, fmt.Sprint("w", i), "west", "e", 1, 0, 10, now)
 	}
 	check("one zone of two", 0, 0.3)
-	say(b, "x", "east", "e", 1, 0, 10, now)
+	mergeReport(b, "x", "east", "e", 1, 0, 10, now)
 	check("two zones", 0.7, 1)
-	say(b, "y", "east", "e", 1, 0, 10, now)
-	say(b, "friend", "east", "e", 1, 1e6, 0, now)
+	mergeReport(b, "y", "east", "e", 1, 0, 10, now)
+	mergeReport(b, "friend", "east", "e", 1, 1e6, 0, now)
 	check("one says that it is well", 0.95, 1)
 	for i := range 8 {
-		say(b, fmt.Sprint("v", i), "east", "e", 1, 10, 0, now)
+		mergeReport(b, fmt.Sprint("v", i), "east", "e", 1, 10, 0, now)
 	}
 	check("most say so", 0, 0)
 	only := New("me", "", 1, 3)
 	for i := range 3 {
-		say(only, fmt.Sprint("w", i), "", "e", 1, 0, 10, now)
+		mergeReport(only, fmt.Sprint("w", i), "", "e", 1, 0, 10, now)
 	}
 	if bad := only.OutlierScore("e", now); bad < 0.95 {
 		t.Errorf("one zone that is all: %v", bad)
 	}
 }
 
-// TestSeenOfLate: what failed of late counts, however well it went before.
-func TestSeenOfLate(t *testing.T) {
+// TestRecentFailures: what failed of late counts, however well it went before.
+func TestRecentFailures(t *testing.T) {
 	b := New("me", "a", 1, 3)
 	for i := range 5 {
 		w := New(fmt.Sprint("w", i), "a", 1, 3)
@@ -109,11 +109,11 @@
 	}
 }
 
-// TestFades: what is not seen any more is forgotten, little by little; what is seen to be well again at once counts.
-func TestFades(t *testing.T) {
+// TestFading: what is not seen any more is forgotten, little by little; what is seen to be well again at once counts.
+func TestFading(t *testing.T) {
 	b, now := New("me", "a", 1, 3), int64(0)
 	for i := range 4 {
-		say(b, fmt.Sprint("w", i), "a", "e", 1, 0, 4, now)
+		mergeReport(b, fmt.Sprint("w", i), "a", "e", 1, 0, 4, now)
 	}
 	last := b.OutlierScore("e", now)
 	if last < 0.95 {
@@ -137,10 +137,10 @@
 		t.Error("doubted for ever")
 	}
 	for i := range 4 {
-		say(b, fmt.Sprint("w", i), "a", "e", 2, 0, 4, now)
+		mergeReport(b, fmt.Sprint("w", i), "a", "e", 2, 0, 4, now)
 	}
 	for i := range 3 {
-		say(b, fmt.Sprint("w", i), "a", "e", 3, 8, 4, now)
+		mergeReport(b, fmt.Sprint("w", i), "a", "e", 3, 8, 4, now)
 	}
 	if bad := b.OutlierScore("e", now); bad != 0 {
 		t.Errorf("seen to be well again: %v", bad)
@@ -161,8 +161,8 @@
 	if b.MergeReport(&Report{Node: "me", Seq: 9}, all, 0) || b.MergeReport(&Report{Seq: 9}, all, 0) {
 		t.Error("news of itself, or of nobody")
 	}
-	say(b, "x", "a", "e", 7, 0, 3, 0)
-	if say(b, "x", "a", "e", 7, 3, 0, 0) || say(b, "x", "a", "e", 6, 3, 0, 0) || b.MergeReport(&Report{"x", "a", 0, 99, nil}, all, 0) {
+	mergeReport(b, "x", "a", "e", 7, 0, 3, 0)
+	if mergeReport(b, "x", "a", "e", 7, 3, 0, 0) || mergeReport(b, "x", "a", "e", 6, 3, 0, 0) || b.MergeReport(&Report{"x", "a", 0, 99, nil}, all, 0) {
 		t.Error("the past counts")
 	}
 	before := b.RejectedReports
@@ -179,7 +179,7 @@
 	}
 	for i := range 3000 {
 		b.RecordOutcome(fmt.Sprint("e", i), true, int64(i))
-		say(b, "w", "a", fmt.Sprint("e", i), uint64(i)+10, 0, 3, int64(i))
+		mergeReport(b, "w", "a", fmt.Sprint("e", i), uint64(i)+10, 0, 3, int64(i))
 	}
 	if len(b.own.outcomes) > maxTrackedServers || len(b.witnesses["w"].outcomes) > maxTrackedServers || len(b.NextReport(3000, 99).Outcomes) > maxReportedServers {
 		t.Errorf("%d and %d are kept", len(b.own.outcomes), len(b.witnesses["w"].outcomes))
--- a/internal/fleet/signals/size_test.go
+++ b/internal/fleet/signals/size_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// crowd is a board that has heard of so many executors from so many witnesses.
-func crowd(nodes, executors int) *OutlierTracker {
+// crowdedTracker is a board that has heard of so many executors from so many witnesses.
+func crowdedTracker(nodes, executors int) *OutlierTracker {
 	b := New("me", "z0", 1, 3)
 	for e := range executors {
 		b.RecordOutcome(fmt.Sprint("e", e), e%7 == 0, 1e9)
@@ -23,9 +23,9 @@
 	return b
 }
 
-// TestNothingIsForgottenAtSize: 1,024 executors and as many witnesses are kept and told of, each with its verdict.
-func TestNothingIsForgottenAtSize(t *testing.T) {
-	b := crowd(1024, 1024)
+// TestFullSize: 1,024 executors and as many witnesses are kept and told of, each with its verdict.
+func TestFullSize(t *testing.T) {
+	b := crowdedTracker(1024, 1024)
 	if len(b.own.outcomes) != 1024 || len(b.witnesses) != 1024 {
 		t.Errorf("%d executors, %d witnesses", len(b.own.outcomes), len(b.witnesses))
 	}
@@ -47,7 +47,7 @@
 func BenchmarkRound(b *testing.B) {
 	for _, size := range [][2]int{{9, 30}, {300, 200}, {1024, 1024}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			board := crowd(size[0], size[1])
+			board := crowdedTracker(size[0], size[1])
 			for b.Loop() {
 				board.NextReport(1e9, maxReportedServers)
 				board.OutlierScores(1e9)
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -14,49 +14,49 @@
 type history struct {
 	*rand.Rand
 	*testing.T
-	terms     Settings
-	nodes     []string
-	executors []Server
-	named     int
+	settings Settings
+	nodes    []string
+	servers  []Server
+	named    int
 }
 
-func begin(t *testing.T, seed uint64) *history {
+func newHistory(t *testing.T, seed uint64) *history {
 	h := &history{Rand: rand.New(rand.NewPCG(seed, 3)), T: t}
-	h.terms = Settings{Size: 4 + h.IntN(20), MinNodesPerServer: 1 + h.IntN(4)}
+	h.settings = Settings{Size: 4 + h.IntN(20), MinNodesPerServer: 1 + h.IntN(4)}
 	for range 3 + h.IntN(40) {
-		h.join()
+		h.addNode()
 	}
-	for range h.terms.Size + h.IntN(60) {
-		h.list()
+	for range h.settings.Size + h.IntN(60) {
+		h.addServer()
 	}
 	return h
 }
 
-func (h *history) join() {
+func (h *history) addNode() {
 	h.named++
 	h.nodes = append(h.nodes, fmt.Sprint("node-", h.named))
 }
 
-func (h *history) list() {
+func (h *history) addServer() {
 	h.named++
 	zone := h.IntN(3)
-	h.executors = append(h.executors, Server{fmt.Sprint("x", h.named), zone, zone % 2, 0, float64(h.IntN(3)) * (0.5 + h.Float64())})
+	h.servers = append(h.servers, Server{fmt.Sprint("x", h.named), zone, zone % 2, 0, float64(h.IntN(3)) * (0.5 + h.Float64())})
 }
 
 func (h *history) step() (one float64) {
 	switch n := h.IntN(4); {
 	case n == 0 || len(h.nodes) < 3:
-		h.join()
+		h.addNode()
 	case n == 1:
 		i := h.IntN(len(h.nodes))
 		h.nodes = slices.Delete(slices.Clone(h.nodes), i, i+1)
-	case n == 2 || len(h.executors) < 20:
-		h.list()
-		return float64(len(h.executors))
+	case n == 2 || len(h.servers) < 20:
+		h.addServer()
+		return float64(len(h.servers))
 	default:
-		i := h.IntN(len(h.executors))
-		h.executors = slices.Delete(slices.Clone(h.executors), i, i+1)
-		return float64(len(h.executors))
+		i := h.IntN(len(h.servers))
+		h.servers = slices.Delete(slices.Clone(h.servers), i, i+1)
+		return float64(len(h.servers))
 	}
 	return float64(len(h.nodes))
 }
@@ -66,7 +66,7 @@
 	uses := map[string]map[string]bool{}
 	for _, n := range h.nodes {
 		uses[n] = map[string]bool{}
-		for name, far := range Assign(append(slices.Clone(view(n)), n), h.executors, h.terms).Distances(n) {
+		for name, far := range Assign(append(slices.Clone(view(n)), n), h.servers, h.settings).Distances(n) {
 			if far == 0 {
 				uses[n][name] = true
 			}
@@ -79,7 +79,7 @@
 func (h *history) check(uses map[string]map[string]bool) {
 	h.Helper()
 	by, sizes, count := map[class][]Server{}, map[class]float64{}, map[class]int{}
-	for _, e := range h.executors {
+	for _, e := range h.servers {
 		c := class{e.Zone, e.MachineType, e.Cell}
 		by[c] = append(by[c], e)
 	}
@@ -117,23 +117,23 @@
 				}
 			}
 			due := float64(count[c]) * size / sizes[c]
-			least, most, cover := math.Floor(due/BalanceFactor), math.Ceil(due*BalanceFactor), float64(min(h.terms.MinNodesPerServer, len(h.nodes)))
-			if own := float64(used); own < cover || (own < least || own > max(most, cover)) && !h.odd(members, count[c], sizes[c], mean) {
+			least, most, cover := math.Floor(due/BalanceFactor), math.Ceil(due*BalanceFactor), float64(min(h.settings.MinNodesPerServer, len(h.nodes)))
+			if own := float64(used); own < cover || (own < least || own > max(most, cover)) && !h.hasUnmetBounds(members, count[c], sizes[c], mean) {
 				h.Errorf("%s of size %.2f is used by %d of %d nodes, %.2f are due", e.Name, size, used, len(h.nodes), due)
 			}
 		}
 	}
 }
 
-// odd says that some executor is due more nodes than there are, or fewer than the cover: others have what is left over, or less.
-func (h *history) odd(members []Server, uses int, sizes, mean float64) bool {
+// hasUnmetBounds says that some executor is due more nodes than there are, or fewer than the cover: others have what is left over, or less.
+func (h *history) hasUnmetBounds(members []Server, uses int, sizes, mean float64) bool {
 	return slices.ContainsFunc(members, func(e Server) bool {
 		size := e.Size
 		if size <= 0 {
 			size = mean
 		}
 		due := float64(uses) * size / sizes
-		return due*BalanceFactor > float64(len(h.nodes)) || due/BalanceFactor < float64(h.terms.MinNodesPerServer)
+		return due*BalanceFactor > float64(len(h.nodes)) || due/BalanceFactor < float64(h.settings.MinNodesPerServer)
 	})
 }
 
@@ -144,7 +144,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		h := begin(t, seed)
+		h := newHistory(t, seed)
 		all := func(string) []string { return h.nodes }
 		was := h.uses(all)
 		h.check(was)
@@ -156,7 +156,7 @@
 			held := 0
 			for n, executors := range now {
 				for e := range executors {
-					if held++; was[n] != nil && !was[n][e] && slices.ContainsFunc(h.executors, func(x Server) bool { return x.Name == e }) {
+					if held++; was[n] != nil && !was[n][e] && slices.ContainsFunc(h.servers, func(x Server) bool { return x.Name == e }) {
 						moved++
 					}
 				}
@@ -164,7 +164,7 @@
 			fair += float64(held) / of
 			was = now
 		}
-		t.Logf("%d nodes, %d executors, %+v: %.0f pairs new, a fair share is %.0f", len(h.nodes), len(h.executors), h.terms, moved, fair)
+		t.Logf("%d nodes, %d executors, %+v: %.0f pairs new, a fair share is %.0f", len(h.nodes), len(h.servers), h.settings, moved, fair)
 		if moved > 4*fair {
 			t.Errorf("%.0f pairs are new at nodes that stayed, a fair share is %.0f", moved, fair)
 		}
@@ -177,10 +177,10 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		h := begin(t, seed)
-		h.terms.MinNodesPerServer = 3
+		h := newHistory(t, seed)
+		h.settings.MinNodesPerServer = 3
 		for len(h.nodes) < 8 {
-			h.join()
+			h.addNode()
 		}
 		uses := h.uses(func(string) []string {
 			view := slices.Clone(h.nodes)
@@ -193,7 +193,7 @@
 			}
 			return view
 		})
-		for _, e := range h.executors {
+		for _, e := range h.servers {
 			if !slices.ContainsFunc(h.nodes, func(n string) bool { return uses[n][e.Name] }) {
 				t.Errorf("nobody uses %s", e.Name)
 			}
@@ -201,8 +201,8 @@
 	})
 }
 
-// TestFar: what a node does not use it turns to in an order of its own, as many first as it uses, then twice as many.
-func TestFar(t *testing.T) {
+// TestDistances: what a node does not use it turns to in an order of its own, as many first as it uses, then twice as many.
+func TestDistances(t *testing.T) {
 	var executors []Server
 	for i := range 64 {
 		executors = append(executors, Server{Name: fmt.Sprint("x", i)})
@@ -226,7 +226,7 @@
 	}
 }
 
-func BenchmarkFar(b *testing.B) {
+func BenchmarkDistances(b *testing.B) {
 	for _, size := range [][2]int{{9, 30}, {300, 200}, {1000, 200}} {
 		var nodes []string
 		var executors []Server
