--- a/internal/fleet/signals/size_test.go
+++ b/internal/fleet/signals/size_test.go
@@ -7,50 +7,57 @@
 	"testing"
 )
 
-// crowdedTracker is a board that has heard of so many executors from so many witnesses.
-func crowdedTracker(nodes, executors int) *OutlierTracker {
-	b := New("me", "z0", 1, 3)
-	for e := range executors {
-		b.RecordOutcome(fmt.Sprint("e", e), e%7 == 0, 1e9)
+// crowdedTracker is a tracker that has heard of so many servers from so many witnesses.
+func crowdedTracker(nodes, servers int) *OutlierTracker {
+	tracker := New("me", "z0", 1, 3)
+	for e := range servers {
+		tracker.RecordOutcome(fmt.Sprint("e", e), e%7 == 0, 1e9)
 	}
 	for n := range nodes {
-		news := &Report{fmt.Sprint("n", n), fmt.Sprint("z", n%3), 1, 1, map[string]OutcomeCount{}}
+		report := &Report{
+			Node:        fmt.Sprint("n", n),
+			Zone:        fmt.Sprint("z", n%3),
+			Incarnation: 1,
+			Seq:         1,
+			Outcomes:    map[string]OutcomeCount{},
+		}
 		for i := range maxReportedServers {
-			news.Outcomes[fmt.Sprint("e", (n*maxReportedServers+i)%executors)] = OutcomeCount{Attempts: 1, Failures: float64(i % 2)}
+			name := fmt.Sprint("e", (n*maxReportedServers+i)%servers)
+			report.Outcomes[name] = OutcomeCount{Attempts: 1, Failures: float64(i % 2)}
 		}
-		b.MergeReport(news, all, 1e9)
+		tracker.MergeReport(report, allListed, 1e9)
 	}
-	return b
+	return tracker
 }
 
-// TestFullSize: 1,024 executors and as many witnesses are kept and told of, each with its verdict.
+// TestFullSize: 1,024 servers and as many witnesses are kept and reported on, each server with its score.
 func TestFullSize(t *testing.T) {
-	b := crowdedTracker(1024, 1024)
-	if len(b.own.outcomes) != 1024 || len(b.witnesses) != 1024 {
-		t.Errorf("%d executors, %d witnesses", len(b.own.outcomes), len(b.witnesses))
+	tracker := crowdedTracker(1024, 1024)
+	if len(tracker.own.outcomes) != 1024 || len(tracker.witnesses) != 1024 {
+		t.Errorf("%d servers, %d witnesses", len(tracker.own.outcomes), len(tracker.witnesses))
 	}
-	verdicts := b.OutlierScores(1e9)
-	if len(verdicts) == 0 {
-		t.Error("nobody is bad")
+	scores := tracker.OutlierScores(1e9)
+	if len(scores) == 0 {
+		t.Error("no server has a score")
 	}
-	for e, how := range verdicts {
-		if b.OutlierScore(e, 1e9) != how {
-			t.Errorf("%s: %v, %v alone", e, how, b.OutlierScore(e, 1e9))
+	for e, score := range scores {
+		if tracker.OutlierScore(e, 1e9) != score {
+			t.Errorf("%s: %v, %v alone", e, score, tracker.OutlierScore(e, 1e9))
 		}
 	}
-	if n := b.NextReport(1e9, maxReportedServers); len(n.Outcomes) != maxReportedServers {
+	if n := tracker.NextReport(1e9, maxReportedServers); len(n.Outcomes) != maxReportedServers {
 		t.Error(len(n.Outcomes))
 	}
 }
 
-// BenchmarkRound is what a node does several times a second: its news, and a verdict on all.
+// BenchmarkRound is what a node does several times a second: its report, and the scores of all servers.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range [][2]int{{9, 30}, {300, 200}, {1024, 1024}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			board := crowdedTracker(size[0], size[1])
+			tracker := crowdedTracker(size[0], size[1])
 			for b.Loop() {
-				board.NextReport(1e9, maxReportedServers)
-				board.OutlierScores(1e9)
+				tracker.NextReport(1e9, maxReportedServers)
+				tracker.OutlierScores(1e9)
 			}
 		})
 	}
