--- a/internal/fleet/budget/grant_benchmark_test.go
+++ b/internal/fleet/budget/grant_benchmark_test.go
@@ -39,7 +39,8 @@
 		entry := &LogEntry{Epoch: 1}
 		for i, h := range holders {
 			units := func(name string) int64 { return h.Units(name, leader.now) }
-			entry.Requests = append(entry.Requests, h.NextRequest(estimators[i].Estimate(randomUsage, units), leader.now))
+			demand := estimators[i].Estimate(randomUsage, units)
+			entry.Requests = append(entry.Requests, h.NextRequest(demand, leader.now))
 		}
 		b.StartTimer()
 		responses, err := leader.ledger.Apply(entry)
--- a/internal/fleet/budget/lease_holder_test.go
+++ b/internal/fleet/budget/lease_holder_test.go
@@ -18,7 +18,13 @@
 	}{{"x", 7, true}, {"x", 6, false}, {"y", 2, true}, {"y", 1, false}, {"y", 2, true}} {
 		now := int64(i)
 		request := h.NextRequest(nil, now)
-		response := &LeaseResponse{ClusterID: c.clusterID, Epoch: c.epoch, Seq: request.Seq, Lease: 1000, LeaderTime: now}
+		response := &LeaseResponse{
+			ClusterID:  c.clusterID,
+			Epoch:      c.epoch,
+			Seq:        request.Seq,
+			Lease:      1000,
+			LeaderTime: now,
+		}
 		if got := h.ApplyResponse(response, now); got != c.taken {
 			t.Errorf("epoch %d of %s: taken %v", c.epoch, c.clusterID, got)
 		}
--- a/internal/fleet/budget/ledger_test.go
+++ b/internal/fleet/budget/ledger_test.go
@@ -94,7 +94,9 @@
 
 // TestSmallDemandChanges: demand that changes by less than a step changes no lease.
 func TestSmallDemandChanges(t *testing.T) {
-	agreement := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 100, Step: 10, Window: 100}}}
+	agreement := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{
+		"b": {Total: 100, Step: 10, Window: 100},
+	}}
 	leader := newTestLeader(agreement)
 	leader.endFoundingCooldown("b")
 	h := NewLeaseHolder("n", "p", agreement, 0)
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// history is a fleet that changes by chance, one step at a time.
+// history is a fleet that changes at random, one step at a time.
 type history struct {
 	*rand.Rand
 	*testing.T
 	settings Settings
 	nodes    []string
 	servers  []Server
-	named    int
+	named    int // how many nodes and servers there ever were
 }
 
 func newHistory(t *testing.T, seed uint64) *history {
@@ -40,10 +40,16 @@
 func (h *history) addServer() {
 	h.named++
 	zone := h.IntN(3)
-	h.servers = append(h.servers, Server{fmt.Sprint("x", h.named), zone, zone % 2, 0, float64(h.IntN(3)) * (0.5 + h.Float64())})
+	h.servers = append(h.servers, Server{
+		Name:        fmt.Sprint("x", h.named),
+		Zone:        zone,
+		MachineType: zone % 2,
+		Size:        float64(h.IntN(3)) * (0.5 + h.Float64()),
+	})
 }
 
-func (h *history) step() (one float64) {
+// step adds or removes a node or a server, and returns how many of its kind there are then.
+func (h *history) step() float64 {
 	switch n := h.IntN(4); {
 	case n == 0 || len(h.nodes) < 3:
 		h.addNode()
@@ -61,13 +67,14 @@
 	return float64(len(h.nodes))
 }
 
-// uses gives who uses what, in the view of each of these nodes.
+// uses returns which node uses which server. view is which nodes a node knows of.
 func (h *history) uses(view func(node string) []string) map[string]map[string]bool {
 	uses := map[string]map[string]bool{}
 	for _, n := range h.nodes {
 		uses[n] = map[string]bool{}
-		for name, far := range Assign(append(slices.Clone(view(n)), n), h.servers, h.settings).Distances(n) {
-			if far == 0 {
+		known := append(slices.Clone(view(n)), n)
+		for name, distance := range Assign(known, h.servers, h.settings).Distances(n) {
+			if distance == 0 {
 				uses[n][name] = true
 			}
 		}
@@ -75,70 +82,107 @@
 	return uses
 }
 
-// check holds one picture against the promises.
+// classUses is which nodes use the servers of one class.
+type classUses struct {
+	*history
+	servers []Server
+	mean    float64 // of the sizes that are known
+	size    float64 // of all servers
+	uses    map[string]map[string]bool
+	count   int // of pairs of a node and a server
+}
+
+// check compares an assignment with what is promised.
 func (h *history) check(uses map[string]map[string]bool) {
 	h.Helper()
-	by, sizes, count := map[class][]Server{}, map[class]float64{}, map[class]int{}
-	for _, e := range h.servers {
-		c := class{e.Zone, e.MachineType, e.Cell}
-		by[c] = append(by[c], e)
-	}
-	for c, members := range by {
-		known := 0
-		for _, e := range members {
-			if e.Size > 0 {
-				sizes[c], known = sizes[c]+e.Size, known+1
-			}
+	classes := map[class][]Server{}
+	for _, server := range h.servers {
+		c := class{server.Zone, server.MachineType, server.Cell}
+		classes[c] = append(classes[c], server)
+	}
+	for c, servers := range classes {
+		u := newClassUses(h, servers, uses)
+		u.checkNodes(c)
+		for _, server := range servers {
+			u.checkServer(server)
 		}
-		mean := 1.0
-		if known > 0 {
-			mean = sizes[c] / float64(known)
+	}
+}
+
+func newClassUses(h *history, servers []Server, uses map[string]map[string]bool) *classUses {
+	u := &classUses{history: h, servers: servers, uses: uses, mean: 1}
+	known := 0
+	for _, server := range servers {
+		if server.Size > 0 {
+			u.size += server.Size
+			known++
 		}
-		sizes[c] += mean * float64(len(members)-known)
-		for _, n := range h.nodes {
-			own := 0
-			for _, e := range members {
-				if uses[n][e.Name] {
-					own++
-				}
-			}
-			if count[c] += own; own == 0 {
-				h.Errorf("%s reaches none of %v", n, c)
+	}
+	if known > 0 {
+		u.mean = u.size / float64(known)
+	}
+	u.size += u.mean * float64(len(servers)-known)
+	return u
+}
+
+// checkNodes counts the uses. Each node reaches the class.
+func (u *classUses) checkNodes(c class) {
+	u.Helper()
+	for _, node := range u.nodes {
+		own := 0
+		for _, server := range u.servers {
+			if u.uses[node][server.Name] {
+				own++
 			}
 		}
-		for _, e := range members {
-			used, size := 0, e.Size
-			if size <= 0 {
-				size = mean
-			}
-			for _, n := range h.nodes {
-				if uses[n][e.Name] {
-					used++
-				}
-			}
-			due := float64(count[c]) * size / sizes[c]
-			least, most, cover := math.Floor(due/BalanceFactor), math.Ceil(due*BalanceFactor), float64(min(h.settings.MinNodesPerServer, len(h.nodes)))
-			if own := float64(used); own < cover || (own < least || own > max(most, cover)) && !h.hasUnmetBounds(members, count[c], sizes[c], mean) {
-				h.Errorf("%s of size %.2f is used by %d of %d nodes, %.2f are due", e.Name, size, used, len(h.nodes), due)
-			}
+		u.count += own
+		if own == 0 {
+			u.Errorf("%s reaches none of %v", node, c)
 		}
 	}
 }
 
-// hasUnmetBounds says that some executor is due more nodes than there are, or fewer than the cover: others have what is left over, or less.
-func (h *history) hasUnmetBounds(members []Server, uses int, sizes, mean float64) bool {
-	return slices.ContainsFunc(members, func(e Server) bool {
-		size := e.Size
-		if size <= 0 {
-			size = mean
+// due is how many nodes a server's size calls for.
+func (u *classUses) due(server Server) float64 {
+	size := server.Size
+	if size <= 0 {
+		size = u.mean
+	}
+	return float64(u.count) * size / u.size
+}
+
+// checkServer compares the number of nodes that use a server with what its size calls for.
+func (u *classUses) checkServer(server Server) {
+	u.Helper()
+	used := 0
+	for _, node := range u.nodes {
+		if u.uses[node][server.Name] {
+			used++
 		}
-		due := float64(uses) * size / sizes
-		return due*BalanceFactor > float64(len(h.nodes)) || due/BalanceFactor < float64(h.settings.MinNodesPerServer)
+	}
+	due := u.due(server)
+	cover := min(u.settings.MinNodesPerServer, len(u.nodes))
+	least, most := math.Floor(due/BalanceFactor), max(math.Ceil(due*BalanceFactor), float64(cover))
+	isBalanced := float64(used) >= least && float64(used) <= most
+	if used < cover || !isBalanced && !u.hasUnmetBounds() {
+		u.Errorf("%s of size %.2f is used by %d of %d nodes, due are %.2f",
+			server.Name, server.Size, used, len(u.nodes), due)
+	}
+}
+
+// hasUnmetBounds reports whether some server is due more nodes than there are, or fewer than the least number. The
+// others then have what is left over, or less.
+func (u *classUses) hasUnmetBounds() bool {
+	return slices.ContainsFunc(u.servers, func(server Server) bool {
+		due := u.due(server)
+		isOverAll := due*BalanceFactor > float64(len(u.nodes))
+		isUnderLeast := due/BalanceFactor < float64(u.settings.MinNodesPerServer)
+		return isOverAll || isUnderLeast
 	})
 }
 
-// FuzzPromises: in random histories each executor is used by as many nodes as its size calls for, each node reaches each class,
-// and one that comes or goes moves little, after every step.
+// FuzzPromises: in random histories, after every step, each server is used by as many nodes as its size calls for,
+// each node reaches each class, and a node or server that comes or goes moves few pairs.
 func FuzzPromises(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
@@ -146,32 +190,49 @@
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		h := newHistory(t, seed)
 		all := func(string) []string { return h.nodes }
-		was := h.uses(all)
-		h.check(was)
+		before := h.uses(all)
+		h.check(before)
 		moved, fair := 0.0, 0.0
 		for range 12 {
-			of := h.step()
-			now := h.uses(all)
-			h.check(now)
-			held := 0
-			for n, executors := range now {
-				for e := range executors {
-					if held++; was[n] != nil && !was[n][e] && slices.ContainsFunc(h.servers, func(x Server) bool { return x.Name == e }) {
-						moved++
-					}
-				}
-			}
-			fair += float64(held) / of
-			was = now
+			count := h.step()
+			after := h.uses(all)
+			h.check(after)
+			fair += float64(countPairs(after)) / count
+			moved += float64(h.newPairs(before, after))
+			before = after
 		}
-		t.Logf("%d nodes, %d executors, %+v: %.0f pairs new, a fair share is %.0f", len(h.nodes), len(h.servers), h.settings, moved, fair)
+		t.Logf("%d nodes, %d servers, %+v: %.0f pairs are new, a fair share is %.0f",
+			len(h.nodes), len(h.servers), h.settings, moved, fair)
 		if moved > 4*fair {
 			t.Errorf("%.0f pairs are new at nodes that stayed, a fair share is %.0f", moved, fair)
 		}
 	})
 }
 
-// FuzzViews: nodes of which each is wrong about who is there, by one or two of the others, keep every executor in use.
+func countPairs(uses map[string]map[string]bool) int {
+	count := 0
+	for _, servers := range uses {
+		count += len(servers)
+	}
+	return count
+}
+
+// newPairs counts the pairs that a step added at nodes that were there before it.
+func (h *history) newPairs(before, after map[string]map[string]bool) int {
+	count := 0
+	for node, servers := range after {
+		for name := range servers {
+			isListed := slices.ContainsFunc(h.servers, func(s Server) bool { return s.Name == name })
+			if before[node] != nil && !before[node][name] && isListed {
+				count++
+			}
+		}
+	}
+	return count
+}
+
+// FuzzViews: nodes of which each is wrong about which others are alive, by one or two of them, keep every server in
+// use.
 func FuzzViews(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
@@ -201,16 +262,19 @@
 	})
 }
 
-// TestDistances: what a node does not use it turns to in an order of its own, as many first as it uses, then twice as many.
+// TestDistances: a node turns to the servers that it does not use in an order of its own: to as many as it uses first,
+// then to twice as many.
 func TestDistances(t *testing.T) {
-	var executors []Server
+	var servers []Server
 	for i := range 64 {
-		executors = append(executors, Server{Name: fmt.Sprint("x", i)})
+		servers = append(servers, Server{Name: fmt.Sprint("x", i)})
 	}
 	nodes := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	counts := func(node string) (counts [8]int, first []string) {
-		for name, far := range Assign(nodes, executors, Settings{Size: 8, MinNodesPerServer: 1}).Distances(node) {
-			if counts[far]++; far == 1 {
+		assignment := Assign(nodes, servers, Settings{Size: 8, MinNodesPerServer: 1})
+		for name, distance := range assignment.Distances(node) {
+			counts[distance]++
+			if distance == 1 {
 				first = append(first, name)
 			}
 		}
@@ -229,16 +293,16 @@
 func BenchmarkDistances(b *testing.B) {
 	for _, size := range [][2]int{{9, 30}, {300, 200}, {1000, 200}} {
 		var nodes []string
-		var executors []Server
+		var servers []Server
 		for i := range size[0] {
 			nodes = append(nodes, fmt.Sprint("n", i))
 		}
 		for i := range size[1] {
-			executors = append(executors, Server{Name: fmt.Sprint("x", i)})
+			servers = append(servers, Server{Name: fmt.Sprint("x", i)})
 		}
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for b.Loop() {
-				Assign(nodes, executors, Settings{20, 3}).Distances("n1")
+				Assign(nodes, servers, Settings{Size: 20, MinNodesPerServer: 3}).Distances("n1")
 			}
 		})
 	}
