--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -78,7 +78,7 @@
 }
 
 // Rule 5 is of nodes that hold budgets together: shares in force never sum to more than the whole.
-const sums = 5
+const ruleTotals = 5
 
 // Violation is a broken rule and the event that proves it, by its number from 0 on.
 type Violation struct {
@@ -86,20 +86,20 @@
 	Text        string
 }
 
-type posting struct {
-	at       int64
-	executor string
-	open     bool
-	unrun    bool // proved
+type attempt struct {
+	sentAt   int64
+	server   string
+	inFlight bool
+	notRun   bool // proved
 }
 
-type txn struct {
-	node     string
-	scheme   Class
-	expiry   int64
-	postings []*posting
-	over     bool
-	taken    int // event
+type request struct {
+	node       string
+	class      Class
+	deadline   int64
+	attempts   []*attempt
+	ended      bool
+	acceptedBy int // event
 }
 
 type send struct {
@@ -109,161 +109,161 @@
 
 // Checker reads events in order.
 type Checker struct {
-	rules    Rules
-	seen     int
-	now      int64
-	txns     map[string]*txn
-	owed     owed                        // without an answer, and some that have one
-	stops    map[string]map[string]int64 // node, executor: since when it is told to drain or gone
-	begun    map[string]int64
-	sends    map[string][]send // to cold executors, in the last window
-	breaches []Violation
-	shares   map[string]map[string]stake // budget, process
-	over     map[string]bool             // budgets told of, until they are within the whole again
+	rules        Rules
+	events       int
+	now          int64
+	requests     map[string]*request
+	unanswered   deadlineHeap                // without an answer, and some that have one
+	stoppedSince map[string]map[string]int64 // node, executor: since when it is told to drain or gone
+	startedAt    map[string]int64
+	sends        map[string][]send // to cold executors, in the last window
+	violations   []Violation
+	quotas       map[string]map[string]quota // budget, process
+	exceeded     map[string]bool             // budgets told of, until they are within the whole again
 }
 
-// stake is what a process may use until a time; 0: for good.
-type stake struct{ units, until int64 }
+// quota is what a process may use until a time; 0: for good.
+type quota struct{ units, until int64 }
 
 func New(rules Rules) *Checker {
-	return &Checker{rules: rules, txns: map[string]*txn{}, stops: map[string]map[string]int64{}, begun: map[string]int64{},
-		sends: map[string][]send{}, shares: map[string]map[string]stake{}, over: map[string]bool{}}
+	return &Checker{rules: rules, requests: map[string]*request{}, stoppedSince: map[string]map[string]int64{}, startedAt: map[string]int64{},
+		sends: map[string][]send{}, quotas: map[string]map[string]quota{}, exceeded: map[string]bool{}}
 }
 
-func (j *Checker) breach(rule int, format string, args ...any) {
-	j.breaches = append(j.breaches, Violation{rule, j.seen, fmt.Sprintf(format, args...)})
+func (j *Checker) report(rule int, format string, args ...any) {
+	j.violations = append(j.violations, Violation{rule, j.events, fmt.Sprintf(format, args...)})
 }
 
 // Add takes the next event. An error says that the log makes no sense; it is no breach by whoever is judged.
 func (j *Checker) Add(e Event) error {
 	if e.At < j.now {
-		return fmt.Errorf("event %d: time goes back from %d to %d", j.seen, j.now, e.At)
+		return fmt.Errorf("event %d: time goes back from %d to %d", j.events, j.now, e.At)
 	}
 	j.now = e.At
-	j.overdue()
+	j.expireRequests()
 	if err := j.add(e); err != nil {
-		return fmt.Errorf("event %d: %w", j.seen, err)
+		return fmt.Errorf("event %d: %w", j.events, err)
 	}
-	j.seen++
+	j.events++
 	return nil
 }
 
 func (j *Checker) add(e Event) error {
-	t := j.txns[e.Request]
+	t := j.requests[e.Request]
 	switch e.Kind {
 	case RequestAccepted:
 		scheme, known := j.rules.Classes[e.Class]
 		if t != nil || !known || e.Request == "" || e.Node == "" {
 			return fmt.Errorf("txn %q of scheme %q taken by %q: known before, or its scheme or node is not", e.Request, e.Class, e.Node)
 		}
-		t = &txn{node: e.Node, scheme: scheme, expiry: e.Deadline, taken: j.seen}
-		j.txns[e.Request] = t
-		heap.Push(&j.owed, t)
+		t = &request{node: e.Node, class: scheme, deadline: e.Deadline, acceptedBy: j.events}
+		j.requests[e.Request] = t
+		heap.Push(&j.unanswered, t)
 	case EndpointNotified:
-		if j.stops[e.Node] == nil {
-			j.stops[e.Node] = map[string]int64{}
+		if j.stoppedSince[e.Node] == nil {
+			j.stoppedSince[e.Node] = map[string]int64{}
 		}
-		if _, stopped := j.stops[e.Node][e.Server]; e.Result == "up" {
-			delete(j.stops[e.Node], e.Server)
+		if _, stopped := j.stoppedSince[e.Node][e.Server]; e.Result == "up" {
+			delete(j.stoppedSince[e.Node], e.Server)
 		} else if !stopped {
-			j.stops[e.Node][e.Server] = e.At
+			j.stoppedSince[e.Node][e.Server] = e.At
 		}
 	case ServerStarted:
-		j.begun[e.Server] = cmp.Or(e.Since, e.At)
+		j.startedAt[e.Server] = cmp.Or(e.Since, e.At)
 		delete(j.sends, e.Server)
 	case QuotaHeld:
 		if _, known := j.rules.Totals[e.Budget]; !known || e.Node == "" || e.Units < 0 {
 			return fmt.Errorf("%d units of budget %q held by %q", e.Units, e.Budget, e.Node)
 		}
-		j.held(e)
+		j.checkTotal(e)
 	case NodeKilled:
-		delete(j.stops, e.Node)
-		for _, shares := range j.shares {
+		delete(j.stoppedSince, e.Node)
+		for _, shares := range j.quotas {
 			delete(shares, e.Node)
 		}
-		for _, o := range j.owed {
+		for _, o := range j.unanswered {
 			if o.node == e.Node {
-				o.over = true
+				o.ended = true
 			}
 		}
 	case AttemptSent, AttemptEnded, RequestAnswered, ClientLeft:
 		if t == nil {
 			return fmt.Errorf("%s of an unknown txn %q", e.Kind, e.Request)
 		}
-		return j.step(t, e)
+		return j.addToRequest(t, e)
 	default:
 		return fmt.Errorf("unknown kind %q", e.Kind)
 	}
 	return nil
 }
 
-func (j *Checker) step(t *txn, e Event) error {
+func (j *Checker) addToRequest(t *request, e Event) error {
 	switch e.Kind {
 	case AttemptSent:
-		if e.Attempt != len(t.postings) {
-			return fmt.Errorf("posting %d where %d is the next", e.Attempt, len(t.postings))
+		if e.Attempt != len(t.attempts) {
+			return fmt.Errorf("posting %d where %d is the next", e.Attempt, len(t.attempts))
 		}
 		if _, known := j.rules.Servers[e.Server]; !known {
 			return fmt.Errorf("unknown executor %q", e.Server)
 		}
-		j.posted(t, e)
-		t.postings = append(t.postings, &posting{at: e.At, executor: e.Server, open: true})
+		j.checkAttempt(t, e)
+		t.attempts = append(t.attempts, &attempt{sentAt: e.At, server: e.Server, inFlight: true})
 	case AttemptEnded:
-		if e.Attempt < 0 || e.Attempt >= len(t.postings) || !t.postings[e.Attempt].open {
+		if e.Attempt < 0 || e.Attempt >= len(t.attempts) || !t.attempts[e.Attempt].inFlight {
 			return fmt.Errorf("end of posting %d, which is not out", e.Attempt)
 		}
-		p := t.postings[e.Attempt]
-		p.open, p.unrun = false, e.Result == "full" || e.Result == "undialed" || e.Result == "unsent"
+		p := t.attempts[e.Attempt]
+		p.inFlight, p.notRun = false, e.Result == "full" || e.Result == "undialed" || e.Result == "unsent"
 	case RequestAnswered:
-		if t.over {
-			j.breach(1, "txn %s: a second final answer, %s, or one that nobody waits for", e.Request, e.Result)
-		} else if first := t.first(); e.Result == "declined" && first != nil &&
-			(t.scheme.Idempotency == "once-only" || t.scheme.Idempotency == "referenced" && t.scheme.DedupScope != "all") {
-			j.breach(2, "txn %s: declined though its posting to %s may have run", e.Request, first.executor)
+		if t.ended {
+			j.report(1, "txn %s: a second final answer, %s, or one that nobody waits for", e.Request, e.Result)
+		} else if first := t.firstRun(); e.Result == "declined" && first != nil &&
+			(t.class.Idempotency == "once-only" || t.class.Idempotency == "referenced" && t.class.DedupScope != "all") {
+			j.report(2, "txn %s: declined though its posting to %s may have run", e.Request, first.server)
 		}
-		t.over = true
+		t.ended = true
 	case ClientLeft:
-		t.over = true
+		t.ended = true
 	}
 	return nil
 }
 
-// first is the first posting that may have run, or may yet.
-func (t *txn) first() *posting {
-	if i := slices.IndexFunc(t.postings, func(p *posting) bool { return !p.unrun }); i >= 0 {
-		return t.postings[i]
+// firstRun is the first posting that may have run, or may yet.
+func (t *request) firstRun() *attempt {
+	if i := slices.IndexFunc(t.attempts, func(p *attempt) bool { return !p.notRun }); i >= 0 {
+		return t.attempts[i]
 	}
 	return nil
 }
 
-// posted holds one sending against all four rules.
-func (j *Checker) posted(t *txn, e Event) {
-	if t.over {
-		j.breach(1, "txn %s: sent to %s after its end", e.Request, e.Server)
+// checkAttempt holds one sending against all four rules.
+func (j *Checker) checkAttempt(t *request, e Event) {
+	if t.ended {
+		j.report(1, "txn %s: sent to %s after its end", e.Request, e.Server)
 	}
-	if !j.rules.AllowHedging && slices.ContainsFunc(t.postings, func(p *posting) bool { return p.open }) {
-		j.breach(2, "txn %s: a second posting out at once", e.Request)
+	if !j.rules.AllowHedging && slices.ContainsFunc(t.attempts, func(p *attempt) bool { return p.inFlight }) {
+		j.report(2, "txn %s: a second posting out at once", e.Request)
 	}
-	if first := t.first(); first != nil {
-		was, is := j.rules.Servers[first.executor], j.rules.Servers[e.Server]
+	if first := t.firstRun(); first != nil {
+		was, is := j.rules.Servers[first.server], j.rules.Servers[e.Server]
 		switch {
-		case t.scheme.Idempotency == "once-only":
-			j.breach(2, "txn %s: once-only, sent again to %s though it may have run at %s", e.Request, e.Server, first.executor)
-		case t.scheme.Idempotency == "referenced" && e.At-first.at > t.scheme.DedupWindow:
-			j.breach(2, "txn %s: sent again after its group has forgotten it", e.Request)
-		case t.scheme.Idempotency == "referenced" && (t.scheme.DedupScope == "zone" && was.Zone != is.Zone || t.scheme.DedupScope == "cell" && was.Cell != is.Cell):
-			j.breach(2, "txn %s: sent again outside its %s", e.Request, t.scheme.DedupScope)
+		case t.class.Idempotency == "once-only":
+			j.report(2, "txn %s: once-only, sent again to %s though it may have run at %s", e.Request, e.Server, first.server)
+		case t.class.Idempotency == "referenced" && e.At-first.sentAt > t.class.DedupWindow:
+			j.report(2, "txn %s: sent again after its group has forgotten it", e.Request)
+		case t.class.Idempotency == "referenced" && (t.class.DedupScope == "zone" && was.Zone != is.Zone || t.class.DedupScope == "cell" && was.Cell != is.Cell):
+			j.report(2, "txn %s: sent again outside its %s", e.Request, t.class.DedupScope)
 		}
 	}
-	if since, stopped := j.stops[t.node][e.Server]; stopped && e.At-since > j.rules.DrainGrace {
-		j.breach(3, "txn %s: sent to %s %d ms after %s was told to stop", e.Request, e.Server, (e.At-since)/1e6, t.node)
+	if since, stopped := j.stoppedSince[t.node][e.Server]; stopped && e.At-since > j.rules.DrainGrace {
+		j.report(3, "txn %s: sent to %s %d ms after %s was told to stop", e.Request, e.Server, (e.At-since)/1e6, t.node)
 	}
-	j.cold(e)
+	j.checkSlowStart(e)
 }
 
-// cold counts what all nodes sent to a cold executor in one window against what it can do in it.
-func (j *Checker) cold(e Event) {
-	start, cold := j.begun[e.Server]
+// checkSlowStart counts what all nodes sent to a cold executor in one window against what it can do in it.
+func (j *Checker) checkSlowStart(e Event) {
+	start, cold := j.startedAt[e.Server]
 	if age := e.At - start; !cold || age >= j.rules.SlowStart {
 		return
 	}
@@ -276,18 +276,18 @@
 	}
 	share := j.rules.SlowStartShare + (1-j.rules.SlowStartShare)*float64(e.At-start)/float64(j.rules.SlowStart)
 	if able := j.rules.OverloadFactor * share * j.rules.Servers[e.Server].Slots * float64(j.rules.OverloadWindow) / 1e9; sum > able {
-		j.breach(4, "%s, cold: %.2f s of work in a window that bears %.2f", e.Server, sum, able)
+		j.report(4, "%s, cold: %.2f s of work in a window that bears %.2f", e.Server, sum, able)
 	}
 }
 
-// held adds up what all may use at this moment. A share that ends leaves the sum by itself; one that grows is told.
-func (j *Checker) held(e Event) {
-	shares := j.shares[e.Budget]
+// checkTotal adds up what all may use at this moment. A share that ends leaves the sum by itself; one that grows is told.
+func (j *Checker) checkTotal(e Event) {
+	shares := j.quotas[e.Budget]
 	if shares == nil {
-		shares = map[string]stake{}
-		j.shares[e.Budget] = shares
+		shares = map[string]quota{}
+		j.quotas[e.Budget] = shares
 	}
-	shares[e.Node] = stake{e.Units, e.Until}
+	shares[e.Node] = quota{e.Units, e.Until}
 	sum := int64(0)
 	for node, s := range shares {
 		if s.until != 0 && s.until <= j.now || s.units == 0 {
@@ -296,36 +296,36 @@
 		}
 		sum += s.units
 	}
-	if whole := j.rules.Totals[e.Budget]; sum > whole && !j.over[e.Budget] {
-		j.breach(sums, "%s: %d units are in force, the whole is %d", e.Budget, sum, whole)
-		j.over[e.Budget] = true
+	if whole := j.rules.Totals[e.Budget]; sum > whole && !j.exceeded[e.Budget] {
+		j.report(ruleTotals, "%s: %d units are in force, the whole is %d", e.Budget, sum, whole)
+		j.exceeded[e.Budget] = true
 	} else if sum <= whole {
-		j.over[e.Budget] = false
+		j.exceeded[e.Budget] = false
 	}
 }
 
-// owed is a heap of txns by when their answers are due; of several at one time the one that was taken first.
+// deadlineHeap is a heap of txns by when their answers are due; of several at one time the one that was taken first.
 // Danger: all that are owed, looked at for each event; at 300 nodes that took two thirds of a run.
-type owed []*txn
+type deadlineHeap []*request
 
-func (o owed) Len() int { return len(o) }
-func (o owed) Less(x, y int) bool {
-	return cmp.Or(cmp.Compare(o[x].expiry, o[y].expiry), cmp.Compare(o[x].taken, o[y].taken)) < 0
+func (o deadlineHeap) Len() int { return len(o) }
+func (o deadlineHeap) Less(x, y int) bool {
+	return cmp.Or(cmp.Compare(o[x].deadline, o[y].deadline), cmp.Compare(o[x].acceptedBy, o[y].acceptedBy)) < 0
 }
-func (o owed) Swap(x, y int) { o[x], o[y] = o[y], o[x] }
-func (o *owed) Push(t any)   { *o = append(*o, t.(*txn)) }
-func (o *owed) Pop() any {
+func (o deadlineHeap) Swap(x, y int) { o[x], o[y] = o[y], o[x] }
+func (o *deadlineHeap) Push(t any)   { *o = append(*o, t.(*request)) }
+func (o *deadlineHeap) Pop() any {
 	t := (*o)[len(*o)-1]
 	*o = (*o)[:len(*o)-1]
 	return t
 }
 
-// overdue tells of txns whose answer is late.
-func (j *Checker) overdue() {
-	for len(j.owed) > 0 && (j.owed[0].over || j.now > j.owed[0].expiry+j.rules.Slack) {
-		if t := heap.Pop(&j.owed).(*txn); !t.over {
-			j.breach(1, "the txn taken by event %d has no final answer by its expiry", t.taken)
-			t.over = true
+// expireRequests tells of txns whose answer is late.
+func (j *Checker) expireRequests() {
+	for len(j.unanswered) > 0 && (j.unanswered[0].ended || j.now > j.unanswered[0].deadline+j.rules.Slack) {
+		if t := heap.Pop(&j.unanswered).(*request); !t.ended {
+			j.report(1, "the txn taken by event %d has no final answer by its expiry", t.acceptedBy)
+			t.ended = true
 		}
 	}
 }
@@ -333,6 +333,6 @@
 // End closes the log at a time and gives all breaches, in the order of the events that prove them.
 func (j *Checker) End(at int64) []Violation {
 	j.now = max(j.now, at)
-	j.overdue()
-	return j.breaches
+	j.expireRequests()
+	return j.violations
 }
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -125,8 +125,8 @@
 		for _, e := range parse(t, log) {
 			failed = failed || j.Add(e) != nil
 		}
-		if !failed || len(j.breaches) > 0 {
-			t.Errorf("%s: %v %+v", log, failed, j.breaches)
+		if !failed || len(j.violations) > 0 {
+			t.Errorf("%s: %v %+v", log, failed, j.violations)
 		}
 	}
 }
--- a/internal/invariants/figures.go
+++ b/internal/invariants/figures.go
@@ -44,68 +44,68 @@
 	return f.Waits[min(int(part*float64(len(f.Waits))), len(f.Waits)-1)]
 }
 
-type want struct {
-	scheme, tenant string
-	first, aim     int64
-	value          float64
-	answered       int64 // 0: not
+type demand struct {
+	class, tenant      string
+	firstAt, objective int64
+	weight             float64
+	answeredAt         int64 // 0: not
 }
 
 // Collector gathers figures from events, in any order of calls that keeps the log's.
 type Collector struct {
-	wants map[string]*want // by client
-	tries map[string]*want // by txn
-	out   Summary
+	clients  map[string]*demand // by client
+	requests map[string]*demand // by txn
+	summary  Summary
 }
 
 func NewCollector() *Collector {
-	return &Collector{wants: map[string]*want{}, tries: map[string]*want{}}
+	return &Collector{clients: map[string]*demand{}, requests: map[string]*demand{}}
 }
 
 func (c *Collector) Add(e Event) {
 	switch e.Kind {
 	case RequestAccepted:
-		if c.wants[e.Client] == nil {
-			c.wants[e.Client] = &want{scheme: e.Class, tenant: e.Tenant, first: e.First, aim: e.LatencyObjective, value: e.Weight}
+		if c.clients[e.Client] == nil {
+			c.clients[e.Client] = &demand{class: e.Class, tenant: e.Tenant, firstAt: e.First, objective: e.LatencyObjective, weight: e.Weight}
 		}
-		c.tries[e.Request] = c.wants[e.Client]
-		c.out.Tries++
+		c.requests[e.Request] = c.clients[e.Client]
+		c.summary.Tries++
 	case AttemptSent:
-		c.out.Postings++
+		c.summary.Postings++
 	case RequestAnswered:
-		switch w := c.tries[e.Request]; {
+		switch w := c.requests[e.Request]; {
 		case e.Result == "declined":
-			c.out.Declined++
+			c.summary.Declined++
 		case e.Result == "reversed":
-			c.out.Reversed++
-		case w != nil && w.answered == 0:
-			w.answered = e.At
+			c.summary.Reversed++
+		case w != nil && w.answeredAt == 0:
+			w.answeredAt = e.At
 		}
 	}
 }
 
 // End gives the figures.
 func (c *Collector) End() *Summary {
-	f := c.out
+	f := c.summary
 	f.Schemes, f.Tenants = map[string]Group{}, map[string]Group{}
 	bySecond := map[int64]Group{}
-	for _, id := range slices.Sorted(maps.Keys(c.wants)) { // sums of fractions depend on their order
-		w := c.wants[id]
+	for _, id := range slices.Sorted(maps.Keys(c.clients)) { // sums of fractions depend on their order
+		w := c.clients[id]
 		add := func(g Group) Group {
-			g.Asked += w.value
-			if w.answered > 0 && w.answered <= w.aim {
-				g.OnTime += w.value
-			} else if w.answered > 0 {
-				g.Late += w.value
+			g.Asked += w.weight
+			if w.answeredAt > 0 && w.answeredAt <= w.objective {
+				g.OnTime += w.weight
+			} else if w.answeredAt > 0 {
+				g.Late += w.weight
 			}
 			return g
 		}
-		f.All, f.Schemes[w.scheme], bySecond[w.first/1e9] = add(f.All), add(f.Schemes[w.scheme]), add(bySecond[w.first/1e9])
+		f.All, f.Schemes[w.class], bySecond[w.firstAt/1e9] = add(f.All), add(f.Schemes[w.class]), add(bySecond[w.firstAt/1e9])
 		if w.tenant != "" {
 			f.Tenants[w.tenant] = add(f.Tenants[w.tenant])
 		}
-		if w.answered > 0 && w.value > 0 {
-			f.Waits = append(f.Waits, w.answered-w.first)
+		if w.answeredAt > 0 && w.weight > 0 {
+			f.Waits = append(f.Waits, w.answeredAt-w.firstAt)
 		}
 	}
 	slices.Sort(f.Waits)
