--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -11,81 +11,6 @@
 	"slices"
 )
 
-// EventKind is what an event tells of.
-type EventKind string
-
-const (
-	RequestAccepted  EventKind = "taken"    // a node has a txn and owes it one final answer
-	AttemptSent      EventKind = "posted"   // it was sent to an executor
-	AttemptEnded     EventKind = "ended"    // what came of that sending
-	RequestAnswered  EventKind = "answered" // the final answer
-	ClientLeft       EventKind = "left"     // the client has gone; nothing is owed any more
-	EndpointNotified EventKind = "told"     // a node was told that an executor is up, drains or is gone
-	ServerStarted    EventKind = "begun"    // an executor started, cold; true of the world, told to nobody
-	NodeKilled       EventKind = "killed"   // a node died; what it had is owed no more
-	QuotaHeld        EventKind = "held"     // a process may use so many units of a budget until a time; true from then on, in place of before
-)
-
-// Event is one line of a log. Times are nanoseconds, in order.
-type Event struct {
-	At               int64     `json:"at"`
-	Kind             EventKind `json:"kind"`
-	Node             string    `json:"node,omitempty"`
-	Request          string    `json:"txn,omitempty"`
-	Class            string    `json:"scheme,omitempty"`   // taken
-	Client           string    `json:"client,omitempty"`   // taken: what the try is one of
-	Tenant           string    `json:"tenant,omitempty"`   // taken
-	First            int64     `json:"first,omitempty"`    // taken: when the client first asked
-	LatencyObjective int64     `json:"aim,omitempty"`      // taken: until when an answer earns its full value
-	Weight           float64   `json:"value,omitempty"`    // taken: billing value
-	Deadline         int64     `json:"expiry,omitempty"`   // taken
-	Server           string    `json:"executor,omitempty"` // posted, told, begun
-	Attempt          int       `json:"posting"`            // posted, ended: from 0 on in each txn
-	Work             float64   `json:"work,omitempty"`     // posted: slots times seconds that it takes
-	Since            int64     `json:"since,omitempty"`    // begun: the moment, if it was earlier
-	Budget           string    `json:"budget,omitempty"`   // held
-	Units            int64     `json:"units,omitempty"`    // held
-	Until            int64     `json:"until,omitempty"`    // held; 0: for good, as a floor is
-	Result           string    `json:"result,omitempty"`   // ended: settled, full, undialed, unsent, or another; answered: settled, declined, reversed; told: up, draining, gone
-}
-
-// Class is what the rules say of a kind of txn.
-type Class struct {
-	Idempotency string `json:"effect"` // repeatable, referenced, once-only
-	DedupScope  string `json:"group"`  // of a referenced one: all, zone, cell
-	DedupWindow int64  `json:"memory"` // how long a group drops its repeats
-}
-
-// ServerPlace is where an executor stands, and how many slots it has when warm.
-type ServerPlace struct {
-	Zone  string  `json:"zone"`
-	Cell  string  `json:"cell"`
-	Slots float64 `json:"slots"`
-}
-
-// Rules are the figures that a log is held against.
-type Rules struct {
-	Slack          int64                  `json:"slack"` // after the expiry in which an answer still counts
-	DrainGrace     int64                  `json:"grace"` // in which sends to a draining executor have to stop
-	OverloadWindow int64                  `json:"fall"`
-	OverloadFactor float64                `json:"fall_multiple"`
-	SlowStart      int64                  `json:"cold"`
-	SlowStartShare float64                `json:"cold_share"`
-	AllowHedging   bool                   `json:"doubles"` // two postings of one txn may be out at once
-	Classes        map[string]Class       `json:"schemes"`
-	Servers        map[string]ServerPlace `json:"executors"`
-	Totals         map[string]int64       `json:"wholes,omitempty"` // of budgets that nodes hold together
-}
-
-// Rule 5 is of nodes that hold budgets together: shares in force never sum to more than the whole.
-const ruleTotals = 5
-
-// Violation is a broken rule and the event that proves it, by its number from 0 on.
-type Violation struct {
-	Rule, Event int
-	Text        string
-}
-
 type attempt struct {
 	sentAt   int64
 	server   string
@@ -304,32 +229,6 @@
 	}
 }
 
-// deadlineHeap is a heap of txns by when their answers are due; of several at one time the one that was taken first.
-// Danger: all that are owed, looked at for each event; at 300 nodes that took two thirds of a run.
-type deadlineHeap []*request
-
-func (o deadlineHeap) Len() int { return len(o) }
-func (o deadlineHeap) Less(x, y int) bool {
-	return cmp.Or(cmp.Compare(o[x].deadline, o[y].deadline), cmp.Compare(o[x].acceptedBy, o[y].acceptedBy)) < 0
-}
-func (o deadlineHeap) Swap(x, y int) { o[x], o[y] = o[y], o[x] }
-func (o *deadlineHeap) Push(t any)   { *o = append(*o, t.(*request)) }
-func (o *deadlineHeap) Pop() any {
-	t := (*o)[len(*o)-1]
-	*o = (*o)[:len(*o)-1]
-	return t
-}
-
-// expireRequests tells of txns whose answer is late.
-func (j *Checker) expireRequests() {
-	for len(j.unanswered) > 0 && (j.unanswered[0].ended || j.now > j.unanswered[0].deadline+j.rules.Slack) {
-		if t := heap.Pop(&j.unanswered).(*request); !t.ended {
-			j.report(1, "the txn taken by event %d has no final answer by its expiry", t.acceptedBy)
-			t.ended = true
-		}
-	}
-}
-
 // End closes the log at a time and gives all breaches, in the order of the events that prove them.
 func (j *Checker) End(at int64) []Violation {
 	j.now = max(j.now, at)
