--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package invariants holds a log of events against the four rules. It knows nothing of how decisions are made and shares no
-// code with what makes them; what it is not told in an event it does not assume.
+// Package invariants checks an event log against the rules of the service. It knows nothing of how decisions are made
+// and shares no code with what makes them; it takes nothing for granted that no event tells.
 package invariants
 
 import (
@@ -9,13 +9,23 @@
 	"container/heap"
 	"fmt"
 	"slices"
+	"time"
 )
 
-type attempt struct {
-	sentAt   int64
-	server   string
-	inFlight bool
-	notRun   bool // proved
+// Checker checks events in the order of their times.
+type Checker struct {
+	rules      Rules
+	events     int // how many there were
+	now        int64
+	requests   map[string]*request
+	unanswered deadlineHeap                // and some that are answered since
+	violations []Violation                 // found so far
+	quotas     map[string]map[string]quota // by budget and process
+	exceeded   map[string]bool             // budgets that were reported, until they are within their totals again
+
+	stoppedSince map[string]map[string]int64 // by node and server: since when it is notified as draining or gone
+	startedAt    map[string]int64            // of servers
+	sends        map[string][]send           // to servers that warm up, in the latest window
 }
 
 type request struct {
@@ -23,215 +33,274 @@
 	class      Class
 	deadline   int64
 	attempts   []*attempt
-	ended      bool
-	acceptedBy int // event
+	ended      bool // answered, or nothing is owed any more
+	acceptedBy int  // the event
 }
 
-type send struct {
-	at   int64
-	work float64
+type attempt struct {
+	sentAt   int64
+	server   string
+	inFlight bool
+	notRun   bool // proved
 }
 
-// Checker reads events in order.
-type Checker struct {
-	rules        Rules
-	events       int
-	now          int64
-	requests     map[string]*request
-	unanswered   deadlineHeap                // without an answer, and some that have one
-	stoppedSince map[string]map[string]int64 // node, executor: since when it is told to drain or gone
-	startedAt    map[string]int64
-	sends        map[string][]send // to cold executors, in the last window
-	violations   []Violation
-	quotas       map[string]map[string]quota // budget, process
-	exceeded     map[string]bool             // budgets told of, until they are within the whole again
+type send struct {
+	at   int64
+	work float64 // slots times seconds
 }
 
 // quota is what a process may use until a time; 0: for good.
 type quota struct{ units, until int64 }
 
+// New returns a checker that has seen no event.
 func New(rules Rules) *Checker {
-	return &Checker{rules: rules, requests: map[string]*request{}, stoppedSince: map[string]map[string]int64{}, startedAt: map[string]int64{},
-		sends: map[string][]send{}, quotas: map[string]map[string]quota{}, exceeded: map[string]bool{}}
+	return &Checker{
+		rules:        rules,
+		requests:     map[string]*request{},
+		stoppedSince: map[string]map[string]int64{},
+		startedAt:    map[string]int64{},
+		sends:        map[string][]send{},
+		quotas:       map[string]map[string]quota{},
+		exceeded:     map[string]bool{},
+	}
 }
 
-func (j *Checker) report(rule int, format string, args ...any) {
-	j.violations = append(j.violations, Violation{rule, j.events, fmt.Sprintf(format, args...)})
+// report adds a violation that the current event proves.
+func (c *Checker) report(rule int, format string, args ...any) {
+	c.violations = append(c.violations, Violation{Rule: rule, Event: c.events, Text: fmt.Sprintf(format, args...)})
 }
 
-// Add takes the next event. An error says that the log makes no sense; it is no breach by whoever is judged.
-func (j *Checker) Add(e Event) error {
-	if e.At < j.now {
-		return fmt.Errorf("event %d: time goes back from %d to %d", j.events, j.now, e.At)
+// Add checks the next event. An error says that the log makes no sense, which is no violation.
+func (c *Checker) Add(e Event) error {
+	if e.At < c.now {
+		return fmt.Errorf("event %d: time goes back from %d to %d", c.events, c.now, e.At)
 	}
-	j.now = e.At
-	j.expireRequests()
-	if err := j.add(e); err != nil {
-		return fmt.Errorf("event %d: %w", j.events, err)
+	c.now = e.At
+	c.expireRequests()
+	if err := c.add(e); err != nil {
+		return fmt.Errorf("event %d: %w", c.events, err)
 	}
-	j.events++
+	c.events++
 	return nil
 }
 
-func (j *Checker) add(e Event) error {
-	t := j.requests[e.Request]
+// End closes the log at a time and returns all violations, in the order of the events that prove them.
+func (c *Checker) End(at int64) []Violation {
+	c.now = max(c.now, at)
+	c.expireRequests()
+	return c.violations
+}
+
+func (c *Checker) add(e Event) error {
 	switch e.Kind {
 	case RequestAccepted:
-		scheme, known := j.rules.Classes[e.Class]
-		if t != nil || !known || e.Request == "" || e.Node == "" {
-			return fmt.Errorf("txn %q of scheme %q taken by %q: known before, or its scheme or node is not", e.Request, e.Class, e.Node)
-		}
-		t = &request{node: e.Node, class: scheme, deadline: e.Deadline, acceptedBy: j.events}
-		j.requests[e.Request] = t
-		heap.Push(&j.unanswered, t)
+		return c.acceptRequest(e)
 	case EndpointNotified:
-		if j.stoppedSince[e.Node] == nil {
-			j.stoppedSince[e.Node] = map[string]int64{}
-		}
-		if _, stopped := j.stoppedSince[e.Node][e.Server]; e.Result == "up" {
-			delete(j.stoppedSince[e.Node], e.Server)
-		} else if !stopped {
-			j.stoppedSince[e.Node][e.Server] = e.At
-		}
+		c.notifyEndpoint(e)
 	case ServerStarted:
-		j.startedAt[e.Server] = cmp.Or(e.Since, e.At)
-		delete(j.sends, e.Server)
+		c.startedAt[e.Server] = cmp.Or(e.Since, e.At)
+		delete(c.sends, e.Server)
 	case QuotaHeld:
-		if _, known := j.rules.Totals[e.Budget]; !known || e.Node == "" || e.Units < 0 {
-			return fmt.Errorf("%d units of budget %q held by %q", e.Units, e.Budget, e.Node)
-		}
-		j.checkTotal(e)
+		return c.holdQuota(e)
 	case NodeKilled:
-		delete(j.stoppedSince, e.Node)
-		for _, shares := range j.quotas {
-			delete(shares, e.Node)
-		}
-		for _, o := range j.unanswered {
-			if o.node == e.Node {
-				o.ended = true
-			}
-		}
+		c.removeNode(e.Node)
 	case AttemptSent, AttemptEnded, RequestAnswered, ClientLeft:
-		if t == nil {
-			return fmt.Errorf("%s of an unknown txn %q", e.Kind, e.Request)
+		r := c.requests[e.Request]
+		if r == nil {
+			return fmt.Errorf("%s of an unknown request %q", e.Kind, e.Request)
 		}
-		return j.addToRequest(t, e)
+		return c.addToRequest(r, e)
 	default:
 		return fmt.Errorf("unknown kind %q", e.Kind)
 	}
 	return nil
 }
 
-func (j *Checker) addToRequest(t *request, e Event) error {
+func (c *Checker) acceptRequest(e Event) error {
+	class, known := c.rules.Classes[e.Class]
+	isRepeated := c.requests[e.Request] != nil
+	if isRepeated || !known || e.Request == "" || e.Node == "" {
+		return fmt.Errorf("request %q of class %q accepted by %q: known before, or its class or node is not",
+			e.Request, e.Class, e.Node)
+	}
+	r := &request{node: e.Node, class: class, deadline: e.Deadline, acceptedBy: c.events}
+	c.requests[e.Request] = r
+	heap.Push(&c.unanswered, r)
+	return nil
+}
+
+func (c *Checker) notifyEndpoint(e Event) {
+	if c.stoppedSince[e.Node] == nil {
+		c.stoppedSince[e.Node] = map[string]int64{}
+	}
+	stopped := c.stoppedSince[e.Node]
+	if e.Result == endpointUp {
+		delete(stopped, e.Server)
+		return
+	}
+	if _, known := stopped[e.Server]; !known {
+		stopped[e.Server] = e.At
+	}
+}
+
+func (c *Checker) removeNode(node string) {
+	delete(c.stoppedSince, node)
+	for _, quotas := range c.quotas {
+		delete(quotas, node)
+	}
+	for _, r := range c.unanswered {
+		if r.node == node {
+			r.ended = true
+		}
+	}
+}
+
+func (c *Checker) addToRequest(r *request, e Event) error {
 	switch e.Kind {
 	case AttemptSent:
-		if e.Attempt != len(t.attempts) {
-			return fmt.Errorf("posting %d where %d is the next", e.Attempt, len(t.attempts))
-		}
-		if _, known := j.rules.Servers[e.Server]; !known {
-			return fmt.Errorf("unknown executor %q", e.Server)
-		}
-		j.checkAttempt(t, e)
-		t.attempts = append(t.attempts, &attempt{sentAt: e.At, server: e.Server, inFlight: true})
+		return c.sendAttempt(r, e)
 	case AttemptEnded:
-		if e.Attempt < 0 || e.Attempt >= len(t.attempts) || !t.attempts[e.Attempt].inFlight {
-			return fmt.Errorf("end of posting %d, which is not out", e.Attempt)
-		}
-		p := t.attempts[e.Attempt]
-		p.inFlight, p.notRun = false, e.Result == "full" || e.Result == "undialed" || e.Result == "unsent"
+		return r.endAttempt(e)
 	case RequestAnswered:
-		if t.ended {
-			j.report(1, "txn %s: a second final answer, %s, or one that nobody waits for", e.Request, e.Result)
-		} else if first := t.firstRun(); e.Result == "declined" && first != nil &&
-			(t.class.Idempotency == "once-only" || t.class.Idempotency == "referenced" && t.class.DedupScope != "all") {
-			j.report(2, "txn %s: declined though its posting to %s may have run", e.Request, first.server)
-		}
-		t.ended = true
+		c.answerRequest(r, e)
 	case ClientLeft:
-		t.ended = true
+		r.ended = true
 	}
 	return nil
 }
 
-// firstRun is the first posting that may have run, or may yet.
-func (t *request) firstRun() *attempt {
-	if i := slices.IndexFunc(t.attempts, func(p *attempt) bool { return !p.notRun }); i >= 0 {
-		return t.attempts[i]
+func (c *Checker) sendAttempt(r *request, e Event) error {
+	if e.Attempt != len(r.attempts) {
+		return fmt.Errorf("attempt %d where %d is the next", e.Attempt, len(r.attempts))
+	}
+	if _, known := c.rules.Servers[e.Server]; !known {
+		return fmt.Errorf("unknown server %q", e.Server)
 	}
+	c.checkAttempt(r, e)
+	r.attempts = append(r.attempts, &attempt{sentAt: e.At, server: e.Server, inFlight: true})
 	return nil
 }
 
-// checkAttempt holds one sending against all four rules.
-func (j *Checker) checkAttempt(t *request, e Event) {
-	if t.ended {
-		j.report(1, "txn %s: sent to %s after its end", e.Request, e.Server)
+func (r *request) endAttempt(e Event) error {
+	if e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
+		return fmt.Errorf("end of attempt %d, which is not in flight", e.Attempt)
 	}
-	if !j.rules.AllowHedging && slices.ContainsFunc(t.attempts, func(p *attempt) bool { return p.inFlight }) {
-		j.report(2, "txn %s: a second posting out at once", e.Request)
+	a := r.attempts[e.Attempt]
+	a.inFlight = false
+	a.notRun = e.Result == resultFull || e.Result == resultUndialed || e.Result == resultUnsent
+	return nil
+}
+
+func (c *Checker) answerRequest(r *request, e Event) {
+	first := r.firstRun()
+	switch {
+	case r.ended:
+		c.report(ruleOneAnswer, "request %s: a second final answer, %s, or one that nobody waits for", e.Request, e.Result)
+	case e.Result == resultShed && first != nil && r.class.isShedUnsafe():
+		c.report(ruleIdempotency, "request %s: shed though its attempt at %s may have run", e.Request, first.server)
 	}
-	if first := t.firstRun(); first != nil {
-		was, is := j.rules.Servers[first.server], j.rules.Servers[e.Server]
-		switch {
-		case t.class.Idempotency == "once-only":
-			j.report(2, "txn %s: once-only, sent again to %s though it may have run at %s", e.Request, e.Server, first.server)
-		case t.class.Idempotency == "referenced" && e.At-first.sentAt > t.class.DedupWindow:
-			j.report(2, "txn %s: sent again after its group has forgotten it", e.Request)
-		case t.class.Idempotency == "referenced" && (t.class.DedupScope == "zone" && was.Zone != is.Zone || t.class.DedupScope == "cell" && was.Cell != is.Cell):
-			j.report(2, "txn %s: sent again outside its %s", e.Request, t.class.DedupScope)
-		}
+	r.ended = true
+}
+
+// firstRun returns the first attempt that may have run, or may yet; nil if there is none.
+func (r *request) firstRun() *attempt {
+	i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.notRun })
+	if i < 0 {
+		return nil
 	}
-	if since, stopped := j.stoppedSince[t.node][e.Server]; stopped && e.At-since > j.rules.DrainGrace {
-		j.report(3, "txn %s: sent to %s %d ms after %s was told to stop", e.Request, e.Server, (e.At-since)/1e6, t.node)
+	return r.attempts[i]
+}
+
+// checkAttempt checks one send against the rules of requests and servers.
+func (c *Checker) checkAttempt(r *request, e Event) {
+	if r.ended {
+		c.report(ruleOneAnswer, "request %s: sent to %s after its end", e.Request, e.Server)
+	}
+	isInFlight := slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.inFlight })
+	if isInFlight && !c.rules.AllowHedging {
+		c.report(ruleIdempotency, "request %s: two attempts in flight at once", e.Request)
+	}
+	if first := r.firstRun(); first != nil {
+		c.checkRepeat(r, first, e)
 	}
-	j.checkSlowStart(e)
+	since, isStopped := c.stoppedSince[r.node][e.Server]
+	if late := e.At - since; isStopped && late > c.rules.DrainGrace {
+		c.report(ruleDraining, "request %s: sent to %s %d ms after %s was notified to stop",
+			e.Request, e.Server, late/int64(time.Millisecond), r.node)
+	}
+	c.checkSlowStart(e)
 }
 
-// checkSlowStart counts what all nodes sent to a cold executor in one window against what it can do in it.
-func (j *Checker) checkSlowStart(e Event) {
-	start, cold := j.startedAt[e.Server]
-	if age := e.At - start; !cold || age >= j.rules.SlowStart {
+// checkRepeat checks an attempt of a request that may have run before.
+func (c *Checker) checkRepeat(r *request, first *attempt, e Event) {
+	if r.class.Idempotency == nonIdempotent {
+		c.report(ruleIdempotency, "request %s: not idempotent, sent again to %s though it may have run at %s",
+			e.Request, e.Server, first.server)
 		return
 	}
-	old := func(s send) bool { return e.At-s.at > j.rules.OverloadWindow }
-	sends := append(slices.DeleteFunc(j.sends[e.Server], old), send{e.At, e.Work})
-	j.sends[e.Server] = sends
+	if r.class.Idempotency != idempotentWithinGroup {
+		return
+	}
+	before, now := c.rules.Servers[first.server], c.rules.Servers[e.Server]
+	leavesZone := r.class.DedupScope == scopeZone && before.Zone != now.Zone
+	leavesCell := r.class.DedupScope == scopeCell && before.Cell != now.Cell
+	switch {
+	case e.At-first.sentAt > r.class.DedupWindow:
+		c.report(ruleIdempotency, "request %s: sent again after its group has forgotten it", e.Request)
+	case leavesZone || leavesCell:
+		c.report(ruleIdempotency, "request %s: sent again outside its %s", e.Request, r.class.DedupScope)
+	}
+}
+
+// checkSlowStart adds up what all nodes sent to a server that warms up in one window, and compares it with what the
+// server can do in it.
+func (c *Checker) checkSlowStart(e Event) {
+	start, known := c.startedAt[e.Server]
+	age := e.At - start
+	if !known || age >= c.rules.SlowStart {
+		return
+	}
+	isOld := func(s send) bool { return e.At-s.at > c.rules.OverloadWindow }
+	sends := append(slices.DeleteFunc(c.sends[e.Server], isOld), send{at: e.At, work: e.Work})
+	c.sends[e.Server] = sends
 	sum := 0.0
 	for _, s := range sends {
 		sum += s.work
 	}
-	share := j.rules.SlowStartShare + (1-j.rules.SlowStartShare)*float64(e.At-start)/float64(j.rules.SlowStart)
-	if able := j.rules.OverloadFactor * share * j.rules.Servers[e.Server].Slots * float64(j.rules.OverloadWindow) / 1e9; sum > able {
-		j.report(4, "%s, cold: %.2f s of work in a window that bears %.2f", e.Server, sum, able)
+	share := c.rules.SlowStartShare + (1-c.rules.SlowStartShare)*float64(age)/float64(c.rules.SlowStart)
+	able := c.rules.OverloadFactor * share * c.rules.Servers[e.Server].Slots * float64(c.rules.OverloadWindow) / 1e9
+	if sum > able {
+		c.report(ruleSlowStart, "%s, warming up: %.2f s of work in a window that bears %.2f", e.Server, sum, able)
 	}
 }
 
-// checkTotal adds up what all may use at this moment. A share that ends leaves the sum by itself; one that grows is told.
-func (j *Checker) checkTotal(e Event) {
-	shares := j.quotas[e.Budget]
-	if shares == nil {
-		shares = map[string]quota{}
-		j.quotas[e.Budget] = shares
+func (c *Checker) holdQuota(e Event) error {
+	if _, known := c.rules.Totals[e.Budget]; !known || e.Node == "" || e.Units < 0 {
+		return fmt.Errorf("%d units of budget %q held by %q", e.Units, e.Budget, e.Node)
 	}
-	shares[e.Node] = quota{e.Units, e.Until}
+	if c.quotas[e.Budget] == nil {
+		c.quotas[e.Budget] = map[string]quota{}
+	}
+	c.quotas[e.Budget][e.Node] = quota{units: e.Units, until: e.Until}
+	c.checkTotal(e.Budget)
+	return nil
+}
+
+// checkTotal adds up the quotas of a budget that are in force. It is enough to do so when one is told: one that ends
+// only makes the sum smaller.
+func (c *Checker) checkTotal(budget string) {
 	sum := int64(0)
-	for node, s := range shares {
-		if s.until != 0 && s.until <= j.now || s.units == 0 {
-			delete(shares, node)
+	for node, q := range c.quotas[budget] {
+		isOver := q.until != 0 && q.until <= c.now
+		if isOver || q.units == 0 {
+			delete(c.quotas[budget], node)
 			continue
 		}
-		sum += s.units
+		sum += q.units
 	}
-	if whole := j.rules.Totals[e.Budget]; sum > whole && !j.exceeded[e.Budget] {
-		j.report(ruleTotals, "%s: %d units are in force, the whole is %d", e.Budget, sum, whole)
-		j.exceeded[e.Budget] = true
-	} else if sum <= whole {
-		j.exceeded[e.Budget] = false
+	total := c.rules.Totals[budget]
+	if sum > total && !c.exceeded[budget] {
+		c.report(ruleTotals, "%s: %d units are in force, the total is %d", budget, sum, total)
 	}
-}
-
-// End closes the log at a time and gives all breaches, in the order of the events that prove them.
-func (j *Checker) End(at int64) []Violation {
-	j.now = max(j.now, at)
-	j.expireRequests()
-	return j.violations
+	c.exceeded[budget] = sum > total
 }
--- a/internal/invariants/deadline_heap.go
+++ b/internal/invariants/deadline_heap.go
@@ -7,32 +7,45 @@
 	"container/heap"
 )
 
-// deadlineHeap is a heap of txns by when their answers are due; of several at one time the one that was taken first.
-// Danger: all that are owed, looked at for each event; at 300 nodes that took two thirds of a run.
+// deadlineHeap holds requests by deadline, those of one deadline in the order in which they were accepted. With it an
+// event costs no look at each unanswered request, which was most of the time in large logs. It implements
+// heap.Interface.
 type deadlineHeap []*request
 
-func (o deadlineHeap) Len() int { return len(o) }
+// Len implements sort.Interface.
+func (h deadlineHeap) Len() int { return len(h) }
 
-func (o deadlineHeap) Less(x, y int) bool {
-	return cmp.Or(cmp.Compare(o[x].deadline, o[y].deadline), cmp.Compare(o[x].acceptedBy, o[y].acceptedBy)) < 0
+// Less implements sort.Interface.
+func (h deadlineHeap) Less(x, y int) bool {
+	return cmp.Or(cmp.Compare(h[x].deadline, h[y].deadline), cmp.Compare(h[x].acceptedBy, h[y].acceptedBy)) < 0
 }
 
-func (o deadlineHeap) Swap(x, y int) { o[x], o[y] = o[y], o[x] }
+// Swap implements sort.Interface.
+func (h deadlineHeap) Swap(x, y int) { h[x], h[y] = h[y], h[x] }
 
-func (o *deadlineHeap) Push(t any) { *o = append(*o, t.(*request)) }
+// Push implements heap.Interface.
+func (h *deadlineHeap) Push(r any) { *h = append(*h, r.(*request)) }
 
-func (o *deadlineHeap) Pop() any {
-	t := (*o)[len(*o)-1]
-	*o = (*o)[:len(*o)-1]
-	return t
+// Pop implements heap.Interface.
+func (h *deadlineHeap) Pop() any {
+	last := len(*h) - 1
+	r := (*h)[last]
+	*h = (*h)[:last]
+	return r
 }
 
-// expireRequests tells of txns whose answer is late.
-func (j *Checker) expireRequests() {
-	for len(j.unanswered) > 0 && (j.unanswered[0].ended || j.now > j.unanswered[0].deadline+j.rules.Slack) {
-		if t := heap.Pop(&j.unanswered).(*request); !t.ended {
-			j.report(1, "the txn taken by event %d has no final answer by its expiry", t.acceptedBy)
-			t.ended = true
+// expireRequests reports requests whose answer is late, and drops those that need none any more.
+func (c *Checker) expireRequests() {
+	for len(c.unanswered) > 0 {
+		next := c.unanswered[0]
+		isLate := c.now > next.deadline+c.rules.Slack
+		if !next.ended && !isLate {
+			return
+		}
+		heap.Pop(&c.unanswered)
+		if !next.ended {
+			c.report(ruleOneAnswer, "the request accepted by event %d has no final answer by its deadline", next.acceptedBy)
+			next.ended = true
 		}
 	}
 }
--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -2,38 +2,63 @@
 
 package invariants
 
-// Class is what the rules say of a kind of txn.
+// Numbers of the rules, as reports and pages give them.
+const (
+	ruleOneAnswer   = 1 // each request has one final answer by its deadline
+	ruleIdempotency = 2 // no request runs more often than its class allows
+	ruleDraining    = 3 // nothing is sent to a server that drains or is gone
+	ruleSlowStart   = 4 // no server that warms up is sent more than it can do
+	ruleTotals      = 5 // quotas in force never sum to more than the total of their budget
+)
+
+// Idempotency of a class, by the names that event logs give it.
+const (
+	idempotentWithinGroup = "referenced" // the servers of a group drop repeats for a time
+	nonIdempotent         = "once-only"
+)
+
+// Groups of servers that drop repeats of a request together.
+const (
+	scopeAll  = "all"
+	scopeZone = "zone"
+	scopeCell = "cell"
+)
+
+// Class is what the rules depend on in a class of requests.
 type Class struct {
-	Idempotency string `json:"effect"` // repeatable, referenced, once-only
-	DedupScope  string `json:"group"`  // of a referenced one: all, zone, cell
-	DedupWindow int64  `json:"memory"` // how long a group drops its repeats
+	Idempotency string `json:"effect"` // repeatable, referenced or once-only
+	DedupScope  string `json:"group"`  // if referenced: all, zone or cell
+	DedupWindow int64  `json:"memory"` // for how long a group drops repeats, in nanoseconds
 }
 
-// ServerPlace is where an executor stands, and how many slots it has when warm.
+// isShedUnsafe reports whether a request of the class must not be shed once it may have run: its client would send it
+// again, to servers that don't know it.
+func (c Class) isShedUnsafe() bool {
+	return c.Idempotency == nonIdempotent || c.Idempotency == idempotentWithinGroup && c.DedupScope != scopeAll
+}
+
+// ServerPlace is where a server is, and how many slots it has when warm.
 type ServerPlace struct {
 	Zone  string  `json:"zone"`
 	Cell  string  `json:"cell"`
 	Slots float64 `json:"slots"`
 }
 
-// Rules are the figures that a log is held against.
+// Rules are the parameters of the rules. Times are in nanoseconds.
 type Rules struct {
-	Slack          int64                  `json:"slack"` // after the expiry in which an answer still counts
-	DrainGrace     int64                  `json:"grace"` // in which sends to a draining executor have to stop
-	OverloadWindow int64                  `json:"fall"`
-	OverloadFactor float64                `json:"fall_multiple"`
-	SlowStart      int64                  `json:"cold"`
-	SlowStartShare float64                `json:"cold_share"`
-	AllowHedging   bool                   `json:"doubles"` // two postings of one txn may be out at once
+	Slack          int64                  `json:"slack"`         // after the deadline in which an answer still counts
+	DrainGrace     int64                  `json:"grace"`         // within which sends to a draining server have to stop
+	OverloadWindow int64                  `json:"fall"`          // over which work at a server that warms up is added up
+	OverloadFactor float64                `json:"fall_multiple"` // of its capacity that it bears in a window
+	SlowStart      int64                  `json:"cold"`          // how long a server warms up
+	SlowStartShare float64                `json:"cold_share"`    // of its capacity that it has at the start
+	AllowHedging   bool                   `json:"doubles"`       // two attempts of a request may be in flight at once
 	Classes        map[string]Class       `json:"schemes"`
 	Servers        map[string]ServerPlace `json:"executors"`
-	Totals         map[string]int64       `json:"wholes,omitempty"` // of budgets that nodes hold together
+	Totals         map[string]int64       `json:"wholes,omitempty"` // of budgets that nodes share, in units
 }
 
-// Rule 5 is of nodes that hold budgets together: shares in force never sum to more than the whole.
-const ruleTotals = 5
-
-// Violation is a broken rule and the event that proves it, by its number from 0 on.
+// Violation is a broken rule and the event that proves it, numbered from 0.
 type Violation struct {
 	Rule, Event int
 	Text        string
