--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,228 +1,104 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package subset says which executors a node is to use, so that each is used by about as many nodes as the next, and few
-// connections are held in all. It is free of I/O: from the same names every node works out the same, and nodes that see other names
-// work out nearly the same. docs/fleet.md says what is promised.
+// Package subset assigns to each node the servers that it is to use, so that servers of one size are used by about as
+// many nodes each, and few connections are held in all. The package does no I/O: from the same names every node works
+// out the same assignment, and from nearly the same names nearly the same one. docs/fleet.md lists what it promises.
 package subset
 
 import (
 	"cmp"
-	"hash/fnv"
 	"math"
 	"slices"
 )
 
+// BalanceFactor bounds by how much the number of nodes that use a server may differ from what its size calls for, as a
+// factor either way, or by less than one node where that is more.
+const BalanceFactor = 1.15
+
 // Settings are what nodes agree on beforehand.
 type Settings struct {
-	Size              int // executors that a node uses, of all classes together
-	MinNodesPerServer int // nodes by which each executor is used at least, as far as there are so many
+	// Size is how many servers a node uses, of all classes together.
+	Size int
+	// MinNodesPerServer is how many nodes use each server at least, as far as there are so many.
+	MinNodesPerServer int
 }
 
-// Server is one of the list. Executors of one class can stand in for each other.
+// Server is a server of the endpoint list. Servers of one zone, machine type and cell, a class, can stand in for each
+// other.
 type Server struct {
 	Name                    string
 	Zone, MachineType, Cell int
-	Size                    float64 // by which it is used; not over nought: as the mean
+	Size                    float64 // in any unit; 0 or less: not known, taken for the mean
 }
 
 type class struct{ zone, machineType, cell int }
 
-// BalanceFactor bounds by how much the number of nodes that use an executor may differ from what its size calls for, as a factor
-// either way, or by less than one where that is more: nodes can't be cut up.
-const BalanceFactor = 1.15
-
-// Assignment is who uses what.
+// Assignment is which nodes use which servers.
 type Assignment struct {
-	nodes   []string
+	nodes   []string // in order
 	classes []classAssignment
 }
 
-// classAssignment is the division of one class.
+// classAssignment is the assignment of the servers of one class.
 type classAssignment struct {
-	servers        []Server
-	serversPerNode int      // executors that a node uses
-	assigned       [][]bool // by node and executor
+	servers        []Server // in order of their names
+	serversPerNode int
+	assigned       [][]bool // by node and server
 }
 
-// Assign works out who uses what. Nodes and executors may come in any order, nodes more than once.
-func Assign(nodes []string, executors []Server, t Settings) *Assignment {
-	d := &Assignment{nodes: slices.Compact(slices.Sorted(slices.Values(nodes)))}
+// Assign assigns servers to nodes. Both may come in any order, and nodes more than once.
+func Assign(nodes []string, servers []Server, settings Settings) *Assignment {
+	a := &Assignment{nodes: slices.Compact(slices.Sorted(slices.Values(nodes)))}
 	classes := map[class][]Server{}
-	for _, e := range executors {
-		c := class{e.Zone, e.MachineType, e.Cell}
-		classes[c] = append(classes[c], e)
+	for _, server := range servers {
+		c := class{zone: server.Zone, machineType: server.MachineType, cell: server.Cell}
+		classes[c] = append(classes[c], server)
 	}
 	for _, members := range classes {
-		slices.SortFunc(members, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
-		table, each := divide(d.nodes, members, t.serversPerNode(len(d.nodes), len(members), len(executors)), t.MinNodesPerServer)
-		d.classes = append(d.classes, classAssignment{members, each, table})
-	}
-	return d
-}
-
-// Distances is how far away executors are from one of the nodes, by name: 0 for those that it is to use, 1 for as many again that it
-// turns to first when those can't serve, 2 for twice as many, and so on.
-func (d *Assignment) Distances(node string) map[string]int {
-	far := map[string]int{}
-	at, is := slices.BinarySearch(d.nodes, node)
-	if !is {
-		return far
-	}
-	for _, p := range d.classes {
-		rest := make([]int, 0, len(p.servers))
-		for i := range p.servers {
-			if p.assigned[at][i] {
-				far[p.servers[i].Name] = 0
-			} else {
-				rest = append(rest, i)
-			}
-		}
-		// Danger: what is crowded for many sends them all to the same next one. Each has an order of its own.
-		mine := nameHash(node)
-		slices.SortFunc(rest, func(a, b int) int {
-			return cmp.Compare(pairHash(mine, nameHash(p.servers[a].Name)), pairHash(mine, nameHash(p.servers[b].Name)))
-		})
-		for n, i := range rest {
-			far[p.servers[i].Name] = 1 + int(math.Log2(float64(n/p.serversPerNode+1)))
-		}
+		slices.SortFunc(members, func(x, y Server) int { return cmp.Compare(x.Name, y.Name) })
+		perNode := settings.serversPerNode(len(a.nodes), len(members), len(servers))
+		a.classes = append(a.classes, assignClass(a.nodes, members, perNode, settings.MinNodesPerServer))
 	}
-	return far
-}
-
-// serversPerNode is how many executors of a class a node uses: its part, one at least, and more where nodes are few.
-func (t Settings) serversPerNode(nodes, members, all int) int {
-	part := int(math.Ceil(float64(t.Size*members) / float64(all)))
-	cover := (min(t.MinNodesPerServer, nodes)*members + nodes - 1) / nodes
-	return min(max(part, cover, 1), members)
+	return a
 }
 
-// pair is a node and an executor by their places, in order of a number by chance that all nodes know.
-type pair struct {
-	hash         uint64
-	node, server int
+// serversPerNode returns how many servers of a class a node uses: in proportion to the class, at least one, and more
+// where there are too few nodes for each server to be used by enough of them.
+func (s Settings) serversPerNode(nodes, classServers, allServers int) int {
+	proportional := int(math.Ceil(float64(s.Size*classServers) / float64(allServers)))
+	covering := (min(s.MinNodesPerServer, nodes)*classServers + nodes - 1) / nodes
+	return min(max(proportional, covering, 1), classServers)
 }
 
-// divide has each node take so many executors of one class, or a few more. First every executor gets the least of nodes that it is
-// to have, then nodes take what they lack, up to the most of each executor, both in one order of pairs by chance. Without the first
-// round a fifth more pairs move.
-//
-// Danger: an order by places, or by turns, moves nearly all when one node comes. Here a pair depends on its own number, and on others
-// only as far as bounds are met.
-func divide(nodes []string, members []Server, each, cover int) (table [][]bool, took int) {
-	var pairs []pair
-	marks := make([]uint64, len(members))
-	for i, e := range members {
-		marks[i] = nameHash(e.Name)
-	}
-	for n, name := range nodes {
-		m := nameHash(name)
-		for i := range members {
-			pairs = append(pairs, pair{pairHash(m, marks[i]), n, i})
-		}
+// Distances returns how far each server is from a node, by name: 0 for those that the node is to use, 1 for as many
+// again that it turns to first if those can't serve, 2 for twice as many, and so on. It is empty for a node that is
+// not known.
+func (a *Assignment) Distances(node string) map[string]int {
+	distances := map[string]int{}
+	index, known := slices.BinarySearch(a.nodes, node)
+	if !known {
+		return distances
 	}
-	slices.SortFunc(pairs, func(a, b pair) int {
-		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.node, b.node), cmp.Compare(a.server, b.server))
-	})
-	least, most := bounds(members, marks, len(nodes)*each, len(nodes), cover)
-	// Danger: beside large ones the small ones' cover is more than all nodes would take.
-	for each < len(members) && sum(least) > len(nodes)*each {
-		each++
-		least, most = bounds(members, marks, len(nodes)*each, len(nodes), cover)
+	for _, c := range a.classes {
+		c.addDistances(nameHash(node), c.assigned[index], distances)
 	}
-	table = make([][]bool, len(nodes))
-	has, used := make([]int, len(nodes)), make([]int, len(members))
-	for n := range table {
-		table[n] = make([]bool, len(members))
-	}
-	take := func(p pair, by int) {
-		if by < 0 == table[p.node][p.server] {
-			table[p.node][p.server] = by > 0
-			has[p.node], used[p.server] = has[p.node]+by, used[p.server]+by
-		}
-	}
-	for _, bound := range [][]int{least, most} {
-		for _, p := range pairs {
-			if has[p.node] < each && used[p.server] < bound[p.server] {
-				take(p, 1)
-			}
-		}
-	}
-	// Danger: what is left over by bounds that can't all be met, an executor that nobody uses among them.
-	for _, p := range pairs {
-		if used[p.server] >= least[p.server] || table[p.node][p.server] {
-			continue
-		}
-		give := -1
-		for i := range members {
-			if table[p.node][i] && used[i] > least[i] && (give < 0 || used[i]-least[i] > used[give]-least[give]) {
-				give = i
-			}
-		}
-		if has[p.node] >= each {
-			if give < 0 {
-				continue
-			}
-			take(pair{0, p.node, give}, -1)
-		}
-		take(p, 1)
-	}
-	for _, p := range pairs {
-		if used[p.server] < least[p.server] {
-			take(p, 1) // one more than the others take
-		}
-	}
-	return table, each
+	return distances
 }
 
-func sum(of []int) (all int) {
-	for _, n := range of {
-		all += n
-	}
-	return all
-}
-
-// bounds are the least and the most of nodes that are to use each executor, of so many uses in all.
-func bounds(members []Server, marks []uint64, uses, nodes, cover int) (least, most []int) {
-	all, known := 0.0, 0
-	for _, e := range members {
-		if e.Size > 0 {
-			all, known = all+e.Size, known+1
+// addDistances adds the distances of one class. The order of the servers that the node is not to use is its own:
+// otherwise the nodes whose servers are crowded would all turn to the same next one.
+func (c *classAssignment) addDistances(nodeHash uint64, assigned []bool, distances map[string]int) {
+	var others []int
+	for i, server := range c.servers {
+		if assigned[i] {
+			distances[server.Name] = 0
+		} else {
+			others = append(others, i)
 		}
 	}
-	mean := 1.0
-	if known > 0 {
-		mean = all / float64(known)
-	}
-	all += mean * float64(len(members)-known)
-	for i, e := range members {
-		size := e.Size
-		if size <= 0 {
-			size = mean
-		}
-		due := float64(uses) * size / all
-		// Danger: bounds that all step at one number of nodes move a pair at each executor at once.
-		chance := float64(marks[i]>>11) / (1 << 53)
-		low, high := int(due/BalanceFactor+chance), int(due*BalanceFactor+chance)
-		// Danger: a small one that nobody uses, as the few that are to are wrong about who is there.
-		if low < cover {
-			low, high = cover, max(high, cover)
-		}
-		least, most = append(least, min(low, nodes)), append(most, min(high, nodes))
+	hash := func(i int) uint64 { return pairHash(nodeHash, nameHash(c.servers[i].Name)) }
+	slices.SortFunc(others, func(x, y int) int { return cmp.Compare(hash(x), hash(y)) })
+	for position, i := range others {
+		distances[c.servers[i].Name] = 1 + int(math.Log2(float64(position/c.serversPerNode+1)))
 	}
-	return least, most
-}
-
-func nameHash(name string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	x := h.Sum64() // its last bytes are hardly mixed into the first bits
-	return (x ^ x>>33) * 0xff51afd7ed558ccd
-}
-
-// pairHash is a number by chance of a pair of marks.
-func pairHash(a, b uint64) uint64 {
-	x := a ^ (b<<32 | b>>32)
-	x = (x ^ x>>33) * 0xff51afd7ed558ccd
-	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
-	return x ^ x>>33
 }
