--- a/cmd/fernrail/figures_test.go
+++ b/cmd/fernrail/figures_test.go
@@ -29,10 +29,10 @@
 		discovery.Close()
 	})
 	address := f.start(0, oldShape, "", strings.TrimPrefix(discovery.URL, "http://"))
-	d := f.desks[0]
+	handler := f.nodes[0].adminHandler()
 	figures := func() (f metrics.Snapshot) {
 		t.Helper()
-		line, err := d.Metrics()
+		line, err := handler.Metrics()
 		if err == nil {
 			err = json.Unmarshal(line, &f)
 		}
--- a/cmd/fernrail/move_test.go
+++ b/cmd/fernrail/move_test.go
@@ -46,7 +46,7 @@
 	out     map[string][]posted // by txn: what is out, or was
 	effects map[string]int      // once-only and referenced txns: how often their effect came about
 	ran     int                 // requests that came whole
-	desks   []*desk             // of the nodes started
+	nodes   []*node             // that were started
 	single  map[string]bool     // txns of nodes that may not have two postings out
 }
 
@@ -222,19 +222,18 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	desk := wire(c, nil, zerolog.Nop())
-	node, server := desk.node, desk.server
-	f.desks = append(f.desks, desk)
+	n := newNode(c, nil, zerolog.Nop())
+	f.nodes = append(f.nodes, n)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		f.Fatal(err)
 	}
-	server.Start(l)
+	n.server.Start(l)
 	ctx, cancel := context.WithCancel(context.Background())
-	go node.WatchEndpoints(ctx)
+	go n.router.WatchEndpoints(ctx)
 	f.Cleanup(func() {
-		node.Shutdown(100 * time.Millisecond)
-		server.Stop(200*time.Millisecond, false)
+		n.router.Shutdown(100 * time.Millisecond)
+		n.server.Stop(200*time.Millisecond, false)
 		cancel()
 	})
 	return l.Addr().String()
--- /dev/null
+++ b/cmd/fernrail/node.go
@@ -0,0 +1,80 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package main
+
+import (
+	"os"
+	"sync/atomic"
+
+	"github.com/rs/zerolog"
+
+	"fernrail/internal/config"
+	"fernrail/internal/fleet"
+	"fernrail/internal/metrics"
+	"fernrail/internal/routing"
+	"fernrail/internal/transport"
+)
+
+// node holds the parts of one node process.
+type node struct {
+	config    *config.Node
+	budgets   *fleet.Fleet // nil: no budget is held with other nodes
+	router    *routing.Router
+	server    *transport.Server
+	counters  *metrics.Counters
+	processes *processCoordinator
+	subset    atomic.Pointer[fleet.SubsetStatus] // nil: servers are not divided among nodes, or not yet
+	log       zerolog.Logger
+}
+
+// newNode puts a node together. The budgets are nil where it holds none with other nodes.
+func newNode(c *config.Node, budgets *fleet.Fleet, log zerolog.Logger) *node {
+	n := &node{config: c, budgets: budgets, counters: metrics.New(c.Names.Classes), log: log}
+	connections := transport.NewConnectionBudget(c.Sockets)
+	connections.SetLogger(log)
+	n.router = newRouter(n, connections)
+	n.server = transport.NewServer(connections, c.Names, n.router.Serve, n.router.Ready, n.counters, log)
+	n.processes = &processCoordinator{
+		config:      c,
+		router:      n.router,
+		budgets:     budgets,
+		connections: connections,
+		log:         log,
+	}
+	n.processes.join(sharedDirectory(c))
+	return n
+}
+
+// newRouter connects the dispatcher to servers, discovery and the budgets of the node.
+func newRouter(n *node, connections *transport.ConnectionBudget) *routing.Router {
+	c := n.config
+	client := transport.NewServerClient(
+		connections, c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, n.counters.AttemptSent)
+	var quotas routing.QuotaSource
+	if n.budgets != nil {
+		source := &quotaSource{budgets: n.budgets, connections: connections}
+		client.SetDialGate(source.allowDial)
+		quotas = source
+	}
+	discovery := transport.NewDiscoveryClient(c.Discovery, c.Names)
+	router := routing.New(c.Settings, c.Seed, c.InitialEndpoints, client, c.ProbeTimeout, discovery, quotas, n.log)
+	client.SetSchedulingDelay(router.SchedulingDelay)
+	if n.budgets != nil && c.Fleet.WitnessQuorum > 0 {
+		router.OnOutcome(n.budgets.RecordOutcome)
+	}
+	return router
+}
+
+// sharedDirectory returns the directory that the processes of a node share; empty: none. A node with neither
+// operators nor an inherited listener has no other process, and does not look at files several times a second.
+func sharedDirectory(c *config.Node) string {
+	if c.AdminAddress == "" && c.ListenFD == 0 {
+		return ""
+	}
+	return os.Getenv("TMPDIR")
+}
+
+// adminHandler returns what carries out the operators' commands.
+func (n *node) adminHandler() *adminHandler {
+	return &adminHandler{node: n}
+}
--- a/cmd/fernrail/desk_test.go
+++ b/cmd/fernrail/process_coordinator_test.go
@@ -12,12 +12,11 @@
 	"fernrail/internal/protocol"
 )
 
-// TestParts: a process takes more of the node's limits only after the others had time to see that they have less, and less
-// at once.
-func TestParts(t *testing.T) {
+// TestLimitShare: a process takes more of the node's limits only after the others had time to see that they have
+// less, and less at once.
+func TestLimitShare(t *testing.T) {
 	dir := t.TempDir()
-	c := &config.Node{Name: "n", Sockets: 200, Memory: 1 << 30, Names: &protocol.Names{}, InitialEndpoints: &protocol.EndpointList{}}
-	terms, err := config.DecodeSettings(func(key string) (string, bool) {
+	settings, err := config.DecodeSettings(func(key string) (string, bool) {
 		if key == "Schemes.count" {
 			return "0", true
 		}
@@ -26,13 +25,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Settings = terms
-	d := wire(c, nil, zerolog.Nop())
-	d.join(dir)
+	c := &config.Node{
+		Name:             "n",
+		Sockets:          200,
+		Memory:           1 << 30,
+		Names:            &protocol.Names{},
+		InitialEndpoints: &protocol.EndpointList{},
+		Settings:         settings,
+	}
+	processes := newNode(c, nil, zerolog.Nop()).processes
+	processes.join(dir)
 	check := func(what string, want float64) {
 		t.Helper()
-		if d.look(); d.part != want {
-			t.Errorf("%s: %v, want %v", what, d.part, want)
+		if processes.sync(); processes.limitShare != want {
+			t.Errorf("%s: %v, want %v", what, processes.limitShare, want)
 		}
 	}
 	check("alone", 1)
@@ -42,7 +48,7 @@
 	}
 	other.StartServing()
 	check("beside one that serves", 0.2)
-	d.seat.StartServing()
+	processes.startServing()
 	check("serves, first look", 0.2)
 	check("serves, second look", 0.5)
 	other.Leave()
--- a/cmd/fernrail/subset.go
+++ b/cmd/fernrail/subset.go
@@ -9,31 +9,45 @@
 	"fernrail/internal/fleet/subset"
 )
 
-// divide keeps executors divided among the nodes that are there, as far as this one knows of either.
-func (d *desk) divide(ctx context.Context) {
+// assignSubsets divides the servers among the nodes whenever either change, as far as this node knows of them, until
+// the context ends.
+func (n *node) assignSubsets(ctx context.Context) {
 	for {
-		nodes, entries := d.share.Peers(), d.node.Endpoints()
-		executors := make([]subset.Server, len(entries))
-		for i, e := range entries {
-			executors[i] = subset.Server{Name: e.ID, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell}
-			// Where the list tells of load its units move with that, and are no size.
-			if !d.config.Settings.LiveCapacity {
-				executors[i].Size = e.Capacity
-			}
-		}
-		far, near := subset.Assign(append(nodes, d.config.Name), executors, *d.config.Fleet.Subset).Distances(d.config.Name), 0
-		for _, at := range far {
-			if at == 0 {
-				near++
-			}
-		}
-		d.node.SetDistances(far)
-		d.subset.Store(&fleet.SubsetStatus{Nodes: max(len(nodes), 1), Listed: len(far), Assigned: near})
+		n.assignSubset()
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.share.MembershipChanges():
-		case <-d.node.EndpointsChanged():
+		case <-n.budgets.MembershipChanges():
+		case <-n.router.EndpointsChanged():
+		}
+	}
+}
+
+// assignSubset divides the servers among the nodes once.
+func (n *node) assignSubset() {
+	peers := n.budgets.Peers()
+	assignment := subset.Assign(append(peers, n.config.Name), n.subsetServers(), *n.config.Fleet.Subset)
+	distances := assignment.Distances(n.config.Name)
+	n.router.SetDistances(distances)
+	assigned := 0
+	for _, distance := range distances {
+		if distance == 0 {
+			assigned++
+		}
+	}
+	n.subset.Store(&fleet.SubsetStatus{Nodes: max(len(peers), 1), Listed: len(distances), Assigned: assigned})
+}
+
+// subsetServers returns the listed servers as they are divided.
+func (n *node) subsetServers() []subset.Server {
+	endpoints := n.router.Endpoints()
+	servers := make([]subset.Server, len(endpoints))
+	for i, e := range endpoints {
+		servers[i] = subset.Server{Name: e.ID, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell}
+		// Where the list's units move with the load, they are no size.
+		if !n.config.Settings.LiveCapacity {
+			servers[i].Size = e.Capacity
 		}
 	}
+	return servers
 }
