--- a/cmd/fernrail/end_test.go
+++ b/cmd/fernrail/end_test.go
@@ -24,11 +24,11 @@
 // gets one whole answer, what was never taken ends without a reset, and the process is gone by the longest expiry and 0.7 s.
 func TestEndWithAllOwed(t *testing.T) {
 	for _, effect := range []string{"idempotent", "deduplicated", "at_most_once"} {
-		t.Run(effect, func(t *testing.T) { endWith(t, effect) })
+		t.Run(effect, func(t *testing.T) { checkEnd(t, effect) })
 	}
 }
 
-func endWith(t *testing.T, effect string) {
+func checkEnd(t *testing.T, effect string) {
 	const longest = 1500 * time.Millisecond
 	hung, arrived := make(chan struct{}), make(chan string, 999)
 	var twice atomic.Int32
@@ -45,12 +45,12 @@
 	}))
 	defer executor.Close()
 	defer close(hung)
-	door, path := free(t), filepath.Join(t.TempDir(), "c.json")
+	door, path := freeAddress(t), filepath.Join(t.TempDir(), "c.json")
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":256},"known":{"version":1,"full":true,"servers":[
 {"id":"a","addr":%q,"zone":"z","kind":"k","state":"Ready"},{"id":"b","addr":%q,"zone":"z","kind":"k","state":"Ready"}]},
 "settings":{"Tick":5000000,"Dcs":["z"],"Skus":["k"],"Discovery":"automatic","Limits":{"MayCancel":true,"MostPostings":2},"Rules":{"DrainGrace":500000000},
 "Schemes":[{"Name":"wares","SlaTime":300000000,"Expiry":%d,"Idempotency":%q,"MemorySpan":900000000,"Group":"zone"}]}}`,
-		door, free(t), executor.Listener.Addr(), executor.Listener.Addr(), longest, effect)
+		door, freeAddress(t), executor.Listener.Addr(), executor.Listener.Addr(), longest, effect)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fernrail/figures_test.go
+++ b/cmd/fernrail/figures_test.go
@@ -21,14 +21,14 @@
 // TestFigures: what a node reports is what its clients and executors saw, with declines, an executor that hangs, clients
 // that leave and requests that are cut. Clients that left may count as any end.
 func TestFigures(t *testing.T) {
-	f := newCrew(t, 3)
-	f.workers[2].hung = true
-	discovery := httptest.NewServer(http.HandlerFunc(f.list))
+	f := newServerPool(t, 3)
+	f.servers[2].hung = true
+	discovery := httptest.NewServer(http.HandlerFunc(f.serveDiscovery))
 	t.Cleanup(func() {
 		discovery.CloseClientConnections()
 		discovery.Close()
 	})
-	address := f.start(0, oldShape, "", strings.TrimPrefix(discovery.URL, "http://"))
+	address := f.startNode(0, pushSettings, "", strings.TrimPrefix(discovery.URL, "http://"))
 	handler := f.nodes[0].adminHandler()
 	figures := func() (f metrics.Snapshot) {
 		t.Helper()
@@ -115,7 +115,7 @@
 		}
 	}
 	f.mu.Lock()
-	ran := f.ran
+	ran := f.received
 	f.mu.Unlock()
 	surplus := int64(0)
 	for class, e := range want {
--- a/cmd/fernrail/full_test.go
+++ b/cmd/fernrail/full_test.go
@@ -21,8 +21,8 @@
 	"time"
 )
 
-// free gives an address that nobody listens at.
-func free(t *testing.T) string {
+// freeAddress gives an address that nobody listens at.
+func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,11 +37,11 @@
 // request by giving way: it is served, or its connection ended with nothing, and it may send once more.
 func TestIdleClientsFillANode(t *testing.T) {
 	for _, limit := range []int{48, 96, 256} {
-		t.Run(fmt.Sprint(limit, " descriptors"), func(t *testing.T) { fill(t, limit) })
+		t.Run(fmt.Sprint(limit, " descriptors"), func(t *testing.T) { checkIdleClients(t, limit) })
 	}
 }
 
-func fill(t *testing.T, limit int) {
+func checkIdleClients(t *testing.T, limit int) {
 	release := make(chan struct{})
 	job := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -71,7 +71,7 @@
 	}))
 	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
 	known, _ := json.Marshal(map[string]any{"version": 4, "full": true, "servers": list})
-	door, admin, path := free(t), free(t), filepath.Join(t.TempDir(), "c.json")
+	door, admin, path := freeAddress(t), freeAddress(t), filepath.Join(t.TempDir(), "c.json")
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"admin_addr":%q,"discovery":%q,"seed":"1","limits":{"sockets":%d},"known":%s,"settings":{"Tick":5000000,
 "Dcs":["a"],"Skus":["m"],"Discovery":"automatic","Limits":{"MayCancel":true,"MostPostings":3,"DialTimeout":250000000,"IdleClose":10000000000},
 "Rules":{"AskWithin":10000000000,"DrainGrace":2000000000},
@@ -150,13 +150,13 @@
 		})
 	}
 	asked := time.Now()
-	p.must("telemetry", "{")
+	p.expect("telemetry", "{")
 	if took := time.Since(asked); took > time.Second {
 		t.Errorf("operators were answered after %s", took)
 	}
 	back.Store(true)
 	returned := time.Now()
-	for p.figures().ServersKnown != 100 {
+	for p.metrics().ServersKnown != 100 {
 		if time.Since(returned) > 6*time.Second {
 			t.Fatal("the list is not known 6 s after discovery's return")
 		}
--- a/cmd/fernrail/main_test.go
+++ b/cmd/fernrail/main_test.go
@@ -16,11 +16,11 @@
 	"github.com/rs/zerolog"
 )
 
-const file = `{"name":"n1","listen":"127.0.0.1:0","discovery":"%s","seed":"1","limits":{"sockets":64},"settings":{"Tick":%d,
+const nodeFile = `{"name":"n1","listen":"127.0.0.1:0","discovery":"%s","seed":"1","limits":{"sockets":64},"settings":{"Tick":%d,
 "Rules":{"AskWithin":80000000},"Schemes":[{"Name":"pay","SlaTime":200000000,"Expiry":300000000,"Idempotency":"idempotent"}]}}`
 
-// agent stands in for discovery: it tells of each whole list that is asked for and answers watches at their end.
-func agent(t *testing.T) (address string, asked chan string) {
+// fakeDiscovery stands in for discovery: it tells of each whole list that is asked for and answers watches at their end.
+func fakeDiscovery(t *testing.T) (address string, asked chan string) {
 	asked = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if asked <- r.URL.RawQuery; r.URL.RawQuery != "" {
@@ -33,12 +33,12 @@
 	return strings.TrimPrefix(s.URL, "http://"), asked
 }
 
-// logged passes lines of the log on.
-type logged chan string
+// logLines passes lines of the log on.
+type logLines chan string
 
-func (l logged) Write(b []byte) (int, error) { l <- string(b); return len(b), nil }
+func (l logLines) Write(b []byte) (int, error) { l <- string(b); return len(b), nil }
 
-func (l logged) until(text string) string {
+func (l logLines) until(text string) string {
 	for line := range l {
 		if strings.Contains(line, text) {
 			return line
@@ -50,8 +50,8 @@
 // TestHangup: SIGHUP brings a new discovery, whole and at once; a faulty file changes nothing, and the next one is read
 // afresh. It never ends the program, which SIGTERM does.
 func TestHangup(t *testing.T) {
-	first, askedFirst := agent(t)
-	second, askedSecond := agent(t)
+	first, askedFirst := fakeDiscovery(t)
+	second, askedSecond := fakeDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("EDGE_CONFIG", path)
 	t.Setenv("EDGE_DISCOVERY", first)
@@ -61,23 +61,23 @@
 		}
 	}
 	hang := func() { syscall.Kill(os.Getpid(), syscall.SIGHUP) }
-	replace(fmt.Sprintf(file, first, int(5e6)))
-	log, ended := make(logged, 1000), make(chan error, 1)
+	replace(fmt.Sprintf(nodeFile, first, int(5e6)))
+	log, ended := make(logLines, 1000), make(chan error, 1)
 	go func() { ended <- run(zerolog.New(log)) }()
 	log.until("node serves")
 	<-askedFirst
 	if watch := <-askedFirst; !strings.HasPrefix(watch, "since=9") {
 		t.Error(watch)
 	}
-	replace(fmt.Sprintf(file, first, int(5e6))[:80])
+	replace(fmt.Sprintf(nodeFile, first, int(5e6))[:80])
 	hang()
 	log.until("new configuration not taken")
-	replace(fmt.Sprintf(file, first, -1))
+	replace(fmt.Sprintf(nodeFile, first, -1))
 	hang()
 	if line := log.until("new configuration not taken"); !strings.Contains(line, "Tick") {
 		t.Error(line)
 	}
-	replace(fmt.Sprintf(file, second, int(6e6)))
+	replace(fmt.Sprintf(nodeFile, second, int(6e6)))
 	hang()
 	hang()
 	if line := log.until("wait for a restart"); !strings.Contains(line, `["settings.Tick"]`) {
@@ -102,7 +102,7 @@
 	}
 	defer taken.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
-	os.WriteFile(path, fmt.Appendf(nil, file, "127.0.0.1:1", int64(5e6)), 0o600)
+	os.WriteFile(path, fmt.Appendf(nil, nodeFile, "127.0.0.1:1", int64(5e6)), 0o600)
 	t.Setenv("EDGE_CONFIG", path)
 	t.Setenv("EDGE_LISTEN", taken.Addr().String())
 	if err := run(zerolog.Nop()); err == nil {
--- a/cmd/fernrail/move_test.go
+++ b/cmd/fernrail/move_test.go
@@ -24,64 +24,64 @@
 
 // The settings that both kinds of nodes have, and what sets them apart.
 const (
-	common = `"Tick":5000000,"ReplicasOfMe":4,"Me":%d,"MyZone":%d,"Dcs":["a","b"],"Skus":["m","n"],"BillingValueBasis":"request",
+	commonSettings = `"Tick":5000000,"ReplicasOfMe":4,"Me":%d,"MyZone":%d,"Dcs":["a","b"],"Skus":["m","n"],"BillingValueBasis":"request",
 "Extra":{"TellsStart":true,"Progress":100000000,"ClassStretch":[2,2,2],"ReportX0":"free slots"%s},
 "Prices":{"CrossZone":0.1},"Rules":{"AskWithin":8000000000,"Cold":1000000000,"ColdShare":0.5,"Fall":500000000,"FallMultiple":4},
 "Schemes":[{"Name":"look","SlaTime":300000000,"Expiry":3000000000,"BillingValue":1,"LateBillingValue":0.5,"Idempotency":"idempotent"},
 {"Name":"save","SlaTime":300000000,"Expiry":3000000000,"BillingValue":2,"LateBillingValue":0.5,"Idempotency":"deduplicated","Group":"zone","MemorySpan":2500000000},
 {"Name":"book","SlaTime":300000000,"Expiry":3000000000,"BillingValue":4,"LateBillingValue":0.5,"Idempotency":"at_most_once"}]`
-	oldShape = `"Discovery":"automatic","Weights":"rough","Report":{"Source":"piggyback","Fields":["x0"]},
+	pushSettings = `"Discovery":"automatic","Weights":"rough","Report":{"Source":"piggyback","Fields":["x0"]},
 "Limits":{"MayCancel":true,"MayDuplicate":true,"MostPostings":4,"RetryAfter":true,"MaxRetryAfter":2000000000,"DialTimeout":250000000,"IdleClose":10000000000},`
-	newShape = `"Discovery":"subscribe","Weights":"%s","Report":{"Source":"pull","Fields":["x0","x1"]},
+	pollSettings = `"Discovery":"subscribe","Weights":"%s","Report":{"Source":"pull","Fields":["x0","x1"]},
 "Limits":{"MayCancel":true,"MayDuplicate":false,"MayProbe":true,"MayTell":true,"MostPostings":4,"RetryAfter":true,"MaxRetryAfter":2000000000,"DialTimeout":250000000,"IdleClose":10000000000},`
 )
 
-// crew stands in for executors and discovery: it runs what is posted and holds it against the rules.
-type crew struct {
+// serverPool stands in for executors and discovery: it runs what is posted and holds it against the rules.
+type serverPool struct {
 	*testing.T
-	mu      sync.Mutex
-	workers []*worker
-	changed chan struct{} // closed when the list changes
-	version int
-	out     map[string][]posted // by txn: what is out, or was
-	effects map[string]int      // once-only and referenced txns: how often their effect came about
-	ran     int                 // requests that came whole
-	nodes   []*node             // that were started
-	single  map[string]bool     // txns of nodes that may not have two postings out
+	mu             sync.Mutex
+	servers        []*fakeServer
+	changed        chan struct{} // closed when the list changes
+	version        int
+	attempts       map[string][]receivedAttempt // by txn: what is out, or was
+	effects        map[string]int               // once-only and referenced txns: how often their effect came about
+	received       int                          // requests that came whole
+	nodes          []*node                      // that were started
+	withoutHedging map[string]bool              // txns of nodes that may not have two postings out
 }
 
-// posted is one posting as its worker sees it.
-type posted struct {
-	over <-chan struct{} // closed once it has ended or its connection has
-	end  func()
+// receivedAttempt is one posting as its worker sees it.
+type receivedAttempt struct {
+	closed <-chan struct{} // closed once it has ended or its connection has
+	end    func()
 }
 
-type worker struct {
-	*crew
-	name    string
-	zone    int
-	server  *httptest.Server
-	slots   chan struct{}
-	hung    bool
-	banned  time.Time       // when operators said so; zero: they did not
-	drained time.Time       // when discovery told of it; zero: it does not drain
-	marks   map[string]bool // referenced txns that its zone has run
+type fakeServer struct {
+	*serverPool
+	name          string
+	zone          int
+	server        *httptest.Server
+	slots         chan struct{}
+	hung          bool
+	excludedAt    time.Time       // when operators said so; zero: they did not
+	drainingSince time.Time       // when discovery told of it; zero: it does not drain
+	seenRequests  map[string]bool // referenced txns that its zone has run
 }
 
 const (
-	slots = 3
-	span  = 4 * time.Millisecond // of a job
-	grace = time.Second          // the terms say 0.25 s; a busy machine is told late
+	serverSlots    = 3
+	serviceTime    = 4 * time.Millisecond // of a job
+	toleratedDelay = time.Second          // the terms say 0.25 s; a busy machine is told late
 )
 
-func newCrew(t *testing.T, workers int) *crew {
-	f := &crew{T: t, changed: make(chan struct{}), version: 1, out: map[string][]posted{}, effects: map[string]int{},
-		single: map[string]bool{}}
+func newServerPool(t *testing.T, workers int) *serverPool {
+	f := &serverPool{T: t, changed: make(chan struct{}), version: 1, attempts: map[string][]receivedAttempt{}, effects: map[string]int{},
+		withoutHedging: map[string]bool{}}
 	marks := [2]map[string]bool{{}, {}}
 	for i := range workers {
-		w := &worker{crew: f, name: fmt.Sprint("w", i), zone: i % 2, slots: make(chan struct{}, slots), marks: marks[i%2]}
+		w := &fakeServer{serverPool: f, name: fmt.Sprint("w", i), zone: i % 2, slots: make(chan struct{}, serverSlots), seenRequests: marks[i%2]}
 		w.server = httptest.NewServer(w)
-		f.workers = append(f.workers, w)
+		f.servers = append(f.servers, w)
 		t.Cleanup(func() {
 			w.server.CloseClientConnections()
 			w.server.Close()
@@ -90,29 +90,29 @@
 	return f
 }
 
-func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (w *fakeServer) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/-/load" {
-		free := slots - len(w.slots)
+		free := serverSlots - len(w.slots)
 		fmt.Fprintf(out, `{"x0":%d,"x1":%d}`, free, free)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	id, over := r.Header.Get("X-Call-Id"), make(chan struct{})
-	mine := posted{over, sync.OnceFunc(func() { close(over) })}
+	mine := receivedAttempt{over, sync.OnceFunc(func() { close(over) })}
 	defer mine.end()
 	context.AfterFunc(r.Context(), mine.end)
 	w.mu.Lock()
-	earlier, drained, banned := w.out[id], w.drained, w.banned
-	w.out[id] = append(earlier, mine)
+	earlier, drained, banned := w.attempts[id], w.drainingSince, w.excludedAt
+	w.attempts[id] = append(earlier, mine)
 	if err == nil && len(body) > 0 { // one that was cut is no attempt
-		w.ran++
+		w.received++
 	}
-	single := w.single[id]
+	single := w.withoutHedging[id]
 	w.mu.Unlock()
-	if !drained.IsZero() && time.Since(drained) > grace {
+	if !drained.IsZero() && time.Since(drained) > toleratedDelay {
 		w.Errorf("rule 3: %s was posted to %v after it was told to drain", id, time.Since(drained))
 	}
-	if !banned.IsZero() && time.Since(banned) > grace {
+	if !banned.IsZero() && time.Since(banned) > toleratedDelay {
 		w.Errorf("rule 3: %s was posted to a banned executor %v after that", id, time.Since(banned))
 	}
 	// The node closes a connection before it posts again; here that may show a little later. A copy would not be answered
@@ -122,7 +122,7 @@
 			break
 		}
 		select {
-		case <-p.over:
+		case <-p.closed:
 		case <-time.After(150 * time.Millisecond):
 			w.Errorf("rule 2: %s is out twice", id)
 		}
@@ -139,13 +139,13 @@
 	}
 	say(`"state":"started"`)
 	w.mu.Lock()
-	if class := r.Header.Get("X-Call-Class"); class == "book" || class == "save" && !w.marks[id] {
+	if class := r.Header.Get("X-Call-Class"); class == "book" || class == "save" && !w.seenRequests[id] {
 		w.effects[id]++
-		w.marks[id] = true
+		w.seenRequests[id] = true
 	}
 	hung := w.hung
 	w.mu.Unlock()
-	work := time.NewTimer(span)
+	work := time.NewTimer(serviceTime)
 	defer work.Stop()
 	if hung {
 		work.Stop()
@@ -157,15 +157,15 @@
 	}
 }
 
-// known is the whole list as it is now.
-func (f *crew) known() string {
+// knownList is the whole list as it is now.
+func (f *serverPool) knownList() string {
 	r := httptest.NewRecorder()
-	f.list(r, httptest.NewRequest("GET", "/api/targets", nil))
+	f.serveDiscovery(r, httptest.NewRequest("GET", "/api/targets", nil))
 	return r.Body.String()
 }
 
-// list answers for discovery.
-func (f *crew) list(out http.ResponseWriter, r *http.Request) {
+// serveDiscovery answers for discovery.
+func (f *serverPool) serveDiscovery(out http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	changed, newer := f.changed, r.URL.Query().Get("since") != fmt.Sprint(f.version)
 	f.mu.Unlock()
@@ -183,37 +183,37 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var servers []map[string]any
-	for _, w := range f.workers {
+	for _, w := range f.servers {
 		state := "Ready"
-		if !w.drained.IsZero() {
+		if !w.drainingSince.IsZero() {
 			state = "Terminating"
 		}
 		servers = append(servers, map[string]any{"id": w.name, "addr": w.server.Listener.Addr().String(), "zone": string(rune('a' + w.zone)),
-			"kind": "m", "state": state, "weight": slots / (1 + float64(len(w.slots))/slots), "started_ms": 0})
+			"kind": "m", "state": state, "weight": serverSlots / (1 + float64(len(w.slots))/serverSlots), "started_ms": 0})
 	}
 	json.NewEncoder(out).Encode(map[string]any{"version": f.version, "full": true, "servers": servers})
 }
 
 // drain tells of a worker that takes nothing new.
-func (f *crew) drain(w *worker) {
+func (f *serverPool) drain(w *fakeServer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w.drained = time.Now()
-	f.tell()
+	w.drainingSince = time.Now()
+	f.announce()
 }
 
-// tell ends the watches with a new list. Under mu.
-func (f *crew) tell() {
+// announce ends the watches with a new list. Under mu.
+func (f *serverPool) announce() {
 	f.version++
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// start runs a node of the shape, wired as the program does, and gives its address.
-func (f *crew) start(me int, shape, extra, discovery string) string {
+// startNode runs a node of the shape, wired as the program does, and gives its address.
+func (f *serverPool) startNode(me int, shape, extra, discovery string) string {
 	f.Helper()
 	text := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"%d","limits":{"sockets":200},"known":%s,"settings":{%s%s}}`,
-		me, discovery, me+1, f.known(), shape, fmt.Sprintf(common, me, me%2, extra))
+		me, discovery, me+1, f.knownList(), shape, fmt.Sprintf(commonSettings, me, me%2, extra))
 	path := filepath.Join(f.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		f.Fatal(err)
@@ -241,8 +241,8 @@
 
 // tally is what the clients of one kind of node got.
 type tally struct {
-	settled, declined, failed int
-	slowest                   time.Duration
+	succeeded, shed, failed int
+	slowest                 time.Duration
 }
 
 // TestBothKindsOfNodes: during a move nodes of the old shape (lists sent, reports with answers, copies allowed) and of the new
@@ -251,13 +251,13 @@
 // Danger: one kind that takes each free slot while the other asks for it, or that undoes what the other's rules forbid.
 func TestBothKindsOfNodes(t *testing.T) {
 	for _, weights := range []string{"live", "nominal"} {
-		t.Run(weights, func(t *testing.T) { bothKinds(t, weights) })
+		t.Run(weights, func(t *testing.T) { checkBothKinds(t, weights) })
 	}
 }
 
-func bothKinds(t *testing.T, weights string) {
-	f := newCrew(t, 8)
-	discovery := httptest.NewServer(http.HandlerFunc(f.list))
+func checkBothKinds(t *testing.T, weights string) {
+	f := newServerPool(t, 8)
+	discovery := httptest.NewServer(http.HandlerFunc(f.serveDiscovery))
 	t.Cleanup(func() {
 		discovery.CloseClientConnections()
 		discovery.Close()
@@ -265,10 +265,10 @@
 	place := strings.TrimPrefix(discovery.URL, "http://")
 	var nodes []string
 	for i := range 4 {
-		if shape := oldShape; i < 2 {
-			nodes = append(nodes, f.start(i, shape, "", place))
+		if shape := pushSettings; i < 2 {
+			nodes = append(nodes, f.startNode(i, shape, "", place))
 		} else {
-			nodes = append(nodes, f.start(i, fmt.Sprintf(newShape, weights), `,"MemoryUnit":"one","ReportX1":"free memory"`, place))
+			nodes = append(nodes, f.startNode(i, fmt.Sprintf(pollSettings, weights), `,"MemoryUnit":"one","ReportX1":"free memory"`, place))
 		}
 	}
 	var tallies [2]tally
@@ -281,12 +281,12 @@
 			kind := c % 4 / 2
 			for i := range each {
 				if c == 0 && i == each/3 {
-					f.drain(f.workers[5])
+					f.drain(f.servers[5])
 				}
 				id, class := fmt.Sprintf("%d-%d", c, i), []string{"look", "save", "book", "look", "save"}[i%5]
 				f.mu.Lock()
-				f.single[id] = kind == 1
-				f.workers[2].hung = i > each/2
+				f.withoutHedging[id] = kind == 1
+				f.servers[2].hung = i > each/2
 				f.mu.Unlock()
 				request, err := http.NewRequest("POST", fmt.Sprintf("http://%s/%s?obj=%d", nodes[c%4], class, i%7), strings.NewReader("b"))
 				if err != nil {
@@ -304,7 +304,7 @@
 				answer.Body.Close()
 				took := time.Since(began)
 				f.mu.Lock()
-				if took > 500*time.Millisecond+grace {
+				if took > 500*time.Millisecond+toleratedDelay {
 					t.Errorf("rule 1: %s was answered after %v", id, took)
 				}
 				if answer.StatusCode == 503 && f.effects[id] > 0 && class != "look" {
@@ -314,9 +314,9 @@
 				own.slowest = max(own.slowest, took)
 				switch answer.StatusCode {
 				case 200:
-					own.settled++
+					own.succeeded++
 				case 503:
-					own.declined++
+					own.shed++
 					if answer.Header.Get("Retry-After") == "" {
 						t.Errorf("%s was declined without advice", id)
 					}
@@ -337,7 +337,7 @@
 	}
 	for kind, own := range tallies {
 		t.Logf("kind %d: %+v", kind, own)
-		if own.settled < 8*each*8/10 {
+		if own.succeeded < 8*each*8/10 {
 			t.Errorf("kind %d starves: %+v of %d", kind, own, 8*each)
 		}
 	}
--- a/cmd/fernrail/size_test.go
+++ b/cmd/fernrail/size_test.go
@@ -19,8 +19,8 @@
 	"time"
 )
 
-// status reads a figure of a process from the kernel.
-func status(t *testing.T, pid int, key string) int {
+// processStatus reads a figure of a process from the kernel.
+func processStatus(t *testing.T, pid int, key string) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		t.Fatal(err)
@@ -96,7 +96,7 @@
 		if query := <-asked; !strings.HasPrefix(query, "since=5") {
 			t.Errorf("%d executors: asked %q with the list in hand", executors, query)
 		}
-		idle, threads := status(t, node.Process.Pid, "VmRSS"), status(t, node.Process.Pid, "Threads")
+		idle, threads := processStatus(t, node.Process.Pid, "VmRSS"), processStatus(t, node.Process.Pid, "Threads")
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 		served, clients := 0, sync.WaitGroup{}
 		var mu sync.Mutex
@@ -116,7 +116,7 @@
 			})
 		}
 		clients.Wait()
-		after, more := status(t, node.Process.Pid, "VmRSS"), status(t, node.Process.Pid, "Threads")
+		after, more := processStatus(t, node.Process.Pid, "VmRSS"), processStatus(t, node.Process.Pid, "Threads")
 		t.Logf("%d executors: ready after %d ms; at rest %d KB, %d threads; after a burst of 640 on 64 connections %d KB, %d threads",
 			executors, ready.Milliseconds(), idle, threads, after, more)
 		if least == 0 {
--- a/cmd/fernrail/upgrade_test.go
+++ b/cmd/fernrail/upgrade_test.go
@@ -36,11 +36,11 @@
 	*exec.Cmd
 	admin, config, discovery string
 	ended                    chan error
-	at                       time.Time // of its end, once that is told
+	endedAt                  time.Time // of its end, once that is told
 }
 
-// say makes an operators' call.
-func (p *process) say(line string) string {
+// command makes an operators' call.
+func (p *process) command(line string) string {
 	c, err := net.Dial("tcp", p.admin)
 	if err != nil {
 		return "" // not up yet, or not any more
@@ -52,17 +52,17 @@
 	return string(answer)
 }
 
-func (p *process) must(line, want string) {
+func (p *process) expect(line, want string) {
 	p.Helper()
-	if got := p.say(line); !strings.HasPrefix(got, want) {
+	if got := p.command(line); !strings.HasPrefix(got, want) {
 		p.Errorf("%s: %q, want %q", line, got, want)
 	}
 }
 
-// hangUp has the process read its file again, which names another discovery now, and waits until it is asked.
-func (p *process) hangUp() {
+// reload has the process read its file again, which names another discovery now, and waits until it is asked.
+func (p *process) reload() {
 	p.Helper()
-	first, asked := agent(p.T)
+	first, asked := fakeDiscovery(p.T)
 	text, err := os.ReadFile(p.config)
 	if err != nil {
 		p.Fatal(err)
@@ -81,24 +81,24 @@
 		p.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	for start := time.Now(); p.figures().ServersKnown == 0 && time.Since(start) < 5*time.Second; {
+	for start := time.Now(); p.metrics().ServersKnown == 0 && time.Since(start) < 5*time.Second; {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// until asks until the answer is yes.
-func (p *process) until(line string, within time.Duration) {
+// waitFor asks until the answer is yes.
+func (p *process) waitFor(line string, within time.Duration) {
 	p.Helper()
-	for start := time.Now(); !strings.HasPrefix(p.say(line), "OK"); time.Sleep(10 * time.Millisecond) {
+	for start := time.Now(); !strings.HasPrefix(p.command(line), "OK"); time.Sleep(10 * time.Millisecond) {
 		if time.Since(start) > within {
 			p.Fatalf("%s: no yes within %v", line, within)
 		}
 	}
 }
 
-func (p *process) figures() (f metrics.Snapshot) {
+func (p *process) metrics() (f metrics.Snapshot) {
 	p.Helper()
-	text, whole := strings.CutSuffix(p.say("telemetry"), "\nEND\n")
+	text, whole := strings.CutSuffix(p.command("telemetry"), "\nEND\n")
 	if err := json.Unmarshal([]byte(text), &f); err != nil || !whole {
 		p.Errorf("%q, %v", text, err)
 	}
@@ -110,8 +110,8 @@
 	return len(files)
 }
 
-// ends waits for the process's own end.
-func (p *process) ends() {
+// expectEnd waits for the process's own end.
+func (p *process) expectEnd() {
 	p.Helper()
 	select {
 	case err := <-p.ended:
@@ -123,19 +123,19 @@
 	}
 }
 
-// site is what the processes of one node share.
-type site struct {
-	*crew
+// upgradedNode is what the processes of one node share.
+type upgradedNode struct {
+	*serverPool
 	dir, discovery string
-	door           net.Listener
+	listener       net.Listener
 	file           *os.File
 }
 
-const sockets = 200
+const nodeSockets = 200
 
-func newSite(t *testing.T) *site {
-	f := newCrew(t, 8)
-	discovery := httptest.NewServer(http.HandlerFunc(f.list))
+func newUpgradedNode(t *testing.T) *upgradedNode {
+	f := newServerPool(t, 8)
+	discovery := httptest.NewServer(http.HandlerFunc(f.serveDiscovery))
 	t.Cleanup(func() {
 		discovery.CloseClientConnections()
 		discovery.Close()
@@ -150,11 +150,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { file.Close() })
-	return &site{f, t.TempDir(), strings.TrimPrefix(discovery.URL, "http://"), door, file}
+	return &upgradedNode{f, t.TempDir(), strings.TrimPrefix(discovery.URL, "http://"), door, file}
 }
 
-// begin starts a process of the node beside those that there are.
-func (s *site) begin(discovery string) *process {
+// startProcess starts a process of the node beside those that there are.
+func (s *upgradedNode) startProcess(discovery string) *process {
 	s.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -164,7 +164,7 @@
 	free.Close()
 	path := filepath.Join(s.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":%d},"known":%s,"settings":{%s%s}}`,
-		s.door.Addr(), discovery, sockets, s.known(), oldShape, fmt.Sprintf(common, 0, 0, ""))
+		s.listener.Addr(), discovery, nodeSockets, s.knownList(), pushSettings, fmt.Sprintf(commonSettings, 0, 0, ""))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		s.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 	}
 	go func() {
 		err := p.Wait()
-		p.at = time.Now()
+		p.endedAt = time.Now()
 		p.ended <- err
 	}()
 	s.Cleanup(func() { p.Process.Kill() })
@@ -187,7 +187,7 @@
 
 // load has clients send jobs on kept connections until the end of it; it gives how many got an answer and how many were
 // turned back at the door, which is not an answer.
-func (s *site) load(clients int) (end func() (answered, turnedBack int)) {
+func (s *upgradedNode) load(clients int) (end func() (answered, turnedBack int)) {
 	stop, all := make(chan struct{}), sync.WaitGroup{}
 	var mu sync.Mutex
 	answered, turnedBack := 0, 0
@@ -203,7 +203,7 @@
 				}
 				class := []string{"look", "save", "book"}[i%3]
 				// No GetBody: the library sends nothing again by itself.
-				request, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/%s", s.door.Addr(), class), io.NopCloser(strings.NewReader("b")))
+				request, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/%s", s.listener.Addr(), class), io.NopCloser(strings.NewReader("b")))
 				request.ContentLength = 1
 				request.Header = http.Header{"X-Call-Id": {fmt.Sprintf("%d-%d", c, i)}, "X-Call-Class": {class}, "X-Budget-Ms": {"2000"}}
 				answer, err := client.Do(request)
@@ -226,10 +226,10 @@
 	}
 }
 
-// hold opens connections with one job each and keeps them.
-func (s *site) hold(count int, name string) {
+// holdConnections opens connections with one job each and keeps them.
+func (s *upgradedNode) holdConnections(count int, name string) {
 	for i := range count {
-		c, err := net.Dial("tcp", s.door.Addr().String())
+		c, err := net.Dial("tcp", s.listener.Addr().String())
 		if err != nil {
 			s.Fatal(err)
 		}
@@ -241,90 +241,90 @@
 	}
 }
 
-// visit lists one more worker, and part takes it out again.
-func (s *site) visit() {
-	w := &worker{crew: s.crew, name: "w8", server: s.workers[7].server}
+// addServer lists one more worker, and part takes it out again.
+func (s *upgradedNode) addServer() {
+	w := &fakeServer{serverPool: s.serverPool, name: "w8", server: s.servers[7].server}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.workers = append(s.workers, w)
-	s.tell()
+	s.servers = append(s.servers, w)
+	s.announce()
 }
 
-func (s *site) part() {
+func (s *upgradedNode) removeServer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.workers = s.workers[:8]
-	s.tell()
+	s.servers = s.servers[:8]
+	s.announce()
 }
 
-// ban notes when operators said that nothing more is to go to a worker.
-func (f *crew) ban(w *worker, at time.Time) {
+// markExcluded notes when operators said that nothing more is to go to a worker.
+func (f *serverPool) markExcluded(w *fakeServer, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w.banned = at
+	w.excludedAt = at
 }
 
 // TestUpgrades: processes take over from one another on one inherited socket, under load. Every job gets one answer, next
 // to none is turned back; bans given to either hold in both and in the next; both keep to one node's descriptors; a drain
 // on the way harms nothing; and nothing is left behind.
 func TestUpgrades(t *testing.T) {
-	s := newSite(t)
-	old := s.begin(s.discovery)
-	old.until("readyz", 5*time.Second)
-	old.must("exclude nobody", "ERR")
-	old.must("include nobody", "ERR")
+	s := newUpgradedNode(t)
+	old := s.startProcess(s.discovery)
+	old.waitFor("readyz", 5*time.Second)
+	old.expect("exclude nobody", "ERR")
+	old.expect("include nobody", "ERR")
 	end := s.load(12)
 	const upgrades = 3
 	for round := range upgrades {
-		kept, crossed := s.workers[round], s.workers[3+round]
-		old.must("exclude "+kept.name, "OK")
-		s.ban(kept, time.Now())
+		kept, crossed := s.servers[round], s.servers[3+round]
+		old.expect("exclude "+kept.name, "OK")
+		s.markExcluded(kept, time.Now())
 		if round == 1 {
-			old.must("evacuate", "OK")
-			old.must("readyz", "ERR")
-			old.must("activate", "OK")
-			old.until("readyz", time.Second)
+			old.expect("evacuate", "OK")
+			old.expect("readyz", "ERR")
+			old.expect("activate", "OK")
+			old.waitFor("readyz", time.Second)
 		}
-		s.hold(80, fmt.Sprint("old", round))
-		fresh := s.begin(s.discovery)
-		fresh.until("readyz", 6*time.Second)
-		s.hold(80, fmt.Sprint("both", round))
-		fresh.must("exclude "+crossed.name, "OK")
-		s.ban(crossed, time.Now())
-		for start := time.Now(); old.figures().ServersExcluded < 2; time.Sleep(10 * time.Millisecond) {
+		s.holdConnections(80, fmt.Sprint("old", round))
+		fresh := s.startProcess(s.discovery)
+		fresh.waitFor("readyz", 6*time.Second)
+		s.holdConnections(80, fmt.Sprint("both", round))
+		fresh.expect("exclude "+crossed.name, "OK")
+		s.markExcluded(crossed, time.Now())
+		for start := time.Now(); old.metrics().ServersExcluded < 2; time.Sleep(10 * time.Millisecond) {
 			if time.Since(start) > time.Second {
 				t.Error("a ban given to the new process does not hold in the old")
 				break
 			}
 		}
-		if got := fresh.figures(); got.ServersExcluded != 2 || got.ServersKnown != 8 {
+		if got := fresh.metrics(); got.ServersExcluded != 2 || got.ServersKnown != 8 {
 			t.Errorf("the new process has %+v", got)
 		}
-		if both := old.descriptors() + fresh.descriptors(); both > sockets {
+		if both := old.descriptors() + fresh.descriptors(); both > nodeSockets {
 			t.Errorf("%d descriptors", both)
 		}
 		old.Process.Signal(syscall.SIGTERM)
-		old.ends()
+		old.expectEnd()
 		old = fresh
 		if round == 1 {
-			old.hangUp()
+			old.reload()
 		}
-		old.must("exclude w8", []string{"ERR", "OK"}[min(round, 1)]) // listed in the first process's time alone
-		old.must("include w8", []string{"ERR", "OK"}[min(round, 1)])
+		old.expect("exclude w8", []string{"ERR", "OK"}[min(round, 1)]) // listed in the first process's time alone
+		old.expect("include w8", []string{"ERR", "OK"}[min(round, 1)])
 		if round == 0 {
-			s.visit()
+			s.addServer()
 			for start, noted := time.Now(), []byte{}; !strings.Contains(string(noted), `"w8"`) && time.Since(start) < 3*time.Second; {
 				noted, _ = os.ReadFile(filepath.Join(s.dir, "fernrail-n1.bans"))
 				time.Sleep(10 * time.Millisecond)
 			}
-			s.part()
-			for start := time.Now(); old.figures().ServersKnown != 8 && time.Since(start) < 3*time.Second; {
+			s.removeServer()
+			for start := time.Now(); old.metrics().ServersKnown != 8 && time.Since(start) < 3*time.Second; {
 				time.Sleep(10 * time.Millisecond)
 			}
 		}
-		for _, w := range []*worker{kept, crossed} {
-			s.ban(w, time.Time{})
-			old.must("include "+w.name, "OK")
+		for _, w := range []*fakeServer{kept, crossed} {
+			s.markExcluded(w, time.Time{})
+			old.expect("include "+w.name, "OK")
 		}
 	}
 	answered, turnedBack := end()
@@ -339,12 +339,12 @@
 		}
 	}
 	s.mu.Unlock()
-	f := old.figures()
+	f := old.metrics()
 	if f.InFlight != 0 || f.Attempts == 0 || f.ServersExcluded != 0 {
 		t.Errorf("at rest: %+v", f)
 	}
 	old.Process.Signal(syscall.SIGTERM)
-	old.ends()
+	old.expectEnd()
 	left, _ := filepath.Glob(filepath.Join(s.dir, "*"))
 	if len(left) != 2 {
 		t.Errorf("left behind: %q", left)
@@ -353,9 +353,9 @@
 
 // TestSuccessorDies: one that ends before its yes, by itself or killed, leaves the old process as it was.
 func TestSuccessorDies(t *testing.T) {
-	s := newSite(t)
-	old := s.begin(s.discovery)
-	old.until("readyz", 5*time.Second)
+	s := newUpgradedNode(t)
+	old := s.startProcess(s.discovery)
+	old.waitFor("readyz", 5*time.Second)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -363,29 +363,29 @@
 	defer silent.Close()
 	end := s.load(4)
 	for _, how := range []os.Signal{syscall.SIGKILL, syscall.SIGTERM} {
-		fresh := s.begin(silent.Addr().String())
-		for fresh.say("readyz") == "" { // it is up, and waits for discovery
+		fresh := s.startProcess(silent.Addr().String())
+		for fresh.command("readyz") == "" { // it is up, and waits for discovery
 			time.Sleep(10 * time.Millisecond)
 		}
-		fresh.must("readyz", "ERR")
-		fresh.must("evacuate", "ERR")
+		fresh.expect("readyz", "ERR")
+		fresh.expect("evacuate", "ERR")
 		fresh.Process.Signal(how)
 		<-fresh.ended
-		old.must("readyz", "OK")
+		old.expect("readyz", "OK")
 	}
 	if _, turnedBack := end(); turnedBack > 0 {
 		t.Errorf("%d turned back", turnedBack)
 	}
 	// Told to end together the new one, which the platform takes for the node, is not the first to go.
-	fresh := s.begin(silent.Addr().String())
-	for fresh.say("readyz") == "" {
+	fresh := s.startProcess(silent.Addr().String())
+	for fresh.command("readyz") == "" {
 		time.Sleep(10 * time.Millisecond)
 	}
 	fresh.Process.Signal(syscall.SIGTERM)
 	old.Process.Signal(syscall.SIGTERM)
-	old.ends()
-	fresh.ends()
-	if early := old.at.Sub(fresh.at); early > time.Second {
+	old.expectEnd()
+	fresh.expectEnd()
+	if early := old.endedAt.Sub(fresh.endedAt); early > time.Second {
 		t.Errorf("the new process ended %v before the old one", early)
 	}
 }
@@ -394,9 +394,9 @@
 // nothing and others work; and clients get theirs while hundreds of operators' connections send no whole line and others
 // call without a pause.
 func TestNeitherSideStarvesTheOther(t *testing.T) {
-	s := newSite(t)
-	node := s.begin(s.discovery)
-	node.until("readyz", 5*time.Second)
+	s := newUpgradedNode(t)
+	node := s.startProcess(s.discovery)
+	node.waitFor("readyz", 5*time.Second)
 	end := s.load(12)
 	stall := func(address, text string) {
 		for range 300 {
@@ -413,40 +413,40 @@
 	ask := func() {
 		for range 20 {
 			start := time.Now()
-			node.must("readyz", "OK")
-			node.figures()
+			node.expect("readyz", "OK")
+			node.metrics()
 			slowest = max(slowest, time.Since(start)/2)
 		}
 	}
-	go stall(s.door.Addr().String(), "POST /look HTTP/1.1\r\nHost: h")
+	go stall(s.listener.Addr().String(), "POST /look HTTP/1.1\r\nHost: h")
 	ask()
 	stall(node.admin, "exclude w")
 	ask()
 	var calls sync.WaitGroup
 	for range 4 {
-		calls.Go(callOn(node))
+		calls.Go(callRepeatedly(node))
 	}
 	calls.Wait()
 	if slowest > time.Second {
 		t.Errorf("operators waited for %v", slowest)
 	}
-	if f := node.figures(); f.ServersExcluded != 0 {
+	if f := node.metrics(); f.ServersExcluded != 0 {
 		t.Errorf("half a line was carried out: %+v", f)
 	}
 	if answered, turnedBack := end(); turnedBack > 0 || answered < 100 {
 		t.Errorf("%d answered, %d turned back", answered, turnedBack)
 	}
-	if used := node.descriptors(); used > sockets {
+	if used := node.descriptors(); used > nodeSockets {
 		t.Errorf("%d descriptors", used)
 	}
 	node.Process.Kill()
 }
 
-// callOn calls without a pause.
-func callOn(p *process) func() {
+// callRepeatedly calls without a pause.
+func callRepeatedly(p *process) func() {
 	return func() {
 		for range 100 {
-			p.must("telemetry", "{")
+			p.expect("telemetry", "{")
 		}
 	}
 }
