--- a/cmd/fernrail/full_test.go
+++ b/cmd/fernrail/idle_clients_test.go
@@ -21,16 +21,6 @@
 	"time"
 )
 
-// freeAddress gives an address that nobody listens at.
-func freeAddress(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
 // TestIdleClientsFillANode: a process with few descriptors, as its limits say and the kernel holds it to, starts on an old list of
 // 1,024 while discovery is silent, and four hundred clients keep all the connections that they can get. It is ready within 10 s,
 // serves who comes anew, answers its operators, and knows what discovery tells within 6 s of its return. No idle client loses a
--- a/cmd/fernrail/size_test.go
+++ b/cmd/fernrail/size_test.go
@@ -12,29 +12,12 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
-// processStatus reads a figure of a process from the kernel.
-func processStatus(t *testing.T, pid int, key string) int {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for line := range strings.Lines(string(text)) {
-		if rest, is := strings.CutPrefix(line, key+":"); is {
-			n, _ := strconv.Atoi(strings.Fields(rest)[0])
-			return n
-		}
-	}
-	t.Fatalf("%s is not told", key)
-	return 0
-}
-
 // TestSize: a node among 1,024 that is handed a list of 10 to 2,000 executors, indented, in its file and by its agent, serves within
 // a second or two, on buffers, threads and memory by need: what a longer list costs is the list itself.
 func TestSize(t *testing.T) {
