--- a/cmd/fernrail/end_test.go
+++ b/cmd/fernrail/end_test.go
@@ -19,9 +19,10 @@
 	"time"
 )
 
-// TestEndWithAllOwed: a process is told to end, again and again and to read its file in between, while a request's head is half
-// there, a body, an answer, a connection rests, another never said a word, and executors hang with jobs of each effect. Each request
-// gets one whole answer, what was never taken ends without a reset, and the process is gone by the longest expiry and 0.7 s.
+// TestEndWithAllOwed: a process is told to end, repeatedly and to reload in between, while it holds half of a
+// request's head, half of a body, an answer, an idle connection and a silent one, and servers hang with requests of
+// each idempotency. Each request gets one complete answer, a connection without a request ends without a reset, and
+// the process is gone 0.7 s after the longest deadline.
 func TestEndWithAllOwed(t *testing.T) {
 	for _, effect := range []string{"idempotent", "deduplicated", "at_most_once"} {
 		t.Run(effect, func(t *testing.T) { checkEnd(t, effect) })
@@ -46,9 +47,11 @@
 	defer executor.Close()
 	defer close(hung)
 	door, path := freeAddress(t), filepath.Join(t.TempDir(), "c.json")
-	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":256},"known":{"version":1,"full":true,"servers":[
+	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":256},
+"known":{"version":1,"full":true,"servers":[
 {"id":"a","addr":%q,"zone":"z","kind":"k","state":"Ready"},{"id":"b","addr":%q,"zone":"z","kind":"k","state":"Ready"}]},
-"settings":{"Tick":5000000,"Dcs":["z"],"Skus":["k"],"Discovery":"automatic","Limits":{"MayCancel":true,"MostPostings":2},"Rules":{"DrainGrace":500000000},
+"settings":{"Tick":5000000,"Dcs":["z"],"Skus":["k"],"Discovery":"automatic",
+"Limits":{"MayCancel":true,"MostPostings":2},"Rules":{"DrainGrace":500000000},
 "Schemes":[{"Name":"wares","SlaTime":300000000,"Expiry":%d,"Idempotency":%q,"MemorySpan":900000000,"Group":"zone"}]}}`,
 		door, freeAddress(t), executor.Listener.Addr(), executor.Listener.Addr(), longest, effect)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -75,7 +78,7 @@
 		}
 	}
 	request := func(id string) string {
-		return fmt.Sprintf("POST /wares HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nX-Call-Class: wares\r\nX-Budget-Ms: %d\r\nContent-Length: 4\r\n\r\nbody", id, longest.Milliseconds())
+		return requestText("wares", id, longest, "body")
 	}
 	begun := func(id string) {
 		for got := range arrived {
@@ -108,7 +111,8 @@
 			t.Errorf("%s: %.60q, %v", what, text, err)
 		}
 	}
-	rests, goesOn, silent, head, body, hangs, reads := connect(), connect(), connect(), connect(), connect(), connect(), connect()
+	rests, goesOn, silent := connect(), connect(), connect()
+	head, body, hangs, reads := connect(), connect(), connect(), connect()
 	for i, c := range []net.Conn{rests, goesOn} {
 		io.WriteString(c, request(fmt.Sprint("first", i)))
 		answered("the first on a connection", c, 200)
@@ -131,8 +135,9 @@
 	p.Process.Signal(syscall.SIGTERM)
 	io.WriteString(goesOn, request("more"))
 	answered("another on a connection", goesOn, 200)
-	// What waits at an executor that may run it is declined only where its repeat does no harm.
-	answered("a job that hangs", hangs, map[string][]int{"idempotent": {503}, "deduplicated": {500}, "at_most_once": {500}}[effect]...)
+	// A request whose server may run it is shed only where a retry does no harm.
+	expected := map[string]int{"idempotent": 503, "deduplicated": 500, "at_most_once": 500}[effect]
+	answered("a job that hangs", hangs, expected)
 	io.WriteString(goesOn, request("hang2"))
 	answered("one that comes late and hangs", goesOn, 500, 503)
 	ends("a connection that rests", rests)
--- a/cmd/fernrail/figures_test.go
+++ b/cmd/fernrail/figures_test.go
@@ -18,8 +18,8 @@
 	"fernrail/internal/metrics"
 )
 
-// TestFigures: what a node reports is what its clients and executors saw, with declines, an executor that hangs, clients
-// that leave and requests that are cut. Clients that left may count as any end.
+// TestFigures: the metrics of a node agree with what its clients and servers saw, with requests that are shed, a
+// server that hangs, clients that leave and requests that are cut. A request whose client left may count as any end.
 func TestFigures(t *testing.T) {
 	f := newServerPool(t, 3)
 	f.servers[2].hung = true
@@ -49,8 +49,8 @@
 			chance := rand.New(rand.NewPCG(c, 11))
 			for i := range 20 {
 				class := []string{"look", "save", "book"}[chance.IntN(3)]
-				text := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Call-Id: %d-%d\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\nContent-Length: 4\r\n\r\nbody",
-					class, c, i, class, 20+chance.IntN(300))
+				budget := time.Duration(20+chance.IntN(300)) * time.Millisecond
+				text := requestText(class, fmt.Sprintf("%d-%d", c, i), budget, "body")
 				conn, err := net.Dial("tcp", address)
 				if err != nil {
 					t.Error(err)
--- a/cmd/fernrail/idle_clients_test.go
+++ b/cmd/fernrail/idle_clients_test.go
@@ -21,10 +21,11 @@
 	"time"
 )
 
-// TestIdleClientsFillANode: a process with few descriptors, as its limits say and the kernel holds it to, starts on an old list of
-// 1,024 while discovery is silent, and four hundred clients keep all the connections that they can get. It is ready within 10 s,
-// serves who comes anew, answers its operators, and knows what discovery tells within 6 s of its return. No idle client loses a
-// request by giving way: it is served, or its connection ended with nothing, and it may send once more.
+// TestIdleClientsFillANode: a process with few descriptors, by its limits and the kernel's, starts on an old list of
+// 1,024 servers while discovery is silent, and 400 clients keep all connections that they can get. It is ready within
+// 10 s, serves new clients, answers its operators, and knows the endpoint list within 6 s of discovery's return. No
+// idle client loses a request when its connection is evicted: the request is served, or the connection ended without
+// an answer, and the client may send it once more.
 func TestIdleClientsFillANode(t *testing.T) {
 	for _, limit := range []int{48, 96, 256} {
 		t.Run(fmt.Sprint(limit, " descriptors"), func(t *testing.T) { checkIdleClients(t, limit) })
@@ -62,14 +63,19 @@
 	t.Cleanup(func() { discovery.CloseClientConnections(); discovery.Close() })
 	known, _ := json.Marshal(map[string]any{"version": 4, "full": true, "servers": list})
 	door, admin, path := freeAddress(t), freeAddress(t), filepath.Join(t.TempDir(), "c.json")
-	text := fmt.Sprintf(`{"name":"n","listen":%q,"admin_addr":%q,"discovery":%q,"seed":"1","limits":{"sockets":%d},"known":%s,"settings":{"Tick":5000000,
-"Dcs":["a"],"Skus":["m"],"Discovery":"automatic","Limits":{"MayCancel":true,"MostPostings":3,"DialTimeout":250000000,"IdleClose":10000000000},
+	text := fmt.Sprintf(`{"name":"n","listen":%q,"admin_addr":%q,"discovery":%q,"seed":"1",
+"limits":{"sockets":%d},"known":%s,
+"settings":{"Tick":5000000,
+"Dcs":["a"],"Skus":["m"],"Discovery":"automatic",
+"Limits":{"MayCancel":true,"MostPostings":3,"DialTimeout":250000000,"IdleClose":10000000000},
 "Rules":{"AskWithin":10000000000,"DrainGrace":2000000000},
-"Schemes":[{"Name":"look","SlaTime":300000000,"Expiry":3000000000,"Idempotency":"idempotent"}]}}`, door, admin, strings.TrimPrefix(discovery.URL, "http://"), limit, known)
+"Schemes":[{"Name":"look","SlaTime":300000000,"Expiry":3000000000,"Idempotency":"idempotent"}]}}`,
+		door, admin, strings.TrimPrefix(discovery.URL, "http://"), limit, known)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := &process{T: t, Cmd: exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", limit, os.Args[0])), admin: admin}
+	withLimit := fmt.Sprintf("ulimit -n %d && exec %s", limit, os.Args[0])
+	p := &process{T: t, Cmd: exec.Command("/bin/sh", "-c", withLimit), admin: admin}
 	p.Env = append(os.Environ(), "FERNRAIL_TEST_NODE=1", "EDGE_CONFIG="+path, "EDGE_LOG=warn", "TMPDIR="+t.TempDir())
 	start := time.Now()
 	if err := p.Start(); err != nil {
@@ -91,10 +97,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	calls := 0
-	// ask sends a request; nothing: the connection ended with no byte of an answer.
+	// ask sends a request; nothing reports that the connection ended without a byte of an answer.
 	ask := func(c net.Conn) (status int, nothing bool) {
 		calls++
-		fmt.Fprintf(c, "POST /look HTTP/1.1\r\nHost: h\r\nX-Call-Id: c%d\r\nX-Call-Class: look\r\nX-Budget-Ms: 3000\r\nContent-Length: 1\r\n\r\nb", calls)
+		io.WriteString(c, requestText("look", fmt.Sprint("c", calls), 3*time.Second, "b"))
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		in := bufio.NewReader(c)
 		if _, err := in.Peek(1); err != nil {
@@ -128,7 +134,7 @@
 	if served < 360 {
 		t.Errorf("%d of 400 who came anew were served", served)
 	}
-	// Jobs that go on fill what is left, at both sides.
+	// Requests that take long use up the connections that are left, to clients and to servers.
 	var slow sync.WaitGroup
 	for i := range 2 * limit {
 		slow.Go(func() {
@@ -150,7 +156,7 @@
 		if time.Since(returned) > 6*time.Second {
 			t.Fatal("the list is not known 6 s after discovery's return")
 		}
-		if fresh() == 0 { // who fills the places goes on
+		if fresh() == 0 { // clients take connections all the while
 			continue
 		}
 	}
@@ -158,7 +164,7 @@
 	close(release)
 	slow.Wait()
 	all := slices.Clone(rest)
-	slices.Reverse(all) // the first ones have given way long ago
+	slices.Reverse(all) // the first ones were evicted long ago
 	for _, c := range all[:400] {
 		status, nothing := ask(c)
 		if nothing {
--- a/cmd/fernrail/mixed_sites_test.go
+++ b/cmd/fernrail/mixed_sites_test.go
@@ -19,10 +19,10 @@
 	slowest                 time.Duration
 }
 
-// TestBothKindsOfNodes: during a move nodes of the old shape (lists sent, reports with answers, copies allowed) and of the new
-// one (lists asked for, probes, live weights or none, no copies) work before the same executors, one of which hangs and one
-// drains. The four rules hold, and neither kind starves the other.
-// Danger: one kind that takes each free slot while the other asks for it, or that undoes what the other's rules forbid.
+// TestBothKindsOfNodes: during a migration, nodes that are sent the endpoint list, get load reports with answers and
+// may hedge work beside nodes that poll, probe and may not hedge, before the same servers, one of which hangs and one
+// drains. The four rules hold, and neither kind starves the other: none takes each free slot while the other asks for
+// it, or undoes what the other's rules forbid.
 func TestBothKindsOfNodes(t *testing.T) {
 	for _, weights := range []string{"live", "nominal"} {
 		t.Run(weights, func(t *testing.T) { checkBothKinds(t, weights) })
@@ -42,7 +42,8 @@
 		if shape := pushSettings; i < 2 {
 			nodes = append(nodes, f.startNode(i, shape, "", place))
 		} else {
-			nodes = append(nodes, f.startNode(i, fmt.Sprintf(pollSettings, weights), `,"MemoryUnit":"one","ReportX1":"free memory"`, place))
+			settings := fmt.Sprintf(pollSettings, weights)
+			nodes = append(nodes, f.startNode(i, settings, `,"MemoryUnit":"one","ReportX1":"free memory"`, place))
 		}
 	}
 	var tallies [2]tally
@@ -62,12 +63,18 @@
 				f.withoutHedging[id] = kind == 1
 				f.servers[2].hung = i > each/2
 				f.mu.Unlock()
-				request, err := http.NewRequest("POST", fmt.Sprintf("http://%s/%s?obj=%d", nodes[c%4], class, i%7), strings.NewReader("b"))
+				url := fmt.Sprintf("http://%s/%s?obj=%d", nodes[c%4], class, i%7)
+				request, err := http.NewRequest("POST", url, strings.NewReader("b"))
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				request.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {class}, "X-Budget-Ms": {"500"}, "X-Call-Info": {"slots=1,mem=0.5"}}
+				request.Header = http.Header{
+					"X-Call-Id":    {id},
+					"X-Call-Class": {class},
+					"X-Budget-Ms":  {"500"},
+					"X-Call-Info":  {"slots=1,mem=0.5"},
+				}
 				began := time.Now()
 				answer, err := client.Do(request)
 				if err != nil {
--- a/cmd/fernrail/process_test.go
+++ b/cmd/fernrail/process_test.go
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// process is a node of its own, with its operators' address.
+// process is a node in a process of its own, with an address for operators.
 type process struct {
 	*testing.T
 	*exec.Cmd
@@ -35,7 +35,7 @@
 	endedAt                  time.Time // of its end, once that is told
 }
 
-// command makes an operators' call.
+// command sends an operators' command and returns the reply; "" where the process does not answer.
 func (p *process) command(line string) string {
 	c, err := net.Dial("tcp", p.admin)
 	if err != nil {
@@ -48,6 +48,7 @@
 	return string(answer)
 }
 
+// expect sends a command, whose reply has to begin with want.
 func (p *process) expect(line, want string) {
 	p.Helper()
 	if got := p.command(line); !strings.HasPrefix(got, want) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// reload has the process read its file again, which names another discovery now, and waits until it is asked.
+// reload has the process read its file again, with another address of discovery, and waits until that one is asked.
 func (p *process) reload() {
 	p.Helper()
 	first, asked := fakeDiscovery(p.T)
@@ -82,7 +83,7 @@
 	}
 }
 
-// waitFor asks until the answer is yes.
+// waitFor sends a command until the reply is OK.
 func (p *process) waitFor(line string, within time.Duration) {
 	p.Helper()
 	for start := time.Now(); !strings.HasPrefix(p.command(line), "OK"); time.Sleep(10 * time.Millisecond) {
@@ -92,6 +93,7 @@
 	}
 }
 
+// metrics returns the figures of the process.
 func (p *process) metrics() (f metrics.Snapshot) {
 	p.Helper()
 	text, whole := strings.CutSuffix(p.command("telemetry"), "\nEND\n")
@@ -101,12 +103,13 @@
 	return f
 }
 
+// descriptors returns how many descriptors the process holds.
 func (p *process) descriptors() int {
 	files, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
 	return len(files)
 }
 
-// expectEnd waits for the process's own end.
+// expectEnd waits until the process has ended by itself, without an error.
 func (p *process) expectEnd() {
 	p.Helper()
 	select {
@@ -119,7 +122,7 @@
 	}
 }
 
-// callRepeatedly calls without a pause.
+// callRepeatedly sends commands without a pause.
 func callRepeatedly(p *process) func() {
 	return func() {
 		for range 100 {
@@ -128,7 +131,7 @@
 	}
 }
 
-// processStatus reads a figure of a process from the kernel.
+// processStatus reads a number from /proc/PID/status.
 func processStatus(t *testing.T, pid int, key string) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -144,7 +147,7 @@
 	return 0
 }
 
-// freeAddress gives an address that nobody listens at.
+// freeAddress returns an address that nobody listens at.
 func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/fernrail/run_test.go
+++ b/cmd/fernrail/run_test.go
@@ -16,10 +16,13 @@
 	"github.com/rs/zerolog"
 )
 
-const nodeFile = `{"name":"n1","listen":"127.0.0.1:0","discovery":"%s","seed":"1","limits":{"sockets":64},"settings":{"Tick":%d,
-"Rules":{"AskWithin":80000000},"Schemes":[{"Name":"pay","SlaTime":200000000,"Expiry":300000000,"Idempotency":"idempotent"}]}}`
+// nodeFile is a configuration with the address of discovery and the tick to fill in.
+const nodeFile = `{"name":"n1","listen":"127.0.0.1:0","discovery":"%s","seed":"1",
+"limits":{"sockets":64},"settings":{"Tick":%d,"Rules":{"AskWithin":80000000},
+"Schemes":[{"Name":"pay","SlaTime":200000000,"Expiry":300000000,"Idempotency":"idempotent"}]}}`
 
-// fakeDiscovery stands in for discovery: it tells of each whole list that is asked for and answers watches at their end.
+// fakeDiscovery stands in for discovery: it answers polls of the complete list at once and watches at their end. The
+// channel gets the query of each.
 func fakeDiscovery(t *testing.T) (address string, asked chan string) {
 	asked = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,11 +36,12 @@
 	return strings.TrimPrefix(s.URL, "http://"), asked
 }
 
-// logLines passes lines of the log on.
+// logLines receives the lines of a log.
 type logLines chan string
 
 func (l logLines) Write(b []byte) (int, error) { l <- string(b); return len(b), nil }
 
+// until returns the next line that holds a text.
 func (l logLines) until(text string) string {
 	for line := range l {
 		if strings.Contains(line, text) {
@@ -47,8 +51,8 @@
 	return ""
 }
 
-// TestHangup: SIGHUP brings a new discovery, whole and at once; a faulty file changes nothing, and the next one is read
-// afresh. It never ends the program, which SIGTERM does.
+// TestHangup: SIGHUP brings another address of discovery, at once; a faulty file changes nothing, and the next one is
+// read afresh. SIGHUP never ends the program, SIGTERM does.
 func TestHangup(t *testing.T) {
 	first, askedFirst := fakeDiscovery(t)
 	second, askedSecond := fakeDiscovery(t)
@@ -94,7 +98,7 @@
 	}
 }
 
-// TestFaultEndsTheStart: a node that cannot listen says so.
+// TestFaultEndsTheStart: a node that cannot listen returns an error.
 func TestFaultEndsTheStart(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,7 +106,10 @@
 	}
 	defer taken.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
-	os.WriteFile(path, fmt.Appendf(nil, nodeFile, "127.0.0.1:1", int64(5e6)), 0o600)
+	text := fmt.Appendf(nil, nodeFile, "127.0.0.1:1", int64(5e6))
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
 	t.Setenv("EDGE_CONFIG", path)
 	t.Setenv("EDGE_LISTEN", taken.Addr().String())
 	if err := run(zerolog.Nop()); err == nil {
--- a/cmd/fernrail/server_pool_test.go
+++ b/cmd/fernrail/server_pool_test.go
@@ -20,40 +20,48 @@
 	"github.com/rs/zerolog"
 )
 
-// The settings that both kinds of nodes have, and what sets them apart.
+// Settings that all nodes have, and those of nodes that are sent the endpoint list and of nodes that poll.
 const (
-	commonSettings = `"Tick":5000000,"ReplicasOfMe":4,"Me":%d,"MyZone":%d,"Dcs":["a","b"],"Skus":["m","n"],"BillingValueBasis":"request",
+	commonSettings = `"Tick":5000000,"ReplicasOfMe":4,"Me":%d,"MyZone":%d,"Dcs":["a","b"],"Skus":["m","n"],
+"BillingValueBasis":"request",
 "Extra":{"TellsStart":true,"Progress":100000000,"ClassStretch":[2,2,2],"ReportX0":"free slots"%s},
-"Prices":{"CrossZone":0.1},"Rules":{"AskWithin":8000000000,"Cold":1000000000,"ColdShare":0.5,"Fall":500000000,"FallMultiple":4},
-"Schemes":[{"Name":"look","SlaTime":300000000,"Expiry":3000000000,"BillingValue":1,"LateBillingValue":0.5,"Idempotency":"idempotent"},
-{"Name":"save","SlaTime":300000000,"Expiry":3000000000,"BillingValue":2,"LateBillingValue":0.5,"Idempotency":"deduplicated","Group":"zone","MemorySpan":2500000000},
-{"Name":"book","SlaTime":300000000,"Expiry":3000000000,"BillingValue":4,"LateBillingValue":0.5,"Idempotency":"at_most_once"}]`
+"Prices":{"CrossZone":0.1},
+"Rules":{"AskWithin":8000000000,"Cold":1000000000,"ColdShare":0.5,"Fall":500000000,"FallMultiple":4},
+"Schemes":[{"Name":"look","SlaTime":300000000,"Expiry":3000000000,"BillingValue":1,"LateBillingValue":0.5,
+"Idempotency":"idempotent"},
+{"Name":"save","SlaTime":300000000,"Expiry":3000000000,"BillingValue":2,"LateBillingValue":0.5,
+"Idempotency":"deduplicated","Group":"zone","MemorySpan":2500000000},
+{"Name":"book","SlaTime":300000000,"Expiry":3000000000,"BillingValue":4,"LateBillingValue":0.5,
+"Idempotency":"at_most_once"}]`
 	pushSettings = `"Discovery":"automatic","Weights":"rough","Report":{"Source":"piggyback","Fields":["x0"]},
-"Limits":{"MayCancel":true,"MayDuplicate":true,"MostPostings":4,"RetryAfter":true,"MaxRetryAfter":2000000000,"DialTimeout":250000000,"IdleClose":10000000000},`
+"Limits":{"MayCancel":true,"MayDuplicate":true,"MostPostings":4,"RetryAfter":true,
+"MaxRetryAfter":2000000000,"DialTimeout":250000000,"IdleClose":10000000000},`
 	pollSettings = `"Discovery":"subscribe","Weights":"%s","Report":{"Source":"pull","Fields":["x0","x1"]},
-"Limits":{"MayCancel":true,"MayDuplicate":false,"MayProbe":true,"MayTell":true,"MostPostings":4,"RetryAfter":true,"MaxRetryAfter":2000000000,"DialTimeout":250000000,"IdleClose":10000000000},`
+"Limits":{"MayCancel":true,"MayDuplicate":false,"MayProbe":true,"MayTell":true,"MostPostings":4,"RetryAfter":true,
+"MaxRetryAfter":2000000000,"DialTimeout":250000000,"IdleClose":10000000000},`
 )
 
-// serverPool stands in for executors and discovery: it runs what is posted and holds it against the rules.
+// serverPool stands in for servers and discovery: it runs requests and checks the rules.
 type serverPool struct {
 	*testing.T
 	mu             sync.Mutex
 	servers        []*fakeServer
 	changed        chan struct{} // closed when the list changes
 	version        int
-	attempts       map[string][]receivedAttempt // by txn: what is out, or was
-	effects        map[string]int               // once-only and referenced txns: how often their effect came about
-	received       int                          // requests that came whole
+	attempts       map[string][]receivedAttempt // by request, ended ones as well
+	effects        map[string]int               // how often each request that is not idempotent took effect
+	received       int                          // attempts that came complete
 	nodes          []*node                      // that were started
-	withoutHedging map[string]bool              // txns of nodes that may not have two postings out
+	withoutHedging map[string]bool              // requests of nodes that may not hedge
 }
 
-// receivedAttempt is one posting as its worker sees it.
+// receivedAttempt is an attempt as its server sees it.
 type receivedAttempt struct {
-	closed <-chan struct{} // closed once it has ended or its connection has
+	closed <-chan struct{} // closed once the attempt or its connection has ended
 	end    func()
 }
 
+// fakeServer is one server of the pool.
 type fakeServer struct {
 	*serverPool
 	name          string
@@ -61,23 +69,36 @@
 	server        *httptest.Server
 	slots         chan struct{}
 	hung          bool
-	excludedAt    time.Time       // when operators said so; zero: they did not
-	drainingSince time.Time       // when discovery told of it; zero: it does not drain
-	seenRequests  map[string]bool // referenced txns that its zone has run
+	excludedAt    time.Time       // zero: it is not excluded
+	drainingSince time.Time       // when discovery listed it so; zero: it is not draining
+	seenRequests  map[string]bool // requests that its zone has run, for idempotency in a group
 }
 
 const (
 	serverSlots    = 3
-	serviceTime    = 4 * time.Millisecond // of a job
-	toleratedDelay = time.Second          // the terms say 0.25 s; a busy machine is told late
+	serviceTime    = 4 * time.Millisecond // of a request
+	toleratedDelay = time.Second          // the settings say 0.25 s; a busy machine hears late
 )
 
+// newServerPool starts a pool of servers, in two zones by turns.
 func newServerPool(t *testing.T, workers int) *serverPool {
-	f := &serverPool{T: t, changed: make(chan struct{}), version: 1, attempts: map[string][]receivedAttempt{}, effects: map[string]int{},
-		withoutHedging: map[string]bool{}}
-	marks := [2]map[string]bool{{}, {}}
+	f := &serverPool{
+		T:              t,
+		changed:        make(chan struct{}),
+		version:        1,
+		attempts:       map[string][]receivedAttempt{},
+		effects:        map[string]int{},
+		withoutHedging: map[string]bool{},
+	}
+	seenRequests := [2]map[string]bool{{}, {}}
 	for i := range workers {
-		w := &fakeServer{serverPool: f, name: fmt.Sprint("w", i), zone: i % 2, slots: make(chan struct{}, serverSlots), seenRequests: marks[i%2]}
+		w := &fakeServer{
+			serverPool:   f,
+			name:         fmt.Sprint("w", i),
+			zone:         i % 2,
+			slots:        make(chan struct{}, serverSlots),
+			seenRequests: seenRequests[i%2],
+		}
 		w.server = httptest.NewServer(w)
 		f.servers = append(f.servers, w)
 		t.Cleanup(func() {
@@ -88,6 +109,7 @@
 	return f
 }
 
+// ServeHTTP runs a request, and checks that it may be sent to this server.
 func (w *fakeServer) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/-/load" {
 		free := serverSlots - len(w.slots)
@@ -102,7 +124,7 @@
 	w.mu.Lock()
 	earlier, drained, banned := w.attempts[id], w.drainingSince, w.excludedAt
 	w.attempts[id] = append(earlier, mine)
-	if err == nil && len(body) > 0 { // one that was cut is no attempt
+	if err == nil && len(body) > 0 { // a request that was cut is no attempt
 		w.received++
 	}
 	single := w.withoutHedging[id]
@@ -113,8 +135,8 @@
 	if !banned.IsZero() && time.Since(banned) > toleratedDelay {
 		w.Errorf("rule 3: %s was posted to a banned executor %v after that", id, time.Since(banned))
 	}
-	// The node closes a connection before it posts again; here that may show a little later. A copy would not be answered
-	// meanwhile, so that its first posting stays out.
+	// A node closes a connection before it retries, which may show here a little later. Beside a hedge the first attempt
+	// would stay in flight.
 	for _, p := range earlier {
 		if !single {
 			break
@@ -155,14 +177,14 @@
 	}
 }
 
-// knownList is the whole list as it is now.
+// knownList returns the endpoint list as it is now.
 func (f *serverPool) knownList() string {
 	r := httptest.NewRecorder()
 	f.serveDiscovery(r, httptest.NewRequest("GET", "/api/targets", nil))
 	return r.Body.String()
 }
 
-// serveDiscovery answers for discovery.
+// serveDiscovery answers polls and watches of the endpoint list.
 func (f *serverPool) serveDiscovery(out http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	changed, newer := f.changed, r.URL.Query().Get("since") != fmt.Sprint(f.version)
@@ -186,13 +208,20 @@
 		if !w.drainingSince.IsZero() {
 			state = "Terminating"
 		}
-		servers = append(servers, map[string]any{"id": w.name, "addr": w.server.Listener.Addr().String(), "zone": string(rune('a' + w.zone)),
-			"kind": "m", "state": state, "weight": serverSlots / (1 + float64(len(w.slots))/serverSlots), "started_ms": 0})
+		servers = append(servers, map[string]any{
+			"id":         w.name,
+			"addr":       w.server.Listener.Addr().String(),
+			"zone":       string(rune('a' + w.zone)),
+			"kind":       "m",
+			"state":      state,
+			"weight":     serverSlots / (1 + float64(len(w.slots))/serverSlots),
+			"started_ms": 0,
+		})
 	}
 	json.NewEncoder(out).Encode(map[string]any{"version": f.version, "full": true, "servers": servers})
 }
 
-// drain tells of a worker that takes nothing new.
+// drain lists a server as draining.
 func (f *serverPool) drain(w *fakeServer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -200,24 +229,25 @@
 	f.announce()
 }
 
-// announce ends the watches with a new list. Under mu.
+// announce ends the watches with a new list. The caller holds mu.
 func (f *serverPool) announce() {
 	f.version++
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// markExcluded notes when operators said that nothing more is to go to a worker.
+// markExcluded notes when operators excluded a server.
 func (f *serverPool) markExcluded(w *fakeServer, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w.excludedAt = at
 }
 
-// startNode runs a node of the shape, wired as the program does, and gives its address.
+// startNode runs a node with these settings, put together as the program does, and returns its address.
 func (f *serverPool) startNode(me int, shape, extra, discovery string) string {
 	f.Helper()
-	text := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"%d","limits":{"sockets":200},"known":%s,"settings":{%s%s}}`,
+	text := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","discovery":%q,"seed":"%d",
+"limits":{"sockets":200},"known":%s,"settings":{%s%s}}`,
 		me, discovery, me+1, f.knownList(), shape, fmt.Sprintf(commonSettings, me, me%2, extra))
 	path := filepath.Join(f.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -243,3 +273,9 @@
 	})
 	return l.Addr().String()
 }
+
+// requestText returns a request as a client writes it; the budget is the time that it waits.
+func requestText(class, id string, budget time.Duration, body string) string {
+	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n"+
+		"Content-Length: %d\r\n\r\n%s", class, id, class, budget.Milliseconds(), len(body), body)
+}
--- a/cmd/fernrail/size_test.go
+++ b/cmd/fernrail/size_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// TestSize: a node among 1,024 that is handed a list of 10 to 2,000 executors, indented, in its file and by its agent, serves within
-// a second or two, on buffers, threads and memory by need: what a longer list costs is the list itself.
+// TestSize: a node among 1,024 that has a list of 10 to 2,000 servers in its file and from discovery, indented, is
+// ready within a second or two. What a longer list costs in memory and threads is the list itself.
 func TestSize(t *testing.T) {
 	executor := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -31,8 +31,10 @@
 	for _, executors := range []int{10, 200, 1024, 2000} {
 		servers := []map[string]any{}
 		for i := range executors {
-			servers = append(servers, map[string]any{"id": fmt.Sprintf("s-%08x", i), "addr": place, "zone": "a", "kind": "m", "cell": i / 2,
-				"state": "Ready", "weight": 1.0, "started_ms": 0})
+			servers = append(servers, map[string]any{
+				"id": fmt.Sprintf("s-%08x", i), "addr": place, "zone": "a", "kind": "m", "cell": i / 2,
+				"state": "Ready", "weight": 1.0, "started_ms": 0,
+			})
 		}
 		list, _ := json.MarshalIndent(map[string]any{"version": 4, "full": true, "servers": servers}, "  ", "    ")
 		asked, once := make(chan string, 1), sync.Once{}
@@ -51,10 +53,13 @@
 		door := free.Addr().String()
 		free.Close()
 		path := filepath.Join(t.TempDir(), "config.json")
-		text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":1024},"known":%s,"settings":{"Tick":5000000,
-"ReplicasOfMe":1024,"Me":1023,"Dcs":["a"],"Skus":["m"],"Discovery":"automatic","Limits":{"MayCancel":true,"MayDuplicate":true,"MostPostings":3,
+		text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":1024},"known":%s,
+"settings":{"Tick":5000000,
+"ReplicasOfMe":1024,"Me":1023,"Dcs":["a"],"Skus":["m"],"Discovery":"automatic",
+"Limits":{"MayCancel":true,"MayDuplicate":true,"MostPostings":3,
 "DialTimeout":250000000,"IdleClose":10000000000},"Rules":{"AskWithin":8000000000,"DrainGrace":2000000000},
-"Schemes":[{"Name":"look","SlaTime":300000000,"Expiry":3000000000,"Idempotency":"idempotent"}]}}`, door, strings.TrimPrefix(agent.URL, "http://"), list)
+"Schemes":[{"Name":"look","SlaTime":300000000,"Expiry":3000000000,"Idempotency":"idempotent"}]}}`,
+			door, strings.TrimPrefix(agent.URL, "http://"), list)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +92,11 @@
 			clients.Go(func() {
 				for i := range 10 {
 					q, _ := http.NewRequest("POST", "http://"+door+"/look", strings.NewReader("body"))
-					q.Header = http.Header{"X-Call-Id": {fmt.Sprintf("%d-%d", c, i)}, "X-Call-Class": {"look"}, "X-Budget-Ms": {"3000"}}
+					q.Header = http.Header{
+						"X-Call-Id":    {fmt.Sprintf("%d-%d", c, i)},
+						"X-Call-Class": {"look"},
+						"X-Budget-Ms":  {"3000"},
+					}
 					if a, err := client.Do(q); err == nil {
 						if a.Body.Close(); a.StatusCode == 200 {
 							mu.Lock()
@@ -100,7 +109,8 @@
 		}
 		clients.Wait()
 		after, more := processStatus(t, node.Process.Pid, "VmRSS"), processStatus(t, node.Process.Pid, "Threads")
-		t.Logf("%d executors: ready after %d ms; at rest %d KB, %d threads; after a burst of 640 on 64 connections %d KB, %d threads",
+		t.Logf("%d executors: ready after %d ms; at rest %d KB, %d threads; "+
+			"after a burst of 640 on 64 connections %d KB, %d threads",
 			executors, ready.Milliseconds(), idle, threads, after, more)
 		if least == 0 {
 			least, busy = idle, after
--- a/cmd/fernrail/starvation_test.go
+++ b/cmd/fernrail/starvation_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestNeitherSideStarvesTheOther: operators get their answers within a second while hundreds of clients' connections say
-// nothing and others work; and clients get theirs while hundreds of operators' connections send no whole line and others
-// call without a pause.
+// TestNeitherSideStarvesTheOther: operators get their replies within a second while hundreds of clients' connections
+// are silent and others work; clients get their answers while hundreds of operators' connections send no whole line
+// and others send commands without a pause.
 func TestNeitherSideStarvesTheOther(t *testing.T) {
 	s := newUpgradedNode(t)
 	node := s.startProcess(s.discovery)
--- a/cmd/fernrail/clock_rig.go
+++ b/cmd/fernrail/test_clock.go
@@ -15,8 +15,8 @@
 	"fernrail/internal/fleet"
 )
 
-// Built for tests alone: a clock that is ahead by some seconds, and runs at another rate from some seconds after the start
-// on, or where these are under nought from SIGUSR1 on, FERNRAIL_TEST_CLOCK=RATE,AHEAD,AFTER.
+// This file is part of builds for tests alone. FERNRAIL_TEST_CLOCK=RATE,AHEAD,AFTER sets the clock AHEAD seconds, and
+// has it run at another rate from AFTER seconds after the start on or, where AFTER is negative, from SIGUSR1 on.
 func init() {
 	var rate, ahead, after float64
 	if n, _ := fmt.Sscanf(os.Getenv("FERNRAIL_TEST_CLOCK"), "%f,%f,%f", &rate, &ahead, &after); n < 3 {
--- a/cmd/fernrail/upgrade_test.go
+++ b/cmd/fernrail/upgrade_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// TestUpgrades: processes take over from one another on one inherited socket, under load. Every job gets one answer, next
-// to none is turned back; bans given to either hold in both and in the next; both keep to one node's descriptors; a drain
-// on the way harms nothing; and nothing is left behind.
+// TestUpgrades: processes take over from one another on one inherited socket, under load. Each request gets one
+// answer, next to none is refused; exclusions given to either hold in both and in the next one; both keep to one
+// node's descriptors; a drain on the way harms nothing; and no file is left behind.
 func TestUpgrades(t *testing.T) {
 	s := newUpgradedNode(t)
 	old := s.startProcess(s.discovery)
@@ -62,8 +62,10 @@
 		old.expect("include w8", []string{"ERR", "OK"}[min(round, 1)])
 		if round == 0 {
 			s.addServer()
-			for start, noted := time.Now(), []byte{}; !strings.Contains(string(noted), `"w8"`) && time.Since(start) < 3*time.Second; {
-				noted, _ = os.ReadFile(filepath.Join(s.dir, "fernrail-n1.bans"))
+			recorded := ""
+			for start := time.Now(); !strings.Contains(recorded, `"w8"`) && time.Since(start) < 3*time.Second; {
+				text, _ := os.ReadFile(filepath.Join(s.dir, "fernrail-n1.bans"))
+				recorded = string(text)
 				time.Sleep(10 * time.Millisecond)
 			}
 			s.removeServer()
@@ -100,7 +102,7 @@
 	}
 }
 
-// TestSuccessorDies: one that ends before its yes, by itself or killed, leaves the old process as it was.
+// TestSuccessorDies: a successor that ends before it is ready, by itself or killed, leaves the old process as it was.
 func TestSuccessorDies(t *testing.T) {
 	s := newUpgradedNode(t)
 	old := s.startProcess(s.discovery)
@@ -125,7 +127,7 @@
 	if _, turnedBack := end(); turnedBack > 0 {
 		t.Errorf("%d turned back", turnedBack)
 	}
-	// Told to end together the new one, which the platform takes for the node, is not the first to go.
+	// Where both are told to end, the new one, which the platform takes for the node, is not the first to go.
 	fresh := s.startProcess(silent.Addr().String())
 	for fresh.command("readyz") == "" {
 		time.Sleep(10 * time.Millisecond)
--- a/cmd/fernrail/upgraded_node_test.go
+++ b/cmd/fernrail/upgraded_node_test.go
@@ -57,12 +57,20 @@
 	admin := free.Addr().String()
 	free.Close()
 	path := filepath.Join(s.TempDir(), "config.json")
-	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":%d},"known":%s,"settings":{%s%s}}`,
+	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":%d},
+"known":%s,"settings":{%s%s}}`,
 		s.listener.Addr(), discovery, nodeSockets, s.knownList(), pushSettings, fmt.Sprintf(commonSettings, 0, 0, ""))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		s.Fatal(err)
 	}
-	p := &process{T: s.T, Cmd: exec.Command(os.Args[0]), admin: admin, config: path, discovery: discovery, ended: make(chan error, 1)}
+	p := &process{
+		T:         s.T,
+		Cmd:       exec.Command(os.Args[0]),
+		admin:     admin,
+		config:    path,
+		discovery: discovery,
+		ended:     make(chan error, 1),
+	}
 	p.Env = append(os.Environ(), "FERNRAIL_TEST_NODE=1", "EDGE_CONFIG="+path, "EDGE_ADMIN_ADDR="+admin, "EDGE_LISTEN_FD=3",
 		"EDGE_LOG=info", "TMPDIR="+s.dir)
 	p.ExtraFiles = []*os.File{s.file}
@@ -79,8 +87,8 @@
 	return p
 }
 
-// load has clients send jobs on kept connections until the end of it; it gives how many got an answer and how many were
-// turned back at the door, which is not an answer.
+// load has clients send requests on kept connections until end is called, which returns how many were answered and
+// how many connections were refused, which is no answer.
 func (s *upgradedNode) load(clients int) (end func() (answered, turnedBack int)) {
 	stop, all := make(chan struct{}), sync.WaitGroup{}
 	var mu sync.Mutex
@@ -97,9 +105,14 @@
 				}
 				class := []string{"look", "save", "book"}[i%3]
 				// No GetBody: the library sends nothing again by itself.
-				request, _ := http.NewRequest("POST", fmt.Sprintf("http://%s/%s", s.listener.Addr(), class), io.NopCloser(strings.NewReader("b")))
+				url := fmt.Sprintf("http://%s/%s", s.listener.Addr(), class)
+				request, _ := http.NewRequest("POST", url, io.NopCloser(strings.NewReader("b")))
 				request.ContentLength = 1
-				request.Header = http.Header{"X-Call-Id": {fmt.Sprintf("%d-%d", c, i)}, "X-Call-Class": {class}, "X-Budget-Ms": {"2000"}}
+				request.Header = http.Header{
+					"X-Call-Id":    {fmt.Sprintf("%d-%d", c, i)},
+					"X-Call-Class": {class},
+					"X-Budget-Ms":  {"2000"},
+				}
 				answer, err := client.Do(request)
 				mu.Lock()
 				if answered++; err != nil {
@@ -120,7 +133,7 @@
 	}
 }
 
-// holdConnections opens connections with one job each and keeps them.
+// holdConnections opens connections with one request each and keeps them.
 func (s *upgradedNode) holdConnections(count int, name string) {
 	for i := range count {
 		c, err := net.Dial("tcp", s.listener.Addr().String())
@@ -128,14 +141,14 @@
 			s.Fatal(err)
 		}
 		s.Cleanup(func() { c.Close() })
-		fmt.Fprintf(c, "POST /look HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s-%d\r\nX-Call-Class: look\r\nX-Budget-Ms: 2000\r\nContent-Length: 1\r\n\r\nb", name, i)
+		io.WriteString(c, requestText("look", fmt.Sprintf("%s-%d", name, i), 2*time.Second, "b"))
 		if n, err := c.Read(make([]byte, 1<<10)); n == 0 {
 			s.Errorf("a client that comes has no answer: %v", err)
 		}
 	}
 }
 
-// addServer lists one more worker, and part takes it out again.
+// addServer lists one more server.
 func (s *upgradedNode) addServer() {
 	w := &fakeServer{serverPool: s.serverPool, name: "w8", server: s.servers[7].server}
 	s.mu.Lock()
@@ -144,6 +157,7 @@
 	s.announce()
 }
 
+// removeServer takes the added server out of the list again.
 func (s *upgradedNode) removeServer() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
