--- a/cmd/fleetsim/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return verdict{err, 2}
 	}
-	p, err := experiment.Read(text)
+	p, err := experiment.ParsePlan(text)
 	if err != nil {
 		return verdict{fmt.Errorf("%s: %w", c.Plan, err), 2}
 	}
@@ -70,7 +70,7 @@
 	if err != nil {
 		return verdict{err, 2}
 	}
-	left := experiment.Left(runs, results)
+	left := experiment.Remaining(runs, results)
 	fmt.Fprintf(out, "%d runs, %d of them to be played\n", len(runs), len(left))
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -117,7 +117,7 @@
 
 // sum writes the table and the charts, and says whether any run broke a rule.
 func (c *trial) sum(out io.Writer, p *experiment.Plan, runs []experiment.Run, results []experiment.Result) error {
-	rows := p.Rows(runs, results)
+	rows := p.Summarize(runs, results)
 	table := experiment.Table(p, rows, c.Figures)
 	if err := os.WriteFile(filepath.Join(c.Out, "table.md"), table, 0o644); err != nil {
 		return verdict{err, 2}
