--- /dev/null
+++ b/cmd/fleetsim/stored_test.go
@@ -0,0 +1,53 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package main
+
+import (
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+// The files in testdata were written by the programs of the release be9205f: node.log by a node with EDGE_LOG=trace,
+// events.log by the emulator. count.txt and judge.txt are what that release made of them.
+
+// readStored returns the text of a stored file.
+func readStored(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile("testdata/" + name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// TestStoredTrace: the trace lines of an earlier release are counted as that release counted them.
+func TestStoredTrace(t *testing.T) {
+	var lines []line
+	for text := range strings.Lines(readStored(t, "node.log")) {
+		if l, ok := read([]byte(text)); ok {
+			lines = append(lines, l)
+		}
+	}
+	var out strings.Builder
+	c := &count{Step: time.Second, Late: 20 * time.Millisecond, By: "both"}
+	if err := c.tell(&out, lines); err != nil {
+		t.Fatal(err)
+	}
+	if want := readStored(t, "count.txt"); out.String() != want {
+		t.Errorf("counted\n%s\nwant\n%s", out.String(), want)
+	}
+}
+
+// TestStoredEvents: the event log of an earlier release is checked as that release checked it.
+func TestStoredEvents(t *testing.T) {
+	var out strings.Builder
+	err := (&judged{Log: "events.log", Max: 20}).hold(strings.NewReader(readStored(t, "events.log")), &out)
+	if err != nil {
+		t.Error(err)
+	}
+	if want := readStored(t, "judge.txt"); out.String() != want {
+		t.Errorf("checked\n%s\nwant\n%s", out.String(), want)
+	}
+}
