--- a/cmd/fleetsim/count.go
+++ b/cmd/fleetsim/count.go
@@ -15,36 +15,37 @@
 	"time"
 )
 
-// count adds up what all nodes did, from logs written with EDGE_LOG=trace.
-type count struct {
+// countCommand adds up what all nodes did, from logs written with EDGE_LOG=trace.
+type countCommand struct {
 	Logs []string      `arg:"" type:"existingfile" help:"The nodes' logs. A line's JSON object may follow other text."`
 	Step time.Duration `default:"1s" help:"Width of a row in time."`
 	Late time.Duration `default:"20ms" help:"A start that took longer counts as late."`
 	By   string        `enum:"time,executor,both" default:"both" help:"What to tell apart: ${enum}."`
 }
 
-// tally is one row: what a span of time, or an executor, saw.
-type tally struct {
-	sent, late, again int // postings; starts that were late; postings beside a txn's first
-	nodes             map[string]bool
-	outcomes          map[string]int
-	waited            time.Duration // from sending to the start, summed
-	started, lists    int
-	executors         map[string]bool
-	first             int64 // us
+// summary is one row: what a span of time, or an executor, saw.
+type summary struct {
+	sent, late, retries int // postings; starts that were late; postings beside a txn's first
+	nodes               map[string]bool
+	outcomes            map[string]int
+	totalWait           time.Duration // from sending to the start, summed
+	started, lists      int
+	servers             map[string]bool
+	firstSent           int64 // us
 }
 
-// line is one log line of a node; times of postings are Unix time in us.
-type line struct {
-	Message, Node, Executor, Outcome string
-	Number                           int
-	Time                             time.Time
-	Sent                             int64 `json:"sent_us"`
-	Began                            int64 `json:"began_us"` // 0: no start was told
+// logLine is one log line of a node; times of postings are Unix time in us.
+type logLine struct {
+	Message, Node, Outcome string
+	Server                 string `json:"executor"`
+	Number                 int
+	Time                   time.Time
+	Sent                   int64 `json:"sent_us"`
+	Began                  int64 `json:"began_us"` // 0: no start was told
 }
 
-// read decodes one log line; false: it tells of nothing that is counted.
-func read(text []byte) (l line, ok bool) {
+// parseLine decodes one log line; false: it tells of nothing that is counted.
+func parseLine(text []byte) (l logLine, ok bool) {
 	at := bytes.IndexByte(text, '{')
 	if at < 0 {
 		return l, false
@@ -55,8 +56,8 @@
 	return l, l.Message == "posting" || l.Message == "list"
 }
 
-func (c *count) Run() error {
-	var lines []line
+func (c *countCommand) Run() error {
+	var lines []logLine
 	for _, path := range c.Logs {
 		f, err := os.Open(path)
 		if err != nil {
@@ -65,7 +66,7 @@
 		in := bufio.NewScanner(f)
 		in.Buffer(nil, 1<<20)
 		for in.Scan() {
-			if l, ok := read(in.Bytes()); ok {
+			if l, ok := parseLine(in.Bytes()); ok {
 				lines = append(lines, l)
 			}
 		}
@@ -74,13 +75,13 @@
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	return c.tell(os.Stdout, lines)
+	return c.writeTables(os.Stdout, lines)
 }
 
-// tell writes the tables.
-func (c *count) tell(w io.Writer, lines []line) error {
+// writeTables writes the tables.
+func (c *countCommand) writeTables(w io.Writer, lines []logLine) error {
 	start := int64(1) << 62
-	at := func(l line) int64 {
+	at := func(l logLine) int64 {
 		if l.Message == "list" {
 			return l.Time.UnixMicro()
 		}
@@ -89,64 +90,64 @@
 	for _, l := range lines {
 		start = min(start, at(l))
 	}
-	spans, executors := map[int64]*tally{}, map[string]*tally{}
+	spans, executors := map[int64]*summary{}, map[string]*summary{}
 	for _, l := range lines {
-		add(spans, (at(l)-start)/c.Step.Microseconds(), l, c.Late)
+		addLine(spans, (at(l)-start)/c.Step.Microseconds(), l, c.Late)
 		if l.Message == "posting" {
-			add(executors, l.Executor, l, c.Late)
+			addLine(executors, l.Server, l, c.Late)
 		}
 	}
 	if c.By != "executor" {
 		fmt.Fprintf(w, "%8s %7s %6s %6s %6s %6s %9s %6s  outcomes\n", "from_s", "sent", "again", "late", "nodes", "execs", "mean_ms", "lists")
 		for _, k := range slices.Sorted(maps.Keys(spans)) {
 			t := spans[k]
-			fmt.Fprintf(w, "%8.2f %7d %6d %6d %6d %6d %9.1f %6d  %s\n", float64(k)*c.Step.Seconds(), t.sent, t.again, t.late,
-				len(t.nodes), len(t.executors), t.mean(), t.lists, t.ends())
+			fmt.Fprintf(w, "%8.2f %7d %6d %6d %6d %6d %9.1f %6d  %s\n", float64(k)*c.Step.Seconds(), t.sent, t.retries, t.late,
+				len(t.nodes), len(t.servers), t.meanWaitMillis(), t.lists, t.formatOutcomes())
 		}
 	}
 	if c.By != "time" {
 		fmt.Fprintf(w, "%-14s %8s %7s %6s %6s %9s  outcomes\n", "executor", "first_s", "sent", "late", "nodes", "mean_ms")
 		inOrder := slices.SortedFunc(maps.Keys(executors), func(a, b string) int {
-			return cmp.Or(cmp.Compare(executors[a].first, executors[b].first), cmp.Compare(a, b))
+			return cmp.Or(cmp.Compare(executors[a].firstSent, executors[b].firstSent), cmp.Compare(a, b))
 		})
 		for _, k := range inOrder {
 			t := executors[k]
-			fmt.Fprintf(w, "%-14s %8.2f %7d %6d %6d %9.1f  %s\n", k, float64(t.first-start)/1e6, t.sent, t.late, len(t.nodes), t.mean(), t.ends())
+			fmt.Fprintf(w, "%-14s %8.2f %7d %6d %6d %9.1f  %s\n", k, float64(t.firstSent-start)/1e6, t.sent, t.late, len(t.nodes), t.meanWaitMillis(), t.formatOutcomes())
 		}
 	}
 	return nil
 }
 
-func add[K comparable](to map[K]*tally, key K, l line, late time.Duration) {
+func addLine[K comparable](to map[K]*summary, key K, l logLine, late time.Duration) {
 	t := to[key]
 	if t == nil {
-		t = &tally{nodes: map[string]bool{}, executors: map[string]bool{}, outcomes: map[string]int{}, first: l.Sent}
+		t = &summary{nodes: map[string]bool{}, servers: map[string]bool{}, outcomes: map[string]int{}, firstSent: l.Sent}
 		to[key] = t
 	}
 	if l.Message == "list" {
 		t.lists++
 		return
 	}
-	t.sent, t.first = t.sent+1, min(t.first, l.Sent)
-	t.nodes[l.Node], t.executors[l.Executor] = true, true
+	t.sent, t.firstSent = t.sent+1, min(t.firstSent, l.Sent)
+	t.nodes[l.Node], t.servers[l.Server] = true, true
 	t.outcomes[l.Outcome]++
 	if l.Number > 0 {
-		t.again++
+		t.retries++
 	}
 	if l.Began > 0 {
 		wait := time.Duration(l.Began-l.Sent) * time.Microsecond
-		if t.started, t.waited = t.started+1, t.waited+wait; wait > late {
+		if t.started, t.totalWait = t.started+1, t.totalWait+wait; wait > late {
 			t.late++
 		}
 	}
 }
 
-// mean is the mean time from sending to the start, in ms.
-func (t *tally) mean() float64 {
-	return float64(t.waited.Microseconds()) / 1e3 / float64(max(t.started, 1))
+// meanWaitMillis is the mean time from sending to the start, in ms.
+func (t *summary) meanWaitMillis() float64 {
+	return float64(t.totalWait.Microseconds()) / 1e3 / float64(max(t.started, 1))
 }
 
-func (t *tally) ends() (s string) {
+func (t *summary) formatOutcomes() (s string) {
 	for _, k := range slices.Sorted(maps.Keys(t.outcomes)) {
 		s += fmt.Sprintf("%s %d  ", k, t.outcomes[k])
 	}
--- a/cmd/fleetsim/count_test.go
+++ b/cmd/fleetsim/count_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const logged = `0.1 {"message":"node serves","node":"n1"}
+const nodeLog = `0.1 {"message":"node serves","node":"n1"}
 0.2 {"message":"posting","node":"n1","executor":"a","outcome":"settled","number":0,"sent_us":1000000,"began_us":1001000}
 0.2 {"message":"posting","node":"n2","executor":"a","outcome":"full","number":1,"sent_us":1500000,"began_us":0}
 0.3 {"message":"posting","node":"n2","executor":"b","outcome":"settled","number":2,"sent_us":2100000,"began_us":2500000}
@@ -17,15 +17,15 @@
 
 // TestCountOverNodes: rows add up what several nodes logged; the line that a killed node cut short is passed over.
 func TestCountOverNodes(t *testing.T) {
-	var lines []line
-	for text := range strings.Lines(logged) {
-		if l, ok := read([]byte(text)); ok {
+	var lines []logLine
+	for text := range strings.Lines(nodeLog) {
+		if l, ok := parseLine([]byte(text)); ok {
 			lines = append(lines, l)
 		}
 	}
 	var out strings.Builder
-	c := &count{Step: time.Second, Late: 20 * time.Millisecond, By: "both"}
-	if err := c.tell(&out, lines); err != nil {
+	c := &countCommand{Step: time.Second, Late: 20 * time.Millisecond, By: "both"}
+	if err := c.writeTables(&out, lines); err != nil {
 		t.Fatal(err)
 	}
 	fields := strings.Join(strings.Fields(out.String()), " ")
--- a/cmd/fleetsim/emulate.go
+++ b/cmd/fleetsim/emulate.go
@@ -16,8 +16,8 @@
 	"fernrail/internal/invariants"
 )
 
-// emulate plays a scenario in virtual time.
-type emulate struct {
+// emulateCommand plays a scenario in virtual time.
+type emulateCommand struct {
 	Scenario string `arg:"" type:"existingfile" help:"A scenario; docs/emulator.md has its keys, example/scenarios some of them."`
 	Seed     uint64 `default:"1" help:"Of all that is drawn. The same scenario and seed give the same log to the byte."`
 	Policy   string `default:"module" help:"What decides on the nodes: module, random, round-robin, least, two-choices, or truth, which sees all."`
@@ -27,29 +27,29 @@
 	Max      int    `default:"5" help:"How many breaches are told of."`
 }
 
-func (c *emulate) Run() error { return c.play(os.Stdout) }
+func (c *emulateCommand) Run() error { return c.run(os.Stdout) }
 
-// scenarioAt gets a scenario; a fault names file and place, with the exit code for what can't be read.
-func scenarioAt(path string) (*emulator.Scenario, error) {
+// readScenario gets a scenario; a fault names file and place, with the exit code for what can't be read.
+func readScenario(path string) (*emulator.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, verdict{err, 2}
+		return nil, exitError{err, 2}
 	}
 	s, err := emulator.Read(text)
 	if err != nil {
-		return nil, verdict{fmt.Errorf("%s: %w", path, err), 2}
+		return nil, exitError{fmt.Errorf("%s: %w", path, err), 2}
 	}
 	return s, nil
 }
 
-func (c *emulate) play(out io.Writer) error {
-	s, err := scenarioAt(c.Scenario)
+func (c *emulateCommand) run(out io.Writer) error {
+	s, err := readScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
 	policy, err := emulator.PolicyOf(c.Policy)
 	if err != nil {
-		return verdict{err, 2}
+		return exitError{err, 2}
 	}
 	if c.Subset >= 0 {
 		s.Subset.Size = c.Subset
@@ -59,7 +59,7 @@
 	}
 	if c.Budgets != "" || c.Subset >= 0 {
 		if err := s.Check(); err != nil {
-			return verdict{fmt.Errorf("%s: %w", c.Scenario, err), 2}
+			return exitError{fmt.Errorf("%s: %w", c.Scenario, err), 2}
 		}
 	}
 	rules := s.Held()
@@ -68,7 +68,7 @@
 	flush := write
 	if c.Log != "" {
 		if file, err = os.Create(c.Log); err != nil {
-			return verdict{err, 2}
+			return exitError{err, 2}
 		}
 		defer file.Close()
 		buffer := bufio.NewWriter(file)
@@ -84,7 +84,7 @@
 		last = e.At
 	})
 	if fault = errors.Join(fault, flush(nil)); fault != nil {
-		return verdict{fault, 2}
+		return exitError{fault, 2}
 	}
 	f := count.End()
 	fmt.Fprintf(out, "%s, seed %d, %s: %.4f in time, worst 10 s %.4f (emulated)\n", filepath.Base(c.Scenario), c.Seed, c.Policy, f.All.Share(), f.Worst)
@@ -104,19 +104,19 @@
 		fmt.Fprintf(out, "  rule %d, event %d: %s\n", b.Rule, b.Event, b.Text)
 	}
 	if len(breaches) > 0 {
-		return verdict{fmt.Errorf("%d breaches; again with: fleetsim emulate %s --seed %d --policy %s", len(breaches), c.Scenario, c.Seed, c.Policy), 1}
+		return exitError{fmt.Errorf("%d breaches; again with: fleetsim emulate %s --seed %d --policy %s", len(breaches), c.Scenario, c.Seed, c.Policy), 1}
 	}
 	return nil
 }
 
-// checked reads scenarios and runs nothing.
-type checked struct {
+// checkScenarioCommand reads scenarios and runs nothing.
+type checkScenarioCommand struct {
 	Scenario []string `arg:"" type:"existingfile" help:"Scenarios."`
 }
 
-func (c *checked) Run() error {
+func (c *checkScenarioCommand) Run() error {
 	for _, path := range c.Scenario {
-		if _, err := scenarioAt(path); err != nil {
+		if _, err := readScenario(path); err != nil {
 			return err
 		}
 	}
--- a/cmd/fleetsim/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -25,56 +25,56 @@
 	"fernrail/internal/invariants"
 )
 
-// trial plays a grid of scenarios, variants and seeds, and keeps what came of it.
-type trial struct {
+// experimentCommand plays a grid of scenarios, variants and seeds, and keeps what came of it.
+type experimentCommand struct {
 	Plan    string   `arg:"" type:"existingfile" help:"The experiment; docs/emulator.md has its keys, example/experiments some of them."`
 	Out     string   `required:"" help:"A directory for results: runs.jsonl with a line for each run, table.md, and a chart for each scenario. What is there already is not run again."`
 	Jobs    int      `default:"0" help:"Runs at a time; 0: one a core. The results are the same."`
 	Figures []string `default:"in time,worst 10 s,handshakes,held" help:"What the table shows, of: in time, worst 10 s, p99 ms, handshakes, held, fallen, cold work, work, twice, breaches."`
 }
 
-func (c *trial) Run() error { return c.play(os.Stdout) }
+func (c *experimentCommand) Run() error { return c.run(os.Stdout) }
 
-func (c *trial) play(out io.Writer) error {
+func (c *experimentCommand) run(out io.Writer) error {
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
-		return verdict{err, 2}
+		return exitError{err, 2}
 	}
 	p, err := experiment.ParsePlan(text)
 	if err != nil {
-		return verdict{fmt.Errorf("%s: %w", c.Plan, err), 2}
+		return exitError{fmt.Errorf("%s: %w", c.Plan, err), 2}
 	}
 	texts, hashes := map[string][]byte{}, map[string]string{}
 	for _, s := range p.Scenarios {
 		if texts[s], err = os.ReadFile(filepath.Join(filepath.Dir(c.Plan), s)); err != nil {
-			return verdict{err, 2}
+			return exitError{err, 2}
 		}
 		hashes[s] = experiment.Hash(texts[s])
 	}
-	program, err := revision()
+	program, err := programVersion()
 	if err != nil {
-		return verdict{err, 2}
+		return exitError{err, 2}
 	}
 	runs := p.Grid(hashes, program)
 	// Danger: an hour of runs, and then a word that the last of them can't read.
 	for i := range runs {
-		if _, _, err := prepared(texts, &runs[i]); err != nil {
-			return verdict{err, 2}
+		if _, _, err := prepareRun(texts, &runs[i]); err != nil {
+			return exitError{err, 2}
 		}
 	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
-		return verdict{err, 2}
+		return exitError{err, 2}
 	}
 	path := filepath.Join(c.Out, "runs.jsonl")
-	results, err := resultsAt(path)
+	results, err := readResults(path)
 	if err != nil {
-		return verdict{err, 2}
+		return exitError{err, 2}
 	}
 	left := experiment.Remaining(runs, results)
 	fmt.Fprintf(out, "%d runs, %d of them to be played\n", len(runs), len(left))
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return verdict{err, 2}
+		return exitError{err, 2}
 	}
 	defer file.Close()
 	jobs := c.Jobs
@@ -89,7 +89,7 @@
 		places <- struct{}{}
 		all.Go(func() {
 			defer func() { <-places }()
-			r, err := played(texts, &left[i])
+			r, err := playRun(texts, &left[i])
 			var line []byte
 			if err == nil {
 				line, err = json.Marshal(r)
@@ -110,22 +110,22 @@
 	}
 	all.Wait()
 	if fault != nil {
-		return verdict{fault, 2}
+		return exitError{fault, 2}
 	}
-	return c.sum(out, p, runs, results)
+	return c.summarize(out, p, runs, results)
 }
 
-// sum writes the table and the charts, and says whether any run broke a rule.
-func (c *trial) sum(out io.Writer, p *experiment.Plan, runs []experiment.Run, results []experiment.Result) error {
+// summarize writes the table and the charts, and says whether any run broke a rule.
+func (c *experimentCommand) summarize(out io.Writer, p *experiment.Plan, runs []experiment.Run, results []experiment.Result) error {
 	rows := p.Summarize(runs, results)
 	table := experiment.Table(p, rows, c.Figures)
 	if err := os.WriteFile(filepath.Join(c.Out, "table.md"), table, 0o644); err != nil {
-		return verdict{err, 2}
+		return exitError{err, 2}
 	}
 	out.Write(table)
 	for _, s := range p.Scenarios {
-		if err := chart(filepath.Join(c.Out, filepath.Base(s)+".svg"), s, rows); err != nil {
-			return verdict{err, 2}
+		if err := drawChart(filepath.Join(c.Out, filepath.Base(s)+".svg"), s, rows); err != nil {
+			return exitError{err, 2}
 		}
 	}
 	broken := 0.0
@@ -133,22 +133,22 @@
 		broken += row.Means["breaches"].Mean * float64(row.Runs)
 	}
 	if broken > 0 {
-		return verdict{fmt.Errorf("%.0f breaches of rules in all runs", broken), 1}
+		return exitError{fmt.Errorf("%.0f breaches of rules in all runs", broken), 1}
 	}
 	return nil
 }
 
-// bars are a mean and its interval for each variant.
-type bars struct {
+// errorBars are a mean and its interval for each variant.
+type errorBars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// chart draws the share in time of each variant of a scenario, with intervals.
-func chart(path, scenario string, rows []experiment.Row) error {
+// drawChart draws the share in time of each variant of a scenario, with intervals.
+func drawChart(path, scenario string, rows []experiment.Row) error {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = scenario+" (emulated)", "billing value in time, mean and 95% interval"
-	var b bars
+	var b errorBars
 	var names []string
 	for _, row := range rows {
 		if row.Scenario != scenario || row.Runs == 0 {
@@ -173,8 +173,8 @@
 	return p.Save(vg.Length(max(len(names), 3))*1.6*vg.Inch, 4*vg.Inch, path)
 }
 
-// resultsAt reads what is there already; a last line that was cut off is dropped, and played again.
-func resultsAt(path string) (results []experiment.Result, err error) {
+// readResults reads what is there already; a last line that was cut off is dropped, and played again.
+func readResults(path string) (results []experiment.Result, err error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -201,8 +201,8 @@
 	return results, nil
 }
 
-// prepared is the scenario of a run as its variant has it.
-func prepared(texts map[string][]byte, r *experiment.Run) (*emulator.Scenario, emulator.Policy, error) {
+// prepareRun is the scenario of a run as its variant has it.
+func prepareRun(texts map[string][]byte, r *experiment.Run) (*emulator.Scenario, emulator.Policy, error) {
 	s, err := emulator.Read(texts[r.Scenario])
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", r.Scenario, err)
@@ -226,9 +226,9 @@
 	return s, policy, nil
 }
 
-// played plays one run, and holds it against the rules.
-func played(texts map[string][]byte, r *experiment.Run) (*experiment.Result, error) {
-	s, policy, err := prepared(texts, r)
+// playRun plays one run, and holds it against the rules.
+func playRun(texts map[string][]byte, r *experiment.Run) (*experiment.Result, error) {
+	s, policy, err := prepareRun(texts, r)
 	if err != nil {
 		return nil, err
 	}
@@ -249,9 +249,9 @@
 			"twice": float64(report.Twice), "breaches": float64(len(j.End(last)))}}, nil
 }
 
-// revision is the version that plays. Danger: results of another program taken for this one's, where the build knows of no commit
+// programVersion is the version that plays. Danger: results of another program taken for this one's, where the build knows of no commit
 // or of a text that was changed since. Then it is the program itself that counts.
-func revision() (string, error) {
+func programVersion() (string, error) {
 	version, changed := "", false
 	if b, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range b.Settings {
--- a/cmd/fleetsim/experiment_test.go
+++ b/cmd/fleetsim/experiment_test.go
@@ -33,8 +33,8 @@
 	play := func(out string, jobs int) (said, table string) {
 		t.Helper()
 		var b bytes.Buffer
-		c := trial{Plan: plan, Out: filepath.Join(dir, out), Jobs: jobs, Figures: []string{"in time", "postings"}}
-		c.play(&b) // what least in flight breaks is not the matter here
+		c := experimentCommand{Plan: plan, Out: filepath.Join(dir, out), Jobs: jobs, Figures: []string{"in time", "postings"}}
+		c.run(&b) // what least in flight breaks is not the matter here
 		text, err := os.ReadFile(filepath.Join(c.Out, "table.md"))
 		if err != nil {
 			t.Fatal(err)
@@ -60,14 +60,14 @@
 	}
 	os.WriteFile(runs, text[:len(text)-20], 0o600)
 	// Danger: a version that is not known makes all programs one.
-	if program, err := revision(); err != nil || len(program) < 16 || !strings.Contains(string(text), program) {
+	if program, err := programVersion(); err != nil || len(program) < 16 || !strings.Contains(string(text), program) {
 		t.Errorf("%q, %v", program, err)
 	}
 	if said, again := play("a", 2); again != whole || !strings.Contains(said, "4 runs, 1 of them to be played") {
 		t.Errorf("%s\n%s", said, again)
 	}
 	file("e.toml", "title = \"x\"\nscenarios = [\"s.toml\"]\nseeds = 2\n[[variant]]\nname = \"m\"\nsubset = 9999\n")
-	if err := (&trial{Plan: plan, Out: filepath.Join(dir, "c")}).play(io.Discard); err == nil || !strings.Contains(err.Error(), "variant m") {
+	if err := (&experimentCommand{Plan: plan, Out: filepath.Join(dir, "c")}).run(io.Discard); err == nil || !strings.Contains(err.Error(), "variant m") {
 		t.Errorf("a variant that can't be: %v", err)
 	}
 }
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := played(map[string][]byte{"s": text}, &experiment.Run{Scenario: "s", Seed: 1, Variant: experiment.Variant{Name: "x", Policy: "random", Nodes: nodes}})
+	r, err := playRun(map[string][]byte{"s": text}, &experiment.Run{Scenario: "s", Seed: 1, Variant: experiment.Variant{Name: "x", Policy: "random", Nodes: nodes}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/fleetsim/judge.go
+++ b/cmd/fleetsim/judge.go
@@ -13,36 +13,36 @@
 	"fernrail/internal/invariants"
 )
 
-// judged holds a log against the rules.
-type judged struct {
+// judgeCommand holds a log against the rules.
+type judgeCommand struct {
 	Log string `arg:"" type:"existingfile" help:"JSON values: the rules first, then one event each, in order of time."`
 	Max int    `default:"20" help:"How many breaches are told of."`
 }
 
-// verdict ends the program with an exit code of its own.
-type verdict struct {
+// exitError ends the program with an exit code of its own.
+type exitError struct {
 	error
 	code int
 }
 
-func (v verdict) ExitCode() int { return v.code }
+func (v exitError) ExitCode() int { return v.code }
 
-func (c *judged) Run() error {
+func (c *judgeCommand) Run() error {
 	f, err := os.Open(c.Log)
 	if err != nil {
-		return verdict{err, 2}
+		return exitError{err, 2}
 	}
 	defer f.Close()
-	return c.hold(f, os.Stdout)
+	return c.check(f, os.Stdout)
 }
 
-// hold reads a log and tells of its breaches. A log cut short is held to the rules up to the break, where time ends.
-func (c *judged) hold(log io.Reader, out io.Writer) error {
+// check reads a log and tells of its breaches. A log cut short is held to the rules up to the break, where time ends.
+func (c *judgeCommand) check(log io.Reader, out io.Writer) error {
 	in := json.NewDecoder(log)
 	in.DisallowUnknownFields()
 	var rules invariants.Rules
 	if err := in.Decode(&rules); err != nil {
-		return verdict{fmt.Errorf("%s: rules: %w", c.Log, err), 2}
+		return exitError{fmt.Errorf("%s: rules: %w", c.Log, err), 2}
 	}
 	j, events, last := invariants.New(rules), 0, int64(0)
 	for {
@@ -58,7 +58,7 @@
 			err = j.Add(e)
 		}
 		if err != nil {
-			return verdict{fmt.Errorf("%s: event %d: %w", c.Log, events, err), 2}
+			return exitError{fmt.Errorf("%s: event %d: %w", c.Log, events, err), 2}
 		}
 		events, last = events+1, e.At
 	}
@@ -72,7 +72,7 @@
 		return err
 	}
 	if len(breaches) > 0 {
-		return verdict{errors.New("rules are broken"), 1}
+		return exitError{errors.New("rules are broken"), 1}
 	}
 	return nil
 }
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -7,13 +7,13 @@
 
 func main() {
 	var commands struct {
-		Count      count   `cmd:"" help:"Count postings over a whole fleet from all its nodes' logs, by time and by executor."`
-		Experiment trial   `cmd:"" help:"Play a grid of scenarios, variants and seeds; keep results, a table with paired intervals, and charts."`
-		Emulate    emulate `cmd:"" help:"Play a scenario in virtual time. Ends with 0 if the rules are kept, 1 if not, 2 if it can't be read."`
+		Count      countCommand      `cmd:"" help:"Count postings over a whole fleet from all its nodes' logs, by time and by executor."`
+		Experiment experimentCommand `cmd:"" help:"Play a grid of scenarios, variants and seeds; keep results, a table with paired intervals, and charts."`
+		Emulate    emulateCommand    `cmd:"" help:"Play a scenario in virtual time. Ends with 0 if the rules are kept, 1 if not, 2 if it can't be read."`
 		Scenario   struct {
-			Check checked `cmd:"" help:"Read scenarios and say what is wrong with them."`
+			Check checkScenarioCommand `cmd:"" help:"Read scenarios and say what is wrong with them."`
 		} `cmd:"" help:"Look at scenarios."`
-		Judge judged `cmd:"" help:"Hold an event log against the four rules. Ends with 0 if they are kept, 1 if not, 2 if the log can't be read."`
+		Judge judgeCommand `cmd:"" help:"Hold an event log against the four rules. Ends with 0 if they are kept, 1 if not, 2 if the log can't be read."`
 	}
 	run := kong.Parse(&commands, kong.Name("fleetsim"), kong.UsageOnError())
 	run.FatalIfErrorf(run.Run())
--- a/cmd/fleetsim/stored_test.go
+++ b/cmd/fleetsim/stored_test.go
@@ -24,15 +24,15 @@
 
 // TestStoredTrace: the trace lines of an earlier release are counted as that release counted them.
 func TestStoredTrace(t *testing.T) {
-	var lines []line
+	var lines []logLine
 	for text := range strings.Lines(readStored(t, "node.log")) {
-		if l, ok := read([]byte(text)); ok {
+		if l, ok := parseLine([]byte(text)); ok {
 			lines = append(lines, l)
 		}
 	}
 	var out strings.Builder
-	c := &count{Step: time.Second, Late: 20 * time.Millisecond, By: "both"}
-	if err := c.tell(&out, lines); err != nil {
+	c := &countCommand{Step: time.Second, Late: 20 * time.Millisecond, By: "both"}
+	if err := c.writeTables(&out, lines); err != nil {
 		t.Fatal(err)
 	}
 	if want := readStored(t, "count.txt"); out.String() != want {
@@ -43,7 +43,7 @@
 // TestStoredEvents: the event log of an earlier release is checked as that release checked it.
 func TestStoredEvents(t *testing.T) {
 	var out strings.Builder
-	err := (&judged{Log: "events.log", Max: 20}).hold(strings.NewReader(readStored(t, "events.log")), &out)
+	err := (&judgeCommand{Log: "events.log", Max: 20}).check(strings.NewReader(readStored(t, "events.log")), &out)
 	if err != nil {
 		t.Error(err)
 	}
