--- a/cmd/fernrail/size_test.go
+++ b/cmd/fernrail/size_test.go
@@ -12,31 +12,14 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
-// status reads a figure of a process from the kernel.
-func status(t *testing.T, pid int, key string) int {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for line := range strings.Lines(string(text)) {
-		if rest, is := strings.CutPrefix(line, key+":"); is {
-			n, _ := strconv.Atoi(strings.Fields(rest)[0])
-			return n
-		}
-	}
-	t.Fatalf("%s is not told", key)
-	return 0
-}
-
-// TestSize: a node among 1,024 that is handed a list of 10 to 2,000 executors, indented, in its file and by its agent, serves within
-// a second or two, on buffers, threads and memory by need: what a longer list costs is the list itself.
+// TestSize: a node among 1,024 that has a list of 10 to 2,000 servers in its file and from discovery, indented, is
+// ready within a second or two. What a longer list costs in memory and threads is the list itself.
 func TestSize(t *testing.T) {
 	executor := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -48,8 +31,10 @@
 	for _, executors := range []int{10, 200, 1024, 2000} {
 		servers := []map[string]any{}
 		for i := range executors {
-			servers = append(servers, map[string]any{"id": fmt.Sprintf("s-%08x", i), "addr": place, "zone": "a", "kind": "m", "cell": i / 2,
-				"state": "Ready", "weight": 1.0, "started_ms": 0})
+			servers = append(servers, map[string]any{
+				"id": fmt.Sprintf("s-%08x", i), "addr": place, "zone": "a", "kind": "m", "cell": i / 2,
+				"state": "Ready", "weight": 1.0, "started_ms": 0,
+			})
 		}
 		list, _ := json.MarshalIndent(map[string]any{"version": 4, "full": true, "servers": servers}, "  ", "    ")
 		asked, once := make(chan string, 1), sync.Once{}
@@ -68,10 +53,13 @@
 		door := free.Addr().String()
 		free.Close()
 		path := filepath.Join(t.TempDir(), "config.json")
-		text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":1024},"known":%s,"settings":{"Tick":5000000,
-"ReplicasOfMe":1024,"Me":1023,"Dcs":["a"],"Skus":["m"],"Discovery":"automatic","Limits":{"MayCancel":true,"MayDuplicate":true,"MostPostings":3,
+		text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"sockets":1024},"known":%s,
+"settings":{"Tick":5000000,
+"ReplicasOfMe":1024,"Me":1023,"Dcs":["a"],"Skus":["m"],"Discovery":"automatic",
+"Limits":{"MayCancel":true,"MayDuplicate":true,"MostPostings":3,
 "DialTimeout":250000000,"IdleClose":10000000000},"Rules":{"AskWithin":8000000000,"DrainGrace":2000000000},
-"Schemes":[{"Name":"look","SlaTime":300000000,"Expiry":3000000000,"Idempotency":"idempotent"}]}}`, door, strings.TrimPrefix(agent.URL, "http://"), list)
+"Schemes":[{"Name":"look","SlaTime":300000000,"Expiry":3000000000,"Idempotency":"idempotent"}]}}`,
+			door, strings.TrimPrefix(agent.URL, "http://"), list)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -96,7 +84,7 @@
 		if query := <-asked; !strings.HasPrefix(query, "since=5") {
 			t.Errorf("%d executors: asked %q with the list in hand", executors, query)
 		}
-		idle, threads := status(t, node.Process.Pid, "VmRSS"), status(t, node.Process.Pid, "Threads")
+		idle, threads := processStatus(t, node.Process.Pid, "VmRSS"), processStatus(t, node.Process.Pid, "Threads")
 		client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 		served, clients := 0, sync.WaitGroup{}
 		var mu sync.Mutex
@@ -104,7 +92,11 @@
 			clients.Go(func() {
 				for i := range 10 {
 					q, _ := http.NewRequest("POST", "http://"+door+"/look", strings.NewReader("body"))
-					q.Header = http.Header{"X-Call-Id": {fmt.Sprintf("%d-%d", c, i)}, "X-Call-Class": {"look"}, "X-Budget-Ms": {"3000"}}
+					q.Header = http.Header{
+						"X-Call-Id":    {fmt.Sprintf("%d-%d", c, i)},
+						"X-Call-Class": {"look"},
+						"X-Budget-Ms":  {"3000"},
+					}
 					if a, err := client.Do(q); err == nil {
 						if a.Body.Close(); a.StatusCode == 200 {
 							mu.Lock()
@@ -116,8 +108,9 @@
 			})
 		}
 		clients.Wait()
-		after, more := status(t, node.Process.Pid, "VmRSS"), status(t, node.Process.Pid, "Threads")
-		t.Logf("%d executors: ready after %d ms; at rest %d KB, %d threads; after a burst of 640 on 64 connections %d KB, %d threads",
+		after, more := processStatus(t, node.Process.Pid, "VmRSS"), processStatus(t, node.Process.Pid, "Threads")
+		t.Logf("%d executors: ready after %d ms; at rest %d KB, %d threads; "+
+			"after a burst of 640 on 64 connections %d KB, %d threads",
 			executors, ready.Milliseconds(), idle, threads, after, more)
 		if least == 0 {
 			least, busy = idle, after
--- a/cmd/fleetsim/tally.go
+++ b/cmd/fleetsim/tally.go
@@ -104,10 +104,10 @@
 }
 
 func (c *countCommand) printSpans(out io.Writer, bySpan map[int64]*tally) {
-	fmt.Fprintf(out, "%8s %7s %6s %6s %6s %7s %9s %6s  outcomes\n", "from_s", "sent", "retry", "late", "nodes", "servers", "mean_ms", "lists")
+	fmt.Fprintf(out, "%8s %7s %6s %6s %6s %7s %8s %6s  outcomes\n", "from_s", "sent", "retry", "late", "nodes", "servers", "mean_ms", "lists")
 	for _, span := range slices.Sorted(maps.Keys(bySpan)) {
 		t := bySpan[span]
-		fmt.Fprintf(out, "%8.2f %7d %6d %6d %6d %7d %9.1f %6d  %s\n", float64(span)*c.Step.Seconds(), t.attempts, t.retries, t.startedLate,
+		fmt.Fprintf(out, "%8.2f %7d %6d %6d %6d %7d %8.1f %6d  %s\n", float64(span)*c.Step.Seconds(), t.attempts, t.retries, t.startedLate,
 			len(t.nodes), len(t.servers), t.meanStartDelay(), t.endpointUpdates, t.outcomeCounts())
 	}
 }
