--- a/internal/routing/discovery_outage_test.go
+++ b/internal/routing/discovery_outage_test.go
@@ -52,23 +52,29 @@
 	}
 }
 
-// TestUpdateDuringBackoff: an agent falls silent and comes back with news, or gets some soon after, while the node pauses after a
-// call that nobody answered, or that was refused. Danger: the news counts at once, and the pause was up to 7.5 s. What a call
-// for changes that is never answered misses counts as told 2 s after its wait of 3 s.
+// TestUpdateDuringBackoff: discovery falls silent and comes back with an update, or has one soon
+// after, while the node backs off from a poll that was refused or never answered. The rules count
+// the node as notified at once, so the backoff must end in time. An update that a poll misses which
+// is never answered counts as notified 2 s after the poll's wait of 3 s.
 func TestUpdateDuringBackoff(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
 			chance := rand.New(rand.NewPCG(seed, 1))
 			span := func(most time.Duration) time.Duration { return time.Duration(chance.Int64N(int64(most))) }
 			c, now := &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Now()
-			a := &silentSource{answersAfterSilence: chance.IntN(2) == 0, start: now, silentFrom: now.Add(span(3 * time.Second)), availableAt: map[int64]time.Duration{}}
+			a := &silentSource{
+				answersAfterSilence: chance.IntN(2) == 0,
+				start:               now,
+				silentFrom:          now.Add(span(3 * time.Second)),
+				availableAt:         map[int64]time.Duration{},
+			}
 			if chance.IntN(3) == 0 {
 				a.failure = errors.New("refused")
 			}
 			a.silentUntil = a.silentFrom.Add(4500*time.Millisecond + span(12*time.Second))
 			told := a.silentUntil.Add(span(2 * time.Second))
 			a.availableAt[1], a.availableAt[2] = 0, told.Sub(now)
-			a.updates = map[int64]*protocol.EndpointList{1: {Version: 1, Complete: true, Endpoints: completeList("a", "b").Endpoints},
+			a.updates = map[int64]*protocol.EndpointList{1: versionedList(1, completeList("a", "b").Endpoints...),
 				2: {Version: 2, Endpoints: []protocol.Endpoint{testEndpoint("b", dispatch.Draining)}}}
 			settings := testSettings()
 			settings.DrainGrace, settings.MaxPollInterval = 2e9, int64(protocol.PollRetryInterval)
@@ -95,7 +101,8 @@
 			}
 			for _, j := range c.attempts[before:] {
 				if j.Address == "b:7" {
-					t.Errorf("seed %d: silent from %v to %v, told at %v, and sent to it after the grace", seed, a.silentFrom.Sub(now), a.silentUntil.Sub(now), told.Sub(now))
+					t.Errorf("seed %d: silent from %v to %v, told at %v, and sent to it after the grace",
+						seed, a.silentFrom.Sub(now), a.silentUntil.Sub(now), told.Sub(now))
 					break
 				}
 			}
--- a/internal/routing/endpoint_watcher_test.go
+++ b/internal/routing/endpoint_watcher_test.go
@@ -22,11 +22,14 @@
 		c := &fakeForwarder{script: succeedAfter(time.Millisecond)}
 		moved := protocol.Endpoint{ID: "b", Address: "elsewhere:7"}
 		l := &scriptedSource{answers: []any{
-			&protocol.EndpointList{Version: 5, Complete: true, Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Up), testEndpoint("b", dispatch.Up)}},
-			&protocol.EndpointList{Version: 6, Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Draining), moved}},
+			versionedList(5, testEndpoint("a", dispatch.Up), testEndpoint("b", dispatch.Up)),
+			&protocol.EndpointList{
+				Version:   6,
+				Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Draining), moved},
+			},
 			errors.New("reset"),
 			&protocol.EndpointList{Version: 3, Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Up)}},
-			&protocol.EndpointList{Version: 2, Complete: true, Endpoints: []protocol.Endpoint{moved}},
+			versionedList(2, moved),
 		}}
 		router := newTestRouter(c, l, completeList("old"))
 		ctx, stop := context.WithCancel(t.Context())
@@ -47,7 +50,7 @@
 		if got := strings.Join(l.polls, ", "); got != "0 false, 5 false, 6 false, 6 false, 6 true, 2 false" {
 			t.Error(got)
 		}
-		// Danger: a discovery in trouble is asked again and again.
+		// A discovery that fails is not polled without a pause.
 		if pause := l.polledAt[3].Sub(l.polledAt[2]); pause < 200*time.Millisecond || pause > time.Second {
 			t.Error(pause)
 		}
@@ -58,13 +61,20 @@
 	})
 }
 
-// TestInvalidEndpointListsAreIgnored: an older version or half a list counts as a failed call: the list stays, the whole is asked for
-// where versions went back, and nothing is asked without end. What is told whole when asked for counts, whatever its version.
+// TestInvalidEndpointListsAreIgnored: an older version or half a list counts as a failed call: the
+// list stays, the whole is asked for where versions went back, and nothing is asked without end.
+// What is told whole when asked for counts, whatever its version.
 func TestInvalidEndpointListsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		old := &protocol.EndpointList{Version: 3, Complete: true, Endpoints: completeList("gone").Endpoints}
+		old := versionedList(3, completeList("gone").Endpoints...)
 		stale := &protocol.EndpointList{Version: 7, Endpoints: completeList("a").Endpoints}
-		l := &scriptedSource{answers: []any{&protocol.EndpointList{Version: 7, Complete: true, Endpoints: completeList("a").Endpoints}, old, errors.New("half a list"), old, old}}
+		l := &scriptedSource{answers: []any{
+			versionedList(7, completeList("a").Endpoints...),
+			old,
+			errors.New("half a list"),
+			old,
+			old,
+		}}
 		for range 100 {
 			l.answers = append(l.answers, &protocol.EndpointList{Version: 3, Endpoints: completeList("gone").Endpoints})
 		}
@@ -80,7 +90,8 @@
 		time.Sleep(5 * time.Second)
 		stop()
 		synctest.Wait()
-		if got := strings.Join(l.polls[:5], ", "); got != "0 true, 7 false, 7 true, 7 true, 3 false" || !router.IsListed("gone") {
+		got := strings.Join(l.polls[:5], ", ")
+		if got != "0 true, 7 false, 7 true, 7 true, 3 false" || !router.IsListed("gone") {
 			t.Error(got)
 		}
 		if len(l.polls) > 105 {
@@ -89,13 +100,14 @@
 	})
 }
 
-// TestKnownListIsWatched: a node asks for changes to the list it was handed at start, and for the whole only if it has none.
-// Danger: many nodes that start together and ask for whole lists are told nothing for as long as they go on.
+// TestKnownListIsWatched: a node polls for changes of the list that it was configured with, and for
+// the complete one only if it has none. Discovery could not answer many nodes that start together
+// and all fetch complete lists.
 func TestKnownListIsWatched(t *testing.T) {
 	for _, c := range []struct {
 		known *protocol.EndpointList
 		want  string
-	}{{&protocol.EndpointList{Version: 41, Complete: true, Endpoints: completeList("a").Endpoints}, "41 false"}, {&protocol.EndpointList{}, "0 true"}} {
+	}{{versionedList(41, completeList("a").Endpoints...), "41 false"}, {&protocol.EndpointList{}, "0 true"}} {
 		synctest.Test(t, func(t *testing.T) {
 			l := &scriptedSource{}
 			router := newTestRouter(&fakeForwarder{}, l, c.known)
@@ -111,8 +123,8 @@
 	}
 }
 
-// TestEmptyPollsAreSpaced: a place that answers at once, with nothing or a fault, is not asked without end, whatever the
-// settings say of pauses.
+// TestEmptyPollsAreSpaced: a place that answers at once, with nothing or a fault, is not asked
+// without end, whatever the settings say of pauses.
 func TestEmptyPollsAreSpaced(t *testing.T) {
 	for _, answer := range []any{&protocol.EndpointList{}, errors.New("refused")} {
 		checkPollSpacing(t, answer)
@@ -147,13 +159,14 @@
 	})
 }
 
-// TestEndpointSourceIsReplaced: a new place is asked at once, also while the old one waits or the next call there, and for the whole list,
-// however low its version. Executors that both name are the same.
+// TestEndpointSourceIsReplaced: a new place is asked at once, also while the old one waits or the
+// next call there, and for the whole list, however low its version. Servers that both name are
+// the same.
 func TestEndpointSourceIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		old := &scriptedSource{answers: []any{&protocol.EndpointList{Version: 50, Complete: true, Endpoints: completeList("a", "b").Endpoints}}}
+		old := &scriptedSource{answers: []any{versionedList(50, completeList("a", "b").Endpoints...)}}
 		down := &scriptedSource{answers: []any{errors.New("refused")}}
-		fresh := &scriptedSource{answers: []any{&protocol.EndpointList{Version: 3, Complete: true, Endpoints: completeList("b", "c").Endpoints}}}
+		fresh := &scriptedSource{answers: []any{versionedList(3, completeList("b", "c").Endpoints...)}}
 		router := newTestRouter(&fakeForwarder{script: succeedAfter(time.Millisecond)}, old, completeList("a"))
 		ctx, stop := context.WithCancel(t.Context())
 		go router.WatchEndpoints(ctx)
@@ -166,7 +179,8 @@
 			synctest.Wait()
 		}
 		got := fmt.Sprint(old.polls, down.polls, fresh.polls)
-		if got != "[0 false 50 false] [0 true] [0 true 3 false]" || len(router.endpoints) != 2 || router.endpoints["b"].server != kept {
+		wantPolls := "[0 false 50 false] [0 true] [0 true 3 false]"
+		if got != wantPolls || len(router.endpoints) != 2 || router.endpoints["b"].server != kept {
 			t.Error(got, router.endpoints)
 		}
 		stop()
--- a/internal/routing/event_loop_test.go
+++ b/internal/routing/event_loop_test.go
@@ -16,7 +16,8 @@
 	"fernrail/internal/protocol"
 )
 
-// TestPanicEndsOneStep: a fault of the module answers the txn it came with and is told with its stack; others go on.
+// TestPanicEndsOneStep: a fault of the module answers the request it came with and is told with its
+// stack; others go on.
 func TestPanicEndsOneStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
@@ -46,17 +47,20 @@
 	})
 }
 
-// TestPanicInAnAttempt: what a fault on the way to an executor leaves open may have run.
+func panickingScript(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
+	panic("odd")
+}
+
+// TestPanicInAnAttempt: what a fault on the way to a server leaves open may have run.
 func TestPanicInAnAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: func(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
-			panic("odd")
-		}}
+		c := &fakeForwarder{script: panickingScript}
 		router := newTestRouter(c, &scriptedSource{}, completeList("a"))
 		start := time.Now()
 		a := router.Serve(t.Context(), testRequest("j", 1, time.Second))
-		if took := time.Since(start); a == nil || a.Status != 500 || c.attemptCount() != 1 || took > 100*time.Millisecond {
-			t.Errorf("%+v after %d postings and %s", a, c.attemptCount(), took)
+		took := time.Since(start)
+		if a == nil || a.Status != 500 || c.attemptCount() != 1 || took > 100*time.Millisecond {
+			t.Errorf("%+v after %d attempts and %s", a, c.attemptCount(), took)
 		}
 	})
 }
--- a/internal/routing/exclusions_test.go
+++ b/internal/routing/exclusions_test.go
@@ -13,8 +13,9 @@
 	"fernrail/internal/protocol"
 )
 
-// TestExcludedServerGetsNothing: whatever discovery tells of a banned executor, a whole list, a restart, another address or that it was away,
-// nothing goes to it; put back, it is in use again, as discovery has it now.
+// TestExcludedServerGetsNothing: whatever discovery tells of a excluded server, a whole list, a
+// restart, another address or that it was away, nothing goes to it; put back, it is in use again,
+// as discovery has it now.
 func TestExcludedServerGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
@@ -23,7 +24,7 @@
 		to := func(address string) (count int) {
 			c.attempts = nil
 			var all sync.WaitGroup
-			for range 8 { // at once, so that every executor is needed
+			for range 8 { // at once, so that every server is needed
 				asked++
 				q := testRequest(fmt.Sprint(asked), 0, time.Second)
 				all.Go(func() { router.Serve(t.Context(), q) })
@@ -45,26 +46,24 @@
 		}
 		restarted := protocol.Endpoint{ID: "a", Address: "elsewhere:7", Started: time.Now().UnixNano()}
 		for name, l := range map[string]*protocol.EndpointList{
-			"nothing": {}, "whole": completeList("a", "b"), "change": {Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Up)}},
-			"away": completeList("b"), "back": completeList("a", "b"), "restarted": {Endpoints: []protocol.Endpoint{restarted}},
+			"nothing": {}, "whole": completeList("a", "b"), "change": changedList(testEndpoint("a", dispatch.Up)),
+			"away": completeList("b"), "back": completeList("a", "b"), "restarted": changedList(restarted),
 		} {
-			router.event(func() { router.applyEndpoints(l) })
+			applyList(router, l)
 			if got := to("a:7") + to("elsewhere:7"); got > 0 {
-				t.Errorf("%s: %d went to a banned executor", name, got)
+				t.Errorf("%s: %d went to a excluded server", name, got)
 			}
 		}
-		router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{restarted}}) })
+		applyList(router, changedList(restarted))
 		router.SetExcluded(nil)
 		if to("elsewhere:7") == 0 {
 			t.Error("not in use after")
 		}
-		if router.event(func() { router.applyEndpoints(completeList("b")) }); !router.WasListed("a") || router.WasListed("never") {
+		if applyList(router, completeList("b")); !router.WasListed("a") || router.WasListed("never") {
 			t.Error("who was ever listed")
 		}
 		router.SetExcluded([]string{"b"})
-		router.event(func() {
-			router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{testEndpoint("b", dispatch.Draining)}})
-		})
+		applyList(router, changedList(testEndpoint("b", dispatch.Draining)))
 		if router.SetExcluded(nil); to("b:7") > 0 {
 			t.Error("one that drains by discovery's word is in use")
 		}
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -15,13 +15,19 @@
 	"github.com/rs/zerolog"
 )
 
-// fakeForwarder stands in for the executors: a script says what comes of each posting. Time is that of a synctest bubble.
+// attemptScript plays a server: it runs the nth attempt, reports its updates, and gives outcome and result.
+type attemptScript func(
+	ctx context.Context, nth int, attempt *protocol.Attempt, update func(protocol.JobUpdate),
+) (dispatch.Outcome, string)
+
+// fakeForwarder stands in for the servers: a script says what comes of each attempt. Time is that
+// of a synctest bubble.
 type fakeForwarder struct {
 	mu              sync.Mutex
 	attempts        []*protocol.Attempt
 	probedAddresses []string
 	loadReport      func(ctx context.Context, address string) (protocol.LoadReport, error)
-	script          func(ctx context.Context, nth int, job *protocol.Attempt, heard func(protocol.JobUpdate)) (dispatch.Outcome, string)
+	script          attemptScript
 }
 
 func (c *fakeForwarder) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
@@ -48,7 +54,7 @@
 	return len(c.attempts)
 }
 
-// finishAfter runs a job for a time; a posting given up ends as it would on sockets.
+// finishAfter runs a job for a time; an attempt given up ends as it would on sockets.
 func finishAfter(ctx context.Context, span time.Duration, o dispatch.Outcome) (dispatch.Outcome, string) {
 	select {
 	case <-time.After(span):
@@ -61,9 +67,12 @@
 	return dispatch.TimedOut, ""
 }
 
-func succeedAfter(span time.Duration) func(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
-	return func(ctx context.Context, _ int, _ *protocol.Attempt, heard func(protocol.JobUpdate)) (dispatch.Outcome, string) {
-		heard(protocol.JobUpdate{State: protocol.Started})
+// succeedAfter starts each attempt at once and succeeds after a time.
+func succeedAfter(span time.Duration) attemptScript {
+	return func(
+		ctx context.Context, _ int, _ *protocol.Attempt, update func(protocol.JobUpdate),
+	) (dispatch.Outcome, string) {
+		update(protocol.JobUpdate{State: protocol.Started})
 		return finishAfter(ctx, span, dispatch.Succeeded)
 	}
 }
@@ -89,11 +98,39 @@
 	return a.(*protocol.EndpointList), nil
 }
 
+// testSettings has an idempotent class, 0, and a non-idempotent one, 1.
 func testSettings() *dispatch.Settings {
-	return &dispatch.Settings{Nodes: 2, Tick: 5e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 3, AllowCancel: true,
-		AllowHedging: true, MaxRetryAfter: 2e9, IdleTimeout: 1e10, DrainGrace: 4e9, MaxPollInterval: 15e8, Classes: []*dispatch.Class{
-			{LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 3, LateShare: 0.3, MachineType: -1},
-			{Index: 1, LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1, Idempotency: dispatch.NonIdempotent}}}
+	return &dispatch.Settings{
+		Nodes:            2,
+		Tick:             5e6,
+		StartNotices:     true,
+		ProgressInterval: 1e9,
+		MaxAttempts:      3,
+		AllowCancel:      true,
+		AllowHedging:     true,
+		MaxRetryAfter:    2e9,
+		IdleTimeout:      1e10,
+		DrainGrace:       4e9,
+		MaxPollInterval:  15e8,
+		Classes: []*dispatch.Class{
+			{
+				LatencyObjective: 3e8,
+				ObjectivePerWork: 2,
+				Weight:           3,
+				LateShare:        0.3,
+				MachineType:      -1,
+			},
+			{
+				Index:            1,
+				LatencyObjective: 3e8,
+				ObjectivePerWork: 2,
+				Weight:           5,
+				LateShare:        0.9,
+				MachineType:      -1,
+				Idempotency:      dispatch.NonIdempotent,
+			},
+		},
+	}
 }
 
 func testEndpoint(id string, state dispatch.EndpointState) protocol.Endpoint {
@@ -108,8 +145,8 @@
 	return l
 }
 
-func testRequest(id string, scheme int, budget time.Duration) *protocol.Request {
-	return &protocol.Request{ID: id, Class: scheme, Slots: 1, Timeout: budget}
+func testRequest(id string, class int, budget time.Duration) *protocol.Request {
+	return &protocol.Request{ID: id, Class: class, Slots: 1, Timeout: budget}
 }
 
 // newTestRouter starts a router with the settings of testSettings that logs nothing.
@@ -124,3 +161,18 @@
 		Log:              zerolog.Nop(),
 	})
 }
+
+// versionedList is a complete list of a version.
+func versionedList(version int64, endpoints ...protocol.Endpoint) *protocol.EndpointList {
+	return &protocol.EndpointList{Version: version, Complete: true, Endpoints: endpoints}
+}
+
+// changedList lists changes alone.
+func changedList(endpoints ...protocol.Endpoint) *protocol.EndpointList {
+	return &protocol.EndpointList{Endpoints: endpoints}
+}
+
+// applyList hands a list to a router as if discovery had sent it.
+func applyList(router *Router, list *protocol.EndpointList) {
+	router.event(func() { router.applyEndpoints(list) })
+}
--- a/internal/routing/probes_test.go
+++ b/internal/routing/probes_test.go
@@ -14,19 +14,20 @@
 	"fernrail/internal/protocol"
 )
 
-// TestCapacityProbes: a txn goes to the executor that tells of room; a probe that is never answered ends, and one whose executor has
-// gone meanwhile harms nothing.
+// TestCapacityProbes: a request goes to the server that tells of room; a probe that is never answered
+// ends, and one whose server has gone meanwhile harms nothing.
 func TestCapacityProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asking := testSettings()
 		asking.CapacityProbes = true
-		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond), loadReport: func(ctx context.Context, address string) (protocol.LoadReport, error) {
+		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
+		c.loadReport = func(ctx context.Context, address string) (protocol.LoadReport, error) {
 			if address == "b:7" {
 				return protocol.LoadReport{FreeSlots: 2, FreeMemory: 1}, nil
 			}
 			<-ctx.Done()
 			return protocol.LoadReport{}, ctx.Err()
-		}}
+		}
 		router := New(Config{
 			Settings:         asking,
 			Seed:             1,
@@ -43,9 +44,7 @@
 			t.Errorf("%+v %v", a, c.probedAddresses)
 		}
 		c.mu.Unlock()
-		router.event(func() {
-			router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: []protocol.Endpoint{testEndpoint("b", dispatch.Up)}})
-		})
+		applyList(router, versionedList(0, testEndpoint("b", dispatch.Up)))
 		time.Sleep(time.Second)
 		if a := router.Serve(t.Context(), testRequest("k", 0, 5*time.Second)); a == nil || a.Status != 200 {
 			t.Errorf("%+v", a)
--- a/internal/routing/requests_test.go
+++ b/internal/routing/requests_test.go
@@ -17,9 +17,10 @@
 	"fernrail/internal/protocol"
 )
 
-// TestRequestIDIsReservedOnce: an id is refused while it is open, and after that for as long as its scheme's repeats are dropped, or 10 s
-// where that is not told, to the millisecond; the first one is left as it is. A repeat after the window is a new txn.
-// Danger: a window longer than the settings say turns a client's own repeat away; a shorter one runs it twice.
+// TestRequestIDIsReservedOnce: an id is rejected while its request is open, and after that for its
+// class's deduplication window, or 10 s where none is set, to the millisecond. The first request
+// goes on unharmed, and a repeat after the window is a new request. A longer window would reject a
+// client's own retry, a shorter one would run it twice.
 func TestRequestIDIsReservedOnce(t *testing.T) {
 	for _, window := range []time.Duration{0, 1500 * time.Millisecond, 45 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -34,8 +35,8 @@
 				EndpointSource:   &scriptedSource{},
 				Log:              zerolog.Nop(),
 			})
-			serve := func(id string, scheme int) int {
-				if a := router.Serve(t.Context(), testRequest(id, scheme, time.Minute)); a != nil {
+			serve := func(id string, class int) int {
+				if a := router.Serve(t.Context(), testRequest(id, class, time.Minute)); a != nil {
 					return a.Status
 				}
 				return 0
@@ -57,7 +58,7 @@
 				if got := serve("j", 1); got != http.StatusConflict {
 					t.Errorf("window %s: %d after %s", window, got, time.Since(ends))
 				}
-				go serve(fmt.Sprint(i), 0) // others come and go meanwhile, of a scheme whose window is not told
+				go serve(fmt.Sprint(i), 0) // others come and go meanwhile, of a class whose window is not told
 				time.Sleep(min(time.Second, lasts-time.Millisecond-time.Since(ends)))
 			}
 			time.Sleep(2 * time.Millisecond)
@@ -80,10 +81,12 @@
 		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
 		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
 		start := time.Now()
-		if a := router.Serve(t.Context(), testRequest("j", 0, time.Second)); a == nil || a.Status != 200 || a.Body != "r" {
+		a := router.Serve(t.Context(), testRequest("j", 0, time.Second))
+		if a == nil || a.Status != 200 || a.Body != "r" {
 			t.Fatalf("%+v", a)
 		}
-		if j := c.attempts[0]; c.attemptCount() != 1 || !strings.HasSuffix(j.Address, ":7") || j.Deadline.Sub(start) != time.Second {
+		j := c.attempts[0]
+		if c.attemptCount() != 1 || !strings.HasSuffix(j.Address, ":7") || j.Deadline.Sub(start) != time.Second {
 			t.Errorf("%+v", j)
 		}
 		time.Sleep(time.Minute)
@@ -94,38 +97,42 @@
 	})
 }
 
-// TestUnfinishedRequestIsAnsweredBeforeDeadline: every txn is answered before its expiry, by a decline only where nothing can have run.
+// TestUnfinishedRequestIsAnsweredBeforeDeadline: every request is answered before its expiry, by a
+// decline only where nothing can have run.
 func TestUnfinishedRequestIsAnsweredBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeForwarder{script: succeedAfter(time.Hour)}
 		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
-		for scheme, status := range []int{503, 500} {
+		for class, status := range []int{503, 500} {
 			start := time.Now()
-			a := router.Serve(t.Context(), testRequest(fmt.Sprint(scheme), scheme, time.Second))
+			a := router.Serve(t.Context(), testRequest(fmt.Sprint(class), class, time.Second))
 			if a == nil || a.Status != status || time.Since(start) >= time.Second {
-				t.Errorf("scheme %d: %+v after %s", scheme, a, time.Since(start))
+				t.Errorf("class %d: %+v after %s", class, a, time.Since(start))
 			}
 		}
 		synctest.Wait()
 		if len(router.cancelFuncs) > 0 {
-			t.Error("postings are out that nobody waits for")
+			t.Error("attempts are out that nobody waits for")
 		}
 	})
 }
 
-// TestClientCloses: nothing is out for a client that has closed. What is written to it, should it still read, promises no more than the
-// rules allow: that its job never ran only where that is harmless or sure.
+// TestClientCloses: nothing is out for a client that has closed. What is written to it, should it
+// still read, promises no more than the rules allow: that its job never ran only where that is
+// harmless or sure.
 func TestClientCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &fakeForwarder{script: succeedAfter(time.Hour)}
 		router := newTestRouter(c, &scriptedSource{}, completeList("a"))
-		for scheme, status := range []int{503, 500} {
+		for class, status := range []int{503, 500} {
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(100*time.Millisecond, leave)
-			if a := router.Serve(ctx, testRequest(fmt.Sprint(scheme), scheme, 5*time.Second)); a == nil || !a.ClientClosed || a.Status != status {
+			a := router.Serve(ctx, testRequest(fmt.Sprint(class), class, 5*time.Second))
+			if a == nil || !a.ClientClosed || a.Status != status {
 				t.Errorf("%+v", a)
 			}
-			if a := router.Serve(ctx, testRequest(fmt.Sprint("late", scheme), scheme, 5*time.Second)); a == nil || !a.ClientClosed || a.Status != 503 {
+			a = router.Serve(ctx, testRequest(fmt.Sprint("late", class), class, 5*time.Second))
+			if a == nil || !a.ClientClosed || a.Status != 503 {
 				t.Errorf("%+v", a)
 			}
 		}
@@ -134,15 +141,17 @@
 		}
 		synctest.Wait()
 		if len(router.requests)+len(router.cancelFuncs) > 0 {
-			t.Error("the posting is still out")
+			t.Error("the attempt is still out")
 		}
 	})
 }
 
-// TestShutdownAnswersInTime: a node that is told to end answers all that it has, and what still comes, within the time it is given.
+// TestShutdownAnswersInTime: a node that is told to end answers all that it has, and what still
+// comes, within the time it is given.
 func TestShutdownAnswersInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		router := newTestRouter(&fakeForwarder{script: succeedAfter(time.Hour)}, &scriptedSource{}, completeList("a", "b", "c"))
+		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
+		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b", "c"))
 		start, done := time.Now(), make(chan *protocol.Response, 2)
 		go func() { done <- router.Serve(t.Context(), testRequest("j", 1, time.Minute)) }()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/routing/rules_fuzz_test.go
+++ b/internal/routing/rules_fuzz_test.go
@@ -19,7 +19,8 @@
 	"fernrail/internal/protocol"
 )
 
-// FuzzRules holds the node to the rules through random lives, answers, departures and changes of the list.
+// FuzzRules holds the node to the rules through random lives, answers, departures and changes of
+// the list.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(12) {
 		f.Add(seed)
@@ -31,27 +32,34 @@
 
 func runRandomHistory(t *testing.T, r *rand.Rand) {
 	var mu sync.Mutex // round all below
-	dice := func(n int) int { mu.Lock(); defer mu.Unlock(); return r.IntN(n) }
+	dice := func(n int) int {
+		mu.Lock()
+		defer mu.Unlock()
+		return r.IntN(n)
+	}
 	stopped, answered, mayRun := map[string]time.Time{}, map[string]bool{}, map[string]bool{}
 	c := &fakeForwarder{}
-	c.script = func(ctx context.Context, _ int, job *protocol.Attempt, heard func(protocol.JobUpdate)) (dispatch.Outcome, string) {
+	c.script = func(
+		ctx context.Context, _ int, job *protocol.Attempt, heard func(protocol.JobUpdate),
+	) (dispatch.Outcome, string) {
 		id := job.Request.ID
 		mu.Lock()
 		if at, is := stopped[job.Address]; is && time.Since(at) > 0 {
-			t.Error("rule 3: posting to an executor that drains or is gone")
+			t.Error("rule 3: attempt to a server that drains or is gone")
 		}
 		if answered[id] && ctx.Err() == nil {
-			t.Error("rule 1: posting after the final answer")
+			t.Error("rule 1: attempt after the final answer")
 		}
 		if mayRun[id] && job.Request.Class == 1 {
-			t.Error("rule 2: a once-only txn goes again")
+			t.Error("rule 2: a non-idempotent request goes again")
 		}
 		mayRun[id] = true
 		mu.Unlock()
 		if dice(3) > 0 {
 			heard(protocol.JobUpdate{State: protocol.Started})
 		}
-		o, result := finishAfter(ctx, time.Duration(dice(1500))*time.Millisecond, dispatch.Outcome(dice(int(dispatch.StaleConnection)+1)))
+		span := time.Duration(dice(1500)) * time.Millisecond
+		o, result := finishAfter(ctx, span, dispatch.Outcome(dice(int(dispatch.StaleConnection)+1)))
 		if o == dispatch.Rejected || o == dispatch.ConnectFailed || o == dispatch.NotSent {
 			mu.Lock()
 			mayRun[id] = false
@@ -60,11 +68,11 @@
 		return o, result
 	}
 	ids := []string{"a", "b", "c", "d"}
-	states, banned := map[string]dispatch.EndpointState{}, map[string]bool{}
+	states, excluded := map[string]dispatch.EndpointState{}, map[string]bool{}
 	mark := func() { // under mu
 		for _, id := range ids {
 			at := id + ":7"
-			if states[id] == dispatch.Up && !banned[id] {
+			if states[id] == dispatch.Up && !excluded[id] {
 				delete(stopped, at)
 			} else if stopped[at].IsZero() {
 				stopped[at] = time.Now()
@@ -106,15 +114,15 @@
 		if dice(6) == 0 {
 			mu.Lock()
 			id := ids[r.IntN(len(ids))]
-			if banned[id] = !banned[id]; !banned[id] {
-				delete(banned, id)
+			if excluded[id] = !excluded[id]; !excluded[id] {
+				delete(excluded, id)
 			}
 			mark()
-			now := slices.Sorted(maps.Keys(banned))
+			now := slices.Sorted(maps.Keys(excluded))
 			mu.Unlock()
 			router.SetExcluded(now)
 		}
-		id, scheme, budget := fmt.Sprint(i), dice(2), time.Duration(dice(3000)+20)*time.Millisecond
+		id, class, budget := fmt.Sprint(i), dice(2), time.Duration(dice(3000)+20)*time.Millisecond
 		ctx, leave := context.WithCancel(t.Context())
 		if dice(8) == 0 {
 			time.AfterFunc(time.Duration(dice(800))*time.Millisecond, leave)
@@ -122,7 +130,7 @@
 		lives.Go(func() {
 			defer leave()
 			start := time.Now()
-			a := router.Serve(ctx, testRequest(id, scheme, budget))
+			a := router.Serve(ctx, testRequest(id, class, budget))
 			mu.Lock()
 			defer mu.Unlock()
 			if answered[id] = true; a == nil && ctx.Err() == nil {
@@ -131,7 +139,7 @@
 			if time.Since(start) > budget {
 				t.Error("rule 1: answered late")
 			}
-			if a != nil && a.Status == 503 && scheme == 1 && mayRun[id] {
+			if a != nil && a.Status == 503 && class == 1 && mayRun[id] {
 				t.Error("rule 2: declined though it may have run")
 			}
 		})
@@ -140,6 +148,6 @@
 	time.Sleep(time.Minute)
 	synctest.Wait()
 	if len(router.requests)+len(router.cancelFuncs) > 0 {
-		t.Errorf("%d txns and %d postings are left", len(router.requests), len(router.cancelFuncs))
+		t.Errorf("%d requests and %d attempts are left", len(router.requests), len(router.cancelFuncs))
 	}
 }
--- a/internal/routing/scheduling_delay_test.go
+++ b/internal/routing/scheduling_delay_test.go
@@ -10,8 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// TestSchedulingDelay: what is ready while another goroutine holds the only processor waits, and the meter says for how long, at once and for a
-// while after. A process that is not short of it has next to none.
+// TestSchedulingDelay: what is ready while another goroutine holds the only processor waits, and
+// the meter says for how long, at once and for a while after. A process that is not short of it has
+// next to none.
 func TestSchedulingDelay(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	m := newDelayMonitor()
--- a/internal/routing/send_gate_test.go
+++ b/internal/routing/send_gate_test.go
@@ -17,14 +17,17 @@
 	"fernrail/internal/protocol"
 )
 
-// slowForwarder is a carrier whose connections come up late: each posting asks at its first byte, some time after it was decided.
+// slowForwarder is a carrier whose connections come up late: each attempt asks at its first byte,
+// some time after it was decided.
 type slowForwarder struct {
 	*fakeForwarder
 	rand   *rand.Rand
 	onSend func(address string, job *protocol.Attempt)
 }
 
-func (s *slowForwarder) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate), ended func(protocol.AttemptResult)) {
+func (s *slowForwarder) Forward(
+	ctx context.Context, job *protocol.Attempt, _ func(protocol.JobUpdate), ended func(protocol.AttemptResult),
+) {
 	s.mu.Lock()
 	late := time.Duration(s.rand.Int64N(1e9))
 	s.mu.Unlock()
@@ -42,8 +45,9 @@
 	ended(protocol.AttemptResult{Outcome: o, Result: result})
 }
 
-// TestNothingIsSentLate: random histories of drains, returns, whole lists and bans while postings wait for up to a second: what
-// leaves goes to an executor that stands as up at that moment, for a txn that has no answer yet.
+// TestNothingIsSentLate: random histories of drains, returns, whole lists and exclusions while attempts
+// wait for up to a second: what leaves goes to a server that stands as up at that moment, for a
+// request that has no answer yet.
 func TestNothingIsSentLate(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -92,19 +96,19 @@
 					}
 					switch chance.IntN(3) {
 					case 0:
-						router.event(func() { router.applyEndpoints(&protocol.EndpointList{Endpoints: []protocol.Endpoint{e}}) })
+						applyList(router, changedList(e))
 					default:
-						banned := []string{}
+						excluded := []string{}
 						for _, id := range ids {
 							switch {
 							case up[id]:
 								all = append(all, testEndpoint(id, dispatch.Up))
 							case chance.IntN(2) == 0:
-								all, banned = append(all, testEndpoint(id, dispatch.Up)), append(banned, id)
+								all, excluded = append(all, testEndpoint(id, dispatch.Up)), append(excluded, id)
 							}
 						}
-						router.SetExcluded(banned)
-						router.event(func() { router.applyEndpoints(&protocol.EndpointList{Complete: true, Endpoints: all}) })
+						router.SetExcluded(excluded)
+						applyList(router, versionedList(0, all...))
 					}
 					mu.Unlock()
 				}
