--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -48,14 +48,14 @@
 // MaxEndpointListBytes bounds the bytes of a list; some thousands of executors fit.
 const MaxEndpointListBytes = 4 << 20
 
-var listed = map[string]dispatch.EndpointState{"Ready": dispatch.Up, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
+var endpointStates = map[string]dispatch.EndpointState{"Ready": dispatch.Up, "Terminating": dispatch.Draining, "Gone": dispatch.Removed}
 
-// listPause is how many entries are decoded until other work of the process may go on. Danger: a list of thousands takes a node with a
+// entriesPerYield is how many entries are decoded until other work of the process may go on. Danger: a list of thousands takes a node with a
 // small share of a core hundreds of milliseconds, and all that came meanwhile waits for its end.
-const listPause = 64
+const entriesPerYield = 64
 
-// server is one entry as discovery writes it.
-type server struct {
+// discoveryEntry is one entry as discovery writes it.
+type discoveryEntry struct {
 	ID      string   `json:"id"`
 	Addr    string   `json:"addr"`
 	Zone    string   `json:"zone"`
@@ -73,7 +73,7 @@
 	var version *int64
 	var full *bool
 	told := false // which servers
-	if err := expect(in, '{'); err != nil {
+	if err := expectDelim(in, '{'); err != nil {
 		return nil, err
 	}
 	for in.More() {
@@ -88,7 +88,7 @@
 			err = in.Decode(&full)
 		case "servers":
 			told = true
-			l.Endpoints, err = readEntries(in, names)
+			l.Endpoints, err = decodeEntries(in, names)
 		default:
 			var skipped json.RawMessage
 			err = in.Decode(&skipped)
@@ -97,7 +97,7 @@
 			return nil, err
 		}
 	}
-	if err := expect(in, '}'); err != nil {
+	if err := expectDelim(in, '}'); err != nil {
 		return nil, err
 	}
 	if _, err := in.Token(); err != io.EOF {
@@ -110,7 +110,7 @@
 	return l, nil
 }
 
-func expect(in *json.Decoder, want json.Delim) error {
+func expectDelim(in *json.Decoder, want json.Delim) error {
 	got, err := in.Token()
 	if err == nil && got != want {
 		err = fmt.Errorf("%v in place of %v", got, want)
@@ -118,30 +118,30 @@
 	return err
 }
 
-func readEntries(in *json.Decoder, names *Names) (entries []Endpoint, err error) {
-	if err := expect(in, '['); err != nil {
+func decodeEntries(in *json.Decoder, names *Names) (entries []Endpoint, err error) {
+	if err := expectDelim(in, '['); err != nil {
 		return nil, err
 	}
 	for i := 0; in.More(); i++ {
-		if i%listPause == listPause-1 {
+		if i%entriesPerYield == entriesPerYield-1 {
 			runtime.Gosched()
 		}
-		var s server
+		var s discoveryEntry
 		if err := in.Decode(&s); err != nil {
 			return nil, err
 		}
-		e, err := s.entry(names)
+		e, err := s.endpoint(names)
 		if err != nil {
 			return nil, fmt.Errorf("servers.%d: %w", i, err)
 		}
 		entries = append(entries, e)
 	}
-	return entries, expect(in, ']')
+	return entries, expectDelim(in, ']')
 }
 
-// entry checks what discovery tells of a server.
-func (s *server) entry(names *Names) (Endpoint, error) {
-	state, known := listed[s.State]
+// endpoint checks what discovery tells of a server.
+func (s *discoveryEntry) endpoint(names *Names) (Endpoint, error) {
+	state, known := endpointStates[s.State]
 	e := Endpoint{ID: s.ID, Address: s.Addr, State: state, Zone: slices.Index(names.Zones, s.Zone),
 		MachineType: slices.Index(names.MachineTypes, s.Kind), Cell: s.Cell, Started: s.Started * 1e6, Capacity: 1}
 	if s.Weight != nil {
@@ -154,7 +154,7 @@
 		return e, fmt.Errorf("unknown state %q", s.State)
 	case err != nil && state != dispatch.Removed:
 		return e, fmt.Errorf("addr %q is not host:port", s.Addr)
-	case !(e.Capacity >= 0 && e.Capacity < mostSlots):
+	case !(e.Capacity >= 0 && e.Capacity < maxSlots):
 		return e, fmt.Errorf("weight %v is no size", e.Capacity)
 	case s.Started < 0 || s.Started > 1<<43:
 		return e, fmt.Errorf("started_ms %d is no time", s.Started)
--- a/internal/protocol/executor.go
+++ b/internal/protocol/executor.go
@@ -31,7 +31,7 @@
 	Killed   // killed
 )
 
-var states = map[string]JobState{"started": Started, "running": Running, "done": Done, "failed": Failed,
+var jobStates = map[string]JobState{"started": Started, "running": Running, "done": Done, "failed": Failed,
 	"returned": Returned, "lost": Killed}
 
 // JobUpdate is one line of an executor about one job.
@@ -45,25 +45,25 @@
 // Final says whether the line ends its job.
 func (l JobUpdate) Final() bool { return l.State >= Done }
 
-// maxLine leaves room for a result of the largest size with every byte escaped.
-const maxLine = 6*MaxBodyBytes + 4096
+// maxUpdateBytes leaves room for a result of the largest size with every byte escaped.
+const maxUpdateBytes = 6*MaxBodyBytes + 4096
 
-// maxStream bounds what one job may say over its life.
-const maxStream = 4 * maxLine
+// maxUpdateStreamBytes bounds what one job may say over its life.
+const maxUpdateStreamBytes = 4 * maxUpdateBytes
 
-// mostSlots is more than any machine has; a report of more is none.
-const mostSlots = 1 << 16
+// maxSlots is more than any machine has; a report of more is none.
+const maxSlots = 1 << 16
 
 // UpdateReader reads an executor's answer about the job with the given id.
 type UpdateReader struct {
-	id, free string
-	in       *bufio.Scanner
+	id, freeSlotsKey string
+	in               *bufio.Scanner
 }
 
 // NewUpdateReader: free names the value of a load report that tells free slots, if one does.
 func NewUpdateReader(id, free string, body io.Reader) *UpdateReader {
-	in := bufio.NewScanner(io.LimitReader(body, maxStream))
-	in.Buffer(nil, maxLine)
+	in := bufio.NewScanner(io.LimitReader(body, maxUpdateStreamBytes))
+	in.Buffer(nil, maxUpdateBytes)
 	return &UpdateReader{id, free, in}
 }
 
@@ -71,13 +71,13 @@
 func (l *UpdateReader) Next() (JobUpdate, error) {
 	for l.in.Scan() {
 		if text := bytes.TrimSpace(l.in.Bytes()); len(text) > 0 {
-			return readLine(text, l.id, l.free)
+			return decodeUpdate(text, l.id, l.freeSlotsKey)
 		}
 	}
 	return JobUpdate{}, errors.Join(l.in.Err(), io.ErrUnexpectedEOF)
 }
 
-func readLine(text []byte, id, free string) (JobUpdate, error) {
+func decodeUpdate(text []byte, id, free string) (JobUpdate, error) {
 	var m struct {
 		ID     string          `json:"id"`
 		State  string          `json:"state"`
@@ -88,7 +88,7 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		return JobUpdate{}, fmt.Errorf("unreadable line: %w", err)
 	}
-	state, known := states[m.State]
+	state, known := jobStates[m.State]
 	switch {
 	// Danger: an answer that belongs to another job, passed on as this one's.
 	case m.ID != id:
@@ -104,7 +104,7 @@
 	// Danger: a report that this node can't read is no reason to lose the answer that it came with.
 	var load map[string]any
 	if free != "" && json.Unmarshal(m.Load, &load) == nil {
-		if slots, isNumber := load[free].(float64); isNumber && slots > 0 && slots < mostSlots {
+		if slots, isNumber := load[free].(float64); isNumber && slots > 0 && slots < maxSlots {
 			l.FreeSlots = slots
 		}
 	}
@@ -149,7 +149,7 @@
 			continue
 		}
 		x, told := values[name]
-		if !told || !(x > -mostSlots && x < mostSlots) {
+		if !told || !(x > -maxSlots && x < maxSlots) {
 			return LoadReport{}, fmt.Errorf("a load report without a usable %s", name)
 		}
 		*into = max(x, 0)
@@ -173,29 +173,29 @@
 
 // Attempt is one posting as it goes out.
 type Attempt struct {
-	Address  string
-	Request  *Request
-	Deadline time.Time   // when the node stops to wait, by the monotonic clock
-	Gate     SendGate    // nil: none is needed
-	told     time.Time   // when Deadline was last told as a span
-	header   http.Header // of the request as it goes out
+	Address      string
+	Request      *Request
+	Deadline     time.Time   // when the node stops to wait, by the monotonic clock
+	Gate         SendGate    // nil: none is needed
+	timeoutSetAt time.Time   // when Deadline was last told as a span
+	header       http.Header // of the request as it goes out
 }
 
-// overtold is by how much the span that an executor is told may be over what is left when its request's first byte goes out. The
+// maxTimeoutOverstatement is by how much the span that an executor is told may be over what is left when its request's first byte goes out. The
 // platform allows 0.15 s; the rest is for the write.
-const overtold = 100 * time.Millisecond
+const maxTimeoutOverstatement = 100 * time.Millisecond
 
 // SetTimeout writes how long the node will wait into the request's header, as of the moment at which its first byte is expected to go out.
 // It is called before the request is written.
 // Danger: a span that was worked out before a connection came up, or before the process stood still, is longer than what is left.
 func (j *Attempt) SetTimeout(now time.Time) {
-	j.told = now
+	j.timeoutSetAt = now
 	j.header.Set("X-Budget-Ms", strconv.FormatInt(max(j.Deadline.Sub(now).Milliseconds(), 1), 10))
 }
 
 // TimeoutOverstated says whether too much time has passed since Tell for the request to go out as it is.
 func (j *Attempt) TimeoutOverstated(now time.Time) bool {
-	return !j.told.IsZero() && now.Sub(j.told) > overtold
+	return !j.timeoutSetAt.IsZero() && now.Sub(j.timeoutSetAt) > maxTimeoutOverstatement
 }
 
 // SendGate is asked at the very moment at which a job's first byte would go out, and told when it has. It may be asked again
@@ -205,11 +205,11 @@
 	Sent()
 }
 
-// once hides that a body could be read again.
+// singleUseBody hides that a body could be read again.
 // Danger: http.Transport sends a request again by itself where it can wind the body back, or sees that there is none.
-type once struct{ io.Reader }
+type singleUseBody struct{ io.Reader }
 
-func (once) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
 
 // Encode makes the request to the executor.
 func (j *Attempt) Encode() *http.Request {
@@ -220,5 +220,5 @@
 		j.header["User-Agent"] = nil // or the library would put its own
 	}
 	return &http.Request{Method: http.MethodPost, URL: target, Host: j.Address, ProtoMajor: 1, ProtoMinor: 1,
-		ContentLength: int64(len(j.Request.Body)), Body: once{bytes.NewReader(j.Request.Body)}, Header: j.header}
+		ContentLength: int64(len(j.Request.Body)), Body: singleUseBody{bytes.NewReader(j.Request.Body)}, Header: j.header}
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -19,11 +19,11 @@
 var names = &Names{Zones: []string{"a", "b"}, MachineTypes: []string{"m1"}, Classes: []string{"render", "pay"},
 	Tenants: []string{"acme", "globex"}}
 
-const request = "POST /pay/x%2f<?obj=7f HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b1f\r\nX-Call-Class: pay\r\nX-Caller: globex\r\n" +
+const rawRequest = "POST /pay/x%2f<?obj=7f HTTP/1.1\r\nHost: h\r\nX-Call-Id: 9b1f\r\nX-Call-Class: pay\r\nX-Caller: globex\r\n" +
 	"X-Budget-Ms: 480\r\nX-Call-Info: slots=2.5,new=1\r\nX-Call-Cost: 1500\r\nIdempotency-Key: k\r\nConnection: X-Odd\r\n" +
 	"X-Odd: 1\r\nContent-Length: 4\r\n\r\nbody"
 
-func read(t *testing.T, text string) (*Request, *RequestError) {
+func readRequest(t *testing.T, text string) (*Request, *RequestError) {
 	t.Helper()
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
@@ -33,8 +33,8 @@
 	return DecodeRequest(r, names, false)
 }
 
-func TestRequest(t *testing.T) {
-	q, fault := read(t, request)
+func TestDecodeAndForwardRequest(t *testing.T) {
+	q, fault := readRequest(t, rawRequest)
 	if fault != nil {
 		t.Fatal(fault)
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestRequestFaults(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	for _, c := range []struct {
 		from, to string
 		status   int
@@ -98,13 +98,13 @@
 		{"HTTP/1.1", "HTTP/1.0", 411},
 		{"Length: 4\r\n\r\nbody", "Length: 65537\r\n\r\n" + strings.Repeat("x", MaxBodyBytes+1), 413},
 	} {
-		if _, fault := read(t, strings.Replace(request, c.from, c.to, 1)); fault == nil || fault.Status != c.status {
+		if _, fault := readRequest(t, strings.Replace(rawRequest, c.from, c.to, 1)); fault == nil || fault.Status != c.status {
 			t.Errorf("%.40s: %+v, want %d", c.to, fault, c.status)
 		}
 	}
 }
 
-func TestAnswer(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	w := httptest.NewRecorder()
 	(&Response{Status: 503, RetryAfter: 1500 * time.Millisecond}).Write(w)
 	if w.Code != 503 || w.Header().Get("Retry-After") != "1.5" {
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestReports: free slots are read where a report tells them; one that makes no sense costs nobody an answer.
-func TestReports(t *testing.T) {
+// TestLoadReportsWithResults: free slots are read where a report tells them; one that makes no sense costs nobody an answer.
+func TestLoadReportsWithResults(t *testing.T) {
 	for load, want := range map[string]float64{`{"util":0.2,"x0":3.9}`: 3.9, `{"x0":-1}`: 0, `{"x0":1e9}`: 0, `{"x0":"4"}`: 0, `{}`: 0,
 		`null`: 0, `[4]`: 0, `"x0"`: 0, `{"x1":4}`: 0} {
 		l, err := NewUpdateReader("j", "x0", strings.NewReader(`{"id":"j","state":"done","result":"a","load":`+load+"}")).Next()
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestLines(t *testing.T) {
+func TestServerUpdates(t *testing.T) {
 	l := NewUpdateReader("j", "x0", strings.NewReader(`{"id":"j","from":"s","state":"started"}`+"\n\n"+
 		`{"id":"j","state":"running","share":0.4}`+"\n"+`{"id":"j","state":"done","result":"a\nb","load":{"util":"odd"}}`+"\n"))
 	for _, want := range []JobUpdate{{State: Started}, {State: Running, Progress: 0.4}, {State: Done, Result: "a\nb"}} {
@@ -143,22 +143,22 @@
 		}
 	}
 	// Danger: an executor that never ends a line, or never stops talking, takes the node's memory.
-	if _, err := NewUpdateReader("j", "x0", endless("x")).Next(); err == nil {
+	if _, err := NewUpdateReader("j", "x0", endlessReader("x")).Next(); err == nil {
 		t.Error("an endless line was read")
 	}
-	l = NewUpdateReader("j", "x0", endless(`{"id":"j","state":"started"}`+"\n"))
+	l = NewUpdateReader("j", "x0", endlessReader(`{"id":"j","state":"started"}`+"\n"))
 	for n := 0; ; n++ {
 		if _, err := l.Next(); err != nil {
 			break
-		} else if n > maxStream {
+		} else if n > maxUpdateStreamBytes {
 			t.Fatal("an endless answer was read")
 		}
 	}
 }
 
-type endless string
+type endlessReader string
 
-func (e endless) Read(b []byte) (int, error) {
+func (e endlessReader) Read(b []byte) (int, error) {
 	n := 0
 	for n+len(e) <= len(b) {
 		n += copy(b[n:], e)
@@ -166,7 +166,7 @@
 	return n, nil
 }
 
-func FuzzLine(f *testing.F) {
+func FuzzServerUpdate(f *testing.F) {
 	f.Add(`{"id":"j","state":"done","result":"x"}`)
 	f.Add(`{"id":"j","state":"running","share":1e999}`)
 	f.Add("{\"id\":\"j\",\"state\":\"done\",\"result\":\"\xff\"}\x00")
@@ -187,7 +187,7 @@
 	})
 }
 
-func TestTurnedAway(t *testing.T) {
+func TestRejection(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		mark   string
@@ -213,12 +213,12 @@
 	}
 }
 
-const list = `{"version":41,"full":true,"new":1,"servers":[
+const rawList = `{"version":41,"full":true,"new":1,"servers":[
 {"id":"s-1","addr":"10.0.0.1:7","zone":"b","kind":"m1","cell":3,"state":"Ready","weight":1.5,"started_ms":1700000000000},
 {"id":"s-2","addr":"10.0.0.2:7","zone":"odd","kind":"odd","state":"Terminating"},{"id":"s-3","state":"Gone"}]}`
 
-func TestList(t *testing.T) {
-	l, err := DecodeEndpointList([]byte(list), names)
+func TestEndpointList(t *testing.T) {
+	l, err := DecodeEndpointList([]byte(rawList), names)
 	if err != nil || l.Version != 41 || !l.Complete || len(l.Endpoints) != 3 {
 		t.Fatal(l, err)
 	}
@@ -230,15 +230,15 @@
 	for _, c := range [][2]string{{`"version":41,`, ""}, {`"full":true,`, ""}, {`"servers":[`, `"server":[`},
 		{"Ready", "ready"}, {`"weight":1.5`, `"weight":-1`}, {`"weight":1.5`, `"weight":1e9`}, {`"id":"s-1",`, ""}, {"10.0.0.1:7", "nowhere"}, {"1700000000000", "-5"},
 		{"1700000000000", "9223372036854775807"}, {"]}", "]"}, {`"cell":3`, `"cell":"x"`}} {
-		if l, err := DecodeEndpointList([]byte(strings.Replace(list, c[0], c[1], 1)), names); err == nil {
+		if l, err := DecodeEndpointList([]byte(strings.Replace(rawList, c[0], c[1], 1)), names); err == nil {
 			t.Errorf("%s for %s: %+v", c[1], c[0], l)
 		}
 	}
 }
 
-// TestLoad: an executor's room as probes bring it. Danger: noise tells of a little less than nothing, and what is absent or
+// TestLoadReport: an executor's room as probes bring it. Danger: noise tells of a little less than nothing, and what is absent or
 // absurd must not look like room.
-func TestLoad(t *testing.T) {
+func TestLoadReport(t *testing.T) {
 	both := LoadReportKeys{FreeSlots: "x0", FreeMemory: "x1"}
 	for text, want := range map[string]LoadReport{
 		`{"x0":2,"x1":1.5,"util":0.5}`: {2, 1.5}, `{"x0":-0.01,"x1":0}`: {0, 0}, "x0=3, x1=4,util=0.2": {3, 4},
@@ -257,8 +257,8 @@
 	}
 }
 
-// TestWhatATxnIsAbout comes from the query alone, the same at every node; memory is refused where it is no number.
-func TestWhatATxnIsAbout(t *testing.T) {
+// TestAffinityKeyAndMemory comes from the query alone, the same at every node; memory is refused where it is no number.
+func TestAffinityKeyAndMemory(t *testing.T) {
 	read := func(target, info string) (*Request, *RequestError) {
 		r := httptest.NewRequest("POST", target, strings.NewReader("b"))
 		for name, value := range map[string]string{"X-Call-Id": "1", "X-Call-Class": names.Classes[0], "X-Caller": names.Tenants[0],
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -18,19 +18,19 @@
 // MaxBodyBytes is how many bytes a body may hold, in either direction.
 const MaxBodyBytes = 64 << 10
 
-const tooLong = "the body is over 64 KiB"
+const bodyTooLarge = "the body is over 64 KiB"
 
-// framed says whether a request tells in one way alone where its body ends: by a length or in chunks. chunks says that
+// hasUnambiguousLength says whether a request tells in one way alone where its body ends: by a length or in chunks. chunks says that
 // a request in chunks told no length beside, which the library drops unseen.
 // Danger: a second request may hide in what two lengths do not agree on. Over HTTP/1.0 chunks mean nothing to some.
-func framed(r *http.Request, chunks bool) bool {
+func hasUnambiguousLength(r *http.Request, chunks bool) bool {
 	if r.TransferEncoding != nil {
 		return chunks && r.ProtoAtLeast(1, 1)
 	}
 	return r.ProtoAtLeast(1, 1) && r.ContentLength >= 0 && r.Header["Content-Length"] != nil
 }
 
-const longestBudget = time.Hour // beyond any expiry; more would overflow when counted in nanoseconds
+const maxRequestTimeout = time.Hour // beyond any expiry; more would overflow when counted in nanoseconds
 
 // Names are the names that the sockets use, by index in the settings' lists.
 type Names struct {
@@ -56,9 +56,9 @@
 // ClientGone says whether the client of a request has closed, as far as is known now.
 func (q *Request) ClientGone() bool { return q.ClientClosed != nil && q.ClientClosed() }
 
-// plain says whether what goes on to an executor is text that any of them can read, and each name told once.
+// isPlainText says whether what goes on to an executor is text that any of them can read, and each name told once.
 // Danger: an executor closes on what it can't read, and what it was told besides is lost to this node.
-func plain(r *http.Request) bool {
+func isPlainText(r *http.Request) bool {
 	ok := func(s string, least rune) bool {
 		return !strings.ContainsFunc(s, func(c rune) bool { return c < least && c != '\t' || c > '~' })
 	}
@@ -87,17 +87,17 @@
 	if r.Method != http.MethodPost {
 		return nil, &RequestError{http.StatusMethodNotAllowed, "jobs come by POST"}
 	}
-	if !framed(r, chunks) {
+	if !hasUnambiguousLength(r, chunks) {
 		return nil, &RequestError{http.StatusLengthRequired, "jobs come with a Content-Length or in chunks, not both, over HTTP/1.1"}
 	}
 	if r.ContentLength > MaxBodyBytes {
-		return nil, &RequestError{http.StatusRequestEntityTooLarge, tooLong}
+		return nil, &RequestError{http.StatusRequestEntityTooLarge, bodyTooLarge}
 	}
-	if !plain(r) {
+	if !isPlainText(r) {
 		return nil, &RequestError{http.StatusBadRequest, "target or header is not plain text, or told twice"}
 	}
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	q := &Request{ID: r.Header.Get("X-Call-Id"), Target: r.RequestURI, Slots: 1, Header: passedOn(r.Header)}
+	q := &Request{ID: r.Header.Get("X-Call-Id"), Target: r.RequestURI, Slots: 1, Header: forwardedHeader(r.Header)}
 	class := r.Header.Get("X-Call-Class")
 	if q.Class = slices.Index(names.Classes, class); q.Class < 0 || class != first {
 		return nil, &RequestError{http.StatusNotFound, "no such scheme, or path and X-Call-Class differ"}
@@ -112,7 +112,7 @@
 		}
 	}
 	budget, err := strconv.ParseInt(r.Header.Get("X-Budget-Ms"), 10, 64)
-	if err != nil || budget <= 0 || budget > longestBudget.Milliseconds() {
+	if err != nil || budget <= 0 || budget > maxRequestTimeout.Milliseconds() {
 		return nil, &RequestError{http.StatusBadRequest, "X-Budget-Ms is not a time in whole milliseconds"}
 	}
 	q.Timeout = time.Duration(budget) * time.Millisecond
@@ -141,27 +141,27 @@
 	}
 	if q.Body, err = io.ReadAll(r.Body); err != nil {
 		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
-			return nil, &RequestError{http.StatusRequestEntityTooLarge, tooLong}
+			return nil, &RequestError{http.StatusRequestEntityTooLarge, bodyTooLarge}
 		}
 		return nil, &RequestError{http.StatusBadRequest, "the body did not come whole"}
 	}
 	return q, nil
 }
 
-// hop names the headers that concern one connection alone.
-var hop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
+// hopByHopHeaders names the headers that concern one connection alone.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
 
-// passedOn gives the headers that go on to the executor.
+// forwardedHeader gives the headers that go on to the executor.
 // Danger: a mark against repeats, such as Idempotency-Key, that stays behind; the executor could not know the repeat.
-func passedOn(h http.Header) http.Header {
+func forwardedHeader(h http.Header) http.Header {
 	on := h.Clone()
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			on.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopByHopHeaders {
 		on.Del(name)
 	}
 	return on
