--- a/internal/protocol/discovery.go
+++ b/internal/protocol/endpoint_list.go
@@ -11,7 +11,6 @@
 	"net"
 	"runtime"
 	"slices"
-	"time"
 
 	"fernrail/dispatch"
 )
@@ -36,15 +35,6 @@
 	Capacity                float64 // the list's weight; what it means is in the settings
 }
 
-// A change of the list counts as told a while after discovery had it and could be reached, whatever failed before. Whoever asks may
-// have a call out at that moment which comes to nothing; all that may pass until the next one's answer is derived here.
-const (
-	NotificationDeadline = 6 * time.Second                         // the while, by the platform's pages
-	WatchWait            = NotificationDeadline / 2                // a watch lets discovery wait for news
-	WatchSilence         = NotificationDeadline / 6                // how much longer an answer is waited for
-	PollRetryInterval    = NotificationDeadline - 2*WatchSilence/4 // from a failed call's start to the next one; the rest is for its answer
-)
-
 // MaxEndpointListBytes bounds the bytes of a list; some thousands of executors fit.
 const MaxEndpointListBytes = 4 << 20
 
--- /dev/null
+++ b/internal/protocol/job_updates_test.go
@@ -0,0 +1,84 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package protocol
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+)
+
+// TestLoadReportsWithResults: free slots are read where a report tells them; one that makes no sense costs nobody an answer.
+func TestLoadReportsWithResults(t *testing.T) {
+	for load, want := range map[string]float64{`{"util":0.2,"x0":3.9}`: 3.9, `{"x0":-1}`: 0, `{"x0":1e9}`: 0, `{"x0":"4"}`: 0, `{}`: 0,
+		`null`: 0, `[4]`: 0, `"x0"`: 0, `{"x1":4}`: 0} {
+		l, err := NewUpdateReader("j", "x0", strings.NewReader(`{"id":"j","state":"done","result":"a","load":`+load+"}")).Next()
+		if err != nil || l.Result != "a" || l.FreeSlots != want {
+			t.Errorf("%s: %+v %v, want %v", load, l, err, want)
+		}
+	}
+}
+
+func TestServerUpdates(t *testing.T) {
+	l := NewUpdateReader("j", "x0", strings.NewReader(`{"id":"j","from":"s","state":"started"}`+"\n\n"+
+		`{"id":"j","state":"running","share":0.4}`+"\n"+`{"id":"j","state":"done","result":"a\nb","load":{"util":"odd"}}`+"\n"))
+	for _, want := range []JobUpdate{{State: Started}, {State: Running, Progress: 0.4}, {State: Done, Result: "a\nb"}} {
+		if got, err := l.Next(); err != nil || got != want || got.Final() != (want.State == Done) {
+			t.Errorf("%+v %v, want %+v", got, err, want)
+		}
+	}
+	if _, err := l.Next(); err == nil {
+		t.Error("no end")
+	}
+	for _, text := range []string{"", "done", `{"id":"j","state":"do`, `{"id":"k","state":"done","result":"x"}`,
+		`{"id":"j","state":"odd"}`, `{"id":"j","state":"done"}`, `{"id":"j","state":"done","result":7}`,
+		`{"id":"j","state":"running"}`, `{"id":"j","state":"running","share":-1}`, `[]`, `null`,
+		`{"state":"done","result":"x"}`} {
+		if got, err := NewUpdateReader("j", "x0", strings.NewReader(text)).Next(); err == nil {
+			t.Errorf("%s gave %+v", text, got)
+		}
+	}
+	// Danger: an executor that never ends a line, or never stops talking, takes the node's memory.
+	if _, err := NewUpdateReader("j", "x0", endlessReader("x")).Next(); err == nil {
+		t.Error("an endless line was read")
+	}
+	l = NewUpdateReader("j", "x0", endlessReader(`{"id":"j","state":"started"}`+"\n"))
+	for n := 0; ; n++ {
+		if _, err := l.Next(); err != nil {
+			break
+		} else if n > maxUpdateStreamBytes {
+			t.Fatal("an endless answer was read")
+		}
+	}
+}
+
+type endlessReader string
+
+func (e endlessReader) Read(b []byte) (int, error) {
+	n := 0
+	for n+len(e) <= len(b) {
+		n += copy(b[n:], e)
+	}
+	return n, nil
+}
+
+func FuzzServerUpdate(f *testing.F) {
+	f.Add(`{"id":"j","state":"done","result":"x"}`)
+	f.Add(`{"id":"j","state":"running","share":1e999}`)
+	f.Add("{\"id\":\"j\",\"state\":\"done\",\"result\":\"\xff\"}\x00")
+	f.Fuzz(func(t *testing.T, text string) {
+		l, err := NewUpdateReader("j", "x0", strings.NewReader(text)).Next()
+		if err != nil || l.State != Done {
+			return
+		}
+		first, _, _ := strings.Cut(strings.TrimSpace(text), "\n")
+		var said map[string]any
+		json.Unmarshal([]byte(first), &said)
+		for key, value := range said {
+			if strings.EqualFold(key, "result") && value == l.Result {
+				return
+			}
+		}
+		t.Errorf("%q gave %+v", text, l)
+	})
+}
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -20,16 +20,6 @@
 
 const bodyTooLarge = "the body is over 64 KiB"
 
-// hasUnambiguousLength says whether a request tells in one way alone where its body ends: by a length or in chunks. chunks says that
-// a request in chunks told no length beside, which the library drops unseen.
-// Danger: a second request may hide in what two lengths do not agree on. Over HTTP/1.0 chunks mean nothing to some.
-func hasUnambiguousLength(r *http.Request, chunks bool) bool {
-	if r.TransferEncoding != nil {
-		return chunks && r.ProtoAtLeast(1, 1)
-	}
-	return r.ProtoAtLeast(1, 1) && r.ContentLength >= 0 && r.Header["Content-Length"] != nil
-}
-
 const maxRequestTimeout = time.Hour // beyond any expiry; more would overflow when counted in nanoseconds
 
 // Names are the names that the sockets use, by index in the settings' lists.
@@ -56,25 +46,6 @@
 // ClientGone says whether the client of a request has closed, as far as is known now.
 func (q *Request) ClientGone() bool { return q.ClientClosed != nil && q.ClientClosed() }
 
-// isPlainText says whether what goes on to an executor is text that any of them can read, and each name told once.
-// Danger: an executor closes on what it can't read, and what it was told besides is lost to this node.
-func isPlainText(r *http.Request) bool {
-	ok := func(s string, least rune) bool {
-		return !strings.ContainsFunc(s, func(c rune) bool { return c < least && c != '\t' || c > '~' })
-	}
-	for name, values := range r.Header {
-		if strings.HasPrefix(name, "X-") && len(values) > 1 {
-			return false
-		}
-		for _, v := range values {
-			if !ok(v, ' ') {
-				return false
-			}
-		}
-	}
-	return strings.HasPrefix(r.RequestURI, "/") && ok(r.RequestURI, '!') && ok(r.Header.Get("X-Call-Id"), '!')
-}
-
 // RequestError is an answer to a request that cannot be taken.
 type RequestError struct {
 	Status int
@@ -147,42 +118,3 @@
 	}
 	return q, nil
 }
-
-// hopByHopHeaders names the headers that concern one connection alone.
-var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
-	"Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
-
-// forwardedHeader gives the headers that go on to the executor.
-// Danger: a mark against repeats, such as Idempotency-Key, that stays behind; the executor could not know the repeat.
-func forwardedHeader(h http.Header) http.Header {
-	on := h.Clone()
-	for _, value := range h["Connection"] {
-		for name := range strings.SplitSeq(value, ",") {
-			on.Del(strings.TrimSpace(name))
-		}
-	}
-	for _, name := range hopByHopHeaders {
-		on.Del(name)
-	}
-	return on
-}
-
-// Response is the final answer to a client.
-type Response struct {
-	Status       int
-	RetryAfter   time.Duration // advice; 0: none
-	Body         string
-	ClientClosed bool // its client has closed, or at least shut its sending side: it may not be read
-}
-
-// Write puts the answer on its way.
-func (a *Response) Write(w http.ResponseWriter) error {
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
-	}
-	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(a.Status)
-	_, err := io.WriteString(w, a.Body)
-	return err
-}
--- /dev/null
+++ b/internal/protocol/request_test.go
@@ -0,0 +1,107 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package protocol
+
+import (
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestDecodeAndForwardRequest(t *testing.T) {
+	q, fault := readRequest(t, rawRequest)
+	if fault != nil {
+		t.Fatal(fault)
+	}
+	if q.ID != "9b1f" || q.Target != "/pay/x%2f<?obj=7f" || q.Class != 1 || q.Tenant != 1 || q.Slots != 2.5 ||
+		q.ExpectedWork != 1.5e6 || q.Timeout != 480*time.Millisecond || string(q.Body) != "body" {
+		t.Errorf("%+v", q)
+	}
+	// Danger: a mark against repeats that stays behind, or a header of the client's connection that goes on.
+	var text strings.Builder
+	synctest.Test(t, func(t *testing.T) {
+		job := &Attempt{Address: "10.0.0.1:7", Request: q, Deadline: time.Now().Add(500 * time.Millisecond)}
+		out := job.Encode()
+		time.Sleep(200 * time.Millisecond) // its connection comes up; what is told is what is left then
+		if !job.TimeoutOverstated(time.Now()) {
+			t.Error("it would go out as it was told before")
+		}
+		if job.SetTimeout(time.Now()); job.TimeoutOverstated(time.Now()) {
+			t.Error("it would not go out")
+		}
+		out.Write(&text)
+	})
+	for _, want := range []string{"POST /pay/x%2f<?obj=7f HTTP/1.1\r\n", "X-Call-Id: 9b1f\r\n", "X-Budget-Ms: 300\r\n",
+		"Idempotency-Key: k\r\n", "Content-Length: 4\r\n", "\r\n\r\nbody"} {
+		if !strings.Contains(text.String(), want) {
+			t.Errorf("%q is missing in %q", want, text.String())
+		}
+	}
+	if strings.Contains(text.String(), "X-Odd") || strings.Contains(text.String(), "User-Agent") {
+		t.Error(text.String())
+	}
+}
+
+func TestInvalidRequests(t *testing.T) {
+	for _, c := range []struct {
+		from, to string
+		status   int
+	}{
+		{"POST", "GET", 405},
+		{"X-Call-Id: 9b1f\r\n", "", 400},
+		{"9b1f", "9b 1f", 400},
+		{"9b1f", "9b\xff", 400},
+		{"9b1f", "9b1f\r\nX-Call-Id: 9b1f", 400},
+		{"/pay/x%2f", "/pay/\xff", 400},
+		{"/pay/x%2f", "http://h/pay/", 400},
+		{"X-Odd: 1", "X-Odd: \u00e9", 400},
+		{"Class: pay", "Class: nope", 404},
+		{"Class: pay", "Class: render", 404},
+		{"/pay/x", "/-/pay", 404},
+		{"globex", "nobody", 403},
+		{"480", "soon", 400},
+		{"480", "-3", 400},
+		{"480", "99999999999999", 400},
+		{"slots=2.5", "slots=many", 400},
+		{"slots=2.5", "slots=-1", 400},
+		{"slots=2.5", "slots=NaN", 400},
+		{"Cost: 1500", "Cost: NaN", 400},
+		{"Length: 4", "Length: 9", 400},
+		{"Content-Length: 4", "Transfer-Encoding: chunked", 411},
+		{"Length: 4", "Length: 4\r\nTransfer-Encoding: chunked", 411},
+		{"Content-Length: 4", "X-Length: 4", 411},
+		{"HTTP/1.1", "HTTP/1.0", 411},
+		{"Length: 4\r\n\r\nbody", "Length: 65537\r\n\r\n" + strings.Repeat("x", MaxBodyBytes+1), 413},
+	} {
+		if _, fault := readRequest(t, strings.Replace(rawRequest, c.from, c.to, 1)); fault == nil || fault.Status != c.status {
+			t.Errorf("%.40s: %+v, want %d", c.to, fault, c.status)
+		}
+	}
+}
+
+// TestAffinityKeyAndMemory comes from the query alone, the same at every node; memory is refused where it is no number.
+func TestAffinityKeyAndMemory(t *testing.T) {
+	read := func(target, info string) (*Request, *RequestError) {
+		r := httptest.NewRequest("POST", target, strings.NewReader("b"))
+		for name, value := range map[string]string{"X-Call-Id": "1", "X-Call-Class": names.Classes[0], "X-Caller": names.Tenants[0],
+			"X-Budget-Ms": "100", "Content-Length": "1", "X-Call-Info": info} {
+			r.Header.Set(name, value)
+		}
+		return DecodeRequest(r, names, false)
+	}
+	about := "/" + names.Classes[0] + "?obj=7f3a"
+	one, fault := read(about, "mem=0.5,slots=2")
+	same, _ := read(about, "")
+	other, _ := read(about+"1", "")
+	none, _ := read("/"+names.Classes[0], "")
+	if fault != nil || one.AffinityKey == 0 || one.AffinityKey >= 1<<53 || one.AffinityKey != same.AffinityKey || one.AffinityKey == other.AffinityKey || none.AffinityKey != 0 || one.Memory != 0.5 {
+		t.Errorf("%+v %+v %+v %+v %+v", one, same, other, none, fault)
+	}
+	for _, info := range []string{"mem=", "mem=-1", "mem=NaN", "mem=much"} {
+		if _, fault := read(about, info); fault == nil || fault.Status != 400 {
+			t.Errorf("%s is taken", info)
+		}
+	}
+}
