--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -13,68 +13,80 @@
 	"fernrail/dispatch"
 )
 
-// AttemptResult is how a posting ended.
-type AttemptResult struct {
-	Outcome   dispatch.Outcome
-	Result    string  // Settled
-	FreeSlots float64 // free slots that the executor reported with it; 0: none, or not told
-	Cause     error
-}
-
-// IsRejection says whether an answer's head proves that the job was never run.
-func IsRejection(r *http.Response) bool {
-	return (r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout) &&
-		r.Header.Get("X-Rejected") == "1"
-}
+// maxTimeoutOverstatement is by how much the timeout in an attempt's header may exceed what is left
+// when its first byte is sent. The platform allows 0.15 s; the rest is for the write.
+const maxTimeoutOverstatement = 100 * time.Millisecond
 
-// Attempt is one posting as it goes out.
+// Attempt is one sending of a request to a server.
 type Attempt struct {
 	Address      string
 	Request      *Request
-	Deadline     time.Time   // when the node stops to wait, by the monotonic clock
-	Gate         SendGate    // nil: none is needed
-	timeoutSetAt time.Time   // when Deadline was last told as a span
-	header       http.Header // of the request as it goes out
+	Deadline     time.Time   // when the node stops waiting, by the monotonic clock
+	Gate         SendGate    // nil: the first byte may always be sent
+	timeoutSetAt time.Time   // when Deadline was last written into header as a timeout
+	header       http.Header // of the request to the server
 }
 
-// maxTimeoutOverstatement is by how much the span that an executor is told may be over what is left when its request's first byte goes out. The
-// platform allows 0.15 s; the rest is for the write.
-const maxTimeoutOverstatement = 100 * time.Millisecond
+// SendGate admits the first byte of an attempt.
+type SendGate interface {
+	// MaySend is asked at the moment at which the first byte would be sent, and again if the
+	// attempt changes to another connection.
+	MaySend() bool
+	// Sent is called when the first byte has been sent.
+	Sent()
+}
 
-// SetTimeout writes how long the node will wait into the request's header, as of the moment at which its first byte is expected to go out.
-// It is called before the request is written.
-// Danger: a span that was worked out before a connection came up, or before the process stood still, is longer than what is left.
-func (j *Attempt) SetTimeout(now time.Time) {
-	j.timeoutSetAt = now
-	j.header.Set("X-Budget-Ms", strconv.FormatInt(max(j.Deadline.Sub(now).Milliseconds(), 1), 10))
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
+	Outcome   dispatch.Outcome
+	Result    string  // of a job that succeeded
+	FreeSlots float64 // that the server reported with it; 0: none, or not reported
+	Cause     error   // why there is no complete response; nil: there is one
 }
 
-// TimeoutOverstated says whether too much time has passed since Tell for the request to go out as it is.
-func (j *Attempt) TimeoutOverstated(now time.Time) bool {
-	return !j.timeoutSetAt.IsZero() && now.Sub(j.timeoutSetAt) > maxTimeoutOverstatement
+// IsRejection says whether the head of a server's response proves that the job was never run.
+func IsRejection(r *http.Response) bool {
+	unavailable := r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout
+	return unavailable && r.Header.Get(headerRejected) == "1"
 }
 
-// SendGate is asked at the very moment at which a job's first byte would go out, and told when it has. It may be asked again
-// where what it held back goes to another connection.
-type SendGate interface {
-	MaySend() bool
-	Sent()
+// Encode gives the HTTP request to the server.
+func (a *Attempt) Encode() *http.Request {
+	a.header = a.Request.Header.Clone()
+	a.SetTimeout(time.Now())
+	if a.header["User-Agent"] == nil {
+		a.header["User-Agent"] = nil // net/http would add its own
+	}
+	return &http.Request{
+		Method:        http.MethodPost,
+		URL:           &url.URL{Scheme: "http", Host: a.Address, Opaque: a.Request.Target}, // forwarded byte for byte
+		Host:          a.Address,
+		ProtoMajor:    1,
+		ProtoMinor:    1,
+		Header:        a.header,
+		Body:          singleUseBody{bytes.NewReader(a.Request.Body)},
+		ContentLength: int64(len(a.Request.Body)),
+	}
 }
 
-// singleUseBody hides that a body could be read again.
-// Danger: http.Transport sends a request again by itself where it can wind the body back, or sees that there is none.
+// SetTimeout writes how long the node will wait into the header of the encoded request, as of now.
+// It is called before the request is written: a timeout from before the connection came up, or
+// before the process stood still, is longer than what is left, and the server would work on for
+// nobody.
+func (a *Attempt) SetTimeout(now time.Time) {
+	a.timeoutSetAt = now
+	left := max(a.Deadline.Sub(now).Milliseconds(), 1)
+	a.header.Set(headerTimeout, strconv.FormatInt(left, 10))
+}
+
+// TimeoutOverstated says whether too much time has passed since SetTimeout for the request to be
+// sent as it is.
+func (a *Attempt) TimeoutOverstated(now time.Time) bool {
+	return !a.timeoutSetAt.IsZero() && now.Sub(a.timeoutSetAt) > maxTimeoutOverstatement
+}
+
+// singleUseBody hides that a body could be read again. http.Transport sends a request a second time
+// by itself if it can rewind the body or sees that there is none, and a job might run twice.
 type singleUseBody struct{ io.Reader }
 
 func (singleUseBody) Close() error { return nil }
-
-// Encode makes the request to the executor.
-func (j *Attempt) Encode() *http.Request {
-	target := &url.URL{Scheme: "http", Host: j.Address, Opaque: j.Request.Target} // goes on byte for byte
-	j.header = j.Request.Header.Clone()
-	j.SetTimeout(time.Now())
-	if j.header["User-Agent"] == nil {
-		j.header["User-Agent"] = nil // or the library would put its own
-	}
-	return &http.Request{Method: http.MethodPost, URL: target, Host: j.Address, ProtoMajor: 1, ProtoMinor: 1,
-		ContentLength: int64(len(j.Request.Body)), Body: singleUseBody{bytes.NewReader(j.Request.Body)}, Header: j.header}
-}
--- a/internal/protocol/attempt_test.go
+++ b/internal/protocol/attempt_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// TestBodyGoesOutOnce: a library that can wind a body back, or sees that there is none, sends again by itself.
+// TestBodyGoesOutOnce: a library that can wind a body back, or sees that there is none, sends again
+// by itself.
 func TestBodyGoesOutOnce(t *testing.T) {
 	for _, body := range []string{"", "x"} {
 		out := (&Attempt{Request: &Request{Target: "/p", Body: []byte(body), Header: http.Header{}}}).Encode()
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -20,7 +20,8 @@
 	"time"
 )
 
-// updateGolden writes the fixtures anew. They hold what other programs read or write, so a difference is a change of the protocol.
+// updateGolden writes the fixtures anew. They hold what other programs read or write, so a
+// difference is a change of the protocol.
 var updateGolden = flag.Bool("update", false, "write the golden files of testdata")
 
 var goldenNames = &Names{
@@ -99,7 +100,8 @@
 	checkGolden(t, "server_request.golden", got.Bytes())
 }
 
-// TestGoldenRequestErrors holds the status and the text of the answer to each kind of request that is not accepted.
+// TestGoldenRequestErrors holds the status and the text of the answer to each kind of request that
+// is not accepted.
 func TestGoldenRequestErrors(t *testing.T) {
 	valid := wireLines(t, "client_request.http")
 	var got bytes.Buffer
--- a/internal/protocol/job_updates.go
+++ b/internal/protocol/job_updates.go
@@ -11,100 +11,120 @@
 	"io"
 )
 
-// JobState is what a line of an executor tells of a job.
+// JobState is the state of a job that an update reports.
 type JobState int
 
+// The states up to Running may be followed by others; those from Done on are final.
 const (
 	Started JobState = iota
 	Running
 	Done
 	Failed
-	Returned // handed back unstarted
-	Killed   // killed
+	Returned // handed back, never started
+	Killed
 )
 
-var jobStates = map[string]JobState{"started": Started, "running": Running, "done": Done, "failed": Failed,
-	"returned": Returned, "lost": Killed}
+var jobStates = map[string]JobState{
+	"started":  Started,
+	"running":  Running,
+	"done":     Done,
+	"failed":   Failed,
+	"returned": Returned,
+	"lost":     Killed,
+}
+
+const (
+	// maxUpdateBytes leaves room for a result of the largest size with every byte escaped.
+	maxUpdateBytes = 6*MaxBodyBytes + 4096
+	// maxUpdateStreamBytes bounds all updates about one job together.
+	maxUpdateStreamBytes = 4 * maxUpdateBytes
+)
 
-// JobUpdate is one line of an executor about one job.
+// JobUpdate is one line of a server about one job.
 type JobUpdate struct {
 	State     JobState
-	Progress  float64 // Running: the part done
+	Progress  float64 // Running: the fraction completed
 	Result    string  // Done
-	FreeSlots float64 // free slots that the executor reports with it; 0: none, or not told
+	FreeSlots float64 // that the server reported with it; 0: none, or not reported
 }
 
-// Final says whether the line ends its job.
-func (l JobUpdate) Final() bool { return l.State >= Done }
-
-// maxUpdateBytes leaves room for a result of the largest size with every byte escaped.
-const maxUpdateBytes = 6*MaxBodyBytes + 4096
-
-// maxUpdateStreamBytes bounds what one job may say over its life.
-const maxUpdateStreamBytes = 4 * maxUpdateBytes
-
-// maxSlots is more than any machine has; a report of more is none.
-const maxSlots = 1 << 16
+// Final says whether the job has ended.
+func (u JobUpdate) Final() bool { return u.State >= Done }
 
-// UpdateReader reads an executor's answer about the job with the given id.
+// UpdateReader reads the updates of a server about one job.
 type UpdateReader struct {
-	id, freeSlotsKey string
-	in               *bufio.Scanner
+	id           string
+	freeSlotsKey string
+	in           *bufio.Scanner
 }
 
-// NewUpdateReader: free names the value of a load report that tells free slots, if one does.
-func NewUpdateReader(id, free string, body io.Reader) *UpdateReader {
+// NewUpdateReader reads the updates about the job with the id. freeSlotsKey names the value of a
+// load report that gives free slots; empty: none does.
+func NewUpdateReader(id, freeSlotsKey string, body io.Reader) *UpdateReader {
 	in := bufio.NewScanner(io.LimitReader(body, maxUpdateStreamBytes))
 	in.Buffer(nil, maxUpdateBytes)
-	return &UpdateReader{id, free, in}
+	return &UpdateReader{id: id, freeSlotsKey: freeSlotsKey, in: in}
 }
 
-// Next gives the next line. An answer that ends before its last line is an error, as is a line cut short.
-func (l *UpdateReader) Next() (JobUpdate, error) {
-	for l.in.Scan() {
-		if text := bytes.TrimSpace(l.in.Bytes()); len(text) > 0 {
-			return decodeUpdate(text, l.id, l.freeSlotsKey)
+// Next gives the next update. At the end of the stream the error is io.ErrUnexpectedEOF, as callers
+// stop at the final update; a line that was cut short or can't be decoded is an error as well.
+func (r *UpdateReader) Next() (JobUpdate, error) {
+	for r.in.Scan() {
+		if text := bytes.TrimSpace(r.in.Bytes()); len(text) > 0 {
+			return r.decode(text)
 		}
 	}
-	return JobUpdate{}, errors.Join(l.in.Err(), io.ErrUnexpectedEOF)
+	return JobUpdate{}, errors.Join(r.in.Err(), io.ErrUnexpectedEOF)
 }
 
-func decodeUpdate(text []byte, id, free string) (JobUpdate, error) {
-	var m struct {
-		ID     string          `json:"id"`
-		State  string          `json:"state"`
-		Share  *float64        `json:"share"`
-		Result *string         `json:"result"`
-		Load   json.RawMessage `json:"load"`
-	}
-	if err := json.Unmarshal(text, &m); err != nil {
+// updateMessage is an update as servers write it.
+type updateMessage struct {
+	ID       string          `json:"id"`
+	State    string          `json:"state"`
+	Progress *float64        `json:"share"`
+	Result   *string         `json:"result"`
+	Load     json.RawMessage `json:"load"`
+}
+
+func (r *UpdateReader) decode(text []byte) (JobUpdate, error) {
+	var message updateMessage
+	if err := json.Unmarshal(text, &message); err != nil {
 		return JobUpdate{}, fmt.Errorf("unreadable line: %w", err)
 	}
-	state, known := jobStates[m.State]
-	switch {
-	// Danger: an answer that belongs to another job, passed on as this one's.
-	case m.ID != id:
-		return JobUpdate{}, fmt.Errorf("a line about %.40q instead", m.ID)
-	case !known:
-		return JobUpdate{}, fmt.Errorf("unknown state %.40q", m.State)
-	case state == Done && m.Result == nil:
-		return JobUpdate{}, errors.New("done without a result")
-	case state == Running && (m.Share == nil || !(*m.Share >= 0 && *m.Share <= 1)):
-		return JobUpdate{}, errors.New("running without a share between 0 and 1")
+	// A result of another job must never be forwarded as this one's.
+	if message.ID != r.id {
+		return JobUpdate{}, fmt.Errorf("a line about %.40q instead", message.ID)
+	}
+	state, known := jobStates[message.State]
+	if !known {
+		return JobUpdate{}, fmt.Errorf("unknown state %.40q", message.State)
 	}
-	l := JobUpdate{State: state}
-	// Danger: a report that this node can't read is no reason to lose the answer that it came with.
-	var load map[string]any
-	if free != "" && json.Unmarshal(m.Load, &load) == nil {
-		if slots, isNumber := load[free].(float64); isNumber && slots > 0 && slots < maxSlots {
-			l.FreeSlots = slots
+	update := JobUpdate{State: state, FreeSlots: freeSlots(message.Load, r.freeSlotsKey)}
+	switch state {
+	case Done:
+		if message.Result == nil {
+			return JobUpdate{}, errors.New("done without a result")
 		}
+		update.Result = *message.Result
+	case Running:
+		if message.Progress == nil || !(*message.Progress >= 0 && *message.Progress <= 1) {
+			return JobUpdate{}, errors.New("running without a share between 0 and 1")
+		}
+		update.Progress = *message.Progress
 	}
-	if state == Done {
-		l.Result = *m.Result
+	return update, nil
+}
+
+// freeSlots gives the free slots of a load report. One that can't be read gives 0: it is no reason
+// to lose the result that it came with.
+func freeSlots(load json.RawMessage, key string) float64 {
+	var values map[string]any
+	if key == "" || json.Unmarshal(load, &values) != nil {
+		return 0
 	}
-	if state == Running {
-		l.Progress = *m.Share
+	slots, isNumber := values[key].(float64)
+	if !isNumber || !(slots > 0 && slots < maxSlots) {
+		return 0
 	}
-	return l, nil
+	return slots
 }
--- a/internal/protocol/job_updates_test.go
+++ b/internal/protocol/job_updates_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestLoadReportsWithResults: free slots are read where a report tells them; one that makes no sense costs nobody an answer.
+// TestLoadReportsWithResults: free slots are read where a report tells them; one that makes no
+// sense costs nobody an answer.
 func TestLoadReportsWithResults(t *testing.T) {
 	for load, want := range map[string]float64{`{"util":0.2,"x0":3.9}`: 3.9, `{"x0":-1}`: 0, `{"x0":1e9}`: 0, `{"x0":"4"}`: 0, `{}`: 0,
 		`null`: 0, `[4]`: 0, `"x0"`: 0, `{"x1":4}`: 0} {
--- a/internal/protocol/load_report.go
+++ b/internal/protocol/load_report.go
@@ -10,42 +10,67 @@
 	"strings"
 )
 
-// LoadReportKeys names the values of load reports that the module asks for; empty: none tells it.
+// MaxLoadReportBytes bounds a load report.
+const MaxLoadReportBytes = 4 << 10
+
+// maxSlots is more than any machine has; a report of more is not used.
+const maxSlots = 1 << 16
+
+// LoadReportKeys are the names of the values that a load report gives; empty: it does not.
 type LoadReportKeys struct {
 	FreeSlots, FreeMemory string
 }
 
-// LoadReport is what an executor told of its room when it was probed.
+// LoadReport is a server's free capacity in answer to a probe.
 type LoadReport struct {
-	FreeSlots, FreeMemory float64
+	FreeSlots  float64
+	FreeMemory float64 // memory units; math.MaxFloat64 where it is not reported
 }
 
-// MaxLoadReportBytes bounds the bytes of a load report.
-const MaxLoadReportBytes = 4 << 10
-
-// DecodeLoadReport decodes a load report, an object or name=value pairs. One without free slots, or with an absurd number, is a
-// fault; noise may tell of a little less than nothing, which is nothing. Memory that is not reported is no limit.
-func DecodeLoadReport(text []byte, names LoadReportKeys) (LoadReport, error) {
+// DecodeLoadReport decodes a load report, either a JSON object or name=value pairs. A report that
+// lacks a value which keys names, or gives an absurd one, is an error: it must not look like free
+// capacity.
+func DecodeLoadReport(text []byte, keys LoadReportKeys) (LoadReport, error) {
 	values := map[string]float64{}
 	if err := json.Unmarshal(text, &values); err != nil {
-		clear(values)
-		for pair := range strings.SplitSeq(string(text), ",") {
-			name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-			if x, err := strconv.ParseFloat(value, 64); err == nil {
-				values[name] = x
-			}
+		values = parsePairs(string(text))
+	}
+	report := LoadReport{FreeMemory: math.MaxFloat64}
+	if keys.FreeSlots != "" {
+		slots, err := reportedCapacity(values, keys.FreeSlots)
+		if err != nil {
+			return LoadReport{}, err
 		}
+		report.FreeSlots = slots
 	}
-	l := LoadReport{FreeMemory: math.MaxFloat64}
-	for name, into := range map[string]*float64{names.FreeSlots: &l.FreeSlots, names.FreeMemory: &l.FreeMemory} {
-		if name == "" {
-			continue
+	if keys.FreeMemory != "" {
+		memory, err := reportedCapacity(values, keys.FreeMemory)
+		if err != nil {
+			return LoadReport{}, err
 		}
-		x, told := values[name]
-		if !told || !(x > -maxSlots && x < maxSlots) {
-			return LoadReport{}, fmt.Errorf("a load report without a usable %s", name)
+		report.FreeMemory = memory
+	}
+	return report, nil
+}
+
+// parsePairs parses name=value pairs, separated by commas. What is not a number is left out.
+func parsePairs(text string) map[string]float64 {
+	values := map[string]float64{}
+	for pair := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		if number, err := strconv.ParseFloat(value, 64); err == nil {
+			values[name] = number
 		}
-		*into = max(x, 0)
 	}
-	return l, nil
+	return values
+}
+
+// reportedCapacity gives a value of a load report. Reports are noisy: a little less than nothing is
+// nothing.
+func reportedCapacity(values map[string]float64, key string) (float64, error) {
+	value, reported := values[key]
+	if !reported || !(value > -maxSlots && value < maxSlots) {
+		return 0, fmt.Errorf("a load report without a usable %s", key)
+	}
+	return max(value, 0), nil
 }
--- a/internal/protocol/load_report_test.go
+++ b/internal/protocol/load_report_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestLoadReport: an executor's room as probes bring it. Danger: noise tells of a little less than nothing, and what is absent or
-// absurd must not look like room.
+// TestLoadReport: an executor's room as probes bring it. Danger: noise tells of a little less than
+// nothing, and what is absent or absurd must not look like room.
 func TestLoadReport(t *testing.T) {
 	both := LoadReportKeys{FreeSlots: "x0", FreeMemory: "x1"}
 	for text, want := range map[string]LoadReport{
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -19,7 +19,8 @@
 		q.ExpectedWork != 1.5e6 || q.Timeout != 480*time.Millisecond || string(q.Body) != "body" {
 		t.Errorf("%+v", q)
 	}
-	// Danger: a mark against repeats that stays behind, or a header of the client's connection that goes on.
+	// Danger: a mark against repeats that stays behind, or a header of the client's connection that
+	// goes on.
 	var text strings.Builder
 	synctest.Test(t, func(t *testing.T) {
 		job := &Attempt{Address: "10.0.0.1:7", Request: q, Deadline: time.Now().Add(500 * time.Millisecond)}
@@ -81,7 +82,8 @@
 	}
 }
 
-// TestAffinityKeyAndMemory comes from the query alone, the same at every node; memory is refused where it is no number.
+// TestAffinityKeyAndMemory comes from the query alone, the same at every node; memory is refused
+// where it is no number.
 func TestAffinityKeyAndMemory(t *testing.T) {
 	read := func(target, info string) (*Request, *RequestError) {
 		r := httptest.NewRequest("POST", target, strings.NewReader("b"))
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// Response is the final answer to a client.
+// Response is the final response to a client.
 type Response struct {
 	Status       int
 	RetryAfter   time.Duration // advice; 0: none
 	Body         string
-	ClientClosed bool // its client has closed, or at least shut its sending side: it may not be read
+	ClientClosed bool // the client has closed, or at least its sending side: it may not read this
 }
 
-// Write puts the answer on its way.
-func (a *Response) Write(w http.ResponseWriter) error {
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
+// Write sends the response.
+func (r *Response) Write(w http.ResponseWriter) error {
+	if r.RetryAfter > 0 {
+		w.Header().Set(headerRetryAfter, strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', -1, 64))
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(a.Status)
-	_, err := io.WriteString(w, a.Body)
+	w.Header().Set("Content-Length", strconv.Itoa(len(r.Body)))
+	w.WriteHeader(r.Status)
+	_, err := io.WriteString(w, r.Body)
 	return err
 }
--- a/internal/protocol/timing.go
+++ b/internal/protocol/timing.go
@@ -6,11 +6,17 @@
 	"time"
 )
 
-// A change of the list counts as told a while after discovery had it and could be reached, whatever failed before. Whoever asks may
-// have a call out at that moment which comes to nothing; all that may pass until the next one's answer is derived here.
+// A node counts as notified of a change of the endpoint list within NotificationDeadline after
+// discovery had the change and could be reached, whatever failed before. At that moment a poll may
+// be out that will bring nothing. All that may pass until the next one's response is derived here.
 const (
-	NotificationDeadline = 6 * time.Second                         // the while, by the platform's pages
-	WatchWait            = NotificationDeadline / 2                // a watch lets discovery wait for news
-	WatchSilence         = NotificationDeadline / 6                // how much longer an answer is waited for
-	PollRetryInterval    = NotificationDeadline - 2*WatchSilence/4 // from a failed call's start to the next one; the rest is for its answer
+	// NotificationDeadline is set by the platform's pages.
+	NotificationDeadline = 6 * time.Second
+	// WatchWait is how long a poll lets discovery wait for a change.
+	WatchWait = NotificationDeadline / 2
+	// WatchSilence is how much longer the response to a poll is waited for.
+	WatchSilence = NotificationDeadline / 6
+	// PollRetryInterval is from the start of a failed poll to that of the next; the rest of the
+	// deadline is for its response.
+	PollRetryInterval = NotificationDeadline - 2*WatchSilence/4
 )
