--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -1,10 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package protocol turns what comes over the sockets into small typed values, once, and what goes out into bytes.
+// Package protocol is the edge between the wire and the code. Requests, responses, job updates,
+// load reports and endpoint lists are decoded once into small typed values, and encoded here alone.
+// The names on the wire appear in no other package.
 package protocol
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"slices"
@@ -15,174 +18,199 @@
 	"fernrail/dispatch"
 )
 
-// MaxBodyBytes is how many bytes a body may hold, in either direction.
+// MaxBodyBytes bounds a body in either direction.
 const MaxBodyBytes = 64 << 10
 
-const tooLong = "the body is over 64 KiB"
-
-// framed says whether a request tells in one way alone where its body ends: by a length or in chunks. chunks says that
-// a request in chunks told no length beside, which the library drops unseen.
-// Danger: a second request may hide in what two lengths do not agree on. Over HTTP/1.0 chunks mean nothing to some.
-func framed(r *http.Request, chunks bool) bool {
-	if r.TransferEncoding != nil {
-		return chunks && r.ProtoAtLeast(1, 1)
-	}
-	return r.ProtoAtLeast(1, 1) && r.ContentLength >= 0 && r.Header["Content-Length"] != nil
-}
-
-const longestBudget = time.Hour // beyond any expiry; more would overflow when counted in nanoseconds
-
-// Names are the names that the sockets use, by index in the settings' lists.
-type Names struct {
-	Zones, MachineTypes, Classes, Tenants []string
-}
+const (
+	maxRequestIDBytes = 256
+	// maxRequestTimeout is beyond any deadline. Much longer ones would overflow when counted in
+	// nanoseconds.
+	maxRequestTimeout         = time.Hour
+	maxRequestSlots           = 1e6
+	maxRequestMemory          = 1e6 // memory units
+	maxExpectedWorkMicros     = 1e12
+	nanosecondsPerMicrosecond = 1e3
+	bodyTooLarge              = "the body is over 64 KiB"
+)
 
-// Request is one txn as its client handed it in.
+// Request is a client's request, read completely.
 type Request struct {
 	ID           string
-	Target       string // path and query, passed on as they came
+	Target       string // path and query, forwarded as they came
 	Class        int
 	Tenant       int
 	Timeout      time.Duration
 	Slots        float64
-	Memory       float64     // units; 0: not told
-	AffinityKey  uint64      // what it is about, below 2^53; 0: not told
-	ExpectedWork int64       // ns of work; 0: not told
-	Header       http.Header // what goes on to the executor
+	Memory       float64     // units; 0: not given
+	AffinityKey  uint64      // below 2^53; requests with equal keys use the same data; 0: not given
+	ExpectedWork int64       // ns of work; 0: not given
+	Header       http.Header // what is forwarded to the server
 	Body         []byte
-	ClientClosed func() bool // whether its client has closed, looked at now; nil: nobody can tell
+	ClientClosed func() bool // looks whether the client has closed; nil: that is not known
 }
 
-// ClientGone says whether the client of a request has closed, as far as is known now.
+// ClientGone says whether the client of a request is known to have closed.
 func (q *Request) ClientGone() bool { return q.ClientClosed != nil && q.ClientClosed() }
 
-// plain says whether what goes on to an executor is text that any of them can read, and each name told once.
-// Danger: an executor closes on what it can't read, and what it was told besides is lost to this node.
-func plain(r *http.Request) bool {
-	ok := func(s string, least rune) bool {
-		return !strings.ContainsFunc(s, func(c rune) bool { return c < least && c != '\t' || c > '~' })
-	}
-	for name, values := range r.Header {
-		if strings.HasPrefix(name, "X-") && len(values) > 1 {
-			return false
-		}
-		for _, v := range values {
-			if !ok(v, ' ') {
-				return false
-			}
-		}
-	}
-	return strings.HasPrefix(r.RequestURI, "/") && ok(r.RequestURI, '!') && ok(r.Header.Get("X-Call-Id"), '!')
-}
-
-// RequestError is an answer to a request that cannot be taken.
+// RequestError says why a request was not accepted. Status and Text are the response to its client.
 type RequestError struct {
-	Status int
+	Status int // of HTTP
 	Text   string
 }
 
-// DecodeRequest decodes a client's request, or says what is wrong with it; chunks says that the head of one in chunks told
-// no length beside.
-func DecodeRequest(r *http.Request, names *Names, chunks bool) (*Request, *RequestError) {
-	if r.Method != http.MethodPost {
-		return nil, &RequestError{http.StatusMethodNotAllowed, "jobs come by POST"}
+func (e *RequestError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Text) }
+
+func badRequest(text string) *RequestError {
+	return &RequestError{Status: http.StatusBadRequest, Text: text}
+}
+
+// DecodeRequest decodes a client's request. chunksAlone says that the head of a chunked request
+// gave no length as well, which net/http drops unseen. The error is typed, so that each one has a
+// response; nil: there is none.
+func DecodeRequest(r *http.Request, names *Names, chunksAlone bool) (*Request, *RequestError) {
+	if err := checkForm(r, chunksAlone); err != nil {
+		return nil, err
 	}
-	if !framed(r, chunks) {
-		return nil, &RequestError{http.StatusLengthRequired, "jobs come with a Content-Length or in chunks, not both, over HTTP/1.1"}
+	q := &Request{
+		ID:          r.Header.Get(headerRequestID),
+		Target:      r.RequestURI,
+		Slots:       1,
+		Header:      forwardedHeader(r.Header),
+		AffinityKey: affinityKey(r),
 	}
-	if r.ContentLength > MaxBodyBytes {
-		return nil, &RequestError{http.StatusRequestEntityTooLarge, tooLong}
+	if err := q.decodeClass(r, names); err != nil {
+		return nil, err
 	}
-	if !plain(r) {
-		return nil, &RequestError{http.StatusBadRequest, "target or header is not plain text, or told twice"}
+	if err := q.checkID(); err != nil {
+		return nil, err
 	}
-	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	q := &Request{ID: r.Header.Get("X-Call-Id"), Target: r.RequestURI, Slots: 1, Header: passedOn(r.Header)}
-	class := r.Header.Get("X-Call-Class")
-	if q.Class = slices.Index(names.Classes, class); q.Class < 0 || class != first {
-		return nil, &RequestError{http.StatusNotFound, "no such scheme, or path and X-Call-Class differ"}
+	if err := q.decodeTenant(r.Header, names); err != nil {
+		return nil, err
 	}
-	if q.ID == "" || len(q.ID) > 256 {
-		return nil, &RequestError{http.StatusBadRequest, "X-Call-Id is missing or too long"}
+	if err := q.decodeTimeout(r.Header); err != nil {
+		return nil, err
 	}
-	caller := r.Header.Get("X-Caller")
-	if q.Tenant = slices.Index(names.Tenants, caller); q.Tenant < 0 {
-		if q.Tenant = 0; len(names.Tenants) > 0 {
-			return nil, &RequestError{http.StatusForbidden, "X-Caller names no tenant"}
-		}
+	if err := q.decodeInfo(r.Header); err != nil {
+		return nil, err
 	}
-	budget, err := strconv.ParseInt(r.Header.Get("X-Budget-Ms"), 10, 64)
-	if err != nil || budget <= 0 || budget > longestBudget.Milliseconds() {
-		return nil, &RequestError{http.StatusBadRequest, "X-Budget-Ms is not a time in whole milliseconds"}
+	if err := q.decodeExpectedWork(r.Header); err != nil {
+		return nil, err
 	}
-	q.Timeout = time.Duration(budget) * time.Millisecond
-	for part := range strings.SplitSeq(r.Header.Get("X-Call-Info"), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		if name == "slots" {
-			if q.Slots, err = strconv.ParseFloat(value, 64); err != nil || !(q.Slots > 0 && q.Slots < 1e6) {
-				return nil, &RequestError{http.StatusBadRequest, "X-Call-Info: slots is not a number above 0"}
-			}
-		}
-		if name == "mem" {
-			if q.Memory, err = strconv.ParseFloat(value, 64); err != nil || !(q.Memory >= 0 && q.Memory < 1e6) {
-				return nil, &RequestError{http.StatusBadRequest, "X-Call-Info: mem is not a number of at least 0"}
-			}
+	if err := q.readBody(r.Body); err != nil {
+		return nil, err
+	}
+	return q, nil
+}
+
+// checkForm checks what concerns any request, whatever it asks for.
+func checkForm(r *http.Request, chunksAlone bool) *RequestError {
+	switch {
+	case r.Method != http.MethodPost:
+		return &RequestError{http.StatusMethodNotAllowed, "jobs come by POST"}
+	case !hasUnambiguousLength(r, chunksAlone):
+		return &RequestError{
+			Status: http.StatusLengthRequired,
+			Text:   "jobs come with a Content-Length or in chunks, not both, over HTTP/1.1",
 		}
+	case r.ContentLength > MaxBodyBytes:
+		return &RequestError{http.StatusRequestEntityTooLarge, bodyTooLarge}
+	case !isPlainText(r):
+		return badRequest("target or header is not plain text, or told twice")
 	}
-	if about := r.URL.Query().Get("obj"); about != "" {
-		q.AffinityKey = dispatch.HashName(about)>>11 | 1
+	return nil
+}
+
+// decodeClass takes the class, which the header and the first part of the path name alike.
+func (q *Request) decodeClass(r *http.Request, names *Names) *RequestError {
+	inPath, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	class := r.Header.Get(headerClass)
+	q.Class = slices.Index(names.Classes, class)
+	if q.Class < 0 || class != inPath {
+		return &RequestError{http.StatusNotFound, "no such scheme, or path and " + headerClass + " differ"}
 	}
-	if cost := r.Header.Get("X-Call-Cost"); cost != "" {
-		micros, err := strconv.ParseFloat(cost, 64)
-		if err != nil || !(micros >= 0 && micros < 1e12) {
-			return nil, &RequestError{http.StatusBadRequest, "X-Call-Cost is not a time in microseconds"}
-		}
-		q.ExpectedWork = int64(micros * 1e3)
+	return nil
+}
+
+func (q *Request) checkID() *RequestError {
+	if q.ID == "" || len(q.ID) > maxRequestIDBytes {
+		return badRequest(headerRequestID + " is missing or too long")
 	}
-	if q.Body, err = io.ReadAll(r.Body); err != nil {
-		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
-			return nil, &RequestError{http.StatusRequestEntityTooLarge, tooLong}
-		}
-		return nil, &RequestError{http.StatusBadRequest, "the body did not come whole"}
+	return nil
+}
+
+// decodeTenant takes the tenant; a node without tenants counts all requests for tenant 0.
+func (q *Request) decodeTenant(header http.Header, names *Names) *RequestError {
+	if len(names.Tenants) == 0 {
+		return nil
 	}
-	return q, nil
+	q.Tenant = slices.Index(names.Tenants, header.Get(headerTenant))
+	if q.Tenant < 0 {
+		return &RequestError{http.StatusForbidden, headerTenant + " names no tenant"}
+	}
+	return nil
+}
+
+func (q *Request) decodeTimeout(header http.Header) *RequestError {
+	milliseconds, err := strconv.ParseInt(header.Get(headerTimeout), 10, 64)
+	if err != nil || milliseconds <= 0 || milliseconds > maxRequestTimeout.Milliseconds() {
+		return badRequest(headerTimeout + " is not a time in whole milliseconds")
+	}
+	q.Timeout = time.Duration(milliseconds) * time.Millisecond
+	return nil
 }
 
-// hop names the headers that concern one connection alone.
-var hop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te",
-	"Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length"}
-
-// passedOn gives the headers that go on to the executor.
-// Danger: a mark against repeats, such as Idempotency-Key, that stays behind; the executor could not know the repeat.
-func passedOn(h http.Header) http.Header {
-	on := h.Clone()
-	for _, value := range h["Connection"] {
-		for name := range strings.SplitSeq(value, ",") {
-			on.Del(strings.TrimSpace(name))
+// decodeInfo takes slots and memory; names that are not known are skipped.
+func (q *Request) decodeInfo(header http.Header) *RequestError {
+	for pair := range strings.SplitSeq(header.Get(headerRequestInfo), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		number, err := strconv.ParseFloat(value, 64)
+		switch name {
+		case infoSlots:
+			if err != nil || !(number > 0 && number < maxRequestSlots) {
+				return badRequest(headerRequestInfo + ": slots is not a number above 0")
+			}
+			q.Slots = number
+		case infoMemory:
+			if err != nil || !(number >= 0 && number < maxRequestMemory) {
+				return badRequest(headerRequestInfo + ": mem is not a number of at least 0")
+			}
+			q.Memory = number
 		}
 	}
-	for _, name := range hop {
-		on.Del(name)
+	return nil
+}
+
+// affinityKey comes from the query alone, so that it is the same at every node; 0: there is none.
+func affinityKey(r *http.Request) uint64 {
+	name := r.URL.Query().Get(queryAffinityKey)
+	if name == "" {
+		return 0
 	}
-	return on
+	return dispatch.HashName(name)>>11 | 1
 }
 
-// Response is the final answer to a client.
-type Response struct {
-	Status       int
-	RetryAfter   time.Duration // advice; 0: none
-	Body         string
-	ClientClosed bool // its client has closed, or at least shut its sending side: it may not be read
+func (q *Request) decodeExpectedWork(header http.Header) *RequestError {
+	text := header.Get(headerExpectedWork)
+	if text == "" {
+		return nil
+	}
+	micros, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(micros >= 0 && micros < maxExpectedWorkMicros) {
+		return badRequest(headerExpectedWork + " is not a time in microseconds")
+	}
+	q.ExpectedWork = int64(micros * nanosecondsPerMicrosecond)
+	return nil
 }
 
-// Write puts the answer on its way.
-func (a *Response) Write(w http.ResponseWriter) error {
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
+func (q *Request) readBody(body io.Reader) *RequestError {
+	var err error
+	q.Body, err = io.ReadAll(body)
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return &RequestError{http.StatusRequestEntityTooLarge, bodyTooLarge}
+	}
+	if err != nil {
+		return badRequest("the body did not come whole")
 	}
-	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(a.Status)
-	_, err := io.WriteString(w, a.Body)
-	return err
+	return nil
 }
