--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -2,8 +2,9 @@
 
 package dispatch
 
-// Actions is how a Dispatcher acts on the world. Its methods are called from within the Dispatcher's own, in the same goroutine, and
-// must return at once. Tag fields of the arguments are the caller's; the package never reads them.
+// Actions is how a Dispatcher acts on the world. Its methods are called from within the Dispatcher's own, in
+// the same goroutine, and must return at once. Tag fields of the arguments are the caller's; the package never
+// reads them.
 type Actions interface {
 	// StartAttempt sends a request to a server. AttemptEnded has to be called once for it.
 	StartAttempt(attempt *Attempt)
--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -10,51 +10,91 @@
 	"slices"
 )
 
-// keyState is what some txns are about.
+const (
+	// maxKeyedRequests is the number of requests after which the counts by key are halved.
+	maxKeyedRequests = 256
+	// spareServerShare is the share of late starts up to which a key has one preferred server more.
+	spareServerShare = 0.25
+	// crowdedFactor is the multiple of the mean load from which a preferred server gives way to the next one.
+	crowdedFactor = 1.2
+	// otherZonePenalty and crowdedPenalty are added to sample keys. They are more than any hash gives.
+	otherZonePenalty = 1e9
+	crowdedPenalty   = 2e9
+)
+
+// keyState is what the requests of one affinity key have in common. Those without a key go by their tenant.
 type keyState struct {
 	concurrencyLimit
-	requests     int           // of the txns counted
-	retrySuccess decayingRatio // its txns that erred and went elsewhere, and those of them served there
-	failedServer *Server       // where the last one ended badly, with none that ended well since
+	requests     int           // of late
+	retrySuccess decayingRatio // requests that failed and ended elsewhere, and those that succeeded there
+	failedServer *Server       // where the last request went badly, if none has gone well since
 }
 
-// recordKey adds a txn to those about one thing; without a key that is its tenant.
-func (d *Dispatcher) recordKey(request *Request) {
-	if d.keyedRequests++; d.keyedRequests > maxKeyedRequests {
-		d.keyedRequests /= 2
-		maps.DeleteFunc(d.keyStates, func(_ uint64, h *keyState) bool { h.requests /= 2; return h.requests < 1 && h.slotsInFlight == 0 })
+// keyTable holds the states of the keys of late.
+type keyTable struct {
+	states   map[uint64]*keyState
+	requests int // counted in the states
+}
+
+// record adds a request to its key's.
+func (t *keyTable) record(request *Request) {
+	t.requests++
+	if t.requests > maxKeyedRequests {
+		t.halve()
 	}
 	key := cmp.Or(request.AffinityKey, ^uint64(request.Tenant))
-	if request.keyState = d.keyStates[key]; request.keyState == nil {
-		request.keyState = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
-		d.keyStates[key] = request.keyState
+	state := t.states[key]
+	if state == nil {
+		state = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
+		t.states[key] = state
+	}
+	state.requests++
+	request.keyState = state
+}
+
+// halve halves all counts and drops the keys that have none left and nothing in flight.
+func (t *keyTable) halve() {
+	t.requests /= 2
+	maps.DeleteFunc(t.states, func(_ uint64, state *keyState) bool {
+		state.requests /= 2
+		return state.requests < 1 && state.slotsInFlight == 0
+	})
+}
+
+// considerPreferred considers the preferred servers of a request's affinity key for a draw.
+func (d *Dispatcher) considerPreferred(s *candidateSearch) {
+	// With preferred servers in each zone, each zone would fetch the data.
+	s.anyZone = s.anyZone || d.settings.CrossZoneCost < d.settings.FetchCost
+	for _, server := range d.preferredServers(s) {
+		d.consider(s, server)
 	}
-	request.keyState.requests++
 }
 
-// preferredServers are the few that txns about one thing are drawn among: by a chance that all nodes share, and by size.
-// Danger: what an executor must fetch for each txn jams the store for all, and the jam feeds itself.
-func (d *Dispatcher) preferredServers(request *Request, roam bool) []*Server {
-	count := 1 + int(d.promptShare(ownZone)+spareServerShare) + (len(d.servers.all)*max(request.keyState.requests-1, 0)+d.keyedRequests/2)/d.keyedRequests
-	// Danger: what waits at a crowded home is late; what goes on and on is fetched everywhere. One stands by.
-	few := count
-	d.preferred, count = d.preferred[:0], count+1
+// preferredCount is the number of servers for a key: as many as its part of this node's requests needs, and one
+// more while most starts are prompt. Under congestion the store that all servers fetch from is short as well.
+func (d *Dispatcher) preferredCount(state *keyState) int {
+	spare := int(d.promptShare(ownZone) + spareServerShare)
+	needed := (len(d.servers.all)*max(state.requests-1, 0) + d.keys.requests/2) / d.keys.requests
+	return 1 + spare + needed
+}
+
+// preferredServers are the few servers that the requests of an affinity key are drawn among. What a server must
+// fetch for each request would overload the store that all fetch from.
+func (d *Dispatcher) preferredServers(s *candidateSearch) []*Server {
+	count := d.preferredCount(s.request.keyState)
+	withStandby := count + 1 // takes the place of a crowded one
+	d.preferred = d.preferred[:0]
 	for _, server := range d.servers.all {
-		luck := float64(rand.NewPCG(request.AffinityKey, server.Hash).Uint64()>>11+1) / (1 << 53)
-		if server.sampleKey = -math.Log(luck) / server.size; request.Class.MachineType < 0 && server.typeStats.required {
-			server.sampleKey /= requiredTypeFactor
-		}
-		// Danger: a few nodes at a time may send to a cold one; by key none of them ever would.
-		if d.settings.warmUpFactor(server, d.now) < 1 {
-			server.sampleKey = 0
-		} else if !roam && server.zone != d.settings.Zone {
-			server.sampleKey += 1e9
+		server.sampleKey = d.affinityOrder(s, server)
+		if len(d.preferred) >= withStandby && server.sampleKey > d.preferred[withStandby-1].sampleKey {
+			continue
 		}
-		if len(d.preferred) >= count && server.sampleKey > d.preferred[count-1].sampleKey || d.outlier(server) || !d.allowed(request, server) {
+		if d.outlier(server) || !d.allowed(s.request, server) {
 			continue
 		}
-		if server.sampleKey == 0 {
-			count, few = count+1, few+1
+		if server.sampleKey == 0 { // in slow start
+			count++
+			withStandby++
 		}
 		i, _ := slices.BinarySearchFunc(d.preferred, server, bySampleKey)
 		d.preferred = slices.Insert(d.preferred, i, server)
@@ -62,18 +102,47 @@
 	if len(d.preferred) == 0 {
 		return d.servers.all
 	}
-	d.preferred = d.preferred[:min(count, len(d.preferred))]
-	for _, server := range d.preferred {
-		if d.settings.LiveCapacity && server.sampleKey > 0 && server.size/server.spareFactor-1 > max(crowdedFactor*d.load/float64(len(d.servers.all)), 1) {
-			server.sampleKey += 2e9
+	d.preferred = d.preferred[:min(withStandby, len(d.preferred))]
+	d.putCrowdedLast(d.preferred)
+	return d.preferred[:min(count, len(d.preferred))]
+}
+
+// affinityOrder is a number for a key and a server, the same at all nodes. The servers with the least are
+// preferred, by their sizes. Few nodes at a time may send to a server in slow start, and hardly any would by
+// the key; so it comes first.
+func (d *Dispatcher) affinityOrder(s *candidateSearch, server *Server) float64 {
+	if d.settings.warmUpFactor(server, d.now) < 1 {
+		return 0
+	}
+	const fraction = 53 // bits
+	hash := rand.NewPCG(s.request.AffinityKey, server.Hash).Uint64()
+	uniform := float64(hash>>(64-fraction)+1) / (1 << fraction)
+	order := -math.Log(uniform) / server.size
+	if s.request.Class.MachineType < 0 && server.typeStats.required {
+		order /= requiredTypeFactor
+	}
+	if !s.anyZone && server.zone != d.settings.Zone {
+		order += otherZonePenalty
+	}
+	return order
+}
+
+// putCrowdedLast moves the servers that the endpoint list tells of more than the mean load behind the others.
+func (d *Dispatcher) putCrowdedLast(servers []*Server) {
+	if d.settings.LiveCapacity {
+		crowded := max(crowdedFactor*d.load/float64(len(d.servers.all)), 1)
+		for _, server := range servers {
+			if server.sampleKey > 0 && server.load() > crowded {
+				server.sampleKey += crowdedPenalty
+			}
 		}
 	}
-	slices.SortStableFunc(d.preferred, bySampleKey)
-	return d.preferred[:min(few, len(d.preferred))]
+	slices.SortStableFunc(servers, bySampleKey)
 }
 
-// adjustKeyLimit moves the limit in flight of an affinity key, or of a tenant whose requests have none, by how an attempt went. What waits
-// for one lock behind all servers would hold their slots, and requests that don't need it would starve.
+// adjustKeyLimit moves the limit in flight of an affinity key, or of a tenant whose requests have none, by how
+// an attempt went. What waits for one lock behind all servers would hold their slots, and requests that don't
+// need it would starve.
 func (d *Dispatcher) adjustKeyLimit(attempt *Attempt, outcome Outcome, retrySuccess float64) {
 	request := attempt.Request
 	hasKey := request.AffinityKey != 0
@@ -101,7 +170,8 @@
 	s.grow(s.slotsInFlight + slots)
 }
 
-// recordBadRun reduces the limit of a key as the second server in a row agrees that it is not the server's fault.
+// recordBadRun reduces the limit of a key as the second server in a row agrees that it is not the server's
+// fault.
 func (d *Dispatcher) recordBadRun(attempt *Attempt) {
 	state := attempt.Request.keyState
 	if state.failedServer == nil || state.failedServer == attempt.Server {
--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -55,7 +55,8 @@
 	d.superviseAttempt(attempt)
 }
 
-// MaySend says at the first byte of an attempt whether it may still leave. An update of the list may have come while it waited.
+// MaySend says at the first byte of an attempt whether it may still leave. An update of the list may have come
+// while it waited.
 func (d *Dispatcher) MaySend(attempt *Attempt) bool {
 	return attempt.Server.State == Up && !attempt.Request.Done && !attempt.canceled && !d.endpointsMayBeStale()
 }
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -2,7 +2,8 @@
 
 package dispatch
 
-// ClientClosed ends a request whose client has closed, or shut its sending side and may still read the final answer.
+// ClientClosed ends a request whose client has closed, or shut its sending side and may still read the final
+// answer.
 func (d *Dispatcher) ClientClosed(request *Request) { d.giveUp(request, ClientGone) }
 
 // Finish ends a request that has its final answer, or whose client has gone.
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -878,7 +878,7 @@
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
 		w.pass(3e9)
-		w.d.keyedRequests = 200 // others are about other things
+		w.d.keys.requests = 200 // others are about other things
 		cold := w.fleet[7]
 		cold.StartedAt = w.now - w.terms.SlowStart/2
 		w.list(true)
@@ -933,15 +933,15 @@
 		for i, m := range w.fleet {
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
-		w.d.keyedRequests = 100
+		w.d.keys.requests = 100
 		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, keyState: &keyState{requests: 1}}
 		w.d.promptStarts[ownZone] = decayingRatio{9, prompt, w.now}
-		if homes := w.d.preferredServers(tx, true); len(homes) != want {
+		if homes := w.d.preferredServers(&candidateSearch{request: tx, anyZone: true}); len(homes) != want {
 			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
 		}
 		// Danger: a txn that waits while the counts are halved away; it has a home all the same.
-		tx.keyState.requests, w.d.keyedRequests = 0, 5
-		if homes := w.d.preferredServers(tx, true); len(homes) != want {
+		tx.keyState.requests, w.d.keys.requests = 0, 5
+		if homes := w.d.preferredServers(&candidateSearch{request: tx, anyZone: true}); len(homes) != want {
 			t.Errorf("no count left: %d homes", len(homes))
 		}
 	}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -21,8 +21,7 @@
 	polls              pollSchedule
 
 	queue           waitQueue
-	keyStates       map[uint64]*keyState
-	keyedRequests   int             // counted in keyStates
+	keys            keyTable
 	tenantArrivals  []decayingRatio // by tenant: arrivals
 	classValues     []decayingRatio // by class: priority weight of arrivals, and of those answered in time
 	deadlineOffsets []int64         // ns by which the deadlines of the latest requests were short of their classes'
@@ -58,7 +57,7 @@
 		lowLimit:            serverSet{index: func(server *Server) *int { return &server.indexInLowLimit }},
 		machineTypes:        map[int]*machineTypeStats{},
 		polls:               pollSchedule{deadline: now + settings.UnpolledEventAge},
-		keyStates:           map[uint64]*keyState{},
+		keys:                keyTable{states: map[uint64]*keyState{}},
 		tenantArrivals:      make([]decayingRatio, len(settings.Tenants)),
 		classValues:         make([]decayingRatio, len(settings.Classes)),
 		runtimes:            make([]histogram, len(settings.Classes)),
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -5,7 +5,8 @@
 // minCapacity is the least capacity that a server counts with.
 const minCapacity = 0.01
 
-// UpdateEndpoints applies changes of the endpoint list, or a complete list: servers that are not in it are gone then.
+// UpdateEndpoints applies changes of the endpoint list, or a complete list: servers that are not in it are gone
+// then.
 func (d *Dispatcher) UpdateEndpoints(complete bool, endpoints []Endpoint) {
 	d.polls.recordSuccess()
 	if complete {
@@ -38,7 +39,8 @@
 	server.startedAt = endpoint.StartedAt
 	server.zone, server.machineType, server.cell = endpoint.Zone, endpoint.MachineType, endpoint.Cell
 	server.typeStats = d.machineTypeOf(endpoint)
-	// Each of many nodes sees next to nothing of a server's load: without this factor the draw would fill the small and the slow.
+	// Each of many nodes sees next to nothing of a server's load: without this factor the draw would fill the
+	// small and the slow.
 	server.spareFactor = 1
 	if d.settings.LiveCapacity {
 		server.spareFactor = max(endpoint.Capacity, minCapacity)
@@ -73,7 +75,8 @@
 	})
 }
 
-// sumLoad adds up the load of all servers where the list tells it. Elsewhere a list of thousands is not walked at each change of one.
+// sumLoad adds up the load of all servers where the list tells it. Elsewhere a list of thousands is not walked
+// at each change of one.
 func (d *Dispatcher) sumLoad() {
 	d.load = 0
 	if !d.settings.LiveCapacity {
@@ -87,8 +90,8 @@
 // load is what a server holds for each unit of its size, by the endpoint list.
 func (s *Server) load() float64 { return s.size/s.spareFactor - 1 }
 
-// ServerCounts counts the listed servers, and those of them that no request is sent to now: those that drain, and the outliers while
-// others remain.
+// ServerCounts counts the listed servers, and those of them that no request is sent to now: those that drain,
+// and the outliers while others remain.
 func (d *Dispatcher) ServerCounts() (listed, excluded int) {
 	outliers := 0
 	for _, server := range d.servers.all {
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -285,7 +285,7 @@
 		w.settle()
 		w.fleet[0].StartedAt = w.now
 		w.list(true)
-		part, _, _, _ := w.d.quotaShare(w.fleet[0].Server)
+		part := w.d.currentTurn(w.fleet[0].Server).quotaShare
 		return part
 	}
 	if untold, told := part(0), part(4); told <= untold {
--- a/dispatch/histogram.go
+++ b/dispatch/histogram.go
@@ -5,7 +5,8 @@
 import "math"
 
 const (
-	// maxHistogramCount is the number of values at which all bins are halved, so that old ones lose their weight.
+	// maxHistogramCount is the number of values at which all bins are halved, so that old ones lose their
+	// weight.
 	maxHistogramCount = 64
 	// binsPerDoubling and histogramStart set the bins' bounds.
 	binsPerDoubling = 2
--- a/dispatch/idempotency.go
+++ b/dispatch/idempotency.go
@@ -13,7 +13,8 @@
 	return r.Attempts[i]
 }
 
-// mayBeSentAgain says whether a client that sends the request again can't cause a second effect, whichever server gets it.
+// mayBeSentAgain says whether a client that sends the request again can't cause a second effect, whichever
+// server gets it.
 func (r *Request) mayBeSentAgain() bool {
 	if r.firstPossibleRun() == nil {
 		return true
@@ -22,8 +23,9 @@
 	return class.Idempotency == Idempotent || class.Idempotency == IdempotentInGroup && class.DedupScope == DedupAll
 }
 
-// mayRepeat says whether a request may be sent once more, if to the right server. One that may have run is not, where that could have a
-// second effect: its group of servers remembers the idempotency key for a while, or nobody does.
+// mayRepeat says whether a request may be sent once more, if to the right server. One that may have run is not,
+// where that could have a second effect: its group of servers remembers the idempotency key for a while, or
+// nobody does.
 func (d *Dispatcher) mayRepeat(request *Request) bool {
 	first := request.firstPossibleRun()
 	if first == nil {
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -9,7 +9,8 @@
 	likelyRetrySuccess = 0.5
 )
 
-// AttemptEnded takes the outcome of an attempt, some ns after it was sent. With requestEnded the request has its final answer.
+// AttemptEnded takes the outcome of an attempt, some ns after it was sent. With requestEnded the request has
+// its final answer.
 func (d *Dispatcher) AttemptEnded(attempt *Attempt, outcome Outcome, took int64, requestEnded bool) {
 	request, server := attempt.Request, attempt.Server
 	d.releaseSlots(attempt, outcome)
@@ -17,7 +18,8 @@
 	if !attempt.canceled {
 		request.activeAttempts--
 	}
-	// Of many nodes none has more than a few requests at a server, and would take it for that small without its reports.
+	// Of many nodes none has more than a few requests at a server, and would take it for that small without its
+	// reports.
 	server.typeStats.maxSlots = max(server.typeStats.maxSlots, attempt.FreeSlots)
 
 	failedElsewhere := request.failedServer != nil && request.failedServer != server
@@ -33,7 +35,8 @@
 		d.attemptSucceeded(attempt, took)
 	case Failed:
 		request.failedServer = server
-		// A request that fails wherever it goes, or what all servers depend on, would make healthy servers outliers.
+		// A request that fails wherever it goes, or what all servers depend on, would make healthy servers
+		// outliers.
 		d.attemptFailed(attempt, retrySuccess)
 	case TimedOut, ConnectFailed, ConnectionLost:
 		d.attemptFailed(attempt, 1)
@@ -55,8 +58,9 @@
 	d.assign(request)
 }
 
-// releaseSlots takes the attempt's slots out of those in flight. A canceled attempt may run all the same, so its slots stay reserved for a
-// running time; without that a server would be filled with work that nobody waits for.
+// releaseSlots takes the attempt's slots out of those in flight. A canceled attempt may run all the same, so
+// its slots stay reserved for a running time; without that a server would be filled with work that nobody waits
+// for.
 func (d *Dispatcher) releaseSlots(attempt *Attempt, outcome Outcome) {
 	request, server := attempt.Request, attempt.Server
 	attempt.InFlight = false
@@ -101,14 +105,16 @@
 	d.recordRuntime(attempt, d.now-max(attempt.sentAt, attempt.startedAt))
 }
 
-// attemptFailed lowers the server's reliability by its share of the blame, unless the attempt was canceled before.
+// attemptFailed lowers the server's reliability by its share of the blame, unless the attempt was canceled
+// before.
 func (d *Dispatcher) attemptFailed(attempt *Attempt, share float64) {
 	if !attempt.canceled {
 		d.recordFailure(attempt, share)
 	}
 }
 
-// attemptRejected reduces the server's limit. A server that rejects everything at once looks idle and would be sent everything.
+// attemptRejected reduces the server's limit. A server that rejects everything at once looks idle and would be
+// sent everything.
 func (d *Dispatcher) attemptRejected(attempt *Attempt) {
 	server := attempt.Server
 	server.limitBeforeRejections = max(server.limitBeforeRejections, server.limit)
--- a/dispatch/polling.go
+++ b/dispatch/polling.go
@@ -3,7 +3,8 @@
 package dispatch
 
 const (
-	// pollParts is the number of parts that the time for the next poll is cut into: the backoff takes one or two of them.
+	// pollParts is the number of parts that the time for the next poll is cut into: the backoff takes one or
+	// two of them.
 	pollParts = 3
 	// maxPollFailures is the number of failed polls in a row up to which the backoff grows.
 	maxPollFailures = 2
@@ -19,21 +20,23 @@
 // recordSuccess ends a row of failures.
 func (p *pollSchedule) recordSuccess() { p.failures, p.lastCost = 0, 0 }
 
-// maxPollSilence is how long (ns) no poll may be out. After that a change may count as notified that this node knows nothing of.
+// maxPollSilence is how long (ns) no poll may be out. After that a change may count as notified that this node
+// knows nothing of.
 func (d *Dispatcher) maxPollSilence() float64 {
 	return float64(d.settings.UnpolledEventAge + d.settings.DrainGrace/2)
 }
 
-// StartPolling schedules the first poll. A node that has an endpoint list waits for a random time: nodes that start together would poll
-// together, and a service that falls behind serves none of them.
+// StartPolling schedules the first poll. A node that has an endpoint list waits for a random time: nodes that
+// start together would poll together, and a service that falls behind serves none of them.
 func (d *Dispatcher) StartPolling() {
 	silence := d.maxPollSilence()
 	d.schedulePoll(silence*d.random.Float64()*float64(min(len(d.servers.all), 1)), silence)
 }
 
-// PollFailed schedules the next poll after one that failed. It took so long (ns) and cost the discovery service so much work (ns); the
-// backoff is jittered and grows with what two failures in a row cost. It is bounded, since a discovery service that could be reached as
-// the poll was out has changes that count as notified some time after.
+// PollFailed schedules the next poll after one that failed. It took so long (ns) and cost the discovery service
+// so much work (ns); the backoff is jittered and grows with what two failures in a row cost. It is bounded,
+// since a discovery service that could be reached as the poll was out has changes that count as notified some
+// time after.
 func (d *Dispatcher) PollFailed(took, cost int64) {
 	part := max(d.maxPollSilence()/pollParts, float64(min(cost, d.polls.lastCost)))
 	left := float64(max(d.settings.MaxPollInterval-took, 0))
@@ -62,5 +65,6 @@
 	}
 }
 
-// PollOverdue says that a poll goes out whatever the quotas say: without one this node would go on sending to servers that drain.
+// PollOverdue says that a poll goes out whatever the quotas say: without one this node would go on sending to
+// servers that drain.
 func (d *Dispatcher) PollOverdue() bool { return d.now >= d.polls.deadline }
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -14,7 +14,8 @@
 	maxQueueTime = 2
 	// queueTicks is the number of ticks between two looks at the queue where nothing else happens.
 	queueTicks = 2
-	// minOverObjective is the least that a class's objective may grow with work, over the work itself, when waits are weighed.
+	// minOverObjective is the least that a class's objective may grow with work, over the work itself, when
+	// waits are weighed.
 	minOverObjective = 0.1
 )
 
@@ -42,8 +43,8 @@
 	return requests
 }
 
-// ProcessQueue has to be called after each round of events. It assigns the waiting requests, those of the highest expected value first,
-// and gives up those that can hardly end in time.
+// ProcessQueue has to be called after each round of events. It assigns the waiting requests, those of the
+// highest expected value first, and gives up those that can hardly end in time.
 func (d *Dispatcher) ProcessQueue() {
 	waiting := d.queue.takeAll()
 	for _, request := range waiting {
@@ -67,7 +68,8 @@
 	}
 }
 
-// expectedValue is the priority weight for each unit of size that can be expected of a waiting request; 0: give it up now.
+// expectedValue is the priority weight for each unit of size that can be expected of a waiting request; 0: give
+// it up now.
 func (d *Dispatcher) expectedValue(request *Request) float64 {
 	late := request.Class.LateShare
 	share := late + (1-late)*d.chanceInTime(request, d.now)
@@ -84,8 +86,9 @@
 	return share * request.priorityWeight / request.size * d.classPreference(request.Class)
 }
 
-// chanceInTime is the chance that a request which starts at a clock time meets its latency objective. Where its work is not known, the
-// objective grows with the running time, and long requests alone make up for the time that they waited.
+// chanceInTime is the chance that a request which starts at a clock time meets its latency objective. Where its
+// work is not known, the objective grows with the running time, and long requests alone make up for the time
+// that they waited.
 func (d *Dispatcher) chanceInTime(request *Request, start int64) float64 {
 	class := request.Class
 	left := float64(request.arrivedAt + class.LatencyObjective - start)
@@ -96,8 +99,8 @@
 	return 1 - runtimes.shareBelow(-left/defaultWork/max(class.ObjectivePerWork-1, minOverObjective))
 }
 
-// classPreference is a factor on the value of a class's requests: over 1 for the class that earns the smallest share of its weight, since
-// the settings weigh the worst class besides the whole.
+// classPreference is a factor on the value of a class's requests: over 1 for the class that earns the smallest
+// share of its weight, since the settings weigh the worst class besides the whole.
 func (d *Dispatcher) classPreference(class *Class) float64 {
 	own, all := d.classValues[class.Index].decay(d.now), 0.0
 	for i := range d.classValues {
--- a/dispatch/quotas.go
+++ b/dispatch/quotas.go
@@ -17,14 +17,16 @@
 
 // QuotaSource tells how much of the shared budgets this node may use.
 type QuotaSource interface {
-	// Allow says whether this node may use so many units more of a budget now; of that server or of the request's tenant where each has
-	// a budget of its own. It only reads: units are reserved as the attempt is sent.
+	// Allow says whether this node may use so many units more of a budget now; of that server or of the
+	// request's tenant where each has a budget of its own. It only reads: units are reserved as the attempt is
+	// sent.
 	Allow(budget Budget, server *Server, request *Request, units float64) bool
 	// Quota is this node's share of the whole budget, from 0 to 1.
 	Quota(budget Budget, server *Server) float64
 }
 
-// withinQuotas says whether one more attempt of a request at a server fits into this node's quotas, but for slow start.
+// withinQuotas says whether one more attempt of a request at a server fits into this node's quotas, but for
+// slow start.
 func (s *Settings) withinQuotas(request *Request, server *Server) bool {
 	quotas := s.Quotas
 	if quotas == nil {
--- a/dispatch/reliability.go
+++ b/dispatch/reliability.go
@@ -13,11 +13,13 @@
 	minReliability = 0.1
 	// fullRecovery is the number of time constants after which reliability counts as 1 again.
 	fullRecovery = 7
-	// ownResultLifetime (ns) is how long a success of this node counts for more than what other nodes say of the server.
+	// ownResultLifetime (ns) is how long a success of this node counts for more than what other nodes say of
+	// the server.
 	ownResultLifetime = 1e9
 )
 
-// reliability is a factor on a server's weight, from 0 to 1. It falls by failures, rises by successes and returns to 1 with time.
+// reliability is a factor on a server's weight, from 0 to 1. It falls by failures, rises by successes and
+// returns to 1 with time.
 type reliability struct {
 	value     float64
 	updatedAt int64 // clock time, ns
@@ -37,13 +39,15 @@
 	*r = reliability{min(r.at(now)+successBonus, 1), now}
 }
 
-// recordFailure lowers the reliability by a whole failure, or by the share of it that the server is to blame for.
+// recordFailure lowers the reliability by a whole failure, or by the share of it that the server is to blame
+// for.
 func (r *reliability) recordFailure(share float64, now int64) {
 	*r = reliability{r.at(now) * (1 - (1-failureFactor)*share), now}
 }
 
-// effectiveReliability is the server's reliability, or less where many nodes together say so and this one had no success there of late.
-// Without them each of many nodes would have to find out at its own requests' cost; a fresh success is newer than what they say.
+// effectiveReliability is the server's reliability, or less where many nodes together say so and this one had
+// no success there of late. Without them each of many nodes would have to find out at its own requests' cost; a
+// fresh success is newer than what they say.
 func (d *Dispatcher) effectiveReliability(server *Server) float64 {
 	own := server.reliability.at(d.now)
 	if server.OutlierScore > 0 && d.now-server.idleUntil+d.settings.IdleTimeout > ownResultLifetime {
@@ -57,7 +61,8 @@
 	return d.effectiveReliability(server) < minReliability
 }
 
-// recordFailure counts an attempt as lost in its server's reliability and scores, once, by the server's share of the blame.
+// recordFailure counts an attempt as lost in its server's reliability and scores, once, by the server's share
+// of the blame.
 func (d *Dispatcher) recordFailure(attempt *Attempt, share float64) {
 	if attempt.failureRecorded {
 		return
@@ -67,8 +72,8 @@
 	d.recordRank(attempt.Request, recentResult{server: attempt.Server, lost: true})
 }
 
-// retrySuccessRate is the chance that a request which failed succeeds at another server, as those of its key and class did. Where it is
-// low the fault lies with the request, or with what is behind all servers.
+// retrySuccessRate is the chance that a request which failed succeeds at another server, as those of its key
+// and class did. Where it is low the fault lies with the request, or with what is behind all servers.
 func (d *Dispatcher) retrySuccessRate(request *Request) float64 {
 	ofClass := d.retrySuccess[request.Class.Index].decay(d.now)
 	ofKey := request.keyState.retrySuccess.decay(d.now)
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -4,8 +4,9 @@
 
 import "cmp"
 
-// defaultWork (ns) is the unit that running times are measured in where a request tells no expected work: they are in seconds then.
-const defaultWork = 1e9
+// defaultWork (ns) is the unit that running times are measured in where a request tells no expected work: they
+// are in seconds then.
+const defaultWork = second
 
 // Request is one request of a client. It is owed exactly one final answer.
 type Request struct {
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -3,7 +3,8 @@
 package dispatch
 
 const (
-	// lowQuantile, medianQuantile and highQuantile are taken as the low, the middle and the high end of running times.
+	// lowQuantile, medianQuantile and highQuantile are taken as the low, the middle and the high end of running
+	// times.
 	lowQuantile    = 0.25
 	medianQuantile = 0.5
 	highQuantile   = 0.9
@@ -21,15 +22,21 @@
 	required     bool          // some class runs on this type alone
 }
 
-// meanRuntimeRatio is the mean running time on the machine type over the median of all types. Without it servers in slow start of slow
-// types, or of a class where few requests run far longer than most, would be sent a multiple of what they can take.
+// meanScore is the mean score of the machine type over the top score.
+func (m *machineTypeStats) meanScore() float64 {
+	return (m.scores.hits + initialScore) / (m.scores.total + 1)
+}
+
+// meanRuntimeRatio is the mean running time on the machine type over the median of all types. Without it
+// servers in slow start of slow types, or of a class where few requests run far longer than most, would be sent
+// a multiple of what they can take.
 func (m *machineTypeStats) meanRuntimeRatio(now int64) float64 {
 	ratio := m.runtimeRatio.decay(now)
 	return (ratio.hits + runtimePrior) / (ratio.total + runtimePrior)
 }
 
-// recordRuntime adds the running time (ns) of an attempt to those of its class, and to those of its machine type as if the server had
-// been warm.
+// recordRuntime adds the running time (ns) of an attempt to those of its class, and to those of its machine
+// type as if the server had been warm.
 func (d *Dispatcher) recordRuntime(attempt *Attempt, runtime int64) {
 	if runtime <= 0 {
 		return
--- a/dispatch/scores.go
+++ b/dispatch/scores.go
@@ -11,7 +11,8 @@
 	topScore = 10.0
 	// initialScore is the share of the top score that a machine type without scores counts with.
 	initialScore = 0.5
-	// typeScoreWeight is the number of scores that the mean of its machine type counts for beside a server's own.
+	// typeScoreWeight is the number of scores that the mean of its machine type counts for beside a server's
+	// own.
 	typeScoreWeight = 3.0
 	// rankedAgainst is the number of other servers' results that a result is ranked against.
 	rankedAgainst = 2
@@ -36,6 +37,11 @@
 	w.next = (w.next + 1) % scoreWindowSize
 }
 
+// mean is the mean score over the top score, drawn towards a prior mean while there are few scores.
+func (w *scoreWindow) mean(prior float64) float64 {
+	return (float64(w.sum)/topScore + prior*typeScoreWeight) / (float64(w.count) + typeScoreWeight)
+}
+
 // rankGroup is what requests have in common whose results are ranked against each other.
 type rankGroup struct {
 	class *Class
@@ -49,8 +55,8 @@
 	lost     bool
 }
 
-// recordRank ranks a result against the latest ones of its group at two other servers, and scores its server by the rank. Nothing is
-// scored if all three were lost, since that says nothing of the servers.
+// recordRank ranks a result against the latest ones of its group at two other servers, and scores its server by
+// the rank. Nothing is scored if all three were lost, since that says nothing of the servers.
 func (d *Dispatcher) recordRank(request *Request, result recentResult) {
 	group := rankGroup{request.Class, request.Slots}
 	others := slices.DeleteFunc(d.recentResults[group], func(r recentResult) bool { return r.server == result.server })
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -64,7 +64,8 @@
 	Capacity                float64
 }
 
-// HashName hashes a server's name. All nodes get the same number, so that they prefer the same servers for an affinity key.
+// HashName hashes a server's name. All nodes get the same number, so that they prefer the same servers for an
+// affinity key.
 func HashName(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
--- a/dispatch/serverset.go
+++ b/dispatch/serverset.go
@@ -4,7 +4,8 @@
 
 import "math/rand/v2"
 
-// serverSet is a set of servers that is added to and removed from in constant time, and from which some are drawn at random.
+// serverSet is a set of servers that is added to and removed from in constant time, and from which some are
+// drawn at random.
 type serverSet struct {
 	all   []*Server
 	index func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
@@ -48,8 +49,8 @@
 	s.all = kept
 }
 
-// sample calls visit with count servers of the set, drawn evenly, of which some may be the same; with each once if there are no more.
-// Those that visit does not want to keep are taken out.
+// sample calls visit with count servers of the set, drawn evenly, of which some may be the same; with each once
+// if there are no more. Those that visit does not want to keep are taken out.
 func (s *serverSet) sample(random *rand.Rand, count int, visit func(*Server) (keep bool)) {
 	if len(s.all) <= count {
 		s.visitAll(visit)
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -4,6 +4,9 @@
 
 import "slices"
 
+// second is a second in nanoseconds, the unit of all times.
+const second = 1e9
+
 // Idempotency says what it does to run a request more than once.
 type Idempotency int
 
@@ -27,7 +30,8 @@
 	DedupCell                   // those of one cell
 )
 
-// Class is what the settings say of one class of requests. Times are nanoseconds, here as everywhere in the package.
+// Class is what the settings say of one class of requests. Times are nanoseconds, here as everywhere in the
+// package.
 type Class struct {
 	Index            int
 	LatencyObjective int64
--- a/dispatch/statistics.go
+++ b/dispatch/statistics.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// decayTime (ns) is the time constant by which old observations lose their weight, and reliability returns to 1.
+// decayTime (ns) is the time constant by which old observations lose their weight, and reliability returns to
+// 1.
 const decayTime = 10e9
 
 // decayingRatio counts events and those of them that went well. Old ones count less and less.
--- a/dispatch/supervision.go
+++ b/dispatch/supervision.go
@@ -10,7 +10,8 @@
 const (
 	// overdueFactor is the multiple of the high end of running times after which an attempt counts as failed.
 	overdueFactor = 4.0
-	// missedProgressPeriods is the number of periods without a progress report after which an attempt counts as stalled.
+	// missedProgressPeriods is the number of periods without a progress report after which an attempt counts as
+	// stalled.
 	missedProgressPeriods = 1.5
 )
 
@@ -40,8 +41,9 @@
 // AttemptProgressed takes a server's progress report.
 func (d *Dispatcher) AttemptProgressed(attempt *Attempt) { attempt.progressAt = d.now }
 
-// checkLater calls check after some ns, if the attempt is still in flight then. A process that was held up finds due timers and unread
-// reports together and would take its own delay for the servers', so it first reads the reports, for a tick.
+// checkLater calls check after some ns, if the attempt is still in flight then. A process that was held up
+// finds due timers and unread reports together and would take its own delay for the servers', so it first reads
+// the reports, for a tick.
 func (d *Dispatcher) checkLater(attempt *Attempt, after int64, check func()) {
 	latest := d.now + after + d.minStartTimeout()
 	d.actions.Schedule(after, func() {
@@ -69,9 +71,10 @@
 	})
 }
 
-// startIsLate reduces the limit of a server where an attempt waits for its start, at first not below this node's share of the slots that
-// its machine type is known to have: servers with many slots would stand half empty. Each late start in a row halves that bound, since a
-// server that has become slow does not run as many any more.
+// startIsLate reduces the limit of a server where an attempt waits for its start, at first not below this
+// node's share of the slots that its machine type is known to have: servers with many slots would stand half
+// empty. Each late start in a row halves that bound, since a server that has become slow does not run as many
+// any more.
 func (d *Dispatcher) startIsLate(attempt *Attempt) {
 	server := attempt.Server
 	share := server.typeStats.maxSlots / float64(max(d.settings.Nodes, 1))
@@ -89,7 +92,8 @@
 		return
 	}
 	request := attempt.Request
-	// Only where a late answer earns nothing: what is shed here may run all the same and come back as a retry, without an end.
+	// Only where a late answer earns nothing: what is shed here may run all the same and come back as a retry,
+	// without an end.
 	worthless := request.Class.Idempotency == Idempotent && request.Class.LateShare == 0
 	if worthless && d.expectedValue(request) <= 0 {
 		d.giveUp(request, LateAtServer)
@@ -103,7 +107,8 @@
 	d.checkLater(attempt, wait, func() { d.awaitStart(attempt) })
 }
 
-// awaitEnd decides from time to time what becomes of an attempt that runs. It waits longer each time, from a first number of ns on.
+// awaitEnd decides from time to time what becomes of an attempt that runs. It waits longer each time, from a
+// first number of ns on.
 func (d *Dispatcher) awaitEnd(attempt *Attempt, wait int64) {
 	runtime := d.expectedRuntime(attempt.Request, highQuantile)
 	stalled := d.stalled(attempt)
