--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -5,8 +5,8 @@
 // Which servers a draw considers. Of a short list all; of a long one a bounded number, so that a request costs
 // the same whatever the number of servers:
 //
-//   - the idle servers with an open connection, which are preferred, and those in slow start that this node may send to now; if there are
-//     many, some of them at random;
+//   - the idle servers with an open connection, which are preferred, and those in slow start that this node may
+//     send to now; if there are many, some of them at random;
 //   - if these are too few, sampleSize of all at random, and if there is no uncrowded one among them, up to maxSample;
 //   - where none of these may be sent to at all, all: a request that may only go to a few servers has to find them.
 //
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -30,9 +30,9 @@
 
 	runtimes      []histogram // by class: running times over the work unit
 	recentResults map[rankGroup][]recentResult
-	retrySuccess  []decayingRatio              // by class: requests that failed and ended elsewhere, and those that succeeded there
+	retrySuccess  []decayingRatio              // by class: requests that failed and ended elsewhere; those that succeeded
 	promptStarts  [zoneRelations]decayingRatio // attempts that had to start, and those that did so promptly
-	minStartDelay int64                        // the least from sending an attempt to the report of its start, ns; 0: none seen
+	minStartDelay int64                        // the least from sending to the report of the start, ns; 0: none seen
 
 	capacityReportedAt  int64 // when a server last reported its capacity
 	reportLifetime      int64 // how long a capacity report counts, ns
--- a/dispatch/idempotency.go
+++ b/dispatch/idempotency.go
@@ -73,7 +73,7 @@
 			return false
 		}
 	}
-	if len(request.Attempts) > 0 && !(d.mayRepeat(request) && request.inDedupGroup(server)) {
+	if len(request.Attempts) > 0 && (!d.mayRepeat(request) || !request.inDedupGroup(server)) {
 		return false
 	}
 	return d.settings.withinQuotas(request, server) && d.withinSlowStartBudget(request, server)
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -84,7 +84,7 @@
 	DeadlineMargin      int64       // how far a request's deadline may be off, either way
 	StartTimeError      int64       // how far a server's start time may be off, either way
 	MaxPollInterval     int64       // at most from the start of a failed poll to the start of the next one
-	DrainGrace          int64       // how long after a change requests may still be sent to a server that drains or is gone
+	DrainGrace          int64       // how long a server that drains or is gone may still be sent requests
 	Quotas              QuotaSource // of the budgets that all nodes share; nil: they share none
 }
 
