--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -7,60 +7,60 @@
 	"testing"
 )
 
-// still is a Door on which nothing happens by itself.
-type still struct{ posted *Attempt }
+// idleActions is an Actions on which nothing happens by itself.
+type idleActions struct{ attempt *Attempt }
 
-func (*still) Schedule(int64, func()) func()   { return func() {} }
-func (*still) PollEndpoints(bool)              {}
-func (*still) ProbeCapacity(*Server)           {}
-func (*still) NotifyPeers(*Server, float64)    {}
-func (s *still) StartAttempt(attempt *Attempt) { s.posted = attempt }
-func (*still) CancelAttempt(*Attempt)          {}
-func (*still) Shed(*Request, int64)            {}
-func (*still) Compensate(*Request)             {}
+func (*idleActions) Schedule(int64, func()) func()   { return func() {} }
+func (*idleActions) PollEndpoints(bool)              {}
+func (*idleActions) ProbeCapacity(*Server)           {}
+func (*idleActions) NotifyPeers(*Server, float64)    {}
+func (s *idleActions) StartAttempt(attempt *Attempt) { s.attempt = attempt }
+func (*idleActions) CancelAttempt(*Attempt)          {}
+func (*idleActions) Shed(*Request, int64)            {}
+func (*idleActions) Compensate(*Request)             {}
 
-func stillWorld(executors int) (*Dispatcher, *still, *Settings) {
-	terms, door := basicTerms(), &still{}
-	d := New(terms, 1, door, 1e12)
+func newIdleDispatcher(servers int) (*Dispatcher, *idleActions, *Settings) {
+	settings, actions := testSettings(), &idleActions{}
+	d := New(settings, 1, actions, 1e12)
 	var members []Endpoint
-	for i := range executors {
+	for i := range servers {
 		members = append(members, Endpoint{Server: &Server{Tag: fmt.Sprint(i)}, Zone: i % 3, MachineType: i % 2})
 	}
 	d.UpdateEndpoints(true, members)
-	return d, door, terms
+	return d, actions, settings
 }
 
-// BenchmarkArrival is one arrival to its posting, and the posting's end.
+// BenchmarkArrival is one arrival to its attempt, and the attempt's end.
 func BenchmarkArrival(b *testing.B) {
-	for _, executors := range []int{20, 200, 3200} {
-		b.Run(fmt.Sprint(executors), func(b *testing.B) {
-			d, door, terms := stillWorld(executors)
+	for _, servers := range []int{20, 200, 3200} {
+		b.Run(fmt.Sprint(servers), func(b *testing.B) {
+			d, actions, settings := newIdleDispatcher(servers)
 			b.ReportAllocs()
 			for now := int64(1e12); b.Loop(); now += 1e6 {
 				d.Advance(now)
-				request := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: now + 3e9}
+				request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: now + 3e9}
 				d.Arrive(request)
 				d.ProcessQueue()
-				d.AttemptStarted(door.posted)
-				d.AttemptEnded(door.posted, Succeeded, 1e7, true)
+				d.AttemptStarted(actions.attempt)
+				d.AttemptEnded(actions.attempt, Succeeded, 1e7, true)
 				d.ProcessQueue()
 			}
 		})
 	}
 }
 
-// BenchmarkSettle is one look at a queue of txns that find no room.
+// BenchmarkSettle is one look at a queue of requests that find no room.
 func BenchmarkSettle(b *testing.B) {
-	for _, executors := range []int{20, 200, 2000} {
+	for _, servers := range []int{20, 200, 2000} {
 		for _, waiting := range []int{10, 100, 1000} {
-			b.Run(fmt.Sprintf("%d/%d", executors, waiting), func(b *testing.B) {
-				d, _, terms := stillWorld(executors)
+			b.Run(fmt.Sprintf("%d/%d", servers, waiting), func(b *testing.B) {
+				d, _, settings := newIdleDispatcher(servers)
 				d.Advance(1e12)
 				for _, server := range d.servers.all {
 					server.limit = 0
 				}
 				for range waiting {
-					d.Arrive(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9})
+					d.Arrive(&Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9})
 				}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// longList is a dispatcher with a list of thousands and one request that nothing was done for yet.
-func longList(t *testing.T) (*Dispatcher, *Settings, *Request) {
-	d, _, terms := stillWorld(3200)
+// newLongList is a dispatcher with a list of thousands and one request that nothing was done for yet.
+func newLongList(t *testing.T) (*Dispatcher, *Settings, *Request) {
+	d, _, settings := newIdleDispatcher(3200)
 	d.Advance(1e12)
-	request := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
+	request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
 	d.Arrive(request)
-	return d, terms, request
+	return d, settings, request
 }
 
-// looked counts the servers that the last draw considered.
-func looked(d *Dispatcher) (n int) {
+// countConsidered counts the servers that the last draw considered.
+func countConsidered(d *Dispatcher) (n int) {
 	for _, server := range d.servers.all {
 		if server.lastDraw == d.drawCount {
 			n++
@@ -26,18 +26,18 @@
 	return n
 }
 
-// Danger: work for each request that grows with the list. A node with a small share of a core falls behind among thousands of
-// servers, and what it took is answered too late.
-func TestDrawLooksAtFew(t *testing.T) {
-	d, _, request := longList(t)
+// TestDrawConsidersFew: with work that grows with the endpoint list a node with a small share of a core would
+// fall behind among thousands of servers.
+func TestDrawConsidersFew(t *testing.T) {
+	d, _, request := newLongList(t)
 	for i, server := range d.servers.all { // an hour in which it used them all
 		if i%2 == 0 {
 			server.idleUntil = d.now + 1e9
 			d.withIdleConnection.add(server)
 		}
 	}
-	if d.draw(request, 1); looked(d) > 2*maxSample {
-		t.Errorf("%d servers were considered", looked(d))
+	if d.draw(request, 1); countConsidered(d) > 2*maxSample {
+		t.Errorf("%d servers were considered", countConsidered(d))
 	}
 	if d.candidates[0].idleUntil == 0 {
 		t.Error("one without a connection was drawn")
@@ -45,15 +45,16 @@
 	for _, server := range d.servers.all { // none has room
 		server.limit = 0
 	}
-	if drawn := d.draw(request, 1); len(drawn) > 0 || looked(d) > 2*maxSample {
-		t.Errorf("%d servers were considered in vain", looked(d))
+	if drawn := d.draw(request, 1); len(drawn) > 0 || countConsidered(d) > 2*maxSample {
+		t.Errorf("%d servers were considered in vain", countConsidered(d))
 	}
 }
 
-// Each server's chance is in proportion to its weight, in a long list as in a short one. The design's draw decides.
+// TestLongListDrawsInProportion: each server's chance is in proportion to its weight, in a long list as in a
+// short one. The design's draw decides.
 func TestLongListDrawsInProportion(t *testing.T) {
 	const draws = 40000
-	d, _, request := longList(t)
+	d, _, request := newLongList(t)
 	want, all, got := map[int]float64{}, 0.0, map[int]float64{}
 	class := func(server *Server) int { return server.scores.sum/scoreWindowSize*2 + int(2*server.reliability.value) }
 	for i, server := range d.servers.all {
@@ -75,13 +76,13 @@
 	}
 }
 
-// Danger: a repeat that may go to one small group of servers alone, and finds none of them among those that were looked at.
+// TestNarrowChoiceIsFound: a retry that may go to one small group of servers alone finds one of them.
 func TestNarrowChoiceIsFound(t *testing.T) {
-	d, terms, _ := longList(t)
+	d, settings, _ := newLongList(t)
 	for i, server := range d.servers.all {
 		server.cell = i / 2
 	}
-	request := &Request{Class: terms.Classes[1], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
+	request := &Request{Class: settings.Classes[1], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9}
 	d.Arrive(request)
 	home := d.servers.all[1001]
 	request.Attempts = append(request.Attempts, &Attempt{Request: request, Server: home, sentAt: d.now})
@@ -92,10 +93,11 @@
 	}
 }
 
-// Danger: half of a long list is new and stands empty, since a draw seldom meets those that it is this node's turn at.
+// TestLongListUsesServersInTurn: half of a long list is in slow start, and a random sample seldom meets those
+// that this node may send to.
 func TestLongListUsesServersInTurn(t *testing.T) {
-	d, terms, request := longList(t)
-	terms.Nodes, d.slowStartOwnerSince, request.size = 300, 0, request.size/2
+	d, settings, request := newLongList(t)
+	settings.Nodes, d.slowStartOwnerSince, request.size = 300, 0, request.size/2
 	var members []Endpoint
 	for i, server := range d.servers.all {
 		if i%2 == 0 {
@@ -110,12 +112,12 @@
 		}
 	}
 	drawn := d.draw(request, 1)
-	if may == 0 || may > 320 || looked(d) > 2*maxSample+may || d.settings.warmUpFactor(drawn[0], d.now) == 1 {
+	if may == 0 || may > 320 || countConsidered(d) > 2*maxSample+may || d.settings.warmUpFactor(drawn[0], d.now) == 1 {
 		t.Errorf("%d may be sent to now, and the one drawn has warmth %v", may, d.settings.warmUpFactor(drawn[0], d.now))
 	}
-	terms.Nodes = 1 // it is always its turn
-	if d.draw(request, 1); looked(d) > 2*maxSample {
-		t.Errorf("%d servers were considered, most of them in slow start", looked(d))
+	settings.Nodes = 1 // it is always its turn
+	if d.draw(request, 1); countConsidered(d) > 2*maxSample {
+		t.Errorf("%d servers were considered, most of them in slow start", countConsidered(d))
 	}
 	d.UpdateEndpoints(true, members[:10])
 	if n := len(d.servers.all) + len(d.withIdleConnection.all) + len(d.inSlowStart.all); n != 20 {
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -13,61 +13,61 @@
 	for seed := range uint64(24) {
 		f.Add(seed, uint8(seed*11))
 	}
-	f.Fuzz(func(t *testing.T, seed uint64, terms uint8) {
-		w := newWorld(t, seed, basicTerms())
-		w.terms.AllowHedging = terms&1 == 0
-		w.terms.AllowCancel = terms&2 == 0
-		w.terms.StartNotices = terms&4 == 0
-		w.terms.Nodes, w.terms.LoadReports = 1+int(seed%3)*200, terms&16 != 0
-		w.terms.CapacityProbes, w.terms.LiveCapacity, w.terms.PeerMessages = terms&32 != 0, terms&64 != 0, terms&32 != 0
-		if terms&8 != 0 {
-			w.terms.CrossZoneCost, w.terms.ProgressInterval = 0.1, 0
-		}
-		w.join(int(seed%13), true)
+	f.Fuzz(func(t *testing.T, seed uint64, flags uint8) {
+		w := newHarness(t, seed, testSettings())
+		w.settings.AllowHedging = flags&1 == 0
+		w.settings.AllowCancel = flags&2 == 0
+		w.settings.StartNotices = flags&4 == 0
+		w.settings.Nodes, w.settings.LoadReports = 1+int(seed%3)*200, flags&16 != 0
+		w.settings.CapacityProbes, w.settings.LiveCapacity, w.settings.PeerMessages = flags&32 != 0, flags&64 != 0, flags&32 != 0
+		if flags&8 != 0 {
+			w.settings.CrossZoneCost, w.settings.ProgressInterval = 0.1, 0
+		}
+		w.addServers(int(seed%13), true)
 		for range 600 {
-			w.step()
+			w.randomStep()
 		}
-		w.finish()
+		w.checkAllAnswered()
 		for len(w.open) > 0 {
-			w.end(w.open[0], Canceled)
+			w.endAttempt(w.open[0], Canceled)
 		}
-		w.pass(6e9) // what was taken back may run for a while
-		for _, m := range w.fleet {
+		w.advance(6e9) // what was canceled may run for a while
+		for _, m := range w.endpoints {
 			if server := m.Server; server.slotsInFlight != 0 || server.startedSlots != 0 {
-				t.Fatalf("executor keeps %v slots, %v at work", server.slotsInFlight, server.startedSlots)
+				t.Fatalf("server keeps %v slots, %v at work", server.slotsInFlight, server.startedSlots)
 			}
 		}
 	})
 }
 
-// TestTakenBackKeepsItsPlace: a job that was taken back may run all the same, so its place counts as taken for as long as one
-// runs; what ended otherwise leaves at once.
-func TestTakenBackKeepsItsPlace(t *testing.T) {
+// TestCanceledAttemptKeepsItsSlots: a job that was canceled may run all the same, so its place counts as taken
+// for as long as one runs; what ended otherwise leaves at once.
+func TestCanceledAttemptKeepsItsSlots(t *testing.T) {
 	for _, o := range []Outcome{Canceled, Failed} {
-		w := newWorld(t, 1, basicTerms())
-		w.join(1, false)
+		w := newHarness(t, 1, testSettings())
+		w.addServers(1, false)
 		w.arrive(0, 1, 2e8, 4e9)
 		server := w.open[0].Server
-		w.d.Finish(w.txns[0])
-		w.ended[w.txns[0]] = 1
-		w.end(w.open[0], o)
+		w.d.Finish(w.requests[0])
+		w.finals[w.requests[0]] = 1
+		w.endAttempt(w.open[0], o)
 		if kept := server.slotsInFlight == 1; kept != (o == Canceled) {
 			t.Errorf("%v: %v slots are taken", o, server.slotsInFlight)
 		}
-		w.pass(19e7)
+		w.advance(19e7)
 		if kept := server.slotsInFlight == 1; kept != (o == Canceled) {
 			t.Errorf("%v: %v slots are taken just before it would have run", o, server.slotsInFlight)
 		}
-		if w.pass(2e8); server.slotsInFlight != 0 {
+		if w.advance(2e8); server.slotsInFlight != 0 {
 			t.Errorf("%v: %v slots are taken for good", o, server.slotsInFlight)
 		}
 	}
 }
 
-func TestHealth(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(1, false)
-	server := w.fleet[0].Server
+func TestReliability(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(1, false)
+	server := w.endpoints[0].Server
 	near := func(want float64) {
 		t.Helper()
 		if got := server.reliability.at(w.now); got < want-0.02 || got > want+0.02 {
@@ -76,23 +76,23 @@
 	}
 	again := func() {
 		server.limit = initialLimit
-		w.pass(8 * w.terms.Tick)
+		w.advance(8 * w.settings.Tick)
 	}
 	near(1)
 	w.arrive(0, 1, 1e8, 2e10)
-	w.end(w.open[0], ConnectFailed)
+	w.endAttempt(w.open[0], ConnectFailed)
 	near(failureFactor)
 	again()
 	before := server.reliability.at(w.now)
-	w.end(w.open[0], Rejected)
+	w.endAttempt(w.open[0], Rejected)
 	near(before)
 	again()
 	before = server.reliability.at(w.now)
-	w.end(w.open[0], Succeeded)
+	w.endAttempt(w.open[0], Succeeded)
 	near(before + successBonus)
-	w.pass(decayTime)
+	w.advance(decayTime)
 	near(1 - (1-before-successBonus)*0.37)
-	// A kept connection that was gone shows at once; what breaks later, the executor broke.
+	// A kept connection that was gone shows at once; what breaks later, the server broke.
 	for _, took := range []int64{0, 1e9} {
 		again()
 		w.arrive(0, 1, 1e8, 2e10)
@@ -100,17 +100,17 @@
 		w.now += took
 		w.d.Advance(w.now)
 		before = server.reliability.at(w.now)
-		w.end(attempt, StaleConnection)
+		w.endAttempt(attempt, StaleConnection)
 		near(before * map[int64]float64{0: 1, 1e9: failureFactor}[took])
 	}
 }
 
 func TestRankAgainstTwoOthers(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(3, false)
-	fast, mid, slow := w.fleet[0].Server, w.fleet[1].Server, w.fleet[2].Server
+	w := newHarness(t, 1, testSettings())
+	w.addServers(3, false)
+	fast, mid, slow := w.endpoints[0].Server, w.endpoints[1].Server, w.endpoints[2].Server
 	job := func(server *Server, time float64, lost bool) {
-		w.d.recordRank(&Request{Class: w.terms.Classes[0], Slots: 1}, recentResult{server, time, lost})
+		w.d.recordRank(&Request{Class: w.settings.Classes[0], Slots: 1}, recentResult{server, time, lost})
 	}
 	job(fast, 1, false)
 	job(mid, 2, false)
@@ -132,15 +132,15 @@
 }
 
 func TestDrawFollowsWeight(t *testing.T) {
-	terms := basicTerms()
-	terms.Classes = terms.Classes[:1] // no other is bound to one of the two kinds
-	w := newWorld(t, 1, terms)
-	w.join(2, false)
-	good, bad := w.fleet[0].Server, w.fleet[1].Server
+	settings := testSettings()
+	settings.Classes = settings.Classes[:1] // no other is bound to one of the two kinds
+	w := newHarness(t, 1, settings)
+	w.addServers(2, false)
+	good, bad := w.endpoints[0].Server, w.endpoints[1].Server
 	good.scores.count, good.scores.sum, bad.scores.count, bad.scores.sum = 50, 475, 50, 125
 	count := 0
 	for range 4000 {
-		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0] == good {
+		if w.d.draw(&Request{Class: w.settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}, 1)[0] == good {
 			count++
 		}
 	}
@@ -149,91 +149,92 @@
 	}
 	bad.reliability = reliability{0.05, w.now}
 	for range 100 {
-		if w.d.draw(&Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0] == bad {
+		if w.d.draw(&Request{Class: w.settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}, 1)[0] == bad {
 			t.Fatal("drawn below the least H though another remains")
 		}
 	}
 }
 
-// A machine that answers full at once looks idle; it must not draw all postings.
-func TestRefusalsPause(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.terms.Nodes = 20
-	w.join(2, false)
-	bad, full := w.fleet[0].Server, 0
+// A machine that answers full at once looks idle; it must not draw all attempts.
+func TestRejectionsPauseServer(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.settings.Nodes = 20
+	w.addServers(2, false)
+	bad, full := w.endpoints[0].Server, 0
 	for range 200 {
 		w.arrive(0, 1, 1e8, 1e9)
 		for len(w.open) > 0 {
 			if attempt := w.open[0]; attempt.Server == bad {
 				full++
-				w.end(attempt, Rejected)
+				w.endAttempt(attempt, Rejected)
 			} else {
 				w.d.AttemptStarted(attempt)
-				w.pass(5e7)
-				w.end(attempt, Succeeded)
+				w.advance(5e7)
+				w.endAttempt(attempt, Succeeded)
 			}
 		}
-		w.pass(2e7)
+		w.advance(2e7)
 	}
 	if full > 30 {
-		t.Fatalf("%d postings to an executor that refuses all", full)
+		t.Fatalf("%d attempts to a server that refuses all", full)
 	}
 }
 
-// A machine that turns part away with room to spare must not stand empty; one that is full starts late, and stays cut.
-func TestRefusalsWithRoomToSpare(t *testing.T) {
+// A machine that rejects part with room to spare must not stand empty; one that is full starts late, and stays
+// cut.
+func TestLimitRecoversAfterRejections(t *testing.T) {
 	for _, late := range []bool{false, true} {
-		w := newWorld(t, 1, basicTerms())
-		w.join(1, false)
-		server := w.fleet[0].Server
+		w := newHarness(t, 1, testSettings())
+		w.addServers(1, false)
+		server := w.endpoints[0].Server
 		w.arrive(0, 1, 1e8, 5e9)
-		w.settle() // how prompt a start can be is known
+		w.completeAll() // how prompt a start can be is known
 		had := server.limit
 		w.arrive(0, 1, 1e8, 5e9)
-		if w.end(w.open[0], Rejected); server.limit > had/2 {
+		if w.endAttempt(w.open[0], Rejected); server.limit > had/2 {
 			t.Fatalf("limit is %v, not cut from %v", server.limit, had)
 		}
 		for len(w.open) == 0 { // until it goes again
-			w.pass(w.terms.Tick)
+			w.advance(w.settings.Tick)
 		}
 		if late {
-			w.pass(2e8)
+			w.advance(2e8)
 		}
-		if w.settle(); late == (server.limit >= had) {
+		if w.completeAll(); late == (server.limit >= had) {
 			t.Fatalf("late %t: limit is %v, %v before the refusal", late, server.limit, had)
 		}
 	}
 }
 
 // A pause of a machine makes all that it holds late; that is one event, and its limit falls once for it.
-func TestOnePauseCutsOnce(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(1, false)
+func TestOneHoldUpReducesLimitOnce(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(1, false)
 	w.arrive(0, 1, 1e8, 5e9)
-	w.settle()
-	server := w.fleet[0].Server
+	w.completeAll()
+	server := w.endpoints[0].Server
 	for range 4 {
 		w.arrive(0, 1, 1e8, 5e9)
 	}
-	if w.pass(3e8); len(w.open) < 4 || server.limit != limitReduction*4 {
+	if w.advance(3e8); len(w.open) < 4 || server.limit != limitReduction*4 {
 		t.Fatalf("%d out, limit is %v", len(w.open), server.limit)
 	}
 }
 
-// In a jam start notes come late; the limits must fall all the same, to a part of a slot for many nodes. Of machines
-// that were seen to run more at once each node keeps its part at first, or they stand half empty; one that goes on
-// being late has slowed, and is not judged by its best moments.
-func TestLimitFallsInJam(t *testing.T) {
+// Under congestion start notes come late; the limits must fall all the same, to a part of a slot for many
+// nodes. Of machines that were seen to run more at once each node keeps its part at first, or they stand half
+// empty; one that goes on being late has slowed, and is not judged by its best moments.
+func TestLimitFallsUnderCongestion(t *testing.T) {
 	for _, slots := range []float64{1, 4} {
-		w := newWorld(t, 1, basicTerms())
-		w.terms.Nodes = 20
-		w.join(1, false)
-		server := w.fleet[0].Server
+		w := newHarness(t, 1, testSettings())
+		w.settings.Nodes = 20
+		w.addServers(1, false)
+		server := w.endpoints[0].Server
 		server.typeStats.maxSlots = slots
 		limit := func(late int64) float64 {
 			w.arrive(0, 1, 1e8, 5e9)
-			w.pass(late)
-			w.settle()
+			w.advance(late)
+			w.completeAll()
 			return server.limit
 		}
 		limit(8e6)
@@ -248,7 +249,7 @@
 			t.Fatalf("limit is %v, though all starts are late", server.limit)
 		}
 		for range 20 {
-			w.pass(6e9) // what waited is over, and so is the pause
+			w.advance(6e9) // what waited is over, and so is the pause
 			limit(8e6)
 		}
 		if server.limit < slots/20 {
@@ -257,36 +258,36 @@
 	}
 }
 
-// Copies must not take the room of txns that wait for it.
-func TestNoCopiesWhileTxnsWait(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(2, false)
+// Copies must not take the room of requests that wait for it.
+func TestNoHedgeWhileRequestsWait(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(2, false)
 	w.arrive(0, 1, 1e8, 5e9)
-	w.d.queue.requests = []*Request{{Class: w.terms.Classes[0]}}
+	w.d.queue.requests = []*Request{{Class: w.settings.Classes[0]}}
 	if w.d.hedge(w.open[0].Request); len(w.open) != 1 {
-		t.Fatal("a copy went out while a txn waited")
+		t.Fatal("a hedge went out while a request waited")
 	}
 	w.d.queue.requests = nil
 	w.d.promptStarts[ownZone] = decayingRatio{20, 0.5, w.now}
 	if w.d.hedge(w.open[0].Request); len(w.open) != 1 {
-		t.Fatal("a copy went out though none of those left should find room")
+		t.Fatal("a hedge went out though none of those left should find room")
 	}
-	w.terms.LoadReports = true
+	w.settings.LoadReports = true
 	w.d.promptStarts[ownZone] = decayingRatio{10, 6, w.now}
 	if w.d.hedge(w.open[0].Request); len(w.open) != 1 {
-		t.Fatal("a copy went out though four starts in ten were late, as other nodes' txns wait")
+		t.Fatal("a hedge went out though four starts in ten were late, as other nodes' requests wait")
 	}
 	w.d.promptStarts[ownZone].hits = 10
 	if w.d.hedge(w.open[0].Request); len(w.open) != 2 {
-		t.Fatal("no copy though there is room")
+		t.Fatal("no hedge though there is room")
 	}
 }
 
 // A burst of one tenant must not count as within its share; even traffic must.
-func TestOverShare(t *testing.T) {
-	terms := basicTerms()
-	terms.OverQuotaWeight, terms.Tenants = 0.1, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
-	w := newWorld(t, 1, terms)
+func TestOverQuota(t *testing.T) {
+	settings := testSettings()
+	settings.OverQuotaWeight, settings.Tenants = 0.1, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
+	w := newHarness(t, 1, settings)
 	over := func(n, burst int) (count int) {
 		for i := range n {
 			if tenant := min(i%burst, 1); w.d.overQuota(&Request{Tenant: tenant}) && tenant == 1 {
@@ -296,82 +297,82 @@
 		return count
 	}
 	if got := over(200, 2); got > 10 {
-		t.Fatalf("%d of 100 even txns over the share", got)
+		t.Fatalf("%d of 100 even requests over the share", got)
 	}
-	w.pass(3e10)
+	w.advance(3e10)
 	if got := over(600, 6); got < 250 {
-		t.Fatalf("%d of 500 txns of a burst over the share", got)
+		t.Fatalf("%d of 500 requests of a burst over the share", got)
 	}
 }
 
-// Where late answers earn nothing, a repeatable txn that waits at an executor beyond hope is declined then.
-func TestHopelessWaitIsDeclined(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(1, false)
-	w.terms.Classes[0].LateShare = 0
+// Where late answers earn nothing, an idempotent request that waits at a server beyond hope is shed then.
+func TestLateWaitAtServerIsShed(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(1, false)
+	w.settings.Classes[0].LateShare = 0
 	request := w.arrive(0, 1, 1e8, 5e9)
-	w.pass(2e9)
-	if !request.Done || w.withdraw != 1 {
-		t.Fatal("still waiting after four times its SLA time")
+	w.advance(2e9)
+	if !request.Done || w.canceled != 1 {
+		t.Fatal("still waiting after four times its latency objective")
 	}
 }
 
-func TestColdBudget(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(1, false)
-	w.pass(w.terms.OverloadWindow)
-	w.fleet[0].StartedAt = w.now
-	w.list(true)
+func TestSlowStartBudget(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(1, false)
+	w.advance(w.settings.OverloadWindow)
+	w.endpoints[0].StartedAt = w.now
+	w.updateEndpoints(true)
 	for range 32 {
-		w.pass(w.terms.OverloadWindow / 32)
+		w.advance(w.settings.OverloadWindow / 32)
 		w.arrive(0, 1, 1e8, 9e9)
-		w.settle()
+		w.completeAll()
 	}
-	if n := len(w.coldWork[w.fleet[0].Server]); n < 3 || n > 5 {
-		t.Fatalf("%d postings of 0.1 s", n)
+	if n := len(w.slowStartWork[w.endpoints[0].Server]); n < 3 || n > 5 {
+		t.Fatalf("%d attempts of 0.1 s", n)
 	}
 }
 
 // A node killed and started again may have used up its part just before; it can't know.
-func TestRestartedNodeSparesTheCold(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(1, false)
-	w.fleet[0].StartedAt = w.now
-	w.list(true)
+func TestRestartedNodeWaitsForNextTurn(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(1, false)
+	w.endpoints[0].StartedAt = w.now
+	w.updateEndpoints(true)
 	w.arrive(0, 1, 1e8, 9e9)
-	if w.pass(w.terms.OverloadWindow / 8); len(w.open) > 0 {
-		t.Fatal("sent to a cold executor right after the start")
+	if w.advance(w.settings.OverloadWindow / 8); len(w.open) > 0 {
+		t.Fatal("sent to a server in slow start right after the start")
 	}
-	w.pass(w.terms.OverloadWindow)
+	w.advance(w.settings.OverloadWindow)
 	if w.arrive(0, 1, 1e8, 9e9); len(w.open) == 0 {
 		t.Fatal("nothing is sent to it later")
 	}
 }
 
-func TestReferencedStaysInItsGroup(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(4, false)
+func TestRetryStaysInDedupGroup(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(4, false)
 	request := w.arrive(1, 1, 1e8, 9e9)
-	w.end(w.open[0], ConnectionLost)
+	w.endAttempt(w.open[0], ConnectionLost)
 	if len(request.Attempts) != 2 || request.Attempts[0].Server.cell != request.Attempts[1].Server.cell {
 		t.Fatal("not sent again within its cell")
 	}
-	w.pass(w.terms.Classes[1].DedupWindow)
+	w.advance(w.settings.Classes[1].DedupWindow)
 	for len(w.open) > 0 {
-		w.end(w.open[0], ConnectionLost)
+		w.endAttempt(w.open[0], ConnectionLost)
 	}
-	if !request.Done || w.ended[request] != 1 {
-		t.Fatal("past its memory span it must be reversed at once")
+	if !request.Done || w.finals[request] != 1 {
+		t.Fatal("past its deduplication window it must be reversed at once")
 	}
 }
 
-// A home zone that cannot carry its own traffic must not drown while others idle.
-func TestCrowdedHomeIsLeft(t *testing.T) {
-	terms, far := basicTerms(), 0
-	terms.CrossZoneCost = 0.1
-	w := newWorld(t, 1, terms)
-	w.join(8, false)
-	for _, m := range w.fleet {
+// A zone that cannot carry its own traffic must not drown while others idle.
+func TestCongestedZoneIsLeft(t *testing.T) {
+	settings, far := testSettings(), 0
+	settings.CrossZoneCost = 0.1
+	w := newHarness(t, 1, settings)
+	w.addServers(8, false)
+	for _, m := range w.endpoints {
 		for range 20 {
 			if m.Zone != 0 {
 				w.d.recordPromptStart(m.Server)
@@ -382,110 +383,114 @@
 		m.Server.limit = initialLimit
 	}
 	for range 200 {
-		far += w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0].zone
+		far += w.d.draw(&Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}, 1)[0].zone
 	}
 	if far < 80 {
 		t.Fatalf("%d of 200 went to the zone with room", far)
 	}
 }
 
-// A quiet node must keep to executors that were prompt, and leave one that was late.
-func TestOpenConnectionsAreUsedAgain(t *testing.T) {
-	terms, met := basicTerms(), map[*Server]bool{}
-	terms.IdleTimeout = 5e9
-	w := newWorld(t, 1, terms)
-	w.join(8, false)
+// A quiet node must keep to servers that were prompt, and leave one that was late.
+func TestIdleConnectionsAreReused(t *testing.T) {
+	settings, met := testSettings(), map[*Server]bool{}
+	settings.IdleTimeout = 5e9
+	w := newHarness(t, 1, settings)
+	w.addServers(8, false)
 	for range 40 {
 		met[w.arrive(0, 1, 1e8, 5e9).Attempts[0].Server] = true
-		w.settle()
-		w.pass(1e9)
+		w.completeAll()
+		w.advance(1e9)
 	}
 	if len(met) > 2 {
-		t.Fatalf("%d of 8 executors met", len(met))
+		t.Fatalf("%d of 8 servers met", len(met))
 	}
 	for server := range met {
 		server.limit = 0.5
 	}
 	again := 0
 	for range 40 {
-		if met[w.d.draw(&Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: open}, 1)[0]] {
+		if met[w.d.draw(&Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}, 1)[0]] {
 			again++
 		}
 	}
 	if again > 20 {
-		t.Fatalf("%d of 40 kept to executors that were late", again)
+		t.Fatalf("%d of 40 kept to servers that were late", again)
 	}
 }
 
-// Quiet nodes hold no queue, so what lies beyond a share must not be sent into a jam; without one it may.
-func TestBeyondShareStaysOutOfAJam(t *testing.T) {
+// Quiet nodes hold no queue, so what lies beyond a share must not be sent into congestion; without one it may.
+func TestOverQuotaIsShedUnderCongestion(t *testing.T) {
 	for _, prompt := range []float64{0, 400} {
-		terms, declined := basicTerms(), 0
-		terms.LoadReports, terms.OverQuotaWeight, terms.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
-		w := newWorld(t, 1, terms)
-		w.join(40, false)
+		settings, shed := testSettings(), 0
+		settings.LoadReports, settings.OverQuotaWeight, settings.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
+		w := newHarness(t, 1, settings)
+		w.addServers(40, false)
 		w.d.promptStarts[ownZone] = decayingRatio{400, prompt, w.now}
 		for range 40 {
 			if w.arrive(0, 1, 1e8, 5e9).Done {
-				declined++
+				shed++
 			}
 		}
-		if prompt == 0 && declined < 20 || prompt > 0 && declined > 2 {
-			t.Fatalf("%d of 40 beyond the share declined with %v prompt starts", declined, prompt)
+		if prompt == 0 && shed < 20 || prompt > 0 && shed > 2 {
+			t.Fatalf("%d of 40 beyond the share shed with %v prompt starts", shed, prompt)
 		}
 	}
 }
 
-// TestExpiryBroughtForward: a node that is told to end has to answer all that it has within less than the expiry.
-func TestExpiryBroughtForward(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(2, false)
-	tx := w.arrive(2, 1, 1e9, 5e9)
-	w.d.SetDeadline(tx, w.now+4e8)
-	if w.pass(4e8); w.ended[tx] != 1 {
+// TestDeadlineBroughtForward: a node that is told to end has to answer all that it has within less than the
+// deadline.
+func TestDeadlineBroughtForward(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(2, false)
+	request := w.arrive(2, 1, 1e9, 5e9)
+	w.d.SetDeadline(request, w.now+4e8)
+	if w.advance(4e8); w.finals[request] != 1 {
 		t.Fatal("not answered in time")
 	}
-	w.finish()
+	w.checkAllAnswered()
 }
 
-// Danger: alarms of txns long answered pile up with the rate and the longest expiry.
-func TestAnsweredTxnsKeepNoAlarm(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(2, false)
+// TestAnsweredRequestsKeepNoTimer: timers of answered requests would pile up with the rate and the longest
+// deadline.
+func TestAnsweredRequestsKeepNoTimer(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(2, false)
 	w.arrive(0, 1, 1e8, 3600e9)
-	w.settle()
-	for _, a := range w.alarms {
+	w.completeAll()
+	for _, a := range w.timers {
 		if a.at > w.now+60e9 {
-			t.Fatal("the alarm of its expiry is kept")
+			t.Fatal("the timer of its deadline is kept")
 		}
 	}
 }
 
-// TestHintsThatAreOffDeclineNothingFresh: running times far beyond their hints make every fresh txn look late. One that
-// has not waited is tried all the same; one whose wait took half of the hope it had is given up at once.
-func TestHintsThatAreOffDeclineNothingFresh(t *testing.T) {
-	terms := basicTerms()
-	terms.Classes[0].LateShare = 0
-	w := newWorld(t, 3, terms)
-	w.join(4, false)
+// TestWrongWorkHintsShedNothingNew: running times far beyond their hints make every fresh request look late.
+// One that has not waited is tried all the same; one whose wait took half of the hope it had is given up at
+// once.
+func TestWrongWorkHintsShedNothingNew(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].LateShare = 0
+	w := newHarness(t, 3, settings)
+	w.addServers(4, false)
 	for range 40 {
 		w.arrive(0, 1, 1e9, 9e9)
 		attempt := w.open[len(w.open)-1]
 		w.d.AttemptStarted(attempt)
-		w.pass(24e8)
-		w.end(attempt, Succeeded)
+		w.advance(24e8)
+		w.endAttempt(attempt, Succeeded)
 	}
 	fresh := w.arrive(0, 1, 1e9, 9e9)
-	if w.ended[fresh] != 0 || len(fresh.Attempts) == 0 {
-		t.Error("a fresh txn is declined for its hint")
+	if w.finals[fresh] != 0 || len(fresh.Attempts) == 0 {
+		t.Error("a fresh request is shed for its hint")
 	}
 }
 
-// meets counts the executors that txns about one thing are sent to, of all that nodes with seeds of their own send.
-func meets(t *testing.T, key func(i int) uint64, units func(i int) float64) map[*Server]int {
+// countServersMet counts the servers that requests of one affinity key are sent to, of all that nodes with
+// seeds of their own send.
+func countServersMet(t *testing.T, key func(i int) uint64, units func(i int) float64) map[*Server]int {
 	t.Helper()
-	terms := basicTerms()
-	terms.LiveCapacity = units != nil
+	settings := testSettings()
+	settings.LiveCapacity = units != nil
 	met := map[*Server]int{}
 	var fleet []*Endpoint
 	for i := range 20 {
@@ -496,136 +501,137 @@
 		fleet = append(fleet, m)
 	}
 	for node := range 6 {
-		w := newWorld(t, uint64(node), terms)
+		w := newHarness(t, uint64(node), settings)
 		for _, m := range fleet {
-			w.fleet = append(w.fleet, &Endpoint{Server: &Server{Hash: m.Server.Hash}, Capacity: m.Capacity})
+			w.endpoints = append(w.endpoints, &Endpoint{Server: &Server{Hash: m.Server.Hash}, Capacity: m.Capacity})
 		}
-		w.list(true)
+		w.updateEndpoints(true)
 		for i := range 100 {
-			tx := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: key(i)}
-			w.txns = append(w.txns, tx)
-			w.d.Arrive(tx)
+			request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: key(i)}
+			w.requests = append(w.requests, request)
+			w.d.Arrive(request)
 			w.d.ProcessQueue()
-			for j, m := range w.fleet {
+			for j, m := range w.endpoints {
 				if len(w.open) > 0 && m.Server == w.open[0].Server {
 					met[fleet[j].Server]++
 				}
 			}
-			w.settle()
+			w.completeAll()
 		}
 	}
 	return met
 }
 
-// TestEqualKeysMeet: txns about one thing among many meet on few executors, at all nodes alike; where all ask for one
-// thing it is spread, and without keys all executors are met.
-func TestEqualKeysMeet(t *testing.T) {
+// TestAffinityKeysShareServers: requests of one affinity key among many meet on few servers, at all nodes
+// alike; where all ask for one key it is spread, and without keys all servers are met.
+func TestAffinityKeysShareServers(t *testing.T) {
 	most := func(met map[*Server]int) (n int) {
 		for _, count := range met {
 			n = max(n, count)
 		}
 		return n
 	}
-	rare := func(i int) uint64 { return uint64(7 + i%2*(i+100)) } // half are about one thing, the others about many
-	if one := most(meets(t, func(i int) uint64 { return []uint64{7, uint64(1000 + i)}[min(i%10, 1)] }, nil)); one < 46 {
-		t.Errorf("a tenth of all txns are about one thing, yet the executor met most has %d of 600", one)
+	rare := func(i int) uint64 { return uint64(7 + i%2*(i+100)) } // half are of one affinity key, the others about many
+	if one := most(countServersMet(t, func(i int) uint64 { return []uint64{7, uint64(1000 + i)}[min(i%10, 1)] }, nil)); one < 46 {
+		t.Errorf("a tenth of all requests are of one affinity key, yet the server met most has %d of 600", one)
 	}
-	if all := most(meets(t, func(int) uint64 { return 7 }, nil)); all > 150 {
-		t.Errorf("all txns are about one thing, and one executor gets %d of 600", all)
+	if all := most(countServersMet(t, func(int) uint64 { return 7 }, nil)); all > 150 {
+		t.Errorf("all requests are of one affinity key, and one server gets %d of 600", all)
 	}
-	if met := meets(t, func(int) uint64 { return 0 }, nil); len(met) < 20 || most(met) > 90 {
+	if met := countServersMet(t, func(int) uint64 { return 0 }, nil); len(met) < 20 || most(met) > 90 {
 		t.Errorf("without keys %d of 20 are met, one %d times of 600", len(met), most(met))
 	}
-	if met := meets(t, rare, nil); len(met) < 15 {
+	if met := countServersMet(t, rare, nil); len(met) < 15 {
 		t.Errorf("%d of 20 are met", len(met))
 	}
 }
 
-// TestCrowdedHomeGivesWay: where the list tells of load, a thing leaves a home that holds more than most, for one more executor
-// and no third.
-func TestCrowdedHomeGivesWay(t *testing.T) {
-	terms := basicTerms()
-	terms.LiveCapacity = true
-	w := newWorld(t, 7, terms)
-	w.join(12, false)
-	for i, m := range w.fleet {
+// TestCrowdedPreferredServerGivesWay: where the endpoint list tells of load, a key leaves a preferred server
+// that holds more than most, for one more server and no third.
+func TestCrowdedPreferredServerGivesWay(t *testing.T) {
+	settings := testSettings()
+	settings.LiveCapacity = true
+	w := newHarness(t, 7, settings)
+	w.addServers(12, false)
+	for i, m := range w.endpoints {
 		m.Server.Hash, m.Capacity = HashName("e"+strconv.Itoa(i)), 4
 	}
-	w.list(true)
+	w.updateEndpoints(true)
 	met := func() map[*Server]int {
 		n := map[*Server]int{}
-		for i := range 120 { // about forty things
-			tx := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%40)}
-			w.txns = append(w.txns, tx)
-			w.d.Arrive(tx)
+		for i := range 120 { // about forty keys
+			request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%40)}
+			w.requests = append(w.requests, request)
+			w.d.Arrive(request)
 			w.d.ProcessQueue()
 			if i%40 == 1 {
 				n[w.open[0].Server]++
 			}
-			w.settle()
+			w.completeAll()
 		}
 		return n
 	}
-	homes := met()
+	preferred := met()
 	for range 4 {
-		maps.Copy(homes, met())
+		maps.Copy(preferred, met())
 	}
-	for _, m := range w.fleet {
-		if _, is := homes[m.Server]; is {
+	for _, m := range w.endpoints {
+		if _, is := preferred[m.Server]; is {
 			m.Capacity = 1
 		}
 	}
-	w.list(true)
+	w.updateEndpoints(true)
 	now := met()
 	for range 4 {
 		maps.Copy(now, met())
 	}
 	fresh := 0
 	for server := range now {
-		if _, is := homes[server]; !is {
+		if _, is := preferred[server]; !is {
 			fresh++
 		}
 	}
-	if len(homes) != 2 || len(now) > 3 || fresh != 1 {
-		t.Errorf("%d homes, then %d, of these %d new", len(homes), len(now), fresh)
+	if len(preferred) != 2 || len(now) > 3 || fresh != 1 {
+		t.Errorf("%d preferred servers, then %d, of these %d new", len(preferred), len(now), fresh)
 	}
 }
 
-// TestHomesInAllZones: where a fetch is priced above a crossing, nodes of two zones meet on the same home of a thing; where
-// crossing is dearer each zone has its own.
-func TestHomesInAllZones(t *testing.T) {
+// TestPreferredServersAcrossZones: where a fetch is priced above a crossing, nodes of two zones meet on the
+// same preferred server of a key; where crossing is dearer each zone has its own.
+func TestPreferredServersAcrossZones(t *testing.T) {
 	for _, fetch := range []float64{0, 0.05} {
 		met := map[uint64]int{}
 		for node := range 20 {
-			terms := basicTerms()
-			terms.CrossZoneCost, terms.FetchCost, terms.Zone = 0.03, fetch, node%2
-			w := newWorld(t, uint64(node), terms)
-			w.join(8, false)
-			for i, m := range w.fleet {
+			settings := testSettings()
+			settings.CrossZoneCost, settings.FetchCost, settings.Zone = 0.03, fetch, node%2
+			w := newHarness(t, uint64(node), settings)
+			w.addServers(8, false)
+			for i, m := range w.endpoints {
 				m.Server.Hash = HashName("e" + strconv.Itoa(i))
 			}
-			for i := range 200 { // about seven things, the middle one of three
-				tx := &Request{Class: terms.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%7)}
-				w.txns = append(w.txns, tx)
-				w.d.Arrive(tx)
+			for i := range 200 { // about seven keys, the middle one of three
+				request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%7)}
+				w.requests = append(w.requests, request)
+				w.d.Arrive(request)
 				w.d.ProcessQueue()
 				if i%7 == 1 {
 					met[w.open[0].Server.Hash]++
 				}
-				w.settle()
+				w.completeAll()
 			}
 		}
 		if one := len(met) <= 3; one != (fetch > 0) {
-			t.Errorf("a fetch at %v, and a thing has %d homes", fetch, len(met))
+			t.Errorf("a fetch at %v, and a key has %d preferred servers", fetch, len(met))
 		}
 	}
 }
 
-// TestLiveWeightsCount: an executor whose weight on the list has fallen with its load is drawn that much less.
-func TestLiveWeightsCount(t *testing.T) {
+// TestLiveCapacityCounts: a server whose weight on the endpoint list has fallen with its load is drawn that
+// much less.
+func TestLiveCapacityCounts(t *testing.T) {
 	units := func(i int) float64 { return []float64{0.5, 4}[i%2] }
 	low, high := 0, 0
-	for server, n := range meets(t, func(int) uint64 { return 0 }, units) {
+	for server, n := range countServersMet(t, func(int) uint64 { return 0 }, units) {
 		for i := range 20 {
 			if server.Hash == HashName("e"+strconv.Itoa(i)) && i%2 == 0 {
 				low += n
@@ -635,89 +641,91 @@
 		}
 	}
 	if high < 3*low {
-		t.Errorf("%d txns to the loaded, %d to the others", low, high)
+		t.Errorf("%d requests to the loaded, %d to the others", low, high)
 	}
 }
 
-// TestRoomIsAskedFor: a txn goes to the executor that tells of room for it, slots and memory, and not to those that tell
-// of none; where nobody answers it goes out all the same, before it is hopeless.
-func TestRoomIsAskedFor(t *testing.T) {
-	terms := basicTerms()
-	terms.CapacityProbes = true
-	w := newWorld(t, 9, terms)
-	w.join(8, false)
-	tx := w.arrive(0, 2, 1e8, 9e9)
-	if len(tx.Attempts) > 0 || len(w.probes) != probesPerRound {
-		t.Fatalf("%d postings, %d probes", len(tx.Attempts), len(w.probes))
+// TestCapacityProbes: a request goes to the server that tells of room for it, slots and memory, and not to
+// those that tell of none; where nobody answers it goes out all the same, before it is hopeless.
+func TestCapacityProbes(t *testing.T) {
+	settings := testSettings()
+	settings.CapacityProbes = true
+	w := newHarness(t, 9, settings)
+	w.addServers(8, false)
+	request := w.arrive(0, 2, 1e8, 9e9)
+	if len(request.Attempts) > 0 || len(w.probes) != probesPerRound {
+		t.Fatalf("%d attempts, %d probes", len(request.Attempts), len(w.probes))
 	}
-	tx.Memory = 2
+	request.Memory = 2
 	w.d.CapacityReported(w.probes[0], true, 1, 4)
 	w.d.CapacityReported(w.probes[1], true, 4, 1)
 	w.d.CapacityReported(w.probes[2], false, 0, 0)
 	w.d.ProcessQueue()
-	if len(tx.Attempts) > 0 {
-		t.Fatal("posted to an executor without room")
+	if len(request.Attempts) > 0 {
+		t.Fatal("sent to a server without room")
 	}
 	w.d.CapacityReported(w.probes[3], true, 2, 2)
 	w.d.ProcessQueue()
-	if len(tx.Attempts) != 1 || tx.Attempts[0].Server != w.probes[3] {
-		t.Fatal("not posted where there is room")
-	}
-	w.settle()
-	silent := newWorld(t, 9, terms)
-	silent.join(8, false)
-	tx = silent.arrive(0, 1, 3e9, 9e9)
-	if silent.pass(2e9); len(tx.Attempts) == 0 {
-		t.Error("no probe is answered, and the txn never goes out")
-	}
-}
-
-// TestLateAnswersToProbes: an answer that comes when the executor is gone or the txn over leads to nothing.
-func TestLateAnswersToProbes(t *testing.T) {
-	terms := basicTerms()
-	terms.CapacityProbes = true
-	w := newWorld(t, 9, terms)
-	w.join(4, false)
-	tx := w.arrive(0, 1, 1e8, 9e9)
-	for _, m := range w.fleet[:2] {
+	if len(request.Attempts) != 1 || request.Attempts[0].Server != w.probes[3] {
+		t.Fatal("not sent where there is room")
+	}
+	w.completeAll()
+	silent := newHarness(t, 9, settings)
+	silent.addServers(8, false)
+	request = silent.arrive(0, 1, 3e9, 9e9)
+	if silent.advance(2e9); len(request.Attempts) == 0 {
+		t.Error("no probe is answered, and the request never goes out")
+	}
+}
+
+// TestLateCapacityReports: an answer that comes when the server is gone or the request over leads to nothing.
+func TestLateCapacityReports(t *testing.T) {
+	settings := testSettings()
+	settings.CapacityProbes = true
+	w := newHarness(t, 9, settings)
+	w.addServers(4, false)
+	request := w.arrive(0, 1, 1e8, 9e9)
+	for _, m := range w.endpoints[:2] {
 		m.State = Draining
 	}
-	w.fleet[2].State = Removed
-	w.list(true)
-	for _, m := range w.fleet[:3] {
+	w.endpoints[2].State = Removed
+	w.updateEndpoints(true)
+	for _, m := range w.endpoints[:3] {
 		w.d.CapacityReported(m.Server, true, 9, 9)
 	}
-	w.ended[tx] = 1
-	w.d.Finish(tx)
-	w.d.CapacityReported(w.fleet[3].Server, true, 9, 9)
-	if w.d.ProcessQueue(); len(tx.Attempts) > 0 {
-		t.Error("posted")
+	w.finals[request] = 1
+	w.d.Finish(request)
+	w.d.CapacityReported(w.endpoints[3].Server, true, 9, 9)
+	if w.d.ProcessQueue(); len(request.Attempts) > 0 {
+		t.Error("sent")
 	}
 }
 
-// TestRoomToldToAllIsNotTakenByAll: where starts are late though room was told of, it is taken by chance only.
-func TestRoomToldToAllIsNotTakenByAll(t *testing.T) {
-	terms := basicTerms()
-	terms.CapacityProbes = true
+// TestReportedCapacityIsTakenByChance: where starts are late though room was told of, it is taken by chance
+// only.
+func TestReportedCapacityIsTakenByChance(t *testing.T) {
+	settings := testSettings()
+	settings.CapacityProbes = true
 	taken := 0
 	for seed := range uint64(100) {
-		w := newWorld(t, seed, terms)
-		w.join(4, false)
+		w := newHarness(t, seed, settings)
+		w.addServers(4, false)
 		w.d.promptStarts[ownZone].total, w.d.promptStarts[ownZone].decayedAt = 9, w.now
-		tx := w.arrive(0, 1, 1e8, 9e9)
-		if w.d.CapacityReported(w.probes[0], true, 9, 9); len(tx.Attempts) > 0 {
+		request := w.arrive(0, 1, 1e8, 9e9)
+		if w.d.CapacityReported(w.probes[0], true, 9, 9); len(request.Attempts) > 0 {
 			taken++
 		}
-		w.settle()
+		w.completeAll()
 	}
 	if taken > 30 || taken == 0 {
 		t.Errorf("taken by %d of 100 where one start in ten is prompt", taken)
 	}
 }
 
-// TestTakenBack: where copies are not allowed, a posting that does not start is taken back once the list tells of load,
-// or its executor stands still, and only then goes elsewhere; where neither holds it stays, and a once-only txn always.
-func TestTakenBack(t *testing.T) {
+// TestLateAttemptIsCanceled: where hedges are not allowed, an attempt that does not start is canceled once the
+// endpoint list tells of load, or its server stands still, and only then goes elsewhere; where neither holds it
+// stays, and a non-idempotent request always.
+func TestLateAttemptIsCanceled(t *testing.T) {
 	for name, c := range map[string]struct {
 		scheme      int
 		live, still bool
@@ -726,66 +734,68 @@
 		"list tells load": {0, true, false, 2}, "stands still": {0, false, true, 2}, "waits": {0, false, false, 1},
 		"once-only": {2, true, true, 1}, "referenced": {3, true, false, 2},
 	} {
-		terms := basicTerms()
-		terms.AllowHedging, terms.LiveCapacity = false, c.live
-		w := newWorld(t, 5, terms)
-		w.join(8, false)
-		tx := w.arrive(c.scheme, 1, 1e8, 4e9)
+		settings := testSettings()
+		settings.AllowHedging, settings.LiveCapacity = false, c.live
+		w := newHarness(t, 5, settings)
+		w.addServers(8, false)
+		request := w.arrive(c.scheme, 1, 1e8, 4e9)
 		attempt := w.open[0]
 		if c.still {
 			w.d.AttemptStarted(attempt)
-			w.pass(35e8)
+			w.advance(35e8)
 		} else {
-			w.pass(3e8)
+			w.advance(3e8)
 		}
-		if len(tx.Attempts) > 1 {
-			t.Fatalf("%s: two postings out", name)
+		if len(request.Attempts) > 1 {
+			t.Fatalf("%s: two attempts out", name)
 		}
-		if w.withdraw > 0 {
-			w.end(attempt, Canceled)
+		if w.canceled > 0 {
+			w.endAttempt(attempt, Canceled)
 		}
-		if len(tx.Attempts) != c.want || c.want > 1 && tx.Attempts[1].Server == attempt.Server {
-			t.Errorf("%s: %d postings, want %d", name, len(tx.Attempts), c.want)
+		if len(request.Attempts) != c.want || c.want > 1 && request.Attempts[1].Server == attempt.Server {
+			t.Errorf("%s: %d attempts, want %d", name, len(request.Attempts), c.want)
 		}
 	}
 }
 
-// TestLeavesRoomForTheBound: where one kind of machine runs a scheme alone, schemes that run anywhere leave it room.
-func TestLeavesRoomForTheBound(t *testing.T) {
+// TestRequiredMachineTypeIsSpared: where one machine type runs a class alone, classes that run anywhere leave
+// it room.
+func TestRequiredMachineTypeIsSpared(t *testing.T) {
 	needed := func(schemes []*Class) (n int) {
-		terms := basicTerms()
-		terms.Classes = schemes
-		w := newWorld(t, 8, terms)
-		w.join(12, false)
+		settings := testSettings()
+		settings.Classes = schemes
+		w := newHarness(t, 8, settings)
+		w.addServers(12, false)
 		for range 600 {
 			w.arrive(0, 1, 1e8, 9e9)
 			if w.open[0].Server.machineType == 1 {
 				n++
 			}
-			w.settle()
+			w.completeAll()
 		}
 		return n
 	}
-	all := basicTerms().Classes
+	all := testSettings().Classes
 	bound, free := needed(all), needed(all[:3])
 	if bound > free*3/4 {
-		t.Errorf("%d of 600 go to the kind that another scheme needs, %d where none does", bound, free)
+		t.Errorf("%d of 600 go to the kind that another class needs, %d where none does", bound, free)
 	}
 }
 
-// TestCheapCrossing: zones count alike where crossing costs less than a late answer; home goes first where it is dear.
-func TestCheapCrossing(t *testing.T) {
+// TestZoneCrossingCost: zones count alike where crossing costs less than a late answer; the own zone goes first
+// where it is expensive.
+func TestZoneCrossingCost(t *testing.T) {
 	away := func(price float64) (n int) {
-		terms := basicTerms()
-		terms.CrossZoneCost = price
-		w := newWorld(t, 8, terms)
-		w.join(8, false)
+		settings := testSettings()
+		settings.CrossZoneCost = price
+		w := newHarness(t, 8, settings)
+		w.addServers(8, false)
 		for range 200 {
 			w.arrive(0, 1, 1e8, 9e9)
 			if w.open[0].Server.zone != 0 {
 				n++
 			}
-			w.settle()
+			w.completeAll()
 		}
 		return n
 	}
@@ -794,155 +804,157 @@
 	}
 }
 
-// TestTakenRoomIsTold: reports are late, and what this node or another took since is not in them. A txn that found no
-// room at first tells the others what it took; words long past change nothing.
-func TestTakenRoomIsTold(t *testing.T) {
-	terms := basicTerms()
-	terms.CapacityProbes, terms.PeerMessages = true, true
-	start := func() (*world, *Server) {
-		w := newWorld(t, 9, terms)
-		w.join(1, false)
-		w.fleet[0].Server.Hash = HashName("e")
-		return w, w.fleet[0].Server
+// TestReservationsAreNotified: reports are late, and what this node or another took since is not in them. A
+// request that found no room at first tells the others what it took; words long past change nothing.
+func TestReservationsAreNotified(t *testing.T) {
+	settings := testSettings()
+	settings.CapacityProbes, settings.PeerMessages = true, true
+	start := func() (*harness, *Server) {
+		w := newHarness(t, 9, settings)
+		w.addServers(1, false)
+		w.endpoints[0].Server.Hash = HashName("e")
+		return w, w.endpoints[0].Server
 	}
 	w, server := start()
 	first := w.arrive(0, 1, 1e8, 9e9)
 	w.d.CapacityReported(server, true, 1, 9)
-	if len(first.Attempts) != 1 || len(w.told) > 0 {
-		t.Fatalf("%d postings, %d told of a txn that found room at once", len(first.Attempts), len(w.told))
+	if len(first.Attempts) != 1 || len(w.notified) > 0 {
+		t.Fatalf("%d attempts, %d told of a request that found room at once", len(first.Attempts), len(w.notified))
 	}
-	w.settle()
+	w.completeAll()
 	second := w.arrive(0, 1, 1e9, 9e9)
 	w.d.CapacityReported(server, true, 1, 9)
 	if len(second.Attempts) > 0 {
 		t.Fatal("the slot that this node has just taken is taken again")
 	}
-	w.pass(6 * maxReportLifetime)
+	w.advance(6 * maxReportLifetime)
 	w.d.CapacityReported(server, true, 1, 9)
-	if len(second.Attempts) != 1 || len(w.told) != 1 {
-		t.Fatalf("%d postings, %d told", len(second.Attempts), len(w.told))
+	if len(second.Attempts) != 1 || len(w.notified) != 1 {
+		t.Fatalf("%d attempts, %d told", len(second.Attempts), len(w.notified))
 	}
 	other, server := start()
-	other.d.SlotsReserved(server, w.told[0])
+	other.d.SlotsReserved(server, w.notified[0])
 	held := other.arrive(0, 1, 1e9, 9e9)
 	if other.d.CapacityReported(server, true, 1, 9); len(held.Attempts) > 0 {
 		t.Error("a slot that another node told it has taken is taken again")
 	}
-	other.pass(6 * maxReportLifetime)
+	other.advance(6 * maxReportLifetime)
 	if other.d.CapacityReported(server, true, 1, 9); len(held.Attempts) != 1 {
 		t.Error("what was told once counts for ever")
 	}
 }
 
-// TestANodeThatStoodStill finds its alarms and the notes of its executors all at once, and blames nobody for it.
-func TestANodeThatStoodStill(t *testing.T) {
-	w := newWorld(t, 4, basicTerms())
-	w.join(1, false)
-	server := w.fleet[0].Server
+// TestHeldUpNodeBlamesNoServer finds its timers and the notes of its servers all at once, and blames nobody for
+// it.
+func TestHeldUpNodeBlamesNoServer(t *testing.T) {
+	w := newHarness(t, 4, testSettings())
+	w.addServers(1, false)
+	server := w.endpoints[0].Server
 	w.arrive(0, 1, 3e9, 9e9)
 	running := w.open[0]
 	w.d.AttemptStarted(running)
-	w.pass(2e8)
+	w.advance(2e8)
 	w.d.AttemptProgressed(running)
 	w.arrive(0, 1, 3e9, 9e9)
 	waiting := w.open[1]
 	limit := server.limit
 	w.now += 2e9 // the node has no turn
 	w.d.Advance(w.now)
-	due := w.alarms
-	w.alarms = nil
+	due := w.timers
+	w.timers = nil
 	for _, a := range due {
 		if a.at <= w.now {
-			a.then()
+			a.call()
 		} else {
-			w.alarms = append(w.alarms, a)
+			w.timers = append(w.timers, a)
 		}
 	}
 	w.d.AttemptProgressed(running)
 	w.d.AttemptStarted(waiting)
 	w.d.ProcessQueue()
-	w.pass(1e8)
+	w.advance(1e8)
 	if server.reliability.at(w.now) < 1 || server.limit < limit || len(w.open) != 2 {
 		t.Errorf("H %v, limit %v of %v, %d out", server.reliability.at(w.now), server.limit, limit, len(w.open))
 	}
 }
 
-// TestColdExecutorsAreHomes: a few nodes at a time may send to a cold executor; whoever may does, whatever the txn is
-// about, or by key none of them ever would and what was swapped stands empty.
-func TestColdExecutorsAreHomes(t *testing.T) {
+// TestSlowStartServersArePreferred: a few nodes at a time may send to a server in slow start; whoever may does,
+// whatever the request is about, or by key none of them ever would and what was swapped stands empty.
+func TestSlowStartServersArePreferred(t *testing.T) {
 	met := 0
 	for key := range uint64(20) {
-		w := newWorld(t, key, basicTerms())
-		w.join(20, false)
-		for i, m := range w.fleet {
+		w := newHarness(t, key, testSettings())
+		w.addServers(20, false)
+		for i, m := range w.endpoints {
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
-		w.pass(3e9)
-		w.d.keys.requests = 200 // others are about other things
-		cold := w.fleet[7]
-		cold.StartedAt = w.now - w.terms.SlowStart/2
-		w.list(true)
+		w.advance(3e9)
+		w.d.keys.requests = 200 // others are of other keys
+		cold := w.endpoints[7]
+		cold.StartedAt = w.now - w.settings.SlowStart/2
+		w.updateEndpoints(true)
 		for range 20 {
-			tx := &Request{Class: w.terms.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 9e9, AffinityKey: key + 1}
-			w.txns = append(w.txns, tx)
-			w.d.Arrive(tx)
+			request := &Request{Class: w.settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 9e9, AffinityKey: key + 1}
+			w.requests = append(w.requests, request)
+			w.d.Arrive(request)
 			w.d.ProcessQueue()
-			w.settle()
-			w.pass(1e8)
-			if tx.Attempts[0].Server == cold.Server {
+			w.completeAll()
+			w.advance(1e8)
+			if request.Attempts[0].Server == cold.Server {
 				met++
 				break
 			}
 		}
 	}
 	if met < 15 {
-		t.Errorf("%d of 20 things meet the cold executor", met)
+		t.Errorf("%d of 20 keys meet the server in slow start", met)
 	}
 }
 
-// TestLooksAreSpaced: in a jam each waiting txn would look at the whole fleet with every event, and a node would spend all of
-// its time on that; a large fleet stopped so. What finds no room looks again later and later, and finds it when there is some.
-func TestLooksAreSpaced(t *testing.T) {
-	w := newWorld(t, 6, basicTerms())
-	w.join(2, false)
-	for _, m := range w.fleet {
+// TestFruitlessDrawsBackOff: under congestion each waiting request would look at the whole pool with every
+// event, and a node would spend all of its time on that; a large pool stopped so. What finds no room looks
+// again later and later, and finds it when there is some.
+func TestFruitlessDrawsBackOff(t *testing.T) {
+	w := newHarness(t, 6, testSettings())
+	w.addServers(2, false)
+	for _, m := range w.endpoints {
 		m.Server.limit, m.Server.slotsInFlight = 1, 1
 	}
-	tx := w.arrive(0, 1, 2e9, 2e10)
+	request := w.arrive(0, 1, 2e9, 2e10)
 	for range 100 {
-		w.pass(w.terms.Tick)
+		w.advance(w.settings.Tick)
 		w.d.ProcessQueue()
 	}
-	if tx.fruitlessDraws == 0 || tx.fruitlessDraws > 20 {
-		t.Errorf("looked for room %d times in 100 rounds", tx.fruitlessDraws)
+	if request.fruitlessDraws == 0 || request.fruitlessDraws > 20 {
+		t.Errorf("looked for room %d times in 100 rounds", request.fruitlessDraws)
 	}
-	for _, m := range w.fleet {
+	for _, m := range w.endpoints {
 		m.Server.slotsInFlight = 0
 	}
-	if w.pass(32 * w.terms.Tick); len(tx.Attempts) != 1 {
+	if w.advance(32 * w.settings.Tick); len(request.Attempts) != 1 {
 		t.Error("room is not found")
 	}
 }
 
-// TestOneHomeInAJam: while starts are prompt a thing has a second home for when the first is full; in a jam the second would
-// fetch as well, and so feed it.
-func TestOneHomeInAJam(t *testing.T) {
+// TestOnePreferredServerUnderCongestion: while starts are prompt a key has a second preferred server for when
+// the first is full; under congestion the second would fetch as well, and so feed it.
+func TestOnePreferredServerUnderCongestion(t *testing.T) {
 	for prompt, want := range map[float64]int{9: 2, 0: 1} {
-		w := newWorld(t, 2, basicTerms())
-		w.join(20, false)
-		for i, m := range w.fleet {
+		w := newHarness(t, 2, testSettings())
+		w.addServers(20, false)
+		for i, m := range w.endpoints {
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
 		w.d.keys.requests = 100
-		tx := &Request{Class: w.terms.Classes[0], AffinityKey: 7, keyState: &keyState{requests: 1}}
+		request := &Request{Class: w.settings.Classes[0], AffinityKey: 7, keyState: &keyState{requests: 1}}
 		w.d.promptStarts[ownZone] = decayingRatio{9, prompt, w.now}
-		if homes := w.d.preferredServers(&candidateSearch{request: tx, anyZone: true}); len(homes) != want {
-			t.Errorf("%v of 9 starts prompt: %d homes, want %d", prompt, len(homes), want)
+		if preferred := w.d.preferredServers(&candidateSearch{request: request, anyZone: true}); len(preferred) != want {
+			t.Errorf("%v of 9 starts prompt: %d preferred servers, want %d", prompt, len(preferred), want)
 		}
-		// Danger: a txn that waits while the counts are halved away; it has a home all the same.
-		tx.keyState.requests, w.d.keys.requests = 0, 5
-		if homes := w.d.preferredServers(&candidateSearch{request: tx, anyZone: true}); len(homes) != want {
-			t.Errorf("no count left: %d homes", len(homes))
+		// The counts may be halved away while a request waits; it has a preferred server all the same.
+		request.keyState.requests, w.d.keys.requests = 0, 5
+		if preferred := w.d.preferredServers(&candidateSearch{request: request, anyZone: true}); len(preferred) != want {
+			t.Errorf("no count left: %d preferred servers", len(preferred))
 		}
 	}
 }
--- a/dispatch/figures_test.go
+++ b/dispatch/figures_test.go
@@ -4,10 +4,10 @@
 
 import "testing"
 
-// TestFigures: what drains and the sick are left out, but the sick count again once none else remains.
-func TestFigures(t *testing.T) {
-	w := newWorld(t, 1, basicTerms())
-	w.join(6, false)
+// TestServerCounts: what drains and the outliers are left out, but outliers count again once none else remains.
+func TestServerCounts(t *testing.T) {
+	w := newHarness(t, 1, testSettings())
+	w.addServers(6, false)
 	check := func(want int) {
 		t.Helper()
 		if known, excluded := w.d.ServerCounts(); known != 6 || excluded != want {
@@ -15,38 +15,38 @@
 		}
 	}
 	check(0)
-	w.fleet[0].State = Draining
-	w.list(true)
+	w.endpoints[0].State = Draining
+	w.updateEndpoints(true)
 	check(1)
 	for i, want := range []int{2, 3, 4, 5, 1} {
-		server := w.fleet[1+i].Server
+		server := w.endpoints[1+i].Server
 		server.reliability = reliability{minReliability / 2, w.now}
 		check(want)
 	}
-	w.pass(10 * decayTime)
+	w.advance(10 * decayTime)
 	check(1)
 }
 
-// TestBudgetOfOneProcess: without this node's part of the budget nothing goes to the cold, and one that takes it over
-// uses it from the next turn on; in the present one another process may have sent all of it.
-func TestBudgetOfOneProcess(t *testing.T) {
-	terms := basicTerms()
-	terms.Nodes, terms.SlowStart = 1, 100e9
-	w := newWorld(t, 1, terms)
-	w.join(1, false)
-	w.fleet[0].StartedAt = w.now
-	w.list(true)
-	sent := func() int { return len(w.coldWork[w.fleet[0].Server]) }
-	turn := terms.OverloadWindow / turnsPerWindow
-	w.pass(8 * turn)
+// TestSlowStartOwner: without this node's part of the budget nothing goes to the cold, and one that takes it
+// over uses it from the next turn on; in the present one another process may have sent all of it.
+func TestSlowStartOwner(t *testing.T) {
+	settings := testSettings()
+	settings.Nodes, settings.SlowStart = 1, 100e9
+	w := newHarness(t, 1, settings)
+	w.addServers(1, false)
+	w.endpoints[0].StartedAt = w.now
+	w.updateEndpoints(true)
+	sent := func() int { return len(w.slowStartWork[w.endpoints[0].Server]) }
+	turn := settings.OverloadWindow / turnsPerWindow
+	w.advance(8 * turn)
 	w.d.SetSlowStartOwner(false)
 	within := func(span int64) (count int) {
 		before := sent()
-		for end := w.now + span; w.now < end; w.pass(2e7) {
+		for end := w.now + span; w.now < end; w.advance(2e7) {
 			w.arrive(0, 1, 2e7, 4e8)
-			w.settle()
+			w.completeAll()
 			for len(w.open) > 0 {
-				w.end(w.open[0], Succeeded)
+				w.endAttempt(w.open[0], Succeeded)
 			}
 		}
 		return sent() - before
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -11,186 +11,186 @@
 	"fernrail/internal/invariants"
 )
 
-// herd is many nodes that share nothing but the clock and the executors.
-type herd struct {
+// cluster is many nodes that share nothing but the clock and the servers.
+type cluster struct {
 	*rand.Rand
-	terms   *Settings
-	now     int64
-	nodes   []*herdNode
-	since   []int64 // of each executor
-	off     []int64 // by which it is stamped
-	sent    [][]timedAmount
-	slots   float64
-	hasty   bool // every posting is turned away at once, so that all that the nodes hold goes out again
-	settle  int64
-	speed   []float64           // of each executor; nil: jobs run for settle everywhere
-	work    func() int64        // of a txn that tells nothing of it
-	works   map[*Request]int64  // of these
-	patient int64               // how long clients wait; 0: a second
-	judge   *invariants.Checker // hears of all that happens, and shares nothing with the module
-	fault   error               // what the judge could not make sense of
-	taken   int
+	settings       *Settings
+	now            int64
+	nodes          []*clusterNode
+	startedAt      []int64 // of each server
+	startTimeError []int64 // by which it is stamped
+	sent           [][]timedAmount
+	slots          float64
+	rejecting      bool // every attempt is rejected at once, so that all that the nodes hold goes out again
+	runtime        int64
+	speed          []float64           // of each server; nil: jobs run for settle everywhere
+	work           func() int64        // of a request that tells nothing of it
+	workOf         map[*Request]int64  // of these
+	clientTimeout  int64               // how long clients wait; 0: a second
+	checker        *invariants.Checker // hears of all that happens, and shares nothing with the module
+	checkerError   error               // what the checker could not make sense of
+	accepted       int
 }
 
-func (h *herd) tell(e invariants.Event) {
-	if e.At = h.now; h.fault == nil {
-		h.fault = h.judge.Add(e)
+func (h *cluster) record(e invariants.Event) {
+	if e.At = h.now; h.checkerError == nil {
+		h.checkerError = h.checker.Add(e)
 	}
 }
 
-// verdict fails the test for what the judge has seen.
-func (h *herd) verdict(t *testing.T) {
+// checkInvariants fails the test for what the checker has seen.
+func (h *cluster) checkInvariants(t *testing.T) {
 	t.Helper()
-	if breaches := h.judge.End(h.now); h.fault != nil || len(breaches) > 0 {
-		t.Fatalf("%v, of %d breaches: %+v", h.fault, len(breaches), breaches[:min(len(breaches), 3)])
+	if breaches := h.checker.End(h.now); h.checkerError != nil || len(breaches) > 0 {
+		t.Fatalf("%v, of %d violations: %+v", h.checkerError, len(breaches), breaches[:min(len(breaches), 3)])
 	}
 }
 
-// herdNode is the Door of one of them.
-type herdNode struct {
-	*herd
-	d      *Dispatcher
-	fleet  []*Server
-	alarms []*alarm
-	open   []*Attempt
-	at     map[*Attempt]int64
+// clusterNode is the Actions of one of them.
+type clusterNode struct {
+	*cluster
+	d       *Dispatcher
+	servers []*Server
+	timers  []*timer
+	open    []*Attempt
+	sentAt  map[*Attempt]int64
 }
 
-func (n *herdNode) StartAttempt(attempt *Attempt) {
-	i := slices.Index(n.fleet, attempt.Server)
+func (n *clusterNode) StartAttempt(attempt *Attempt) {
+	i := slices.Index(n.servers, attempt.Server)
 	work := attempt.Request.size
 	if n.work != nil {
-		work = float64(n.works[attempt.Request])
+		work = float64(n.workOf[attempt.Request])
 	}
 	n.sent[i] = append(n.sent[i], timedAmount{n.now, work})
-	n.open, n.at[attempt] = append(n.open, attempt), n.now
-	n.tell(invariants.Event{Kind: invariants.AttemptSent, Request: attempt.Request.Tag, Attempt: attempt.Number, Server: strconv.Itoa(i), Work: work / 1e9})
+	n.open, n.sentAt[attempt] = append(n.open, attempt), n.now
+	n.record(invariants.Event{Kind: invariants.AttemptSent, Request: attempt.Request.Tag, Attempt: attempt.Number, Server: strconv.Itoa(i), Work: work / 1e9})
 }
 
-// runs is how long a posting runs, without a queue.
-func (n *herdNode) runs(attempt *Attempt) int64 {
+// runtimeOf is how long an attempt runs, without a queue.
+func (n *clusterNode) runtimeOf(attempt *Attempt) int64 {
 	if n.work == nil {
-		return n.settle
+		return n.runtime
 	}
-	i := slices.Index(n.fleet, attempt.Server)
-	return int64(float64(n.works[attempt.Request]) / n.speed[i] / n.able(i, n.at[attempt]))
+	i := slices.Index(n.servers, attempt.Server)
+	return int64(float64(n.workOf[attempt.Request]) / n.speed[i] / n.warmUpShare(i, n.sentAt[attempt]))
 }
 
-// able is the part of its capacity that an executor has at least.
-func (h *herd) able(i int, at int64) float64 {
-	if age := at - h.since[i]; h.since[i] > 0 && age < h.terms.SlowStart {
-		return h.terms.SlowStartShare + (1-h.terms.SlowStartShare)*float64(max(age, 0))/float64(h.terms.SlowStart)
+// warmUpShare is the part of its capacity that a server has at least.
+func (h *cluster) warmUpShare(i int, at int64) float64 {
+	if age := at - h.startedAt[i]; h.startedAt[i] > 0 && age < h.settings.SlowStart {
+		return h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*float64(max(age, 0))/float64(h.settings.SlowStart)
 	}
 	return 1
 }
-func (n *herdNode) CancelAttempt(*Attempt) {}
-func (n *herdNode) Shed(request *Request, _ int64) {
-	n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: request.Tag, Result: "declined"})
+func (n *clusterNode) CancelAttempt(*Attempt) {}
+func (n *clusterNode) Shed(request *Request, _ int64) {
+	n.record(invariants.Event{Kind: invariants.RequestAnswered, Request: request.Tag, Result: "declined"})
 }
-func (n *herdNode) Compensate(request *Request) {
-	n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: request.Tag, Result: "reversed"})
+func (n *clusterNode) Compensate(request *Request) {
+	n.record(invariants.Event{Kind: invariants.RequestAnswered, Request: request.Tag, Result: "reversed"})
 }
-func (n *herdNode) PollEndpoints(bool)           {}
-func (n *herdNode) NotifyPeers(*Server, float64) {}
-func (n *herdNode) ProbeCapacity(*Server)        {}
-func (n *herdNode) Schedule(after int64, then func()) (forget func()) {
-	a := &alarm{n.now + max(after, 1), then}
-	n.alarms = append(n.alarms, a)
-	return func() { n.alarms = slices.DeleteFunc(n.alarms, func(b *alarm) bool { return a == b }) }
+func (n *clusterNode) PollEndpoints(bool)           {}
+func (n *clusterNode) NotifyPeers(*Server, float64) {}
+func (n *clusterNode) ProbeCapacity(*Server)        {}
+func (n *clusterNode) Schedule(after int64, then func()) (forget func()) {
+	a := &timer{n.now + max(after, 1), then}
+	n.timers = append(n.timers, a)
+	return func() { n.timers = slices.DeleteFunc(n.timers, func(b *timer) bool { return a == b }) }
 }
 
-func newHerd(seed uint64, nodes, executors int) *herd {
-	h := &herd{Rand: rand.New(rand.NewPCG(seed, 2)), now: 1e12, slots: testSlots, settle: 1e8}
-	h.terms = basicTerms()
-	h.terms.Nodes, h.terms.Classes, h.terms.Tick = nodes, h.terms.Classes[:1], 2e7
-	h.since, h.off, h.sent = make([]int64, executors), make([]int64, executors), make([][]timedAmount, executors)
+func newCluster(seed uint64, nodes, servers int) *cluster {
+	h := &cluster{Rand: rand.New(rand.NewPCG(seed, 2)), now: 1e12, slots: testSlots, runtime: 1e8}
+	h.settings = testSettings()
+	h.settings.Nodes, h.settings.Classes, h.settings.Tick = nodes, h.settings.Classes[:1], 2e7
+	h.startedAt, h.startTimeError, h.sent = make([]int64, servers), make([]int64, servers), make([][]timedAmount, servers)
 	places := map[string]invariants.ServerPlace{}
-	for i := range executors {
+	for i := range servers {
 		places[strconv.Itoa(i)] = invariants.ServerPlace{Slots: h.slots}
 	}
-	h.judge = invariants.New(invariants.Rules{OverloadWindow: h.terms.OverloadWindow, OverloadFactor: h.terms.OverloadFactor, SlowStart: h.terms.SlowStart,
-		SlowStartShare: h.terms.SlowStartShare, AllowHedging: h.terms.AllowHedging, Servers: places,
+	h.checker = invariants.New(invariants.Rules{OverloadWindow: h.settings.OverloadWindow, OverloadFactor: h.settings.OverloadFactor, SlowStart: h.settings.SlowStart,
+		SlowStartShare: h.settings.SlowStartShare, AllowHedging: h.settings.AllowHedging, Servers: places,
 		Classes: map[string]invariants.Class{"s": {Idempotency: "repeatable"}}})
 	for i := range nodes {
-		terms := *h.terms
-		terms.NodeIndex = i
-		h.start(&terms)
+		settings := *h.settings
+		settings.NodeIndex = i
+		h.startNode(&settings)
 	}
 	return h
 }
 
-func (h *herd) start(terms *Settings) {
-	n := &herdNode{herd: h, at: map[*Attempt]int64{}}
-	n.d = New(terms, h.Uint64(), n, h.now)
-	for range h.since {
-		n.fleet = append(n.fleet, &Server{})
+func (h *cluster) startNode(settings *Settings) {
+	n := &clusterNode{cluster: h, sentAt: map[*Attempt]int64{}}
+	n.d = New(settings, h.Uint64(), n, h.now)
+	for range h.startedAt {
+		n.servers = append(n.servers, &Server{})
 	}
-	if len(h.nodes) <= terms.NodeIndex {
+	if len(h.nodes) <= settings.NodeIndex {
 		h.nodes = append(h.nodes, n)
 	} else {
-		h.tell(invariants.Event{Kind: invariants.NodeKilled, Node: strconv.Itoa(terms.NodeIndex)})
-		h.nodes[terms.NodeIndex] = n // started again: it knows nothing of what it sent before
+		h.record(invariants.Event{Kind: invariants.NodeKilled, Node: strconv.Itoa(settings.NodeIndex)})
+		h.nodes[settings.NodeIndex] = n // started again: it knows nothing of what it sent before
 	}
-	n.list()
+	n.updateEndpoints()
 }
 
-func (n *herdNode) list() {
+func (n *clusterNode) updateEndpoints() {
 	var members []Endpoint
-	for i, server := range n.fleet {
-		members = append(members, Endpoint{Server: server, StartedAt: n.since[i] + n.off[i]})
+	for i, server := range n.servers {
+		members = append(members, Endpoint{Server: server, StartedAt: n.startedAt[i] + n.startTimeError[i]})
 	}
 	n.d.UpdateEndpoints(true, members)
 }
 
-// renew starts all executors again; starts tell how many have been seen at work in one.
-func (h *herd) renew(apart int64, unlike int) {
-	for i := range h.since {
-		h.since[i] = h.now - h.Int64N(apart+1)
-		h.off[i] = h.Int64N(2*h.terms.StartTimeError+1) - h.terms.StartTimeError
+// restartServers starts all servers again; starts tell how many have been seen at work in one.
+func (h *cluster) restartServers(apart int64, unlike int) {
+	for i := range h.startedAt {
+		h.startedAt[i] = h.now - h.Int64N(apart+1)
+		h.startTimeError[i] = h.Int64N(2*h.settings.StartTimeError+1) - h.settings.StartTimeError
 	}
-	for _, i := range h.Perm(len(h.since)) {
-		h.tell(invariants.Event{Kind: invariants.ServerStarted, Server: strconv.Itoa(i), Since: h.since[i]})
+	for _, i := range h.Perm(len(h.startedAt)) {
+		h.record(invariants.Event{Kind: invariants.ServerStarted, Server: strconv.Itoa(i), Since: h.startedAt[i]})
 	}
 	for _, n := range h.nodes {
-		n.list()
+		n.updateEndpoints()
 		n.d.machineTypes[0].maxSlots = h.slots - float64(h.IntN(unlike)) // nodes have seen more or less of it
 	}
 }
 
-// pass lets time go by; every node has work waiting that is as large as given, give or take half.
-func (h *herd) pass(span, size int64, share float64) {
+// advance lets time go by; every node has work waiting that is as large as given, give or take half.
+func (h *cluster) advance(span, size int64, share float64) {
 	for end := h.now + span; h.now < end; {
-		h.now += h.terms.Tick
+		h.now += h.settings.Tick
 		for _, n := range h.nodes {
 			n.d.Advance(h.now)
-			due := slices.Clone(n.alarms)
-			n.alarms = slices.DeleteFunc(n.alarms, func(a *alarm) bool { return a.at <= h.now })
+			due := slices.Clone(n.timers)
+			n.timers = slices.DeleteFunc(n.timers, func(a *timer) bool { return a.at <= h.now })
 			for _, a := range due {
 				if a.at <= h.now {
-					a.then()
+					a.call()
 				}
 			}
 			for due := share; due > 0 && h.Float64() < due; due-- {
-				h.taken++
-				request := &Request{Tag: strconv.Itoa(h.taken), Class: h.terms.Classes[0], Slots: 1, ExpectedWork: size/2 + h.Int64N(size), Deadline: h.now + 1e9}
+				h.accepted++
+				request := &Request{Tag: strconv.Itoa(h.accepted), Class: h.settings.Classes[0], Slots: 1, ExpectedWork: size/2 + h.Int64N(size), Deadline: h.now + 1e9}
 				if h.work != nil {
-					request.ExpectedWork, request.Deadline, h.works[request] = 0, h.now+h.patient, h.work()
+					request.ExpectedWork, request.Deadline, h.workOf[request] = 0, h.now+h.clientTimeout, h.work()
 				}
-				h.tell(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.settings.NodeIndex), Request: request.Tag, Class: "s", Deadline: request.Deadline})
+				h.record(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.settings.NodeIndex), Request: request.Tag, Class: "s", Deadline: request.Deadline})
 				n.d.Arrive(request)
 			}
 			n.d.ProcessQueue()
 			for _, attempt := range slices.Clone(n.open) {
-				if o := Succeeded; h.hasty || h.now-n.at[attempt] >= n.runs(attempt) {
-					if h.hasty {
+				if o := Succeeded; h.rejecting || h.now-n.sentAt[attempt] >= n.runtimeOf(attempt) {
+					if h.rejecting {
 						o = Rejected
 					}
 					n.open = slices.DeleteFunc(n.open, func(q *Attempt) bool { return attempt == q })
-					n.tell(invariants.Event{Kind: invariants.AttemptEnded, Request: attempt.Request.Tag, Attempt: attempt.Number, Result: o.String()})
+					n.record(invariants.Event{Kind: invariants.AttemptEnded, Request: attempt.Request.Tag, Attempt: attempt.Number, Result: o.String()})
 					if o == Succeeded && !attempt.Request.Done {
-						n.tell(invariants.Event{Kind: invariants.RequestAnswered, Request: attempt.Request.Tag, Result: "settled"})
+						n.record(invariants.Event{Kind: invariants.RequestAnswered, Request: attempt.Request.Tag, Result: "settled"})
 					}
-					n.d.AttemptEnded(attempt, o, h.now-n.at[attempt], attempt.Request.Done || o == Succeeded)
+					n.d.AttemptEnded(attempt, o, h.now-n.sentAt[attempt], attempt.Request.Done || o == Succeeded)
 				}
 			}
 			n.d.ProcessQueue()
@@ -198,94 +198,95 @@
 	}
 }
 
-// worst is the most of any cold executor's budget that was sent to it in one window, by what it can do meanwhile.
-func (h *herd) worst() (part float64) {
+// maxBudgetShare is the most of any budget in slow start that was sent to it in one window, by what it can do
+// meanwhile.
+func (h *cluster) maxBudgetShare() (part float64) {
 	for i, sends := range h.sent {
 		for from, first := range sends {
 			sum, last := 0.0, first
 			for _, c := range sends[from:] {
-				if c.at-first.at <= h.terms.OverloadWindow {
+				if c.at-first.at <= h.settings.OverloadWindow {
 					sum, last = sum+c.amount, c
 				}
 			}
-			age := max(first.at-h.since[i], 0) // capacity at the window's start: the least in it
-			able := h.terms.SlowStartShare + (1-h.terms.SlowStartShare)*float64(age)/float64(h.terms.SlowStart)
-			if first.at >= h.since[i] && last.at < h.since[i]+h.terms.SlowStart {
-				part = max(part, sum/(h.terms.OverloadFactor*able*h.slots*float64(h.terms.OverloadWindow)))
+			age := max(first.at-h.startedAt[i], 0) // capacity at the window's start: the least in it
+			able := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*float64(age)/float64(h.settings.SlowStart)
+			if first.at >= h.startedAt[i] && last.at < h.startedAt[i]+h.settings.SlowStart {
+				part = max(part, sum/(h.settings.OverloadFactor*able*h.slots*float64(h.settings.OverloadWindow)))
 			}
 		}
 	}
 	return part
 }
 
-// FuzzColdFleet has all nodes at their worst: much more work than the executors can take, all of which are cold, some
-// nodes started again meanwhile, no two of one mind about how large txns and executors are, and stamps off. What all send
-// together stays within the budget, in any window, refused or not.
-func FuzzColdFleet(f *testing.F) {
+// FuzzSlowStartBudget has all nodes at their worst: much more work than the servers can take, all of which are
+// cold, some nodes started again meanwhile, no two of one mind about how large requests and servers are, and
+// stamps off. What all send together stays within the budget, in any window, refused or not.
+func FuzzSlowStartBudget(f *testing.F) {
 	for seed := range uint64(10) {
 		f.Add(seed, uint16(1+seed*seed*3/2), seed%2 == 0)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, nodes uint16, hasty bool) {
-		h := newHerd(seed, 1+int(nodes)%500, 1+int(seed%3))
-		h.hasty = hasty
-		h.terms.StartTimeError = []int64{0, h.terms.OverloadWindow, h.terms.SlowStart}[seed%3]
+		h := newCluster(seed, 1+int(nodes)%500, 1+int(seed%3))
+		h.rejecting = hasty
+		h.settings.StartTimeError = []int64{0, h.settings.OverloadWindow, h.settings.SlowStart}[seed%3]
 		for _, n := range h.nodes {
-			n.d.settings.StartTimeError = h.terms.StartTimeError
+			n.d.settings.StartTimeError = h.settings.StartTimeError
 		}
 		size := int64(2e7) << (seed % 5)
-		h.pass(h.terms.OverloadWindow, size, 0)
-		h.renew(int64(seed%2)*h.terms.SlowStart/3, 1+int(seed/2)%4)
+		h.advance(h.settings.OverloadWindow, size, 0)
+		h.restartServers(int64(seed%2)*h.settings.SlowStart/3, 1+int(seed/2)%4)
 		for range 5 {
-			h.pass(h.terms.OverloadWindow/2, size, min(800/float64(len(h.nodes)), 1)/4)
-			again := *h.terms
+			h.advance(h.settings.OverloadWindow/2, size, min(800/float64(len(h.nodes)), 1)/4)
+			again := *h.settings
 			again.NodeIndex = h.IntN(len(h.nodes))
-			h.start(&again)
+			h.startNode(&again)
 		}
-		h.verdict(t)
-		if worst := h.worst(); worst > 1 {
-			t.Fatalf("%.2f of a cold executor's budget was sent by %d nodes", worst, len(h.nodes))
+		h.checkInvariants(t)
+		if worst := h.maxBudgetShare(); worst > 1 {
+			t.Fatalf("%.2f of a slow start budget was sent by %d nodes", worst, len(h.nodes))
 		} else {
 			t.Logf("%.2f by %d nodes, size %d ms", worst, len(h.nodes), size/1e6)
 		}
 	})
 }
 
-// TestManyNodesUseTheCold: of eighty nodes none has a part as large as a txn, yet a fleet that was swapped for new
-// executors is used, and no node has it for itself.
-func TestManyNodesUseTheCold(t *testing.T) {
-	h := newHerd(5, 80, 3)
-	h.pass(h.terms.OverloadWindow, 1e8, 0)
-	h.renew(h.terms.SlowStart/10, 4)
-	h.pass(h.terms.SlowStart/2, 3e8, 0.05)
-	h.verdict(t)
+// TestManyNodesUseSlowStart: of eighty nodes none has a part as large as a request, yet a pool that was swapped
+// for new servers is used, and no node has it for itself.
+func TestManyNodesUseSlowStart(t *testing.T) {
+	h := newCluster(5, 80, 3)
+	h.advance(h.settings.OverloadWindow, 1e8, 0)
+	h.restartServers(h.settings.SlowStart/10, 4)
+	h.advance(h.settings.SlowStart/2, 3e8, 0.05)
+	h.checkInvariants(t)
 	work := 0.0
 	for _, sends := range h.sent {
 		for _, c := range sends {
 			work += c.amount
 		}
 	}
-	// what they can do meanwhile, if they warm as late as the terms allow
-	able := 3 * h.slots * (h.terms.SlowStartShare + (1-h.terms.SlowStartShare)/4) * float64(h.terms.SlowStart/2)
-	if used := work / able; used < 0.3 || h.worst() > 1 {
-		t.Errorf("%.2f of cold executors is used, at most %.2f of a budget", used, h.worst())
+	// what they can do meanwhile, if they warm as late as the settings allow
+	able := 3 * h.slots * (h.settings.SlowStartShare + (1-h.settings.SlowStartShare)/4) * float64(h.settings.SlowStart/2)
+	if used := work / able; used < 0.3 || h.maxBudgetShare() > 1 {
+		t.Errorf("%.2f of servers in slow start is used, at most %.2f of a budget", used, h.maxBudgetShare())
 	} else {
-		t.Logf("%.2f used, %.2f of a budget", used, h.worst())
+		t.Logf("%.2f used, %.2f of a budget", used, h.maxBudgetShare())
 	}
 }
 
-// TestReportsTellSizes: a node that never has more than one txn at an executor learns from load reports how large it is,
-// and with that how much a cold one can take.
-func TestReportsTellSizes(t *testing.T) {
+// TestLoadReportsTellSlots: a node that never has more than one request at a server learns from load reports
+// how large it is, and with that how much a server in slow start can take.
+func TestLoadReportsTellSlots(t *testing.T) {
 	part := func(free float64) float64 {
-		w := newWorld(t, 1, basicTerms())
-		w.join(1, false)
-		w.pass(w.terms.OverloadWindow)
+		w := newHarness(t, 1, testSettings())
+		w.addServers(1, false)
+		w.advance(w.settings.OverloadWindow)
 		w.arrive(0, 1, 1e8, 9e9)
 		w.open[0].FreeSlots = free
-		w.settle()
-		w.fleet[0].StartedAt = w.now
-		w.list(true)
-		part := w.d.currentTurn(w.fleet[0].Server).quotaShare
+		w.completeAll()
+		w.endpoints[0].StartedAt = w.now
+		w.updateEndpoints(true)
+		part := w.d.currentTurn(w.endpoints[0].Server).quotaShare
 		return part
 	}
 	if untold, told := part(0), part(4); told <= untold {
@@ -293,49 +294,49 @@
 	}
 }
 
-// TestFirstCallsAreSpread: nodes that start together, each with a list to go by, do not ask for news together, and leave half
-// of the drain's grace for the answer where news counts as told at once; one that has no list asks at once.
-func TestFirstCallsAreSpread(t *testing.T) {
+// TestFirstPollsAreSpread: nodes that start together, each with a list to go by, do not ask for news together,
+// and leave half of the drain's grace for the answer where news counts as told at once; one that has no list
+// asks at once.
+func TestFirstPollsAreSpread(t *testing.T) {
 	for _, within := range []int64{0, 8e9} {
-		h := newHerd(4, 80, 1)
-		h.terms.UnpolledEventAge, h.terms.DrainGrace = within, 2e9
+		h := newCluster(4, 80, 1)
+		h.settings.UnpolledEventAge, h.settings.DrainGrace = within, 2e9
 		bound := within + 1e9
 		var per [8]int
 		for _, node := range h.nodes {
-			node.alarms, node.d.settings = nil, h.terms
+			node.timers, node.d.settings = nil, h.settings
 			node.d.StartPolling()
-			if after := node.alarms[0].at - h.now; after >= bound {
+			if after := node.timers[0].at - h.now; after >= bound {
 				t.Fatalf("a call after %d ms, %d at most", after/1e6, bound/1e6)
 			}
-			per[(node.alarms[0].at-h.now)*8/bound]++
+			per[(node.timers[0].at-h.now)*8/bound]++
 		}
 		if slices.Max(per[:]) > 20 || slices.Min(per[:]) == 0 {
 			t.Errorf("calls in each eighth of the time: %v", per)
 		}
 	}
-	w := newWorld(t, 1, basicTerms())
-	if w.d.StartPolling(); w.alarms[0].at > w.now+1 {
+	w := newHarness(t, 1, testSettings())
+	if w.d.StartPolling(); w.timers[0].at > w.now+1 {
 		t.Error("a node without a list waits before it asks")
 	}
 }
 
-// TestFailedCallsAreSpread: nodes whose calls for the list failed together do not ask again together, and the longer that
-// goes on the seldomer; a list that comes starts it over. Danger: what discovery worked on in vain is asked for again within
-// the drain's grace, and sixty nodes at a service of 16 calls a second are served none of them for as long as it lasts. And
-// what a silent agent has when it comes back counts at once: a pause beyond the grace sends work to what drains.
-func TestFailedCallsAreSpread(t *testing.T) {
+// TestFailedPollsAreSpread: nodes whose polls failed together do not ask again together, and the longer that
+// goes on the seldomer; a list that comes starts it over. An overloaded discovery service that sixty nodes ask
+// again too soon would serve none of them. A node that asks too late would send requests to servers that drain.
+func TestFailedPollsAreSpread(t *testing.T) {
 	for _, c := range []struct{ within, spent, bound int64 }{{0, 0, 1e9}, {0, 1e8, 1e9}, {0, 2e9, 4e9}, {0, 4e9, 2e9}, {8e9, 0, 8e9}} {
-		h := newHerd(3, 80, 1)
-		h.terms.UnpolledEventAge, h.terms.DrainGrace = c.within, 2e9
+		h := newCluster(3, 80, 1)
+		h.settings.UnpolledEventAge, h.settings.DrainGrace = c.within, 2e9
 		most := func(rounds int) (n int, last int64) {
 			var per [16]int
 			for _, node := range h.nodes {
-				node.alarms, node.d.settings = nil, h.terms
+				node.timers, node.d.settings = nil, h.settings
 				for range rounds {
 					node.d.PollFailed(c.spent, c.spent)
 				}
-				last = max(last, node.alarms[rounds-1].at-h.now)
-				per[min((node.alarms[rounds-1].at-h.now)*16/c.bound, 15)]++
+				last = max(last, node.timers[rounds-1].at-h.now)
+				per[min((node.timers[rounds-1].at-h.now)*16/c.bound, 15)]++
 			}
 			return slices.Max(per[:]), last
 		}
@@ -346,7 +347,7 @@
 			t.Errorf("%+v: then %d, the last after %d ms", c, later, last/1e6)
 		}
 		for _, node := range h.nodes {
-			node.list()
+			node.updateEndpoints()
 		}
 		if first, last := most(1); last > c.bound/2 || c.within == 0 && last > 5e8 || c.spent == 0 && first > 35 {
 			t.Errorf("%+v, after a list: the last after %d ms, %d of 80 in a sixteenth of the time", c, last/1e6, first)
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -9,49 +9,49 @@
 	"testing"
 )
 
-// town is many nodes before executors that serve in order, and clients that come again: what a jam needs to feed itself.
-// A job that is taken back runs all the same, as the terms do not tell whether it does.
-type town struct {
+// serviceModel is many nodes before servers that serve in order, and clients that come again: what congestion
+// needs to feed itself. A job that is canceled runs all the same, as the settings do not tell whether it does.
+type serviceModel struct {
 	*rand.Rand
-	terms   *Settings
-	now     int64
-	nodes   []*townNode
-	workers []*worker
-	later   []*alarm
-	error   func(t *Request, e int) bool // whether a job ends at once with an error there
-	work    func() int64
-	hot     uint64 // what is about it takes turns at one lock, in its slot, for hold each
-	hold    int64
-	unlock  int64 // when the last one in turn leaves it
-	missed  int   // txns about other things that were not served in time
-	others  int
-	offered [200]int // by second
-	inTime  [200]int
+	settings   *Settings
+	now        int64
+	nodes      []*modelNode
+	workers    []*queueingServer
+	timers     []*timer
+	fails      func(t *Request, e int) bool // whether a job ends at once with an error there
+	work       func() int64
+	lockedKey  uint64 // what is about it takes turns at one lock, in its slot, for hold each
+	lockTime   int64
+	unlockedAt int64 // when the last one in turn leaves it
+	missed     int   // requests of other keys that were not served in time
+	others     int
+	offered    [200]int // by second
+	inTime     [200]int
 }
 
-// worker is an executor with slots and a queue.
-type worker struct {
-	slots   int
-	running int
-	slow    int64 // times that a job takes
-	queue   []func()
+// queueingServer is a server with slots and a queue.
+type queueingServer struct {
+	slots    int
+	running  int
+	slowdown int64 // times that a job takes
+	queue    []func()
 }
 
-// townNode is the Door of one node.
-type townNode struct {
-	*town
+// modelNode is the Actions of one node.
+type modelNode struct {
+	*serviceModel
 	d        *Dispatcher
-	fleet    []*Server
-	sent     map[*Attempt]int64
+	servers  []*Server
+	sentAt   map[*Attempt]int64
 	done     map[*Request]func(work int64) // with the time it ran for; 0: not served
-	posts    int                           // postings, ever
-	declined int
+	attempts int                           // attempts, ever
+	shed     int
 }
 
-func (n *townNode) StartAttempt(attempt *Attempt) {
-	n.posts++
-	n.sent[attempt] = n.now
-	w, i, request := n.workers[slices.Index(n.fleet, attempt.Server)], slices.Index(n.fleet, attempt.Server), attempt.Request
+func (n *modelNode) StartAttempt(attempt *Attempt) {
+	n.attempts++
+	n.sentAt[attempt] = n.now
+	w, i, request := n.workers[slices.Index(n.servers, attempt.Server)], slices.Index(n.servers, attempt.Server), attempt.Request
 	work := n.work()
 	end := func(o Outcome) {
 		if !attempt.InFlight {
@@ -61,9 +61,9 @@
 		if o == Succeeded && !request.Done {
 			n.done[request](work)
 		}
-		n.d.AttemptEnded(attempt, o, n.now-n.sent[attempt], over)
+		n.d.AttemptEnded(attempt, o, n.now-n.sentAt[attempt], over)
 	}
-	if n.error != nil && n.error(request, i) {
+	if n.fails != nil && n.fails(request, i) {
 		n.after(2e6, func() { end(Failed) })
 		return
 	}
@@ -79,12 +79,12 @@
 		if attempt.InFlight {
 			n.d.AttemptStarted(attempt)
 		}
-		took, o := work*w.slow, Succeeded
-		if n.hot > 0 && (request.AffinityKey == n.hot || request.AffinityKey == 0 && request.Tenant == int(n.hot)) {
-			if wait := max(n.unlock-n.now, 0); wait > 3*request.Class.LatencyObjective/2 {
+		took, o := work*w.slowdown, Succeeded
+		if n.lockedKey > 0 && (request.AffinityKey == n.lockedKey || request.AffinityKey == 0 && request.Tenant == int(n.lockedKey)) {
+			if wait := max(n.unlockedAt-n.now, 0); wait > 3*request.Class.LatencyObjective/2 {
 				took, o = 2e6, Failed
 			} else {
-				took, n.unlock = took+wait, max(n.unlock, n.now)+n.hold
+				took, n.unlockedAt = took+wait, max(n.unlockedAt, n.now)+n.lockTime
 			}
 		}
 		n.after(took, func() {
@@ -96,45 +96,45 @@
 	n.after(1e6, next)
 }
 
-func (n *townNode) CancelAttempt(attempt *Attempt) {
+func (n *modelNode) CancelAttempt(attempt *Attempt) {
 	n.after(1e6, func() {
 		if attempt.InFlight {
-			n.d.AttemptEnded(attempt, Canceled, n.now-n.sent[attempt], true)
+			n.d.AttemptEnded(attempt, Canceled, n.now-n.sentAt[attempt], true)
 		}
 	})
 }
-func (n *townNode) Shed(request *Request, _ int64) { n.declined++; n.done[request](0) }
-func (n *townNode) Compensate(request *Request)    { n.done[request](0) }
-func (n *townNode) PollEndpoints(bool)             {}
-func (n *townNode) NotifyPeers(*Server, float64)   {}
-func (n *townNode) ProbeCapacity(*Server)          {}
-func (n *townNode) Schedule(after int64, then func()) (forget func()) {
+func (n *modelNode) Shed(request *Request, _ int64) { n.shed++; n.done[request](0) }
+func (n *modelNode) Compensate(request *Request)    { n.done[request](0) }
+func (n *modelNode) PollEndpoints(bool)             {}
+func (n *modelNode) NotifyPeers(*Server, float64)   {}
+func (n *modelNode) ProbeCapacity(*Server)          {}
+func (n *modelNode) Schedule(after int64, then func()) (forget func()) {
 	a := n.after(max(after, 1), then)
-	return func() { a.then = func() {} }
+	return func() { a.call = func() {} }
 }
 
 // after has something happen later, with the clock of all nodes set.
-func (h *town) after(span int64, then func()) *alarm {
-	a := &alarm{h.now + span, then}
-	i, _ := slices.BinarySearchFunc(h.later, a.at+1, func(b *alarm, at int64) int { return int(min(max(b.at-at, -1), 1)) })
-	h.later = slices.Insert(h.later, i, a)
+func (h *serviceModel) after(span int64, then func()) *timer {
+	a := &timer{h.now + span, then}
+	i, _ := slices.BinarySearchFunc(h.timers, a.at+1, func(b *timer, at int64) int { return int(min(max(b.at-at, -1), 1)) })
+	h.timers = slices.Insert(h.timers, i, a)
 	return a
 }
 
-func newTown(seed uint64, nodes, workers, slots int, terms *Settings) *town {
-	h := &town{Rand: rand.New(rand.NewPCG(seed, 3)), terms: terms, now: 1e12, work: func() int64 { return 2e8 }}
+func newServiceModel(seed uint64, nodes, workers, slots int, settings *Settings) *serviceModel {
+	h := &serviceModel{Rand: rand.New(rand.NewPCG(seed, 3)), settings: settings, now: 1e12, work: func() int64 { return 2e8 }}
 	for range workers {
-		h.workers = append(h.workers, &worker{slots: slots, slow: 1})
+		h.workers = append(h.workers, &queueingServer{slots: slots, slowdown: 1})
 	}
 	for i := range nodes {
-		own := *terms
+		own := *settings
 		own.NodeIndex, own.Nodes = i, nodes
-		n := &townNode{town: h, sent: map[*Attempt]int64{}, done: map[*Request]func(int64){}}
+		n := &modelNode{serviceModel: h, sentAt: map[*Attempt]int64{}, done: map[*Request]func(int64){}}
 		n.d = New(&own, h.Uint64(), n, h.now)
 		var members []Endpoint
 		for j := range workers {
-			n.fleet = append(n.fleet, &Server{Hash: HashName("e" + strconv.Itoa(j))})
-			members = append(members, Endpoint{Server: n.fleet[j], Capacity: 1})
+			n.servers = append(n.servers, &Server{Hash: HashName("e" + strconv.Itoa(j))})
+			members = append(members, Endpoint{Server: n.servers[j], Capacity: 1})
 		}
 		n.d.UpdateEndpoints(true, members)
 		h.nodes = append(h.nodes, n)
@@ -142,17 +142,17 @@
 	return h
 }
 
-// arrive takes a txn; where it is not served in time its client comes again after a while, so many times.
-func (h *town) arrive(again int, first int64, key uint64) {
-	n, class := h.nodes[h.IntN(len(h.nodes))], h.terms.Classes[0]
+// arrive takes a request; where it is not served in time its client comes again after a while, so many times.
+func (h *serviceModel) arrive(again int, first int64, key uint64) {
+	n, class := h.nodes[h.IntN(len(h.nodes))], h.settings.Classes[0]
 	request := &Request{Class: class, Slots: 1, AffinityKey: key, Deadline: first + class.MaxDeadline}
-	if n := uint64(len(h.terms.Tenants)); n > 0 {
+	if n := uint64(len(h.settings.Tenants)); n > 0 {
 		request.AffinityKey, request.Tenant = 0, int(key%n)
 	}
 	from := first - 1e12
 	n.done[request] = func(work int64) {
 		inTime := work > 0 && h.now-first <= class.LatencyObjective+int64(class.ObjectivePerWork)*work
-		if request.Tenant != int(h.hot) && key != h.hot && (inTime || work > 0 || again == 0) {
+		if request.Tenant != int(h.lockedKey) && key != h.lockedKey && (inTime || work > 0 || again == 0) {
 			if h.others++; !inTime {
 				h.missed++
 			}
@@ -170,8 +170,8 @@
 	n.d.Arrive(request)
 }
 
-// pass lets time go by at a rate of txns a second; key gives what each is about.
-func (h *town) pass(span int64, rate float64, key func() uint64) {
+// advance lets time go by at a rate of requests a second; key gives what each is about.
+func (h *serviceModel) advance(span int64, rate float64, key func() uint64) {
 	end := h.now + span
 	var next func()
 	next = func() {
@@ -183,15 +183,15 @@
 	}
 	h.after(1, next)
 	for h.now < end {
-		tick := h.now + h.terms.Tick
-		for len(h.later) > 0 && h.later[0].at <= tick {
-			a := h.later[0]
-			h.later = h.later[1:]
+		tick := h.now + h.settings.Tick
+		for len(h.timers) > 0 && h.timers[0].at <= tick {
+			a := h.timers[0]
+			h.timers = h.timers[1:]
 			h.now = max(h.now, a.at)
 			for _, n := range h.nodes {
 				n.d.Advance(h.now)
 			}
-			a.then()
+			a.call()
 		}
 		h.now = tick
 		for _, n := range h.nodes {
@@ -201,8 +201,8 @@
 	}
 }
 
-// served is the part that was served in time of what came in seconds from to.
-func (h *town) served(from, to int) float64 {
+// servedShare is the part that was served in time of what came in seconds from to.
+func (h *serviceModel) servedShare(from, to int) float64 {
 	offered, inTime := 0, 0
 	for i := from; i < to; i++ {
 		offered, inTime = offered+h.offered[i], inTime+h.inTime[i]
@@ -210,69 +210,70 @@
 	return float64(inTime) / float64(max(offered, 1))
 }
 
-func townTerms() *Settings {
+func modelSettings() *Settings {
 	return &Settings{Nodes: 5, Tick: 5e6, StartNotices: true, MaxAttempts: 6, AllowCancel: true, Classes: []*Class{
 		{LatencyObjective: 2e8, ObjectivePerWork: 2, MaxDeadline: 5e9, Weight: 1, MachineType: -1}}}
 }
 
 func noKey() uint64 { return 0 }
 
-// TestServiceComesBack: for ten seconds a third comes on top that errs wherever it goes, and clients come again. The others
-// are served meanwhile, and five seconds after it is over service is what it was before.
-// Danger: errors take healthy executors out, what waits there is taken back, runs all the same, and the jam stays for good.
-func TestServiceComesBack(t *testing.T) {
+// TestServiceRecovers: for ten seconds a third comes on top that errs wherever it goes, and clients come again.
+// The others are served meanwhile, and five seconds after it is over service is what it was before. Errors must
+// not make healthy servers outliers, and canceled attempts that run all the same must not keep the congestion
+// up.
+func TestServiceRecovers(t *testing.T) {
 	for seed := range uint64(4) {
-		h := newTown(seed, 5, 16, 6, townTerms())
+		h := newServiceModel(seed, 5, 16, 6, modelSettings())
 		h.work = func() int64 { return 5e7 + int64(h.ExpFloat64()*1.5e8) }
 		spoilt := map[*Request]bool{}
-		h.error = func(request *Request, _ int) bool {
+		h.fails = func(request *Request, _ int) bool {
 			if _, known := spoilt[request]; !known {
 				spoilt[request] = h.now > 1e12+10e9 && h.now < 1e12+20e9 && h.IntN(10) < 3
 			}
 			return spoilt[request]
 		}
 		full := 16 * 6 / 0.2
-		h.pass(10e9, 0.85*full, noKey)
-		h.pass(10e9, 1.2*full, noKey)
-		h.pass(15e9, 0.85*full, noKey)
-		before, during, after := h.served(5, 10), h.served(12, 20)/0.7, h.served(25, 34)
+		h.advance(10e9, 0.85*full, noKey)
+		h.advance(10e9, 1.2*full, noKey)
+		h.advance(15e9, 0.85*full, noKey)
+		before, during, after := h.servedShare(5, 10), h.servedShare(12, 20)/0.7, h.servedShare(25, 34)
 		if after < 0.95*before || before < 0.9 || during < 0.5 {
 			t.Errorf("in seed %d: %.2f before, %.2f during, %.2f after", seed, before, during, after)
 		}
 	}
 }
 
-// TestOneLockBehindAll: a quarter of all txns are about one thing, or one tenant's, and the lock that they need lets a third of
-// them through. The others are served.
-// Danger: what waits for the lock holds slots wherever it was sent to, and its errors take the executors out.
+// TestOneLockBehindAll: a quarter of all requests are of one affinity key, or one tenant's, and the lock that
+// they need lets a third of them through. The others are served. What waits for the lock must not hold the
+// slots of all servers, nor its errors make them outliers.
 func TestOneLockBehindAll(t *testing.T) {
 	for seed := range uint64(4) {
-		terms := townTerms()
+		settings := modelSettings()
 		if seed > 1 {
-			terms.Tenants, terms.OverQuotaWeight = []*Tenant{{Quota: 0.375}, {Quota: 0.25}, {Quota: 0.375}}, 1
+			settings.Tenants, settings.OverQuotaWeight = []*Tenant{{Quota: 0.375}, {Quota: 0.25}, {Quota: 0.375}}, 1
 		}
-		terms.Classes[0].LatencyObjective, terms.Classes[0].MaxDeadline = 8e8, 8e9
-		h := newTown(seed, 5, 16, 6, terms)
+		settings.Classes[0].LatencyObjective, settings.Classes[0].MaxDeadline = 8e8, 8e9
+		h := newServiceModel(seed, 5, 16, 6, settings)
 		h.work = func() int64 { return 5e7 + int64(h.ExpFloat64()*1.5e8) }
 		full := 16 * 6 / 0.2
-		h.hot, h.hold = 1, int64(3e9/(0.7*full/4))
+		h.lockedKey, h.lockTime = 1, int64(3e9/(0.7*full/4))
 		key := func() uint64 {
 			if h.IntN(4) == 0 {
 				return 1
 			}
 			return 2 + h.Uint64N(200)/2*3 + h.Uint64N(2) // never the second of three tenants
 		}
-		h.pass(5e9, 0.75*full, key) // it takes some seconds to be known
+		h.advance(5e9, 0.75*full, key) // it takes some seconds to be known
 		h.missed, h.others = 0, 0
-		h.pass(15e9, 0.75*full, key)
+		h.advance(15e9, 0.75*full, key)
 		if part := 1 - float64(h.missed)/float64(h.others); part < 0.9 {
 			t.Errorf("in seed %d: %.2f of the others are served", seed, part)
 		} else {
 			t.Logf("%.2f of %d others", part, h.others)
 		}
-		h.hot = 0 // the lock is gone
-		h.pass(10e9, 0.75*full, key)
-		if after := h.served(25, 29); after < 0.9 {
+		h.lockedKey = 0 // the lock is gone
+		h.advance(10e9, 0.75*full, key)
+		if after := h.servedShare(25, 29); after < 0.9 {
 			t.Errorf("in seed %d: %.2f are served when it is over", seed, after)
 		}
 	}
