--- a/dispatch/fleet_test.go
+++ b/dispatch/cluster_test.go
@@ -83,16 +83,23 @@
 	}
 	return 1
 }
+
 func (n *clusterNode) CancelAttempt(*Attempt) {}
+
 func (n *clusterNode) Shed(request *Request, _ int64) {
 	n.record(invariants.Event{Kind: invariants.RequestAnswered, Request: request.Tag, Result: "declined"})
 }
+
 func (n *clusterNode) Compensate(request *Request) {
 	n.record(invariants.Event{Kind: invariants.RequestAnswered, Request: request.Tag, Result: "reversed"})
 }
-func (n *clusterNode) PollEndpoints(bool)           {}
+
+func (n *clusterNode) PollEndpoints(bool) {}
+
 func (n *clusterNode) NotifyPeers(*Server, float64) {}
-func (n *clusterNode) ProbeCapacity(*Server)        {}
+
+func (n *clusterNode) ProbeCapacity(*Server) {}
+
 func (n *clusterNode) Schedule(after int64, then func()) (forget func()) {
 	a := &timer{n.now + max(after, 1), then}
 	n.timers = append(n.timers, a)
@@ -218,139 +225,3 @@
 	}
 	return part
 }
-
-// FuzzSlowStartBudget has all nodes at their worst: much more work than the servers can take, all of which are
-// cold, some nodes started again meanwhile, no two of one mind about how large requests and servers are, and
-// stamps off. What all send together stays within the budget, in any window, refused or not.
-func FuzzSlowStartBudget(f *testing.F) {
-	for seed := range uint64(10) {
-		f.Add(seed, uint16(1+seed*seed*3/2), seed%2 == 0)
-	}
-	f.Fuzz(func(t *testing.T, seed uint64, nodes uint16, hasty bool) {
-		h := newCluster(seed, 1+int(nodes)%500, 1+int(seed%3))
-		h.rejecting = hasty
-		h.settings.StartTimeError = []int64{0, h.settings.OverloadWindow, h.settings.SlowStart}[seed%3]
-		for _, n := range h.nodes {
-			n.d.settings.StartTimeError = h.settings.StartTimeError
-		}
-		size := int64(2e7) << (seed % 5)
-		h.advance(h.settings.OverloadWindow, size, 0)
-		h.restartServers(int64(seed%2)*h.settings.SlowStart/3, 1+int(seed/2)%4)
-		for range 5 {
-			h.advance(h.settings.OverloadWindow/2, size, min(800/float64(len(h.nodes)), 1)/4)
-			again := *h.settings
-			again.NodeIndex = h.IntN(len(h.nodes))
-			h.startNode(&again)
-		}
-		h.checkInvariants(t)
-		if worst := h.maxBudgetShare(); worst > 1 {
-			t.Fatalf("%.2f of a slow start budget was sent by %d nodes", worst, len(h.nodes))
-		} else {
-			t.Logf("%.2f by %d nodes, size %d ms", worst, len(h.nodes), size/1e6)
-		}
-	})
-}
-
-// TestManyNodesUseSlowStart: of eighty nodes none has a part as large as a request, yet a pool that was swapped
-// for new servers is used, and no node has it for itself.
-func TestManyNodesUseSlowStart(t *testing.T) {
-	h := newCluster(5, 80, 3)
-	h.advance(h.settings.OverloadWindow, 1e8, 0)
-	h.restartServers(h.settings.SlowStart/10, 4)
-	h.advance(h.settings.SlowStart/2, 3e8, 0.05)
-	h.checkInvariants(t)
-	work := 0.0
-	for _, sends := range h.sent {
-		for _, c := range sends {
-			work += c.amount
-		}
-	}
-	// what they can do meanwhile, if they warm as late as the settings allow
-	able := 3 * h.slots * (h.settings.SlowStartShare + (1-h.settings.SlowStartShare)/4) * float64(h.settings.SlowStart/2)
-	if used := work / able; used < 0.3 || h.maxBudgetShare() > 1 {
-		t.Errorf("%.2f of servers in slow start is used, at most %.2f of a budget", used, h.maxBudgetShare())
-	} else {
-		t.Logf("%.2f used, %.2f of a budget", used, h.maxBudgetShare())
-	}
-}
-
-// TestLoadReportsTellSlots: a node that never has more than one request at a server learns from load reports
-// how large it is, and with that how much a server in slow start can take.
-func TestLoadReportsTellSlots(t *testing.T) {
-	part := func(free float64) float64 {
-		w := newHarness(t, 1, testSettings())
-		w.addServers(1, false)
-		w.advance(w.settings.OverloadWindow)
-		w.arrive(0, 1, 1e8, 9e9)
-		w.open[0].FreeSlots = free
-		w.completeAll()
-		w.endpoints[0].StartedAt = w.now
-		w.updateEndpoints(true)
-		part := w.d.currentTurn(w.endpoints[0].Server).quotaShare
-		return part
-	}
-	if untold, told := part(0), part(4); told <= untold {
-		t.Errorf("%v untold, %v told", untold, told)
-	}
-}
-
-// TestFirstPollsAreSpread: nodes that start together, each with a list to go by, do not ask for news together,
-// and leave half of the drain's grace for the answer where news counts as told at once; one that has no list
-// asks at once.
-func TestFirstPollsAreSpread(t *testing.T) {
-	for _, within := range []int64{0, 8e9} {
-		h := newCluster(4, 80, 1)
-		h.settings.UnpolledEventAge, h.settings.DrainGrace = within, 2e9
-		bound := within + 1e9
-		var per [8]int
-		for _, node := range h.nodes {
-			node.timers, node.d.settings = nil, h.settings
-			node.d.StartPolling()
-			if after := node.timers[0].at - h.now; after >= bound {
-				t.Fatalf("a call after %d ms, %d at most", after/1e6, bound/1e6)
-			}
-			per[(node.timers[0].at-h.now)*8/bound]++
-		}
-		if slices.Max(per[:]) > 20 || slices.Min(per[:]) == 0 {
-			t.Errorf("calls in each eighth of the time: %v", per)
-		}
-	}
-	w := newHarness(t, 1, testSettings())
-	if w.d.StartPolling(); w.timers[0].at > w.now+1 {
-		t.Error("a node without a list waits before it asks")
-	}
-}
-
-// TestFailedPollsAreSpread: nodes whose polls failed together do not ask again together, and the longer that
-// goes on the seldomer; a list that comes starts it over. An overloaded discovery service that sixty nodes ask
-// again too soon would serve none of them. A node that asks too late would send requests to servers that drain.
-func TestFailedPollsAreSpread(t *testing.T) {
-	for _, c := range []struct{ within, spent, bound int64 }{{0, 0, 1e9}, {0, 1e8, 1e9}, {0, 2e9, 4e9}, {0, 4e9, 2e9}, {8e9, 0, 8e9}} {
-		h := newCluster(3, 80, 1)
-		h.settings.UnpolledEventAge, h.settings.DrainGrace = c.within, 2e9
-		most := func(rounds int) (n int, last int64) {
-			var per [16]int
-			for _, node := range h.nodes {
-				node.timers, node.d.settings = nil, h.settings
-				for range rounds {
-					node.d.PollFailed(c.spent, c.spent)
-				}
-				last = max(last, node.timers[rounds-1].at-h.now)
-				per[min((node.timers[rounds-1].at-h.now)*16/c.bound, 15)]++
-			}
-			return slices.Max(per[:]), last
-		}
-		if _, last := most(1); last > c.bound/2 || c.within == 0 && last > 5e8 {
-			t.Errorf("%+v: the last after %d ms", c, last/1e6)
-		}
-		if later, last := most(6); later > 25 || last > c.bound || last < c.bound/2 {
-			t.Errorf("%+v: then %d, the last after %d ms", c, later, last/1e6)
-		}
-		for _, node := range h.nodes {
-			node.updateEndpoints()
-		}
-		if first, last := most(1); last > c.bound/2 || c.within == 0 && last > 5e8 || c.spent == 0 && first > 35 {
-			t.Errorf("%+v, after a list: the last after %d ms, %d of 80 in a sixteenth of the time", c, last/1e6, first)
-		}
-	}
-}
--- a/dispatch/helpers_test.go
+++ b/dispatch/harness_test.go
@@ -163,10 +163,14 @@
 	}
 }
 
-func (w *harness) Compensate(request *Request)          { w.recordFinal(request) }
-func (w *harness) PollEndpoints(bool)                   {}
+func (w *harness) Compensate(request *Request) { w.recordFinal(request) }
+
+func (w *harness) PollEndpoints(bool) {}
+
 func (w *harness) NotifyPeers(_ *Server, slots float64) { w.notified = append(w.notified, slots) }
-func (w *harness) ProbeCapacity(server *Server)         { w.probes = append(w.probes, server) }
+
+func (w *harness) ProbeCapacity(server *Server) { w.probes = append(w.probes, server) }
+
 func (w *harness) Schedule(after int64, then func()) (forget func()) {
 	a := &timer{w.now + max(after, 1), then}
 	w.timers = append(w.timers, a)
@@ -217,51 +221,3 @@
 		w.endAttempt(w.open[0], Succeeded)
 	}
 }
-
-// randomStep does one random legal thing.
-func (w *harness) randomStep() {
-	switch n := w.IntN(20); {
-	case n < 6:
-		w.arrive(w.IntN(len(w.settings.Classes)), float64(int(1)<<w.IntN(3)), 1e7+w.Int64N(6e8), w.Int64N(5e9)+2e7)
-	case n < 10 && len(w.open) > 0:
-		w.endAttempt(w.open[w.IntN(len(w.open))], Outcome(w.IntN(int(StaleConnection)+1)))
-	case n < 14 && len(w.open) > 0:
-		attempt := w.open[w.IntN(len(w.open))]
-		if busy := attempt.Server.startedSlots; busy+attempt.Request.Slots <= testSlots {
-			w.d.AttemptStarted(attempt)
-		}
-		w.d.AttemptProgressed(attempt)
-	case n == 14 && len(w.endpoints) > 0:
-		m := w.endpoints[w.IntN(len(w.endpoints))]
-		if m.State = EndpointState(w.IntN(3)); m.State == Up && w.IntN(2) == 0 {
-			m.StartedAt = w.now
-		}
-		w.updateEndpoints(w.IntN(3) == 0)
-	case n == 15 && len(w.requests) > 0:
-		if request := w.requests[w.IntN(len(w.requests))]; w.finals[request] == 0 && w.IntN(4) == 0 {
-			w.finals[request] = 1
-			w.d.Finish(request)
-		}
-	case n == 17 && len(w.probes) > 0:
-		i := w.IntN(len(w.probes))
-		server := w.probes[i]
-		w.probes = slices.Delete(w.probes, i, i+1)
-		w.d.CapacityReported(server, w.IntN(3) > 0, float64(w.IntN(3)), float64(w.IntN(3)))
-	case n == 18 && len(w.endpoints) > 0:
-		w.d.SlotsReserved(w.endpoints[w.IntN(len(w.endpoints))].Server, float64(w.IntN(300)))
-	case n == 16:
-		w.d.PollFailed(0, 0)
-	default:
-		w.advance(w.Int64N(3e8))
-	}
-}
-
-// checkAllAnswered lets all expire and counts what was never answered.
-func (w *harness) checkAllAnswered() {
-	w.advance(6e9)
-	for _, request := range w.requests {
-		if w.finals[request] != 1 {
-			w.Fatalf("rule 1: request of class %d has %d final answers", request.Class.Index, w.finals[request])
-		}
-	}
-}
--- a/dispatch/cold_test.go
+++ b/dispatch/slowstart_cluster_test.go
@@ -69,33 +69,57 @@
 	}
 }
 
-// TestLateUpdateOfAStart: a node has sent much to a server that had started anew, and hears of the start then.
-// What it sent since counts as if it had known.
-func TestLateUpdateOfAStart(t *testing.T) {
-	for _, heard := range []bool{false, true} {
-		settings := testSettings()
-		settings.Nodes, settings.Classes = 1, settings.Classes[:1]
-		w := newHarness(t, 1, settings)
-		w.addServers(1, false)
-		w.advance(settings.OverloadWindow)
-		since := w.now
-		w.advance(settings.Tick)
-		for range 40 {
-			if heard {
-				w.arrive(0, 1, 5e7, 1e9)
-			}
-			w.completeAll()
+// FuzzSlowStartBudget has all nodes at their worst: much more work than the servers can take, all of which are
+// cold, some nodes started again meanwhile, no two of one mind about how large requests and servers are, and
+// stamps off. What all send together stays within the budget, in any window, refused or not.
+func FuzzSlowStartBudget(f *testing.F) {
+	for seed := range uint64(10) {
+		f.Add(seed, uint16(1+seed*seed*3/2), seed%2 == 0)
+	}
+	f.Fuzz(func(t *testing.T, seed uint64, nodes uint16, hasty bool) {
+		h := newCluster(seed, 1+int(nodes)%500, 1+int(seed%3))
+		h.rejecting = hasty
+		h.settings.StartTimeError = []int64{0, h.settings.OverloadWindow, h.settings.SlowStart}[seed%3]
+		for _, n := range h.nodes {
+			n.d.settings.StartTimeError = h.settings.StartTimeError
+		}
+		size := int64(2e7) << (seed % 5)
+		h.advance(h.settings.OverloadWindow, size, 0)
+		h.restartServers(int64(seed%2)*h.settings.SlowStart/3, 1+int(seed/2)%4)
+		for range 5 {
+			h.advance(h.settings.OverloadWindow/2, size, min(800/float64(len(h.nodes)), 1)/4)
+			again := *h.settings
+			again.NodeIndex = h.IntN(len(h.nodes))
+			h.startNode(&again)
 		}
-		before := len(w.sentAt)
-		w.slowStartWork = map[*Server][]timedAmount{}
-		w.endpoints[0].StartedAt = since
-		w.updateEndpoints(true)
-		for range 40 {
-			w.arrive(0, 1, 5e7, 1e9)
-			w.completeAll()
+		h.checkInvariants(t)
+		if worst := h.maxBudgetShare(); worst > 1 {
+			t.Fatalf("%.2f of a slow start budget was sent by %d nodes", worst, len(h.nodes))
+		} else {
+			t.Logf("%.2f by %d nodes, size %d ms", worst, len(h.nodes), size/1e6)
 		}
-		if sent := len(w.sentAt) - before; (sent == 0) != heard {
-			t.Errorf("%d sent, %d before the news", sent, before)
+	})
+}
+
+// TestManyNodesUseSlowStart: of eighty nodes none has a part as large as a request, yet a pool that was swapped
+// for new servers is used, and no node has it for itself.
+func TestManyNodesUseSlowStart(t *testing.T) {
+	h := newCluster(5, 80, 3)
+	h.advance(h.settings.OverloadWindow, 1e8, 0)
+	h.restartServers(h.settings.SlowStart/10, 4)
+	h.advance(h.settings.SlowStart/2, 3e8, 0.05)
+	h.checkInvariants(t)
+	work := 0.0
+	for _, sends := range h.sent {
+		for _, c := range sends {
+			work += c.amount
 		}
 	}
+	// what they can do meanwhile, if they warm as late as the settings allow
+	able := 3 * h.slots * (h.settings.SlowStartShare + (1-h.settings.SlowStartShare)/4) * float64(h.settings.SlowStart/2)
+	if used := work / able; used < 0.3 || h.maxBudgetShare() > 1 {
+		t.Errorf("%.2f of servers in slow start is used, at most %.2f of a budget", used, h.maxBudgetShare())
+	} else {
+		t.Logf("%.2f used, %.2f of a budget", used, h.maxBudgetShare())
+	}
 }
