--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -25,7 +25,7 @@
 // keyState is what the requests of one affinity key have in common. Those without a key go by their tenant.
 type keyState struct {
 	concurrencyLimit
-	requests     int           // of late
+	requests     int           // counted of late
 	retrySuccess decayingRatio // requests that failed and ended elsewhere, and those that succeeded there
 	failedServer *Server       // where the last request went badly, if none has gone well since
 }
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -28,7 +28,7 @@
 	if len(request.Attempts) >= d.settings.MaxAttempts || !d.mayRepeat(request) {
 		return false
 	}
-	late := d.settings.LiveCapacity && d.now-attempt.sentAt >= d.slack(request, attempt.sentAt)/4
+	late := d.settings.LiveCapacity && d.now-attempt.sentAt >= d.slack(request, attempt.sentAt)/slackParts
 	return attempt.startedAt > 0 || late || d.effectiveReliability(attempt.Server) < unreliable
 }
 
--- a/dispatch/polling.go
+++ b/dispatch/polling.go
@@ -8,6 +8,8 @@
 	pollParts = 3
 	// maxPollFailures is the number of failed polls in a row up to which the backoff grows.
 	maxPollFailures = 2
+	// minJitter is the least factor on the backoff; the largest is by one more.
+	minJitter = 0.5
 )
 
 // pollSchedule is the state of polling the endpoint list.
@@ -20,16 +22,10 @@
 // recordSuccess ends a row of failures.
 func (p *pollSchedule) recordSuccess() { p.failures, p.lastCost = 0, 0 }
 
-// maxPollSilence is how long (ns) no poll may be out. After that a change may count as notified that this node
-// knows nothing of.
-func (d *Dispatcher) maxPollSilence() float64 {
-	return float64(d.settings.UnpolledEventAge + d.settings.DrainGrace/2)
-}
-
 // StartPolling schedules the first poll. A node that has an endpoint list waits for a random time: nodes that
 // start together would poll together, and a service that falls behind serves none of them.
 func (d *Dispatcher) StartPolling() {
-	silence := d.maxPollSilence()
+	silence := float64(d.settings.maxPollSilence())
 	d.schedulePoll(silence*d.random.Float64()*float64(min(len(d.servers.all), 1)), silence)
 }
 
@@ -38,17 +34,20 @@
 // since a discovery service that could be reached as the poll was out has changes that count as notified some
 // time after.
 func (d *Dispatcher) PollFailed(took, cost int64) {
-	part := max(d.maxPollSilence()/pollParts, float64(min(cost, d.polls.lastCost)))
+	silence := float64(d.settings.maxPollSilence())
+	part := max(silence/pollParts, float64(min(cost, d.polls.lastCost)))
 	left := float64(max(d.settings.MaxPollInterval-took, 0))
 	part = min(part, left/pollParts)
 	d.polls.failures = min(d.polls.failures+1, maxPollFailures)
 	d.polls.lastCost = cost
-	jitter := 0.5 + d.random.Float64()
+	jitter := minJitter + d.random.Float64()
 	d.schedulePoll(part*float64(d.polls.failures)*jitter, pollParts*part)
 }
 
 // PollSucceeded schedules the next poll after one that brought changes, where nodes share a budget of polls.
-func (d *Dispatcher) PollSucceeded() { d.schedulePoll(0, d.maxPollSilence()) }
+func (d *Dispatcher) PollSucceeded() {
+	d.schedulePoll(0, float64(d.settings.maxPollSilence()))
+}
 
 // schedulePoll schedules a poll after some ns. It goes out within another number of ns, whatever its quota.
 func (d *Dispatcher) schedulePoll(after, within float64) {
--- a/dispatch/probes.go
+++ b/dispatch/probes.go
@@ -43,8 +43,8 @@
 	})
 }
 
-// CapacityReported takes the answer to a capacity probe. With reported it tells of free slots and memory;
-// without it the server told of none.
+// CapacityReported takes the end of a capacity probe. Where the server did not answer, reported is false and free slots
+// and memory are 0.
 func (d *Dispatcher) CapacityReported(server *Server, reported bool, freeSlots, freeMemory float64) {
 	waiting := server.probeWaiters
 	server.probeWaiters = nil
--- a/dispatch/promptness.go
+++ b/dispatch/promptness.go
@@ -2,9 +2,12 @@
 
 package dispatch
 
-// startTimeoutFactor is the multiple of a tick and the least start delay that a start is waited for at the
-// least.
-const startTimeoutFactor = 4
+const (
+	// startTimeoutFactor is the multiple of a tick and the least start delay that a start is waited for at the least.
+	startTimeoutFactor = 4
+	// slackParts is one over the part of its slack that an attempt may wait for its start.
+	slackParts = 4
+)
 
 // zoneRelation says where a server is, seen from this node.
 type zoneRelation int
@@ -42,7 +45,7 @@
 	if !d.settings.LoadReports {
 		return d.minStartTimeout()
 	}
-	return max(d.minStartTimeout(), d.slack(attempt.Request, attempt.sentAt)/4)
+	return max(d.minStartTimeout(), d.slack(attempt.Request, attempt.sentAt)/slackParts)
 }
 
 // slack is the time (ns) from a clock time on that a request may wait for its start and still meet its latency
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -17,6 +17,8 @@
 	// minOverObjective is the least that a class's objective may grow with work, over the work itself, when
 	// waits are weighed.
 	minOverObjective = 0.1
+	// minTotal bounds a class's total priority weight, which other classes' is divided by.
+	minTotal = 1e-9
 )
 
 // waitQueue holds the requests that wait for a server.
@@ -110,5 +112,5 @@
 			return 1
 		}
 	}
-	return 1 + d.settings.WorstClassWeight*all/max(own.total, 1e-9) // the bound keeps it finite
+	return 1 + d.settings.WorstClassWeight*all/max(own.total, minTotal)
 }
--- a/dispatch/server.go
+++ b/dispatch/server.go
@@ -31,7 +31,7 @@
 	idleUntil   int64 // until then an idle connection to it should be open
 
 	probeWaiters          []*Request    // wait for the answer to a capacity probe
-	capacityReportedAt    int64         // when it was probed last; 0: never
+	capacityReportedAt    int64         // when its latest capacity probe ended; 0: never
 	reservations          recentAmounts // slots reserved of late, by this node or others, as negative amounts
 	freeSlots, freeMemory float64       // as reported, less what was reserved since
 
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -51,7 +51,7 @@
 	Quota float64
 }
 
-// Settings are given to New and don't change afterwards.
+// Settings describe the service, what its servers and clients can do, and this node.
 type Settings struct {
 	Zone                int // of this node
 	Nodes, NodeIndex    int // how many nodes there are, and this one's index among them
@@ -60,7 +60,7 @@
 	Tenants             []*Tenant
 	WeightByWork        bool    // the priority weight counts for each unit of work
 	OverQuotaWeight     float64 // factor on the weight of a request beyond its tenant's quota
-	LiveCapacity        bool    // an endpoint's capacity is its size over one and the requests that it holds per core
+	LiveCapacity        bool    // an endpoint's capacity falls with its load; see Server.load
 	PollForChanges      bool    // changes of the endpoint list come only when polled for
 	LoadReports         bool    // servers report their load with answers
 	PeerMessages        bool    // nodes may send one another messages
@@ -88,10 +88,12 @@
 	Quotas              QuotaSource // of the budgets that all nodes share; nil: they share none
 }
 
-// MaxPollWait is how long a node may wait with its next poll, after one that brought changes or failed.
-func (s *Settings) MaxPollWait() int64 {
-	return min(s.UnpolledEventAge+s.DrainGrace/2, s.MaxPollInterval)
-}
+// MaxPollWait is how long (ns) a node may wait with its next poll, after one that brought changes or failed.
+func (s *Settings) MaxPollWait() int64 { return min(s.maxPollSilence(), s.MaxPollInterval) }
+
+// maxPollSilence is how long (ns) no poll may be out. After that a change may count as notified that this node knows
+// nothing of. Half of the drain grace is left for the poll itself.
+func (s *Settings) maxPollSilence() int64 { return s.UnpolledEventAge + s.DrainGrace/2 }
 
 // requiresMachineType says whether some class runs on that machine type alone.
 func (s *Settings) requiresMachineType(machineType int) bool {
--- a/dispatch/supervision.go
+++ b/dispatch/supervision.go
@@ -65,17 +65,17 @@
 	}
 	d.checkLater(attempt, d.startTimeout(attempt), func() {
 		if attempt.startedAt == 0 {
-			d.startIsLate(attempt)
+			d.handleLateStart(attempt)
 			d.awaitStart(attempt)
 		}
 	})
 }
 
-// startIsLate reduces the limit of a server where an attempt waits for its start, at first not below this
+// handleLateStart reduces the limit of a server where an attempt waits for its start, at first not below this
 // node's share of the slots that its machine type is known to have: servers with many slots would stand half
 // empty. Each late start in a row halves that bound, since a server that has become slow does not run as many
 // any more.
-func (d *Dispatcher) startIsLate(attempt *Attempt) {
+func (d *Dispatcher) handleLateStart(attempt *Attempt) {
 	server := attempt.Server
 	share := server.typeStats.maxSlots / float64(max(d.settings.Nodes, 1))
 	least := min(server.limit, share*math.Exp2(-server.lateStarts))
