--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -30,10 +30,8 @@
 		}
 		w.updateEndpoints(true)
 		for i := range 100 {
-			request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: key(i)}
-			w.requests = append(w.requests, request)
-			w.d.Arrive(request)
-			w.d.ProcessQueue()
+			request := w.keyed(key(i), 1e8, 9e9)
+			w.admit(request)
 			for j, m := range w.endpoints {
 				if len(w.open) > 0 && m.Server == w.open[0].Server {
 					met[fleet[j].Server]++
@@ -55,7 +53,8 @@
 		return n
 	}
 	rare := func(i int) uint64 { return uint64(7 + i%2*(i+100)) } // half are of one affinity key, the others about many
-	if one := most(countServersMet(t, func(i int) uint64 { return []uint64{7, uint64(1000 + i)}[min(i%10, 1)] }, nil)); one < 46 {
+	tenth := func(i int) uint64 { return []uint64{7, uint64(1000 + i)}[min(i%10, 1)] }
+	if one := most(countServersMet(t, tenth, nil)); one < 46 {
 		t.Errorf("a tenth of all requests are of one affinity key, yet the server met most has %d of 600", one)
 	}
 	if all := most(countServersMet(t, func(int) uint64 { return 7 }, nil)); all > 150 {
@@ -83,10 +82,8 @@
 	met := func() map[*Server]int {
 		n := map[*Server]int{}
 		for i := range 120 { // about forty keys
-			request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%40)}
-			w.requests = append(w.requests, request)
-			w.d.Arrive(request)
-			w.d.ProcessQueue()
+			request := w.keyed(uint64(2+i%40), 1e8, 9e9)
+			w.admit(request)
 			if i%40 == 1 {
 				n[w.open[0].Server]++
 			}
@@ -133,10 +130,8 @@
 				m.Server.Hash = HashName("e" + strconv.Itoa(i))
 			}
 			for i := range 200 { // about seven keys, the middle one of three
-				request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, Deadline: w.now + 9e9, AffinityKey: uint64(2 + i%7)}
-				w.requests = append(w.requests, request)
-				w.d.Arrive(request)
-				w.d.ProcessQueue()
+				request := w.keyed(uint64(2+i%7), 1e8, 9e9)
+				w.admit(request)
 				if i%7 == 1 {
 					met[w.open[0].Server.Hash]++
 				}
@@ -165,10 +160,8 @@
 		cold.StartedAt = w.now - w.settings.SlowStart/2
 		w.updateEndpoints(true)
 		for range 20 {
-			request := &Request{Class: w.settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 9e9, AffinityKey: key + 1}
-			w.requests = append(w.requests, request)
-			w.d.Arrive(request)
-			w.d.ProcessQueue()
+			request := w.keyed(key+1, 1e7, 9e9)
+			w.admit(request)
 			w.completeAll()
 			w.advance(1e8)
 			if request.Attempts[0].Server == cold.Server {
@@ -194,12 +187,13 @@
 		w.d.keys.requests = 100
 		request := &Request{Class: w.settings.Classes[0], AffinityKey: 7, keyState: &keyState{requests: 1}}
 		w.d.promptStarts[ownZone] = decayingRatio{9, prompt, w.now}
-		if preferred := w.d.preferredServers(&candidateSearch{request: request, anyZone: true}); len(preferred) != want {
+		search := &candidateSearch{request: request, anyZone: true}
+		if preferred := w.d.preferredServers(search); len(preferred) != want {
 			t.Errorf("%v of 9 starts prompt: %d preferred servers, want %d", prompt, len(preferred), want)
 		}
 		// The counts may be halved away while a request waits; it has a preferred server all the same.
 		request.keyState.requests, w.d.keys.requests = 0, 5
-		if preferred := w.d.preferredServers(&candidateSearch{request: request, anyZone: true}); len(preferred) != want {
+		if preferred := w.d.preferredServers(search); len(preferred) != want {
 			t.Errorf("no count left: %d preferred servers", len(preferred))
 		}
 	}
--- a/dispatch/arrival_test.go
+++ b/dispatch/arrival_test.go
@@ -30,7 +30,8 @@
 func TestOverQuotaIsShedUnderCongestion(t *testing.T) {
 	for _, prompt := range []float64{0, 400} {
 		settings, shed := testSettings(), 0
-		settings.LoadReports, settings.OverQuotaWeight, settings.Tenants = true, 0.9, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
+		settings.LoadReports, settings.OverQuotaWeight = true, 0.9
+		settings.Tenants = []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 		w := newHarness(t, 1, settings)
 		w.addServers(40, false)
 		w.d.promptStarts[ownZone] = decayingRatio{400, prompt, w.now}
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -113,7 +113,8 @@
 	}
 	drawn := d.draw(request, 1)
 	if may == 0 || may > 320 || countConsidered(d) > 2*maxSample+may || d.settings.warmUpFactor(drawn[0], d.now) == 1 {
-		t.Errorf("%d may be sent to now, and the one drawn has warmth %v", may, d.settings.warmUpFactor(drawn[0], d.now))
+		warm := d.settings.warmUpFactor(drawn[0], d.now)
+		t.Errorf("%d may be sent to now, and the one drawn has %v of its capacity", may, warm)
 	}
 	settings.Nodes = 1 // it is always its turn
 	if d.draw(request, 1); countConsidered(d) > 2*maxSample {
--- a/dispatch/cluster_test.go
+++ b/dispatch/cluster_test.go
@@ -64,7 +64,8 @@
 	}
 	n.sent[i] = append(n.sent[i], timedAmount{n.now, work})
 	n.open, n.sentAt[attempt] = append(n.open, attempt), n.now
-	n.record(invariants.Event{Kind: invariants.AttemptSent, Request: attempt.Request.Tag, Attempt: attempt.Number, Server: strconv.Itoa(i), Work: work / 1e9})
+	n.record(invariants.Event{Kind: invariants.AttemptSent, Request: attempt.Request.Tag, Attempt: attempt.Number,
+		Server: strconv.Itoa(i), Work: work / 1e9})
 }
 
 // runtimeOf is how long an attempt runs, without a queue.
@@ -79,7 +80,7 @@
 // warmUpShare is the part of its capacity that a server has at least.
 func (h *cluster) warmUpShare(i int, at int64) float64 {
 	if age := at - h.startedAt[i]; h.startedAt[i] > 0 && age < h.settings.SlowStart {
-		return h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*float64(max(age, 0))/float64(h.settings.SlowStart)
+		return capacityShare(h.settings, max(age, 0))
 	}
 	return 1
 }
@@ -110,14 +111,21 @@
 	h := &cluster{Rand: rand.New(rand.NewPCG(seed, 2)), now: 1e12, slots: testSlots, runtime: 1e8}
 	h.settings = testSettings()
 	h.settings.Nodes, h.settings.Classes, h.settings.Tick = nodes, h.settings.Classes[:1], 2e7
-	h.startedAt, h.startTimeError, h.sent = make([]int64, servers), make([]int64, servers), make([][]timedAmount, servers)
+	h.startedAt, h.startTimeError = make([]int64, servers), make([]int64, servers)
+	h.sent = make([][]timedAmount, servers)
 	places := map[string]invariants.ServerPlace{}
 	for i := range servers {
 		places[strconv.Itoa(i)] = invariants.ServerPlace{Slots: h.slots}
 	}
-	h.checker = invariants.New(invariants.Rules{OverloadWindow: h.settings.OverloadWindow, OverloadFactor: h.settings.OverloadFactor, SlowStart: h.settings.SlowStart,
-		SlowStartShare: h.settings.SlowStartShare, AllowHedging: h.settings.AllowHedging, Servers: places,
-		Classes: map[string]invariants.Class{"s": {Idempotency: "repeatable"}}})
+	h.checker = invariants.New(invariants.Rules{
+		OverloadWindow: h.settings.OverloadWindow,
+		OverloadFactor: h.settings.OverloadFactor,
+		SlowStart:      h.settings.SlowStart,
+		SlowStartShare: h.settings.SlowStartShare,
+		AllowHedging:   h.settings.AllowHedging,
+		Servers:        places,
+		Classes:        map[string]invariants.Class{"s": {Idempotency: "repeatable"}},
+	})
 	for i := range nodes {
 		settings := *h.settings
 		settings.NodeIndex = i
@@ -179,11 +187,13 @@
 			}
 			for due := share; due > 0 && h.Float64() < due; due-- {
 				h.accepted++
-				request := &Request{Tag: strconv.Itoa(h.accepted), Class: h.settings.Classes[0], Slots: 1, ExpectedWork: size/2 + h.Int64N(size), Deadline: h.now + 1e9}
+				request := &Request{Tag: strconv.Itoa(h.accepted), Class: h.settings.Classes[0], Slots: 1,
+					ExpectedWork: size/2 + h.Int64N(size), Deadline: h.now + 1e9}
 				if h.work != nil {
 					request.ExpectedWork, request.Deadline, h.workOf[request] = 0, h.now+h.clientTimeout, h.work()
 				}
-				h.record(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.settings.NodeIndex), Request: request.Tag, Class: "s", Deadline: request.Deadline})
+				h.record(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.settings.NodeIndex),
+					Request: request.Tag, Class: "s", Deadline: request.Deadline})
 				n.d.Arrive(request)
 			}
 			n.d.ProcessQueue()
@@ -193,9 +203,11 @@
 						o = Rejected
 					}
 					n.open = slices.DeleteFunc(n.open, func(q *Attempt) bool { return attempt == q })
-					n.record(invariants.Event{Kind: invariants.AttemptEnded, Request: attempt.Request.Tag, Attempt: attempt.Number, Result: o.String()})
+					n.record(invariants.Event{Kind: invariants.AttemptEnded, Request: attempt.Request.Tag,
+						Attempt: attempt.Number, Result: o.String()})
 					if o == Succeeded && !attempt.Request.Done {
-						n.record(invariants.Event{Kind: invariants.RequestAnswered, Request: attempt.Request.Tag, Result: "settled"})
+						n.record(invariants.Event{Kind: invariants.RequestAnswered, Request: attempt.Request.Tag,
+							Result: "settled"})
 					}
 					n.d.AttemptEnded(attempt, o, h.now-n.sentAt[attempt], attempt.Request.Done || o == Succeeded)
 				}
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -38,17 +38,22 @@
 
 const testSlots = 4
 
-var unlimitedKey = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}} // what requests are about that never were taken
+// unlimitedKey is the key state of requests that never arrived.
+var unlimitedKey = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
 
 func testSettings() *Settings {
 	return &Settings{Nodes: 2, Tick: 4e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 4, AllowCancel: true,
 		AllowHedging: true, MaxRetryAfter: 2e9, SlowStartShare: 0.2, SlowStart: 10e9, OverloadWindow: 2e9,
 		OverloadFactor: 3, UnpolledEventAge: 8e9, MaxPollInterval: 6e9, Classes: []*Class{
 			{LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 3, LateShare: 0.3, MachineType: -1},
-			{Index: 1, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 8, MachineType: -1, Idempotency: IdempotentInGroup, DedupScope: DedupCell, DedupWindow: 3e9},
-			{Index: 2, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1, Idempotency: NonIdempotent},
-			{Index: 3, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 1, MachineType: 1, Idempotency: IdempotentInGroup, DedupScope: DedupZone, DedupWindow: 1e9},
-			{Index: 4, LatencyObjective: 2e8, Weight: 1, LateShare: 0.9, MachineType: -1, Idempotency: IdempotentInGroup, DedupWindow: 1e9}}}
+			{Index: 1, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 8, MachineType: -1,
+				Idempotency: IdempotentInGroup, DedupScope: DedupCell, DedupWindow: 3e9},
+			{Index: 2, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1,
+				Idempotency: NonIdempotent},
+			{Index: 3, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 1, MachineType: 1,
+				Idempotency: IdempotentInGroup, DedupScope: DedupZone, DedupWindow: 1e9},
+			{Index: 4, LatencyObjective: 2e8, Weight: 1, LateShare: 0.9, MachineType: -1,
+				Idempotency: IdempotentInGroup, DedupWindow: 1e9}}}
 }
 
 func newHarness(t *testing.T, seed uint64, settings *Settings) *harness {
@@ -119,22 +124,32 @@
 }
 
 // checkSlowStart holds this node's sends alone to the budget of a server in slow start. What all nodes send
-// together is FuzzSlowStartBudget.s.
+// together is FuzzSlowStartBudget's.
 func (w *harness) checkSlowStart(attempt *Attempt) {
 	server := attempt.Server
 	i := slices.IndexFunc(w.endpoints, func(m *Endpoint) bool { return m.Server == server })
-	if age := w.now - w.endpoints[i].StartedAt; w.endpoints[i].StartedAt > 0 && age < w.settings.SlowStart && w.settings.StartTimeError == 0 {
-		w.slowStartWork[server] = append(w.slowStartWork[server], timedAmount{w.now, float64(attempt.Request.ExpectedWork) * attempt.Request.Slots})
-		sum, share := 0.0, w.settings.SlowStartShare+(1-w.settings.SlowStartShare)*float64(age)/float64(w.settings.SlowStart)
-		for _, c := range w.slowStartWork[server] {
-			if w.now-c.at <= w.settings.OverloadWindow {
-				sum += c.amount
-			}
-		}
-		if sum > w.settings.OverloadFactor*share*testSlots*float64(w.settings.OverloadWindow) {
-			w.Fatalf("rule 4: %.0f ms of work sent to a server in slow start", sum/1e6)
+	startedAt := w.endpoints[i].StartedAt
+	age := w.now - startedAt
+	if startedAt <= 0 || age >= w.settings.SlowStart || w.settings.StartTimeError != 0 {
+		return
+	}
+	work := float64(attempt.Request.ExpectedWork) * attempt.Request.Slots
+	w.slowStartWork[server] = append(w.slowStartWork[server], timedAmount{w.now, work})
+	sum := 0.0
+	for _, sent := range w.slowStartWork[server] {
+		if w.now-sent.at <= w.settings.OverloadWindow {
+			sum += sent.amount
 		}
 	}
+	capacity := capacityShare(w.settings, age) * testSlots * float64(w.settings.OverloadWindow)
+	if sum > w.settings.OverloadFactor*capacity {
+		w.Fatalf("rule 4: %.0f ms of work sent to a server in slow start", sum/1e6)
+	}
+}
+
+// capacityShare is the least share of its capacity that a server of an age (ns) in slow start has.
+func capacityShare(settings *Settings, age int64) float64 {
+	return settings.SlowStartShare + (1-settings.SlowStartShare)*float64(age)/float64(settings.SlowStart)
 }
 
 func (w *harness) CancelAttempt(attempt *Attempt) {
@@ -153,11 +168,14 @@
 	}
 }
 
-func (w *harness) Shed(request *Request, returnIn int64) {
+func (w *harness) Shed(request *Request, _ int64) {
 	w.Helper()
 	w.recordFinal(request)
+	class := request.Class
+	mayRunTwice := class.Idempotency == NonIdempotent ||
+		class.Idempotency == IdempotentInGroup && class.DedupScope != DedupAll
 	for _, attempt := range request.Attempts {
-		if class := request.Class; w.mayRun[attempt] && (class.Idempotency == NonIdempotent || class.Idempotency == IdempotentInGroup && class.DedupScope != DedupAll) {
+		if w.mayRun[attempt] && mayRunTwice {
 			w.Fatalf("rule 2: class %d shed though it may have run", class.Index)
 		}
 	}
@@ -193,12 +211,29 @@
 	}
 }
 
-func (w *harness) arrive(scheme int, slots float64, hint, left int64) *Request {
-	request := &Request{Class: w.settings.Classes[scheme], Slots: slots, ExpectedWork: hint, Deadline: w.now + left}
+// arrive admits a request of a class with so many slots, expected work (ns) and time left (ns).
+func (w *harness) arrive(class int, slots float64, work, left int64) *Request {
+	request := &Request{Class: w.settings.Classes[class], Slots: slots, ExpectedWork: work, Deadline: w.now + left}
+	w.admit(request)
+	return request
+}
+
+// admit has a request arrive and the queue processed.
+func (w *harness) admit(request *Request) {
 	w.requests = append(w.requests, request)
 	w.d.Arrive(request)
 	w.d.ProcessQueue()
-	return request
+}
+
+// keyed is a request of the first class with an affinity key.
+func (w *harness) keyed(key uint64, work, left int64) *Request {
+	class := w.settings.Classes[0]
+	return &Request{Class: class, Slots: 1, ExpectedWork: work, Deadline: w.now + left, AffinityKey: key}
+}
+
+// undrawn is a request of the first class that never arrived, for calls of draw.
+func undrawn(settings *Settings) *Request {
+	return &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}
 }
 
 // endAttempt gives an attempt an outcome, as the bench would.
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -12,12 +12,12 @@
 	w := newHarness(t, 1, settings)
 	w.addServers(4, false)
 	for _, waited := range []int64{0, 1e8, 3e8, 3e9} {
-		request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9, UnreadTime: waited}
-		w.requests = append(w.requests, request)
-		w.d.Arrive(request)
-		w.d.ProcessQueue()
-		if shed := waited > settings.DrainGrace/8; request.Done != shed || shed && (request.Reason != Overloaded || len(request.Attempts) > 0) {
-			t.Errorf("waited %d ms: over %v, %d attempts, %v", waited/1e6, request.Done, len(request.Attempts), request.Reason)
+		request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9,
+			UnreadTime: waited}
+		w.admit(request)
+		shed, attempts := waited > settings.DrainGrace/8, len(request.Attempts)
+		if request.Done != shed || shed && (request.Reason != Overloaded || attempts > 0) {
+			t.Errorf("waited %d ms: over %v, %d attempts, %v", waited/1e6, request.Done, attempts, request.Reason)
 		}
 	}
 }
@@ -28,7 +28,8 @@
 	for _, waited := range []int64{0, 1e3, 2e7} {
 		w := newHarness(t, 1, testSettings())
 		w.addServers(4, false)
-		request := &Request{Class: w.settings.Classes[0], Slots: 1, Deadline: w.now + w.settings.Classes[0].LatencyObjective + 1, UnreadTime: waited}
+		class := w.settings.Classes[0]
+		request := &Request{Class: class, Slots: 1, Deadline: w.now + class.LatencyObjective + 1, UnreadTime: waited}
 		w.requests = append(w.requests, request)
 		w.d.Arrive(request)
 		if w.d.ProcessQueue(); request.Done || len(request.Attempts) != 1 {
--- a/dispatch/polling_test.go
+++ b/dispatch/polling_test.go
@@ -38,7 +38,9 @@
 // goes on the seldomer; a list that comes starts it over. An overloaded discovery service that sixty nodes ask
 // again too soon would serve none of them. A node that asks too late would send requests to servers that drain.
 func TestFailedPollsAreSpread(t *testing.T) {
-	for _, c := range []struct{ within, spent, bound int64 }{{0, 0, 1e9}, {0, 1e8, 1e9}, {0, 2e9, 4e9}, {0, 4e9, 2e9}, {8e9, 0, 8e9}} {
+	for _, c := range []struct{ within, spent, bound int64 }{
+		{0, 0, 1e9}, {0, 1e8, 1e9}, {0, 2e9, 4e9}, {0, 4e9, 2e9}, {8e9, 0, 8e9},
+	} {
 		h := newCluster(3, 80, 1)
 		h.settings.UnpolledEventAge, h.settings.DrainGrace = c.within, 2e9
 		most := func(rounds int) (n int, last int64) {
@@ -92,7 +94,8 @@
 				s.denied[BudgetPolls] = w.now-began < denied
 			}
 			took := w.now - began
-			if denied < step.most && took < denied || took > step.most+2*settings.Tick || denied > step.most && took < step.most {
+			tooSoon := denied < step.most && took < denied || denied > step.most && took < step.most
+			if tooSoon || took > step.most+2*settings.Tick {
 				t.Errorf("denied for %d ms, called after %d, at most %d", denied/1e6, took/1e6, step.most/1e6)
 			}
 			if w.advance(2e9); actions.polls != before+1 {
--- a/dispatch/quotas_test.go
+++ b/dispatch/quotas_test.go
@@ -27,7 +27,8 @@
 
 func (p *quotaChecker) StartAttempt(attempt *Attempt) {
 	cold := p.d.settings.warmUpFactor(attempt.Server, p.now) < 1
-	if attempt.Number > 0 && p.denied[BudgetRetries] || p.denied[BudgetConnections] || p.denied[BudgetTenantAttempts] || cold && p.denied[BudgetSlowStart] {
+	if attempt.Number > 0 && p.denied[BudgetRetries] || cold && p.denied[BudgetSlowStart] ||
+		p.denied[BudgetConnections] || p.denied[BudgetTenantAttempts] {
 		p.Fatalf("attempt %d is sent, in slow start: %v, while %v is denied", attempt.Number, cold, p.denied)
 	}
 	if cold != (attempt.SlowStartShare > 0) {
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -18,7 +18,8 @@
 		w.settings.AllowCancel = flags&2 == 0
 		w.settings.StartNotices = flags&4 == 0
 		w.settings.Nodes, w.settings.LoadReports = 1+int(seed%3)*200, flags&16 != 0
-		w.settings.CapacityProbes, w.settings.LiveCapacity, w.settings.PeerMessages = flags&32 != 0, flags&64 != 0, flags&32 != 0
+		w.settings.CapacityProbes, w.settings.PeerMessages = flags&32 != 0, flags&32 != 0
+		w.settings.LiveCapacity = flags&64 != 0
 		if flags&8 != 0 {
 			w.settings.CrossZoneCost, w.settings.ProgressInterval = 0.1, 0
 		}
--- a/dispatch/scores_test.go
+++ b/dispatch/scores_test.go
@@ -21,7 +21,8 @@
 		job(fast, 1, false)
 		job(mid, 2, false)
 	}
-	if fast.scores.sum != 10*scoreWindowSize || mid.scores.sum != 6*scoreWindowSize || slow.scores.sum != 2*scoreWindowSize {
+	const n = scoreWindowSize
+	if fast.scores.sum != 10*n || mid.scores.sum != 6*n || slow.scores.sum != 2*n {
 		t.Fatalf("sums %d %d %d", fast.scores.sum, mid.scores.sum, slow.scores.sum)
 	}
 	job(fast, 0, true)
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -16,7 +16,7 @@
 	good.scores.count, good.scores.sum, bad.scores.count, bad.scores.sum = 50, 475, 50, 125
 	count := 0
 	for range 4000 {
-		if w.d.draw(&Request{Class: w.settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}, 1)[0] == good {
+		if w.d.draw(undrawn(w.settings), 1)[0] == good {
 			count++
 		}
 	}
@@ -25,7 +25,7 @@
 	}
 	bad.reliability = reliability{0.05, w.now}
 	for range 100 {
-		if w.d.draw(&Request{Class: w.settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}, 1)[0] == bad {
+		if w.d.draw(undrawn(w.settings), 1)[0] == bad {
 			t.Fatal("drawn below the least H though another remains")
 		}
 	}
@@ -48,7 +48,7 @@
 		m.Server.limit = initialLimit
 	}
 	for range 200 {
-		far += w.d.draw(&Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}, 1)[0].zone
+		far += w.d.draw(undrawn(settings), 1)[0].zone
 	}
 	if far < 80 {
 		t.Fatalf("%d of 200 went to the zone with room", far)
@@ -74,7 +74,7 @@
 	}
 	again := 0
 	for range 40 {
-		if met[w.d.draw(&Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}, 1)[0]] {
+		if met[w.d.draw(undrawn(settings), 1)[0]] {
 			again++
 		}
 	}
@@ -159,10 +159,8 @@
 	}
 	used := func(key uint64) (used [3]int) {
 		for range 60 {
-			request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9, AffinityKey: key}
-			w.requests = append(w.requests, request)
-			w.d.Arrive(request)
-			w.d.ProcessQueue()
+			request := w.keyed(key, 1e7, 5e9)
+			w.admit(request)
 			for _, attempt := range w.open {
 				used[attempt.Server.Distance]++
 			}
--- a/dispatch/servicemodel_test.go
+++ b/dispatch/servicemodel_test.go
@@ -3,6 +3,7 @@
 package dispatch
 
 import (
+	"cmp"
 	"math/rand/v2"
 	"slices"
 	"strconv"
@@ -50,7 +51,8 @@
 func (n *modelNode) StartAttempt(attempt *Attempt) {
 	n.attempts++
 	n.sentAt[attempt] = n.now
-	w, i, request := n.workers[slices.Index(n.servers, attempt.Server)], slices.Index(n.servers, attempt.Server), attempt.Request
+	request, i := attempt.Request, slices.Index(n.servers, attempt.Server)
+	w := n.workers[i]
 	work := n.work()
 	end := func(o Outcome) {
 		if !attempt.InFlight {
@@ -79,7 +81,8 @@
 			n.d.AttemptStarted(attempt)
 		}
 		took, o := work*w.slowdown, Succeeded
-		if n.lockedKey > 0 && (request.AffinityKey == n.lockedKey || request.AffinityKey == 0 && request.Tenant == int(n.lockedKey)) {
+		locked := request.AffinityKey == n.lockedKey || request.AffinityKey == 0 && request.Tenant == int(n.lockedKey)
+		if n.lockedKey > 0 && locked {
 			if wait := max(n.unlockedAt-n.now, 0); wait > 3*request.Class.LatencyObjective/2 {
 				took, o = 2e6, Failed
 			} else {
@@ -121,13 +124,14 @@
 // after has something happen later, with the clock of all nodes set.
 func (h *serviceModel) after(span int64, then func()) *timer {
 	a := &timer{h.now + span, then}
-	i, _ := slices.BinarySearchFunc(h.timers, a.at+1, func(b *timer, at int64) int { return int(min(max(b.at-at, -1), 1)) })
+	i, _ := slices.BinarySearchFunc(h.timers, a.at+1, func(b *timer, at int64) int { return cmp.Compare(b.at, at) })
 	h.timers = slices.Insert(h.timers, i, a)
 	return a
 }
 
 func newServiceModel(seed uint64, nodes, workers, slots int, settings *Settings) *serviceModel {
-	h := &serviceModel{Rand: rand.New(rand.NewPCG(seed, 3)), settings: settings, now: 1e12, work: func() int64 { return 2e8 }}
+	h := &serviceModel{Rand: rand.New(rand.NewPCG(seed, 3)), settings: settings, now: 1e12}
+	h.work = func() int64 { return 2e8 }
 	for range workers {
 		h.workers = append(h.workers, &queueingServer{slots: slots, slowdown: 1})
 	}
--- a/dispatch/slowstart_cluster_test.go
+++ b/dispatch/slowstart_cluster_test.go
@@ -22,7 +22,8 @@
 				h.workOf, h.speed = map[*Request]int64{}, []float64{0.7, 0.8, 0.9, 1.7, 2, 2.3}
 				h.work = func() int64 { return int64(mean * h.ExpFloat64()) }
 				if seed%2 == 1 {
-					h.work = func() int64 { return int64(mean * math.Exp(h.NormFloat64()*0.66-0.22)) } // lognormal, cv 0.74
+					// Lognormal, with a coefficient of variation of 0.74.
+					h.work = func() int64 { return int64(mean * math.Exp(h.NormFloat64()*0.66-0.22)) }
 				}
 				h.settings.Classes[0].LatencyObjective, h.settings.Classes[0].MaxDeadline = int64(2*mean), 0
 				can := 0.0
@@ -51,7 +52,8 @@
 							}
 							sum++
 						}
-						n := h.settings.OverloadFactor * h.warmUpShare(i, first.at) * h.slots * h.speed[i] * float64(h.settings.OverloadWindow) / mean
+						capacity := h.warmUpShare(i, first.at) * h.slots * h.speed[i] / mean
+						n := h.settings.OverloadFactor * capacity * float64(h.settings.OverloadWindow)
 						worst, most = max(worst, sum/(n+2*math.Sqrt(n)+2)), max(most, sum/n)
 						used += first.amount
 					}
@@ -116,7 +118,7 @@
 		}
 	}
 	// what they can do meanwhile, if they warm as late as the settings allow
-	able := 3 * h.slots * (h.settings.SlowStartShare + (1-h.settings.SlowStartShare)/4) * float64(h.settings.SlowStart/2)
+	able := 3 * h.slots * capacityShare(h.settings, h.settings.SlowStart/4) * float64(h.settings.SlowStart/2)
 	if used := work / able; used < 0.3 || h.maxBudgetShare() > 1 {
 		t.Errorf("%.2f of servers in slow start is used, at most %.2f of a budget", used, h.maxBudgetShare())
 	} else {
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -59,7 +59,7 @@
 			}
 			w.completeAll()
 			w.advance(2e7)
-			share := settings.SlowStartShare + (1-settings.SlowStartShare)*float64(w.now-born)/float64(settings.SlowStart)
+			share := capacityShare(settings, w.now-born)
 			sum := 0.0
 			for _, c := range sent {
 				if w.now-c.at <= settings.OverloadWindow {
@@ -71,7 +71,8 @@
 			}
 		}
 		if len(sent) == 0 || w.d.settings.warmUpFactor(server, w.now) == 1 {
-			t.Errorf("stamped %d s off: %d sent, warmth %.2f", off*4, len(sent), w.d.settings.warmUpFactor(server, w.now))
+			warm := w.d.settings.warmUpFactor(server, w.now)
+			t.Errorf("stamped %d s off: %d sent, %.2f of its capacity", off*4, len(sent), warm)
 		}
 	}
 }
