--- /dev/null
+++ b/dispatch/harness_test.go
@@ -0,0 +1,258 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package dispatch
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// harness is an Actions that holds every action against the four rules at the moment it is taken, and drives
+// the module through random legal histories. It models no queues and no speeds: what servers do is chance.
+type harness struct {
+	*testing.T
+	*rand.Rand
+	settings      *Settings
+	d             *Dispatcher
+	now           int64
+	timers        []*timer
+	open          []*Attempt
+	requests      []*Request
+	finals        map[*Request]int
+	mayRun        map[*Attempt]bool // not proved unrun
+	sentAt        map[*Attempt]int64
+	canceled      int
+	notified      []float64
+	probes        []*Server // without an answer
+	endpoints     []*Endpoint
+	stopped       map[*Server]bool // told that it drains or is gone
+	slowStartWork map[*Server][]timedAmount
+}
+
+type timer struct {
+	at   int64
+	call func()
+}
+
+const testSlots = 4
+
+// unlimitedKey is the key state of requests that never arrived.
+var unlimitedKey = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
+
+func testSettings() *Settings {
+	return &Settings{Nodes: 2, Tick: 4e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 4, AllowCancel: true,
+		AllowHedging: true, MaxRetryAfter: 2e9, SlowStartShare: 0.2, SlowStart: 10e9, OverloadWindow: 2e9,
+		OverloadFactor: 3, UnpolledEventAge: 8e9, MaxPollInterval: 6e9, Classes: []*Class{
+			{LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 3, LateShare: 0.3, MachineType: -1},
+			{Index: 1, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 8, MachineType: -1,
+				Idempotency: IdempotentInGroup, DedupScope: DedupCell, DedupWindow: 3e9},
+			{Index: 2, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 5, LateShare: 0.9, MachineType: -1,
+				Idempotency: NonIdempotent},
+			{Index: 3, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 1, MachineType: 1,
+				Idempotency: IdempotentInGroup, DedupScope: DedupZone, DedupWindow: 1e9},
+			{Index: 4, LatencyObjective: 2e8, Weight: 1, LateShare: 0.9, MachineType: -1,
+				Idempotency: IdempotentInGroup, DedupWindow: 1e9}}}
+}
+
+func newHarness(t *testing.T, seed uint64, settings *Settings) *harness {
+	w := &harness{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), settings: settings, now: 1e12, finals: map[*Request]int{},
+		mayRun: map[*Attempt]bool{}, sentAt: map[*Attempt]int64{}, stopped: map[*Server]bool{},
+		slowStartWork: map[*Server][]timedAmount{}}
+	w.d = New(settings, seed, w, w.now)
+	return w
+}
+
+// addServers lists n servers, two a cell and four a zone; every third one has just started when cold is set.
+func (w *harness) addServers(n int, cold bool) {
+	for i := range n {
+		m := &Endpoint{Server: &Server{}, Zone: i / 4, Cell: i / 2, MachineType: i % 2}
+		if cold && i%3 == 0 {
+			m.StartedAt = w.now - w.Int64N(w.settings.SlowStart)
+		}
+		w.endpoints = append(w.endpoints, m)
+	}
+	w.updateEndpoints(true)
+}
+
+func (w *harness) updateEndpoints(whole bool) {
+	var members []Endpoint
+	for _, m := range w.endpoints {
+		w.stopped[m.Server] = m.State != Up
+		if !whole || m.State != Removed {
+			members = append(members, *m)
+		}
+	}
+	if whole && len(members) > 0 {
+		members = append(members, members[0])
+	}
+	w.d.UpdateEndpoints(whole, members)
+}
+
+func (w *harness) StartAttempt(attempt *Attempt) {
+	w.Helper()
+	request := attempt.Request
+	switch {
+	case w.finals[request] > 0:
+		w.Fatal("rule 1: attempt for a request that has its final answer")
+	case attempt.Number >= w.settings.MaxAttempts:
+		w.Fatal("more attempts than the settings allow")
+	}
+	if w.stopped[attempt.Server] {
+		w.Fatal("rule 3: attempt to a server that drains or is gone")
+	}
+	var first *Attempt
+	for _, q := range request.Attempts[:attempt.Number] {
+		if first == nil && w.mayRun[q] {
+			first = q
+		}
+		if q.InFlight && !w.settings.AllowHedging {
+			w.Fatal("rule 2: two attempts out where none may be doubled")
+		}
+	}
+	if class := request.Class; first != nil && class.Idempotency != Idempotent {
+		if class.Idempotency == NonIdempotent || w.now-w.sentAt[first] > class.DedupWindow ||
+			class.DedupScope == DedupCell && attempt.Server.cell != first.Server.cell ||
+			class.DedupScope == DedupZone && attempt.Server.zone != first.Server.zone {
+			w.Fatalf("rule 2: class %d sent again where it may run twice", class.Index)
+		}
+	}
+	w.mayRun[attempt], w.sentAt[attempt] = true, w.now
+	w.open = append(w.open, attempt)
+	w.checkSlowStart(attempt)
+}
+
+// checkSlowStart holds this node's sends alone to the budget of a server in slow start. What all nodes send
+// together is FuzzSlowStartBudget's.
+func (w *harness) checkSlowStart(attempt *Attempt) {
+	server := attempt.Server
+	i := slices.IndexFunc(w.endpoints, func(m *Endpoint) bool { return m.Server == server })
+	startedAt := w.endpoints[i].StartedAt
+	age := w.now - startedAt
+	if startedAt <= 0 || age >= w.settings.SlowStart || w.settings.StartTimeError != 0 {
+		return
+	}
+	work := float64(attempt.Request.ExpectedWork) * attempt.Request.Slots
+	w.slowStartWork[server] = append(w.slowStartWork[server], timedAmount{w.now, work})
+	sum := 0.0
+	for _, sent := range w.slowStartWork[server] {
+		if w.now-sent.at <= w.settings.OverloadWindow {
+			sum += sent.amount
+		}
+	}
+	capacity := capacityShare(w.settings, age) * testSlots * float64(w.settings.OverloadWindow)
+	if sum > w.settings.OverloadFactor*capacity {
+		w.Fatalf("rule 4: %.0f ms of work sent to a server in slow start", sum/1e6)
+	}
+}
+
+// capacityShare is the least share of its capacity that a server of an age (ns) in slow start has.
+func capacityShare(settings *Settings, age int64) float64 {
+	return settings.SlowStartShare + (1-settings.SlowStartShare)*float64(age)/float64(settings.SlowStart)
+}
+
+func (w *harness) CancelAttempt(attempt *Attempt) {
+	if w.canceled++; !w.settings.AllowCancel {
+		w.Fatal("withdrawn where it is not permitted")
+	}
+}
+
+func (w *harness) recordFinal(request *Request) {
+	w.Helper()
+	if w.finals[request]++; w.finals[request] > 1 {
+		w.Fatal("rule 1: two final answers")
+	}
+	if w.now > request.Deadline {
+		w.Fatal("rule 1: final answer after deadline")
+	}
+}
+
+func (w *harness) Shed(request *Request, _ int64) {
+	w.Helper()
+	w.recordFinal(request)
+	class := request.Class
+	mayRunTwice := class.Idempotency == NonIdempotent ||
+		class.Idempotency == IdempotentInGroup && class.DedupScope != DedupAll
+	for _, attempt := range request.Attempts {
+		if w.mayRun[attempt] && mayRunTwice {
+			w.Fatalf("rule 2: class %d shed though it may have run", class.Index)
+		}
+	}
+}
+
+func (w *harness) Compensate(request *Request) { w.recordFinal(request) }
+
+func (w *harness) PollEndpoints(bool) {}
+
+func (w *harness) NotifyPeers(_ *Server, slots float64) { w.notified = append(w.notified, slots) }
+
+func (w *harness) ProbeCapacity(server *Server) { w.probes = append(w.probes, server) }
+
+func (w *harness) Schedule(after int64, then func()) (forget func()) {
+	a := &timer{w.now + max(after, 1), then}
+	w.timers = append(w.timers, a)
+	return func() { w.timers = slices.DeleteFunc(w.timers, func(b *timer) bool { return a == b }) }
+}
+
+// advance lets time go by, timer by timer, in whole ticks.
+func (w *harness) advance(span int64) {
+	for end := w.now + span; w.now < end; {
+		w.now = min(w.now+w.settings.Tick, end)
+		w.d.Advance(w.now)
+		due := slices.Clone(w.timers)
+		w.timers = slices.DeleteFunc(w.timers, func(a *timer) bool { return a.at <= w.now })
+		for _, a := range due {
+			if a.at <= w.now {
+				a.call()
+			}
+		}
+		w.d.ProcessQueue()
+	}
+}
+
+// arrive admits a request of a class with so many slots, expected work (ns) and time left (ns).
+func (w *harness) arrive(class int, slots float64, work, left int64) *Request {
+	request := &Request{Class: w.settings.Classes[class], Slots: slots, ExpectedWork: work, Deadline: w.now + left}
+	w.admit(request)
+	return request
+}
+
+// admit has a request arrive and the queue processed.
+func (w *harness) admit(request *Request) {
+	w.requests = append(w.requests, request)
+	w.d.Arrive(request)
+	w.d.ProcessQueue()
+}
+
+// keyed is a request of the first class with an affinity key.
+func (w *harness) keyed(key uint64, work, left int64) *Request {
+	class := w.settings.Classes[0]
+	return &Request{Class: class, Slots: 1, ExpectedWork: work, Deadline: w.now + left, AffinityKey: key}
+}
+
+// undrawn is a request of the first class that never arrived, for calls of draw.
+func undrawn(settings *Settings) *Request {
+	return &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}
+}
+
+// endAttempt gives an attempt an outcome, as the bench would.
+func (w *harness) endAttempt(attempt *Attempt, o Outcome) {
+	w.open = slices.DeleteFunc(w.open, func(q *Attempt) bool { return q == attempt })
+	if o == Rejected || o == ConnectFailed || o == NotSent {
+		w.mayRun[attempt] = false
+	}
+	if o == Succeeded && w.finals[attempt.Request] == 0 {
+		w.recordFinal(attempt.Request)
+	}
+	w.d.AttemptEnded(attempt, o, w.now-w.sentAt[attempt], w.finals[attempt.Request] > 0)
+	w.d.ProcessQueue()
+}
+
+// completeAll lets all jobs that are out start and end well at once, and what they make room for.
+func (w *harness) completeAll() {
+	for len(w.open) > 0 {
+		w.d.AttemptStarted(w.open[0])
+		w.endAttempt(w.open[0], Succeeded)
+	}
+}
