--- a/internal/testcluster/counts.go
+++ b/internal/testcluster/counts.go
@@ -3,20 +3,11 @@
 package testcluster
 
 import (
-	"sync"
+	"cmp"
+	"slices"
 	"time"
 )
 
-// jobsSince gives the jobs that came to an executor since a moment, the latest first.
-func (e *StandInServer) jobsSince(at int64) (jobs []Job) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for i := len(e.jobs) - 1; i >= 0 && e.jobs[i].ArrivedAt >= at; i-- {
-		jobs = append(jobs, e.jobs[i])
-	}
-	return jobs
-}
-
 // Spread counts what arrived since: the fewest and most nodes that any executor heard of, and the fewest and most jobs that any
 // had, as shares of the mean.
 func (r *Cluster) Spread(since int64) (fewest, most int, idlest, busiest float64) {
@@ -64,20 +55,38 @@
 	return count
 }
 
-// RunFor lets traffic run for so long.
-func (r *Cluster) RunFor(span time.Duration) {
-	r.Helper()
-	from := r.Now()
-	r.Until("some time has passed", 2*span+10*time.Second, func() bool { return r.Now()-from >= int64(span) })
+// MaxConcurrentJobs jobs of one tenant that were out at any moment, at all stand-ins together.
+func (r *Cluster) MaxConcurrentJobs(tenant string) (most int) {
+	type step struct {
+		at int64
+		by int
+	}
+	var steps []step
+	for _, e := range r.Servers {
+		_, jobs := e.Received()
+		for _, j := range jobs {
+			if j.Tenant == tenant {
+				steps = append(steps, step{j.ArrivedAt, 1}, step{cmp.Or(j.EndedAt, r.Now()), -1})
+			}
+		}
+	}
+	// Of one moment those that end come first.
+	slices.SortFunc(steps, func(a, b step) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.by, b.by)) })
+	out := 0
+	for _, s := range steps {
+		out += s.by
+		most = max(most, out)
+	}
+	return most
 }
 
-// StopLoads ends all of some traffic at once, and gives the statuses of the answers to each part of it.
-func StopLoads(ends []func() map[int]int) []map[int]int {
-	statuses := make([]map[int]int, len(ends))
-	var all sync.WaitGroup
-	for i, end := range ends {
-		all.Go(func() { statuses[i] = end() })
+// MaxInWindow is the most of these moments that lie within any window of that length.
+func MaxInWindow(at []int64, window time.Duration) (most int) {
+	for from, to := 0, 0; to < len(at); to++ {
+		for at[to]-at[from] >= int64(window) {
+			from++
+		}
+		most = max(most, to-from+1)
 	}
-	all.Wait()
-	return statuses
+	return most
 }
--- a/internal/testcluster/relay.go
+++ b/internal/testcluster/relay.go
@@ -6,7 +6,6 @@
 	"bytes"
 	"math/rand/v2"
 	"net"
-	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -118,15 +117,6 @@
 	}
 }
 
-// SetDatagramFaults has some that go there lost and some come twice, late.
-func (r *Relay) SetDatagramFaults(loss, twice float64) {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.links[Forward].loss, r.links[Forward].duplicate = loss, twice
-	}
-}
-
 // forwardConn takes one connection on. While the way there is cut nothing is opened at the other end.
 func (r *Relay) forwardConn(near net.Conn, all *sync.WaitGroup) {
 	if !r.track(near) {
@@ -208,80 +198,3 @@
 		}
 	}
 }
-
-// Cut holds all that goes that way until Heal.
-func (r *Relay) Cut(d Direction) {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.links[d].cut = true
-	}
-}
-
-// Heal opens both ways; what was held arrives now, late.
-func (r *Relay) Heal() {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.links[Forward].cut, r.links[Backward].cut = false, false
-		r.changed.Broadcast()
-	}
-}
-
-// Delay has each piece wait that goes that way.
-func (r *Relay) Delay(d Direction, by time.Duration) {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.links[d].delay = by
-	}
-}
-
-// Reset ends all connections at once, as a machine does that has lost their state.
-func (r *Relay) Reset() {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		for c := range r.conns {
-			c.(*net.TCPConn).SetLinger(0)
-			c.Close()
-		}
-	}
-}
-
-// maxRecorded is how many calls a relay can bring again.
-const maxRecorded = 64
-
-func (r *Relay) record(b []byte) {
-	if bytes.HasPrefix(b, []byte("POST ")) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		if len(r.recorded) >= maxRecorded {
-			r.recorded = slices.Delete(r.recorded, maxRecorded/2, maxRecorded/2+1)
-		}
-		r.recorded = append(r.recorded, bytes.Clone(b))
-	}
-}
-
-// Replay brings calls that went there, the first and the latest, once more though the way be cut, each on a connection of its own, and gives how many were answered.
-func (r *Relay) Replay() (answered int) {
-	if r == nil {
-		return 0
-	}
-	r.mu.Lock()
-	kept := slices.Clone(r.recorded)
-	r.mu.Unlock()
-	for _, call := range kept {
-		c, err := net.DialTimeout("tcp", r.target, time.Second)
-		if err != nil {
-			continue
-		}
-		c.SetDeadline(time.Now().Add(time.Second))
-		c.Write(call)
-		if n, _ := c.Read(make([]byte, 1<<10)); n > 0 {
-			answered++
-		}
-		c.Close()
-	}
-	return answered
-}
--- /dev/null
+++ b/internal/testcluster/replay_test.go
@@ -0,0 +1,97 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package testcluster_test
+
+import (
+	"testing"
+	"time"
+
+	"fernrail/internal/testcluster"
+)
+
+// TestDoubledAndLate: all calls of all nodes come once more, some of them long after they were answered, while shares move.
+func TestDoubledAndLate(t *testing.T) {
+	runParallel(t)
+	b := startLoaded(t, fleetPlan(4, 3, 2), 4)
+	answered := 0
+	for round := range 4 {
+		for _, n := range b.Nodes {
+			for seat := range 3 {
+				answered += n.VoterRelay(seat).Replay()
+			}
+		}
+		b.Until("shares go on", convergeTime, func() bool { return totalQuota(b.Nodes) >= sharedQuota(4)-6 })
+		if n := b.Nodes[3]; round%2 == 0 {
+			n.Kill() // what comes again is of a process that is gone, and then of one before this one
+		} else {
+			n.Start()
+			n.WaitReady()
+		}
+	}
+	if answered < 50 {
+		t.Errorf("%d calls came again: too few to have tried it", answered)
+	}
+	b.finish(t, connectTotal)
+}
+
+// TestOldCallsOfACutOffNode: a node that holds most of the whole is cut off, and calls of its from long before come again. They
+// tell of a time when it held nothing; what it holds now is not granted to others for that.
+func TestOldCallsOfACutOffNode(t *testing.T) {
+	runParallel(t)
+	plan := fleetPlan(4, 3, 1)
+	plan.Fleet["most"] = 4
+	b, one, rest := startHoggingNode(t, plan)
+	for _, n := range rest {
+		b.startLoad(n)
+	}
+	for seat := range 3 {
+		one.VoterRelay(seat).Cut(testcluster.Forward)
+		one.VoterRelay(seat).Cut(testcluster.Backward)
+	}
+	answered := 0
+	for seat := range 3 {
+		answered += one.VoterRelay(seat).Replay()
+	}
+	b.Until("the rest have the whole", convergeTime, func() bool { return totalQuota(rest) >= connectTotal-connectReserve-connectFloor-3 })
+	for seat := range 3 {
+		one.VoterRelay(seat).Heal()
+	}
+	if answered < 5 {
+		t.Errorf("%d calls came again: too few to have tried it", answered)
+	}
+	b.finish(t, connectTotal)
+}
+
+// TestAnswersThatTakeLong: answers to a node that holds most of the whole take nearly as long as it waits for them, and then it
+// is cut off. Its lease counts from its requests: when others are granted what it held it uses that no more.
+func TestAnswersThatTakeLong(t *testing.T) {
+	runParallel(t)
+	const window = 400 * time.Millisecond
+	plan := fleetPlan(4, 3, 1)
+	plan.Fleet["most"], plan.Fleet["lease_ms"], plan.Fleet["margin"] = 4, 3000, 0.01
+	plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{"whole": connectTotal, "floor": connectFloor, "reserve": connectReserve, "window_ms": window.Milliseconds()}
+	b, one, rest := startHoggingNode(t, plan)
+	for seat := range 3 {
+		one.VoterRelay(seat).Delay(testcluster.Backward, 900*time.Millisecond)
+	}
+	from := b.Now()
+	b.Until("a lease has passed under the delay", convergeTime, func() bool { return b.Now()-from > int64(3*time.Second) && connectQuota(one) >= connectTotal/2 })
+	for seat := range 3 {
+		one.VoterRelay(seat).Cut(testcluster.Forward) // its last answer still comes
+	}
+	from = b.Now()
+	b.Until("its last answer has come", convergeTime, func() bool { return b.Now()-from > int64(time.Second) })
+	for _, n := range rest {
+		b.startLoad(n)
+	}
+	b.Until("the rest have the whole", 2*convergeTime, func() bool { return totalQuota(rest) >= connectTotal-connectReserve-connectFloor-3 })
+	for _, end := range b.stopLoads {
+		end()
+	}
+	accepted, _ := b.Servers[0].Received()
+	most := testcluster.MaxInWindow(accepted, window-jitter)
+	t.Logf("%d connections, at most %d in a window", len(accepted), most)
+	if most > connectTotal {
+		t.Errorf("at most %d in a window, the whole is %d", most, connectTotal)
+	}
+}
