--- a/internal/testcluster/race_test.go
+++ b/internal/testcluster/race_test.go
@@ -4,4 +4,4 @@
 
 package testcluster_test
 
-func init() { raced = []string{"-race"} }
+func init() { raceFlags = []string{"-race"} }
