--- a/internal/testcluster/relay_faults.go
+++ b/internal/testcluster/relay_faults.go
@@ -2,56 +2,60 @@
 
 package testcluster
 
-import (
-	"net"
-	"time"
-)
+import "time"
 
-// SetDatagramFaults has some that go there lost and some come twice, late.
-func (r *Relay) SetDatagramFaults(loss, twice float64) {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.links[Forward].loss, r.links[Forward].duplicate = loss, twice
+// SetDatagramFaults has a share of the datagrams that go forward lost, and a share come twice, late.
+func (r *Relay) SetDatagramFaults(loss, duplicate float64) {
+	if r == nil {
+		return
 	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.links[Forward].loss = loss
+	r.links[Forward].duplicate = duplicate
 }
 
-// Cut holds all that goes that way until Heal.
+// Cut holds back all that goes in a direction until Heal.
 func (r *Relay) Cut(d Direction) {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.links[d].cut = true
+	if r == nil {
+		return
 	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.links[d].cut = true
 }
 
-// Heal opens both ways; what was held arrives now, late.
+// Heal opens both directions. What was held back arrives now, late.
 func (r *Relay) Heal() {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.links[Forward].cut, r.links[Backward].cut = false, false
-		r.changed.Broadcast()
+	if r == nil {
+		return
 	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.links[Forward].cut = false
+	r.links[Backward].cut = false
+	r.changed.Broadcast()
 }
 
-// Delay has each piece wait that goes that way.
+// Delay has each piece that goes in a direction wait for a time.
 func (r *Relay) Delay(d Direction, by time.Duration) {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.links[d].delay = by
+	if r == nil {
+		return
 	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.links[d].delay = by
 }
 
 // Reset ends all connections at once, as a machine does that has lost their state.
 func (r *Relay) Reset() {
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		for c := range r.conns {
-			c.(*net.TCPConn).SetLinger(0)
-			c.Close()
-		}
+	if r == nil {
+		return
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for c := range r.conns {
+		resetOnClose(c)
+		c.Close()
 	}
 }
