--- a/internal/testcluster/processor.go
+++ b/internal/testcluster/processor.go
@@ -11,62 +11,92 @@
 )
 
 const (
-	// checkInterval is between two looks at a process that is held to a share of a core.
+	// checkInterval is the time between two looks at a process that is held to a share of a core.
 	checkInterval = time.Millisecond
-	// maxCredit is the processor time that a process may use at once after it rested.
+	// maxCredit is the processor time that a process may use at once after it was idle.
 	maxCredit = time.Millisecond
-	// maxDebt bounds what a process pays back by standing still. Danger: on a busy machine this process looks late, and what the other
-	// one used meanwhile would stop it for longer than the share alone ever does.
+	// maxDebt bounds what a process pays back by standing still. On a busy machine this process looks late, and
+	// what the other one used meanwhile would else stop it for longer than the share alone ever does.
 	maxDebt = 2 * time.Millisecond
 )
 
-// limitProcessor keeps a process to a share of one core until it has ended, by SIGSTOP and SIGCONT: it runs for about a millisecond and then
-// stands still for the rest of its turn, as a process with a small quota does.
-func limitProcessor(p *os.Process, share float64, stops <-chan time.Duration, ended <-chan struct{}) {
-	credit, stopped := maxCredit, false
-	then, used := time.Now(), processorTimeOf(p.Pid)
+// processorLimit holds a process to a share of one core.
+type processorLimit struct {
+	process *os.Process
+	share   float64
+	credit  time.Duration // processor time that it may use now; below 0: it stands still
+	stopped bool
+	lastAt  time.Time
+	lastUse time.Duration // processor time used up to lastAt
+}
+
+// limitProcessor holds a process to a share of one core until it has ended, by SIGSTOP and SIGCONT: it runs for
+// about a millisecond and then stands still for the rest of its turn, as a process with a small quota does. pauses
+// are spans for which it is to stand still as well.
+func limitProcessor(p *os.Process, share float64, pauses <-chan time.Duration, exited <-chan struct{}) {
+	l := &processorLimit{
+		process: p,
+		share:   share,
+		credit:  maxCredit,
+		lastAt:  time.Now(),
+		lastUse: processorTimeOf(p.Pid),
+	}
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-ended:
+		case <-exited:
 			return
 		case <-tick.C:
-		case span := <-stops:
-			p.Signal(syscall.SIGSTOP)
+		case span := <-pauses:
+			l.stop()
 			time.Sleep(span)
-			stopped = true
-		}
-		now, usedNow := time.Now(), processorTimeOf(p.Pid)
-		credit += time.Duration(share*float64(now.Sub(then))) - (usedNow - used)
-		credit = max(min(credit, maxCredit), -maxDebt)
-		then, used = now, usedNow
-		if stop := credit < 0; stop != stopped {
-			stopped = stop
-			if stop {
-				p.Signal(syscall.SIGSTOP)
-			} else {
-				p.Signal(syscall.SIGCONT)
-			}
 		}
+		l.update()
+	}
+}
+
+// update credits the share of the time that has passed, and stops or continues the process.
+func (l *processorLimit) update() {
+	now, use := time.Now(), processorTimeOf(l.process.Pid)
+	l.credit += time.Duration(l.share*float64(now.Sub(l.lastAt))) - (use - l.lastUse)
+	l.credit = max(min(l.credit, maxCredit), -maxDebt)
+	l.lastAt = now
+	l.lastUse = use
+	stop := l.credit < 0
+	if stop && !l.stopped {
+		l.stop()
+	}
+	if !stop && l.stopped {
+		l.resume()
 	}
 }
 
-// processorTimeOf is what a process has used on all its threads, by its clock (clock_getcpuclockid of the C library); nothing once it
-// has ended.
+func (l *processorLimit) stop() {
+	l.stopped = true
+	_ = l.process.Signal(syscall.SIGSTOP) // it may have ended
+}
+
+func (l *processorLimit) resume() {
+	l.stopped = false
+	_ = l.process.Signal(syscall.SIGCONT) // it may have ended
+}
+
+// processorTimeOf returns the processor time that all threads of a process have used; nothing once it has ended.
+// The number of its clock is what clock_getcpuclockid of the C library computes.
 func processorTimeOf(pid int) time.Duration {
-	const scheduler = 2 // CPUCLOCK_SCHED
+	const schedulerClock = 2 // CPUCLOCK_SCHED
 	var t unix.Timespec
-	if unix.ClockGettime(int32(^pid<<3|scheduler), &t) != nil {
+	if unix.ClockGettime(int32(^pid<<3|schedulerClock), &t) != nil {
 		return 0
 	}
 	return time.Duration(t.Nano())
 }
 
-// Pause has the node's process stand still for a while. The plan holds it to a share of a core.
+// Pause has the node's process stand still for a while. The plan must hold it to a share of a core.
 func (n *Node) Pause(span time.Duration) { n.pauses <- span }
 
-// ProcessorTime is what the node's process has used so far.
+// ProcessorTime returns the processor time that the node's process has used.
 func (n *Node) ProcessorTime() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
