--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,11 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package testcluster is for tests: it starts several real processes of the program with stand-ins for executors, discovery and
-// clients on loopback, puts a relay between each pair of them, plays faults between and on them, and counts on one clock
-// what arrives at the stand-ins. It knows nothing of what goes on inside a process.
 package testcluster
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -14,7 +12,36 @@
 	"time"
 )
 
-// Cluster is one fleet of processes and all round it.
+const (
+	// pollInterval is the time between two looks of Until.
+	pollInterval = 10 * time.Millisecond
+	// logTail is how many bytes of each node's log are shown when Until fails.
+	logTail = 1500
+	// clientConns is how many idle connections the clients keep to each node.
+	clientConns = 64
+)
+
+// Plan says what a cluster is like.
+type Plan struct {
+	Program        []string       // the program and its arguments
+	Env            []string       // for each process, beside the cluster's own
+	Nodes          int            // that may be started
+	Voters         int            // nodes with a voter: the first so many
+	Servers        int            // stand-ins
+	Settings       map[string]any // of the platform, as in a node's file
+	Fleet          map[string]any // the fleet section, but for listen, seats and dir; nil: none
+	Disk           bool           // voters have a directory
+	Gossip         bool           // nodes gossip, by relays for datagrams and streams between each pair
+	ServeTime      time.Duration  // of a server for a job
+	JobCost        time.Duration  // that clients say each job takes; 0: they say nothing
+	ServersStarted time.Time      // start of the servers, as discovery tells it; zero: long ago
+	Cores          float64        // share of a core that each process is told of and held to; 0: neither
+	Sockets        int            // file descriptors that each process is told of; 0: 400
+	Quiet          bool           // processes log nothing below warnings
+	StartNotices   bool           // servers report each job's start
+}
+
+// Cluster is some nodes and all that they connect to.
 type Cluster struct {
 	testing.TB
 	Servers   []*StandInServer
@@ -25,99 +52,117 @@
 	client    *http.Client
 
 	mu            sync.Mutex
-	version       int64            // of the list
+	version       int64            // of the endpoint list
 	changed       chan struct{}    // closed with the next version
-	drained       map[string]bool  // executors
-	changedIn     map[string]int64 // the version with which each executor last changed; absent: it never did
+	drained       map[string]bool  // servers by name
+	changedIn     map[string]int64 // the version in which each server last changed; absent: it never did
 	discoveryDown bool             // discovery answers that it can't
-	polls         []int64          // when it was asked
+	polls         []int64          // when discovery was polled
 }
 
-// Plan is what a fleet is like.
-type Plan struct {
-	Program        []string       // the program and its arguments
-	Env            []string       // for each process, beside the rig's own
-	Nodes          int            // that may be started
-	Voters         int            // of these, the first
-	Servers        int            // stand-ins
-	Settings       map[string]any // of the platform, as in a node's file
-	Fleet          map[string]any // the fleet section, but for listen, seats and dir; nil: none
-	Disk           bool           // seats have a directory
-	Gossip         bool           // nodes hear of each other, by relays for datagrams and streams between each pair
-	ServeTime      time.Duration  // of an executor
-	JobCost        time.Duration  // that clients say each job takes; 0: they say nothing
-	ServersStarted time.Time      // of the executors, as discovery tells it; zero: long ago
-	Cores          float64        // share of a core that each process is told of and held to; 0: neither
-	Sockets        int            // descriptors that each process is told of; 0: 400
-	Quiet          bool           // processes log nothing below warnings
-	StartNotices   bool           // executors tell of each job's start
-}
-
-// New makes the stand-ins. Nothing is started yet. All of it ends with the test.
+// New starts the stand-ins, and no node yet. Everything ends with the test.
 func New(t testing.TB, plan Plan) *Cluster {
-	r := &Cluster{TB: t, plan: plan, created: time.Now(), version: 1, changed: make(chan struct{}), drained: map[string]bool{}, changedIn: map[string]int64{}, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
-	t.Cleanup(r.client.CloseIdleConnections)
+	t.Helper()
+	c := &Cluster{
+		TB:        t,
+		plan:      plan,
+		created:   time.Now(),
+		version:   1,
+		changed:   make(chan struct{}),
+		drained:   map[string]bool{},
+		changedIn: map[string]int64{},
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clientConns}},
+	}
+	t.Cleanup(c.client.CloseIdleConnections)
 	for i := range plan.Servers {
-		r.Servers = append(r.Servers, newStandInServer(r, fmt.Sprint("e", i)))
+		c.Servers = append(c.Servers, newStandInServer(c, fmt.Sprint("e", i)))
 	}
-	r.discovery = r.listen()
-	discovery := &http.Server{Handler: http.HandlerFunc(r.serveDiscovery)}
-	go discovery.Serve(r.discovery)
-	t.Cleanup(func() { discovery.Close() })
+	c.discovery = c.listen()
+	c.serveHTTP(c.discovery, http.HandlerFunc(c.serveDiscovery))
 	for i := range plan.Nodes {
-		r.Nodes = append(r.Nodes, r.newNode(i))
+		c.Nodes = append(c.Nodes, c.newNode(i))
 	}
-	for i, n := range r.Nodes {
-		for j := range plan.Nodes {
-			if plan.Gossip && j != i {
-				n.gossipRelays = append(n.gossipRelays, newRelay(t, r.unusedAddress, r.Nodes[j].gossipAddress))
-			} else {
-				n.gossipRelays = append(n.gossipRelays, nil)
-			}
+	for _, n := range c.Nodes {
+		c.connect(n)
+	}
+	return c
+}
+
+// serveHTTP serves on a listener until the test ends.
+func (c *Cluster) serveHTTP(l net.Listener, handler http.Handler) {
+	server := &http.Server{Handler: handler}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			c.Errorf("a stand-in at %s ended: %v", l.Addr(), err)
+		}
+	}()
+	c.Cleanup(func() {
+		server.Close()
+		<-ended
+	})
+}
+
+// connect makes the relays by which a node reaches the others.
+func (c *Cluster) connect(n *Node) {
+	n.gossipRelays = make([]*Relay, len(c.Nodes))
+	n.voterRelays = make([]*Relay, c.plan.Voters)
+	for i, other := range c.Nodes {
+		if other == n {
+			continue
 		}
-		for j := range plan.Voters {
-			if j != i {
-				n.voterRelays = append(n.voterRelays, newRelay(t, func() string { return "127.0.0.1:0" }, r.Nodes[j].VoterAddress))
-			} else {
-				n.voterRelays = append(n.voterRelays, nil)
-			}
+		if c.plan.Gossip {
+			n.gossipRelays[i] = newRelay(c.TB, c.unusedAddress, other.gossipAddress)
+		}
+		if i < c.plan.Voters {
+			n.voterRelays[i] = newRelay(c.TB, anyAddress, other.VoterAddress)
 		}
 	}
-	return r
 }
 
-// Now is the rig's one clock: nanoseconds since it was made.
-func (r *Cluster) Now() int64 { return int64(time.Since(r.created)) }
+// Now is the cluster's one clock: nanoseconds since it was made.
+func (c *Cluster) Now() int64 { return int64(time.Since(c.created)) }
 
-func (r *Cluster) listen() net.Listener {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// listen opens a listener on loopback.
+func (c *Cluster) listen() net.Listener {
+	c.Helper()
+	l, err := net.Listen("tcp", anyAddress())
 	if err != nil {
-		r.Fatal(err)
+		c.Fatal(err)
 	}
 	return l
 }
 
-// Until waits for something that the rig can see, looking many times a second.
-func (r *Cluster) Until(what string, within time.Duration, is func() bool) time.Duration {
-	r.Helper()
+// Until waits until a condition holds, and returns how long that took. It ends the test if that takes longer than
+// within.
+func (c *Cluster) Until(what string, within time.Duration, holds func() bool) time.Duration {
+	c.Helper()
 	began := time.Now()
-	tick := time.NewTicker(10 * time.Millisecond)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for !is() {
-		if <-tick.C; time.Since(began) > within {
-			for _, n := range r.Nodes {
-				log := n.Log()
-				r.Logf("%s, the end of its log:\n%s", n.Name, log[max(len(log)-1500, 0):])
-			}
-			r.Fatalf("not within %v: %s", within, what)
+	for !holds() {
+		<-tick.C
+		if time.Since(began) > within {
+			c.logNodes()
+			c.Fatalf("not within %v: %s", within, what)
 		}
 	}
 	return time.Since(began)
 }
 
-// RunFor lets traffic run for so long.
-func (r *Cluster) RunFor(span time.Duration) {
-	r.Helper()
-	from := r.Now()
-	r.Until("some time has passed", 2*span+10*time.Second, func() bool { return r.Now()-from >= int64(span) })
+// logNodes writes the end of each node's log to the test's.
+func (c *Cluster) logNodes() {
+	c.Helper()
+	for _, n := range c.Nodes {
+		log := n.Log()
+		c.Logf("%s, the end of its log:\n%s", n.Name, log[max(len(log)-logTail, 0):])
+	}
+}
+
+// RunFor lets a time pass, with whatever load and faults there are.
+func (c *Cluster) RunFor(span time.Duration) {
+	c.Helper()
+	from := c.Now()
+	c.Until("some time has passed", 2*span+10*time.Second, func() bool { return c.Now()-from >= int64(span) })
 }
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -12,77 +12,117 @@
 	"time"
 )
 
-// StopLoads ends all of some traffic at once, and gives the statuses of the answers to each part of it.
-func StopLoads(ends []func() map[int]int) []map[int]int {
-	statuses := make([]map[int]int, len(ends))
-	var all sync.WaitGroup
-	for i, end := range ends {
-		all.Go(func() { statuses[i] = end() })
-	}
-	all.Wait()
-	return statuses
-}
-
-// SenderNode is the node that a job of Load went through, by its id.
-func SenderNode(id string) string {
-	if parts := strings.Split(id, "-"); len(parts) > 1 {
-		return parts[1]
-	}
-	return ""
-}
-
-// Send sends one job to the node, and gives the status of its answer; 0: there was none.
+// Send sends one job to the node, and returns the status of its response; 0: there was none. The path of the target
+// is the job's class, its value "from" the tenant.
 func (n *Node) Send(id, target string, budget time.Duration) int {
-	// Danger: the node's socket is the rig's, so that the kernel takes connections for a process that is not there.
+	// The socket for clients is open also while the node has no process, so without a limit this could wait for good.
 	ctx, cancel := context.WithTimeout(context.Background(), budget+time.Second)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, "POST", "http://"+n.Listen+target, io.NopCloser(strings.NewReader("b")))
+	request, err := n.newRequest(ctx, id, target, budget)
 	if err != nil {
 		n.cluster.Error(err)
 		return 0
 	}
-	q.ContentLength = 1
-	scheme, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "?")
-	q.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {scheme}, "X-Budget-Ms": {fmt.Sprint(budget.Milliseconds())}}
-	if from := q.URL.Query().Get("from"); from != "" {
-		q.Header.Set("X-Caller", from)
-	}
-	if work := n.cluster.plan.JobCost; work > 0 {
-		q.Header.Set("X-Call-Cost", fmt.Sprint(work.Microseconds()))
-	}
-	answer, err := n.cluster.client.Do(q)
+	response, err := n.cluster.client.Do(request)
 	if err != nil {
 		return 0
 	}
-	defer answer.Body.Close()
-	io.Copy(io.Discard, answer.Body)
-	return answer.StatusCode
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, response.Body) // without it the connection is not used again
+	return response.StatusCode
+}
+
+// newRequest returns the request of one job.
+func (n *Node) newRequest(ctx context.Context, id, target string, budget time.Duration) (*http.Request, error) {
+	body := io.NopCloser(strings.NewReader("b")) // of a type that http.Client does not send again by itself
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Listen+target, body)
+	if err != nil {
+		return nil, err
+	}
+	request.ContentLength = 1
+	class, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "?")
+	request.Header = http.Header{
+		"X-Call-Id":    {id},
+		"X-Call-Class": {class},
+		"X-Budget-Ms":  {fmt.Sprint(budget.Milliseconds())},
+	}
+	if tenant := request.URL.Query().Get("from"); tenant != "" {
+		request.Header.Set("X-Caller", tenant)
+	}
+	if cost := n.cluster.plan.JobCost; cost > 0 {
+		request.Header.Set("X-Call-Cost", fmt.Sprint(cost.Microseconds()))
+	}
+	return request, nil
 }
 
-// StartLoad has so many clients send jobs to the node, one after another with a pause, until the end of it.
-func (n *Node) StartLoad(name, target string, clients int, pause, budget time.Duration) (end func() (statuses map[int]int)) {
-	stop, all, statuses := make(chan struct{}), sync.WaitGroup{}, map[int]int{}
-	var mu sync.Mutex
-	for c := range clients {
-		all.Go(func() {
-			tick := time.NewTicker(pause)
-			defer tick.Stop()
-			for i := 0; ; i++ {
-				select {
-				case <-stop:
-					return
-				case <-tick.C:
-				}
-				status := n.Send(fmt.Sprintf("%s-%s-%d-%d", name, n.Name, c, i), target, budget)
-				mu.Lock()
-				statuses[status]++
-				mu.Unlock()
-			}
+// StartLoad has some clients send jobs to the node, each one after another with a pause. stop ends that, and
+// returns how many responses there were by status.
+func (n *Node) StartLoad(
+	name, target string,
+	clients int,
+	pause, budget time.Duration,
+) (stop func() (statuses map[int]int)) {
+	l := &load{stopped: make(chan struct{}), statuses: map[int]int{}}
+	for client := range clients {
+		l.clients.Go(func() {
+			l.run(pause, func(i int) int {
+				return n.Send(fmt.Sprintf("%s-%s-%d-%d", name, n.Name, client, i), target, budget)
+			})
 		})
 	}
-	return func() map[int]int {
-		close(stop)
-		all.Wait()
-		return statuses
+	return l.stop
+}
+
+// SenderNode returns the name of the node that a job of StartLoad was sent to, by its id.
+func SenderNode(id string) string {
+	if parts := strings.Split(id, "-"); len(parts) > 1 {
+		return parts[1]
+	}
+	return ""
+}
+
+// load is clients that send jobs to one node.
+type load struct {
+	clients sync.WaitGroup
+	stopped chan struct{}
+
+	mu       sync.Mutex
+	statuses map[int]int
+}
+
+// run is one client: it calls send with the numbers of its jobs, a pause apart.
+func (l *load) run(pause time.Duration, send func(i int) (status int)) {
+	tick := time.NewTicker(pause)
+	defer tick.Stop()
+	for i := 0; ; i++ {
+		select {
+		case <-l.stopped:
+			return
+		case <-tick.C:
+		}
+		l.count(send(i))
 	}
 }
+
+func (l *load) count(status int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.statuses[status]++
+}
+
+func (l *load) stop() map[int]int {
+	close(l.stopped)
+	l.clients.Wait()
+	return l.statuses
+}
+
+// StopLoads stops several loads at once, and returns the statuses of the responses to each.
+func StopLoads(stops []func() map[int]int) []map[int]int {
+	statuses := make([]map[int]int, len(stops))
+	var all sync.WaitGroup
+	for i, stop := range stops {
+		all.Go(func() { statuses[i] = stop() })
+	}
+	all.Wait()
+	return statuses
+}
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -12,57 +12,76 @@
 	"time"
 )
 
-// Node is one node's place: its addresses stay when its process is started anew.
+// Node is the place of one node: its addresses stay when its process is started anew. Exported fields may be changed
+// before Start.
 type Node struct {
-	cluster             *Cluster
-	Index               int
-	socket              *os.File // of clients, inherited by each process of the node
-	Name, Listen, Admin string
-	VoterAddress        string // of its seat; empty: it has none
-	dir                 string
-	voterRelays         []*Relay                   // to the seats; nil: itself
-	gossipAddress       string                     // where it hears of others
-	gossipRelays        []*Relay                   // to each other node\'s such address
-	Env                 []string                   // for its next start
-	ChangeFleet         func(fleet map[string]any) // of its own fleet section; nil: none
-	pauses              chan time.Duration         // for which its process is to stand still
-	VoterDir            string                     // its seat's directory; a part of its own unless told
+	Name         string
+	Index        int
+	Listen       string // address for clients
+	Admin        string // address for admin commands
+	VoterAddress string // empty: it has no voter
+	VoterDir     string // the directory of its voter; empty: a part of the node's own
+	Env          []string
+	ChangeFleet  func(fleet map[string]any) // changes its own fleet section; nil: no change
+
+	cluster       *Cluster
+	dir           string
+	socket        *os.File           // for clients, inherited by each process of the node
+	gossipAddress string             // where it receives gossip
+	voterRelays   []*Relay           // to each voter; nil: itself
+	gossipRelays  []*Relay           // to each other node's gossip address; nil: itself, or there is no gossip
+	pauses        chan time.Duration // for which its process is to stand still
 
 	mu      sync.Mutex
-	process *exec.Cmd
-	exited  chan struct{}
-	logFile *os.File
-	logPath string
+	process *exec.Cmd     // nil: none was started, or it was ended by the test
+	exited  chan struct{} // closed when process has ended
 }
 
-func (r *Cluster) newNode(i int) *Node {
-	n := &Node{cluster: r, Index: i, Name: fmt.Sprint("n", i), Admin: r.unusedAddress(), dir: r.TempDir(), pauses: make(chan time.Duration, 1)}
-	l := r.listen()
-	defer l.Close()
-	var err error
-	if n.socket, err = l.(*net.TCPListener).File(); err != nil {
-		r.Fatal(err)
+func (c *Cluster) newNode(index int) *Node {
+	n := &Node{
+		Name:    fmt.Sprint("n", index),
+		Index:   index,
+		Admin:   c.unusedAddress(),
+		cluster: c,
+		dir:     c.TempDir(),
+		pauses:  make(chan time.Duration, 1),
 	}
-	n.Listen = l.Addr().String()
-	r.Cleanup(func() { n.socket.Close() })
-	if i < r.plan.Voters {
-		n.VoterAddress = r.unusedAddress()
+	n.openSocket()
+	if index < c.plan.Voters {
+		n.VoterAddress = c.unusedAddress()
 	}
-	if r.plan.Gossip {
-		n.gossipAddress = r.unusedAddress()
+	if c.plan.Gossip {
+		n.gossipAddress = c.unusedAddress()
 	}
-	r.Cleanup(n.Kill)
+	c.Cleanup(n.Kill)
 	return n
 }
 
-// Log is what the node's processes have told.
+// openSocket opens the socket for clients. It stays open over the starts of the node's processes, so that the
+// kernel takes connections also when there is none.
+func (n *Node) openSocket() {
+	l := n.cluster.listen()
+	defer l.Close()
+	socket, err := l.(*net.TCPListener).File()
+	if err != nil {
+		n.cluster.Fatal(err)
+	}
+	n.socket = socket
+	n.Listen = l.Addr().String()
+	n.cluster.Cleanup(func() { socket.Close() })
+}
+
+// logPath is the file that all processes of the node append their logs to.
+func (n *Node) logPath() string { return filepath.Join(n.dir, "log") }
+
+// Log returns what the node's processes have logged; nothing before the first start.
 func (n *Node) Log() string {
-	text, _ := os.ReadFile(filepath.Join(n.dir, "log"))
+	text, _ := os.ReadFile(n.logPath()) // absent before the first start
 	return string(text)
 }
 
-// GossipRelay gives the relay by which the node's gossip reaches another; nil: itself.
+// GossipRelay returns the relay by which the node's gossip reaches another; nil: itself.
 func (n *Node) GossipRelay(other int) *Relay { return n.gossipRelays[other] }
 
-// VoterRelay gives the relay by which the node calls a seat.
-func (n *Node) VoterRelay(seat int) *Relay { return n.voterRelays[seat] }
+// VoterRelay returns the relay by which the node calls a voter; nil: itself.
+func (n *Node) VoterRelay(voter int) *Relay { return n.voterRelays[voter] }
--- a/internal/testcluster/node_config.go
+++ b/internal/testcluster/node_config.go
@@ -6,60 +6,93 @@
 	"cmp"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"path/filepath"
 )
 
-// processLimits are what each process is told.
-func (r *Cluster) processLimits() map[string]any {
-	told := map[string]any{"sockets": cmp.Or(r.plan.Sockets, 400)}
-	if r.plan.Cores > 0 {
-		told["cores"] = r.plan.Cores
-	}
-	return told
-}
+// defaultSockets is how many file descriptors a process is told of where the plan says nothing.
+const defaultSockets = 400
 
-// configuration is the node's file. Each node calls the seats through relays of its own.
+// configuration returns the text of the node's file.
 func (n *Node) configuration() []byte {
-	n.cluster.mu.Lock()
-	defer n.cluster.mu.Unlock()
-	file := map[string]any{"name": n.Name, "listen": n.Listen, "admin_addr": n.Admin, "discovery": n.cluster.discovery.Addr().String(),
-		"seed": fmt.Sprint(n.Index + 1), "limits": n.cluster.processLimits(), "known": n.cluster.endpointList(0), "settings": n.cluster.plan.Settings}
-	if n.cluster.plan.Fleet != nil {
-		section := map[string]any{}
-		for key, value := range n.cluster.plan.Fleet {
-			section[key] = value
-		}
-		var seats []map[string]any
-		for i := range n.cluster.plan.Voters {
-			address := n.VoterAddress
-			if i != n.Index {
-				address = n.voterRelays[i].Address
-			}
-			seats = append(seats, map[string]any{"name": n.cluster.Nodes[i].Name, "address": address})
-		}
-		if section["seats"] = seats; n.VoterAddress != "" {
-			section["listen"] = n.VoterAddress
-			if n.cluster.plan.Disk {
-				section["dir"] = cmp.Or(n.VoterDir, filepath.Join(n.dir, "seat"))
-			}
-		}
-		if n.cluster.plan.Gossip {
-			routes := map[string]any{}
-			for j, relay := range n.gossipRelays {
-				if relay != nil {
-					routes[n.cluster.Nodes[j].gossipAddress] = relay.Address
-				}
-			}
-			section["gossip"], section["join"], section["routes"] = n.gossipAddress, []string{n.cluster.Nodes[0].gossipAddress, n.cluster.Nodes[1].gossipAddress}, routes
-		}
-		if n.ChangeFleet != nil {
-			n.ChangeFleet(section)
-		}
-		file["fleet"] = section
+	c := n.cluster
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	file := map[string]any{
+		"name":       n.Name,
+		"listen":     n.Listen,
+		"admin_addr": n.Admin,
+		"discovery":  c.discovery.Addr().String(),
+		"seed":       fmt.Sprint(n.Index + 1),
+		"limits":     c.processLimits(),
+		"known":      c.endpointList(0),
+		"settings":   c.plan.Settings,
+	}
+	if c.plan.Fleet != nil {
+		file["fleet"] = n.fleetSection()
 	}
 	text, err := json.MarshalIndent(file, "", " ")
 	if err != nil {
-		n.cluster.Fatal(err)
+		c.Fatal(err)
 	}
 	return text
 }
+
+// processLimits are what each process is told of its machine.
+func (c *Cluster) processLimits() map[string]any {
+	limits := map[string]any{"sockets": cmp.Or(c.plan.Sockets, defaultSockets)}
+	if c.plan.Cores > 0 {
+		limits["cores"] = c.plan.Cores
+	}
+	return limits
+}
+
+// fleetSection is the fleet section of the node's file.
+func (n *Node) fleetSection() map[string]any {
+	plan := n.cluster.plan
+	section := maps.Clone(plan.Fleet)
+	section["seats"] = n.voterList()
+	if n.VoterAddress != "" {
+		section["listen"] = n.VoterAddress
+	}
+	if n.VoterAddress != "" && plan.Disk {
+		section["dir"] = cmp.Or(n.VoterDir, n.defaultVoterDir())
+	}
+	if plan.Gossip {
+		first, second := n.cluster.Nodes[0], n.cluster.Nodes[1]
+		section["gossip"] = n.gossipAddress
+		section["join"] = []string{first.gossipAddress, second.gossipAddress}
+		section["routes"] = n.gossipRoutes()
+	}
+	if n.ChangeFleet != nil {
+		n.ChangeFleet(section)
+	}
+	return section
+}
+
+// defaultVoterDir is where the node's voter keeps its state where the test says nothing else.
+func (n *Node) defaultVoterDir() string { return filepath.Join(n.dir, "seat") }
+
+// voterList names all voters, each with the address of the relay by which this node calls it.
+func (n *Node) voterList() []map[string]any {
+	var voters []map[string]any
+	for i := range n.cluster.plan.Voters {
+		address := n.VoterAddress
+		if i != n.Index {
+			address = n.voterRelays[i].Address
+		}
+		voters = append(voters, map[string]any{"name": n.cluster.Nodes[i].Name, "address": address})
+	}
+	return voters
+}
+
+// gossipRoutes maps each other node's gossip address to the relay by which this node reaches it.
+func (n *Node) gossipRoutes() map[string]any {
+	routes := map[string]any{}
+	for i, relay := range n.gossipRelays {
+		if relay != nil {
+			routes[n.cluster.Nodes[i].gossipAddress] = relay.Address
+		}
+	}
+	return routes
+}
--- a/internal/testcluster/node_process.go
+++ b/internal/testcluster/node_process.go
@@ -3,6 +3,7 @@
 package testcluster
 
 import (
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -13,134 +14,157 @@
 	"time"
 )
 
-// processStarts are processes to be started. All are by one thread that lives as long as this process.
+const (
+	// serveTimeout is how long a process may take until it serves.
+	serveTimeout = 20 * time.Second
+	// exitTimeout is how long a process may take to end when it was told to.
+	exitTimeout = 8 * time.Second
+	// servesMessage is what a process logs when it serves.
+	servesMessage = `"node serves"`
+)
+
+// processStarts are functions that start processes. One thread runs them all and lives as long as this process.
 var processStarts = sync.OnceValue(func() chan func() {
-	all := make(chan func())
+	starts := make(chan func())
 	go func() {
 		runtime.LockOSThread()
-		for start := range all {
+		for start := range starts {
 			start()
 		}
 	}()
-	return all
+	return starts
 })
 
-// startProcess starts a process that the kernel ends when this one ends, however it does.
-// Danger: a test that is killed, or runs out of time, leaves fleets behind that take ports and processor time from the next.
-func startProcess(p *exec.Cmd) (err error) {
-	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // sent at the end of the thread that started it
-	done := make(chan struct{})
-	processStarts() <- func() {
-		err = p.Start()
-		close(done)
-	}
-	<-done
-	return err
-}
-
-// logLevel is the least that processes log.
-func (r *Cluster) logLevel() string {
-	if r.plan.Quiet {
-		return "warn"
-	}
-	return "info"
+// startProcess starts a process that the kernel kills when this one ends, however it does. A test that is killed,
+// or runs out of time, would else leave processes behind that take ports and processor time from the next.
+func startProcess(p *exec.Cmd) error {
+	// The signal is sent at the end of the thread that started the process, so that must not end before.
+	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	started := make(chan error)
+	processStarts() <- func() { started <- p.Start() }
+	return <-started
 }
 
-// Start starts the node's process. It does not wait until it serves.
+// Start starts the node's process. It does not wait until that serves.
 func (n *Node) Start() {
 	n.cluster.Helper()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	path := filepath.Join(n.dir, "config.json")
-	if err := os.WriteFile(path, n.configuration(), 0o600); err != nil {
+	configPath := filepath.Join(n.dir, "config.json")
+	if err := os.WriteFile(configPath, n.configuration(), 0o600); err != nil {
 		n.cluster.Fatal(err)
 	}
-	n.logPath = filepath.Join(n.dir, "log")
-	out, err := os.OpenFile(n.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(n.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		n.cluster.Fatal(err)
 	}
-	p := exec.Command(n.cluster.plan.Program[0], n.cluster.plan.Program[1:]...)
-	p.Env = append(append(append(os.Environ(), n.cluster.plan.Env...), n.Env...), "EDGE_CONFIG="+path, "EDGE_LOG="+n.cluster.logLevel(), "TMPDIR="+n.dir, "EDGE_LISTEN_FD=3")
-	p.ExtraFiles = []*os.File{n.socket}
-	p.Stdout, p.Stderr = out, out
+	p := n.command(configPath, logFile)
 	if err := startProcess(p); err != nil {
 		n.cluster.Fatal(err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		p.Wait()
-		out.Close()
-		close(ended)
+		_ = p.Wait() // processes are killed by tests, and how they end otherwise shows in their logs
+		logFile.Close()
+		close(exited)
 	}()
-	if share := n.cluster.plan.Cores; share > 0 {
-		go limitProcessor(p.Process, share, n.pauses, ended)
+	if n.cluster.plan.Cores > 0 {
+		go limitProcessor(p.Process, n.cluster.plan.Cores, n.pauses, exited)
+	}
+	n.process = p
+	n.exited = exited
+}
+
+// command is how the node's process is started.
+func (n *Node) command(configPath string, logFile *os.File) *exec.Cmd {
+	plan := n.cluster.plan
+	p := exec.Command(plan.Program[0], plan.Program[1:]...)
+	p.Env = append(os.Environ(), plan.Env...)
+	p.Env = append(p.Env, n.Env...)
+	p.Env = append(p.Env,
+		"EDGE_CONFIG="+configPath,
+		"EDGE_LOG="+n.cluster.logLevel(),
+		"TMPDIR="+n.dir,
+		"EDGE_LISTEN_FD=3",
+	)
+	p.ExtraFiles = []*os.File{n.socket} // the first of them has descriptor 3
+	p.Stdout = logFile
+	p.Stderr = logFile
+	return p
+}
+
+// logLevel is the lowest level that processes log.
+func (c *Cluster) logLevel() string {
+	if c.plan.Quiet {
+		return "warn"
 	}
-	n.process, n.exited, n.logFile = p, ended, out
+	return "info"
 }
 
-// Upgrade starts a second process on the node's socket, and tells the first to end once that serves.
+// Upgrade starts a second process on the node's socket, and tells the first to end once the second serves.
 func (n *Node) Upgrade() {
 	n.cluster.Helper()
 	n.mu.Lock()
-	old, ended := n.process, n.exited
+	old, exited := n.process.Process, n.exited
 	n.mu.Unlock()
-	// Danger: a test that ends before the second process serves; the first is nobody's by then, and stays for good.
-	n.cluster.Cleanup(func() { old.Process.Kill() })
-	lines := strings.Count(n.Log(), `"node serves"`)
-	n.Admin = n.cluster.unusedAddress() // the first one's is still its own
+	// Kill knows the second process alone; the test may end before that serves.
+	n.cluster.Cleanup(func() { _ = old.Kill() }) // it may have ended
+	before := n.timesServed()
+	n.Admin = n.cluster.unusedAddress() // the first process still has its own
 	n.Start()
-	n.cluster.Until("the second process serves", 20*time.Second, func() bool { return strings.Count(n.Log(), `"node serves"`) > lines })
-	old.Process.Signal(syscall.SIGTERM)
-	select {
-	case <-ended:
-	case <-time.After(8 * time.Second):
-		old.Process.Kill()
-		n.cluster.Errorf("the first process of %s does not end", n.Name)
-	}
+	n.cluster.Until("the second process serves", serveTimeout, func() bool { return n.timesServed() > before })
+	n.endWithin(old, exited, syscall.SIGTERM, fmt.Sprintf("the first process of %s does not end", n.Name))
 }
 
-// Signal sends one to the process, if there is one.
+// timesServed returns how many of the node's processes have served.
+func (n *Node) timesServed() int { return strings.Count(n.Log(), servesMessage) }
+
+// Signal sends a signal to the process, if there is one.
 func (n *Node) Signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
-		n.process.Process.Signal(s)
+		_ = n.process.Process.Signal(s) // it may have ended
 	}
 }
 
 // Kill ends the process at once, stopped or not, and waits for its end.
 func (n *Node) Kill() { n.endProcess(syscall.SIGKILL) }
 
-// Terminate tells the process to end, and waits for it.
+// Terminate tells the process to end, and waits until it has.
 func (n *Node) Terminate() { n.endProcess(syscall.SIGTERM) }
 
 func (n *Node) endProcess(by syscall.Signal) {
 	n.mu.Lock()
-	p, ended := n.process, n.exited
+	p, exited := n.process, n.exited
 	n.process = nil
 	n.mu.Unlock()
-	if p == nil {
-		return
+	if p != nil {
+		n.endWithin(p.Process, exited, by, n.Name+" did not end")
 	}
-	p.Process.Signal(by)
+}
+
+// endWithin sends a signal to a process and waits for its end. One that does not end in time is killed, and the
+// test fails.
+func (n *Node) endWithin(p *os.Process, exited <-chan struct{}, by syscall.Signal, failure string) {
+	_ = p.Signal(by) // it may have ended
 	select {
-	case <-ended:
-	case <-time.After(8 * time.Second):
-		p.Process.Kill()
-		<-ended
-		n.cluster.Errorf("%s did not end", n.Name)
+	case <-exited:
+	case <-time.After(exitTimeout):
+		_ = p.Kill() // it may have ended just now
+		<-exited
+		n.cluster.Error(failure)
 	}
 }
 
-// LoseDisk loses what the node has on disk. Its process must have ended.
+// LoseDisk removes the state of the node's voter. Its process must have ended.
 func (n *Node) LoseDisk() {
-	if err := os.RemoveAll(filepath.Join(n.dir, "seat")); err != nil {
+	if err := os.RemoveAll(n.defaultVoterDir()); err != nil {
 		n.cluster.Error(err)
 	}
 }
 
-// Running says whether the node has a process that has not ended.
+// Running reports whether the node has a process that has not ended.
 func (n *Node) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testcluster/stand_in_server.go
+++ b/internal/testcluster/stand_in_server.go
@@ -7,113 +7,132 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
 )
 
-// jobsSince gives the jobs that came to an executor since a moment, the latest first.
-func (e *StandInServer) jobsSince(at int64) (jobs []Job) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for i := len(e.jobs) - 1; i >= 0 && e.jobs[i].ArrivedAt >= at; i-- {
-		jobs = append(jobs, e.jobs[i])
-	}
-	return jobs
-}
-
-// StandInServer is a stand-in that does what it is told at once and notes all that arrives.
+// StandInServer is a server of the pool that starts each job at once and records all that arrives.
 type StandInServer struct {
 	Name    string
 	address string
 	cluster *Cluster
 
 	mu           sync.Mutex
-	breaksJobsOf func(node string) bool // whose jobs break off; nil: nobody's
+	breaksJobsOf func(node string) bool // nil: of no node
 	accepted     []int64                // when connections were accepted
 	jobs         []Job
 }
 
-// Job is one posting as it arrived.
+// Job is one attempt as it arrived. Times are on the cluster's clock.
 type Job struct {
 	ArrivedAt int64
 	ID        string
 	Cost      time.Duration // as its client told it
-	Tenant    string        // the tenant
-	EndedAt   int64         // when it was done, answered or not; 0: it is not
+	Tenant    string
+	EndedAt   int64 // when it was done, answered or not; 0: it is not
 }
 
-func newStandInServer(r *Cluster, name string) *StandInServer {
-	l := r.listen()
-	e := &StandInServer{Name: name, address: l.Addr().String(), cluster: r}
-	s := &http.Server{Handler: e}
-	go s.Serve(&recordingListener{l, e})
-	r.Cleanup(func() { s.Close() })
-	return e
+func newStandInServer(c *Cluster, name string) *StandInServer {
+	l := c.listen()
+	s := &StandInServer{Name: name, address: l.Addr().String(), cluster: c}
+	c.serveHTTP(&recordingListener{Listener: l, server: s}, s)
+	return s
 }
 
+// recordingListener records when connections are accepted.
 type recordingListener struct {
 	net.Listener
 	server *StandInServer
 }
 
-func (n *recordingListener) Accept() (net.Conn, error) {
-	c, err := n.Listener.Accept()
+// Accept implements net.Listener.
+func (l *recordingListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err == nil {
-		n.server.mu.Lock()
-		n.server.accepted = append(n.server.accepted, n.server.cluster.Now())
-		n.server.mu.Unlock()
+		l.server.recordAccept()
 	}
 	return c, err
 }
 
-// ServeHTTP does a job. A request that asks for it in its target fails or is turned away.
-func (e *StandInServer) ServeHTTP(out http.ResponseWriter, q *http.Request) {
-	at, id := e.cluster.Now(), q.Header.Get("X-Call-Id")
-	if _, err := io.ReadAll(q.Body); err != nil {
+func (s *StandInServer) recordAccept() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.accepted = append(s.accepted, s.cluster.Now())
+}
+
+// ServeHTTP does a job. The target can ask for a rejection (full), the end of the connection (close) or more time
+// (slow). A job goes on when its client has gone.
+func (s *StandInServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	arrivedAt := s.cluster.Now()
+	if _, err := io.ReadAll(r.Body); err != nil {
 		return
 	}
-	e.mu.Lock()
-	cost, _ := strconv.ParseInt(q.Header.Get("X-Call-Cost"), 10, 64)
-	job := len(e.jobs)
-	shunned := e.breaksJobsOf != nil && e.breaksJobsOf(SenderNode(id))
-	e.jobs = append(e.jobs, Job{ArrivedAt: at, ID: id, Cost: time.Duration(cost) * time.Microsecond, Tenant: q.Header.Get("X-Caller")})
-	e.mu.Unlock()
-	defer func() {
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		e.jobs[job].EndedAt = e.cluster.Now()
-	}()
-	if shunned {
+	id := r.Header.Get("X-Call-Id")
+	job, breaks := s.recordJob(arrivedAt, id, r.Header)
+	defer s.recordEnd(job)
+	if breaks {
 		panic(http.ErrAbortHandler)
 	}
-	if q.URL.Query().Get("full") != "" {
-		out.WriteHeader(http.StatusTooManyRequests)
+	query := r.URL.Query()
+	if query.Get("full") != "" {
+		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	if q.URL.Query().Get("close") != "" {
-		out.Header().Set("Connection", "close")
+	if query.Get("close") != "" {
+		w.Header().Set("Connection", "close")
 	}
-	if e.cluster.plan.StartNotices {
-		fmt.Fprintf(out, `{"id":%q,"from":%q,"state":"started"}`+"\n", id, e.Name)
-		http.NewResponseController(out).Flush()
+	if s.cluster.plan.StartNotices {
+		fmt.Fprintf(w, `{"id":%q,"from":%q,"state":"started"}`+"\n", id, s.Name)
+		_ = http.NewResponseController(w).Flush() // fails where the client has gone, and the job goes on
 	}
-	// It works on, whoever has gone.
-	slow, _ := time.ParseDuration(q.URL.Query().Get("slow"))
-	time.Sleep(e.cluster.plan.ServeTime + slow)
-	fmt.Fprintf(out, `{"id":%q,"from":%q,"state":"done","result":"r"}`+"\n", id, e.Name)
+	slow, _ := time.ParseDuration(query.Get("slow")) // absent: 0
+	time.Sleep(s.cluster.plan.ServeTime + slow)
+	fmt.Fprintf(w, `{"id":%q,"from":%q,"state":"done","result":"r"}`+"\n", id, s.Name)
+}
+
+// recordJob records a job, and returns its index and whether its connection is to break off.
+func (s *StandInServer) recordJob(arrivedAt int64, id string, header http.Header) (index int, breaks bool) {
+	micros, _ := strconv.ParseInt(header.Get("X-Call-Cost"), 10, 64) // absent: 0
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.jobs = append(s.jobs, Job{
+		ArrivedAt: arrivedAt,
+		ID:        id,
+		Cost:      time.Duration(micros) * time.Microsecond,
+		Tenant:    header.Get("X-Caller"),
+	})
+	breaks = s.breaksJobsOf != nil && s.breaksJobsOf(SenderNode(id))
+	return len(s.jobs) - 1, breaks
+}
+
+func (s *StandInServer) recordEnd(index int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.jobs[index].EndedAt = s.cluster.Now()
 }
 
-// BreakJobsOf has the jobs of some nodes break off, as on links that are bad; nil: of none.
-func (e *StandInServer) BreakJobsOf(whose func(node string) bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.breaksJobsOf = whose
+// BreakJobsOf breaks off the connections on which jobs of some nodes come, as on links that are bad; nil: of none.
+func (s *StandInServer) BreakJobsOf(nodes func(node string) bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.breaksJobsOf = nodes
 }
 
-// Received gives what has arrived so far.
-func (e *StandInServer) Received() (accepted []int64, jobs []Job) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return append([]int64(nil), e.accepted...), append([]Job(nil), e.jobs...)
+// Received returns when connections were accepted, and the jobs, so far.
+func (s *StandInServer) Received() (accepted []int64, jobs []Job) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.accepted), slices.Clone(s.jobs)
+}
+
+// jobsSince returns the jobs that have arrived since a moment, the latest first.
+func (s *StandInServer) jobsSince(at int64) (jobs []Job) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i := len(s.jobs) - 1; i >= 0 && s.jobs[i].ArrivedAt >= at; i-- {
+		jobs = append(jobs, s.jobs[i])
+	}
+	return jobs
 }
--- a/internal/testcluster/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -36,8 +36,8 @@
 			if b.Now()-since < int64(1500*time.Millisecond) {
 				return false
 			}
-			a, z, _, _ := b.Spread(since)
-			if a >= fewest && z <= most {
+			spread := b.Spread(since)
+			if spread.FewestNodes >= fewest && spread.MostNodes <= most {
 				return true
 			}
 			since = b.Now()
@@ -45,7 +45,8 @@
 		})
 		since = b.Now()
 		b.RunFor(2 * time.Second)
-		a, z, idlest, busiest := b.Spread(since)
+		spread := b.Spread(since)
+		a, z, idlest, busiest := spread.FewestNodes, spread.MostNodes, spread.LeastWork, spread.MostWork
 		t.Logf("%s after %v; then %d to %d nodes at an executor, work %.2f to %.2f of the mean", what, took, a, z, idlest, busiest)
 		if a < fewest || z > most || idlest < 0.3 || busiest > 2 {
 			t.Errorf("%s: %d to %d nodes at an executor, %d to %d are promised; work %.2f to %.2f of the mean", what, a, z, fewest, most, idlest, busiest)
@@ -190,7 +191,8 @@
 	look := func() (fewest, most int, half [2]int) {
 		since := b.Now()
 		b.RunFor(2 * time.Second)
-		fewest, most, _, _ = b.Spread(since)
+		spread := b.Spread(since)
+		fewest, most = spread.FewestNodes, spread.MostNodes
 		for side := range half {
 			used := map[*testcluster.StandInServer]bool{}
 			for _, n := range b.Nodes[4*side : 4*side+4] {
