--- a/internal/testcluster/budget_test.go
+++ b/internal/testcluster/budget_test.go
@@ -11,14 +11,14 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestUse: nine tenths of the demand are at one node, which gets what the others leave: nine tenths of the whole and more
-// arrive at the executors. A fixed split would let through one in three.
+// TestUse: nine tenths of the demand are at one node, which gets what the others leave: nine tenths of the whole
+// and more arrive at the executors. A fixed split would let through one in three.
 func TestUse(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(3, 3, 1)
 	const whole = 100
 	plan.Fleet["most"], plan.Fleet["margin"] = 3, 0.01 // a window counts for the margin longer
-	plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{"whole": whole, "floor": 1, "reserve": 2, "window_ms": windowTime.Milliseconds()}
+	plan.Fleet["budgets"].(map[string]any)["connect"] = budgetSection(whole, 1, 2)
 	r := testcluster.New(t, plan)
 	for _, n := range r.Nodes {
 		n.Start()
@@ -26,11 +26,14 @@
 	for _, n := range r.Nodes {
 		n.WaitReady()
 	}
-	ends := []func() map[int]int{r.Nodes[0].StartLoad("job", "/look?close=1", 16, 20*time.Millisecond, 400*time.Millisecond)}
+	hot := r.Nodes[0].StartLoad("job", "/look?close=1", 16, 20*time.Millisecond, 400*time.Millisecond)
+	ends := []func() map[int]int{hot}
 	for _, n := range r.Nodes[1:] {
 		ends = append(ends, n.StartLoad("job", "/look?close=1", 1, 150*time.Millisecond, 400*time.Millisecond))
 	}
-	r.Until("the hot node has nine tenths", 20*time.Second, func() bool { return connectQuota(r.Nodes[0]) >= 9*whole/10-3 })
+	r.Until("the hot node has nine tenths", 20*time.Second, func() bool {
+		return connectQuota(r.Nodes[0]) >= 9*whole/10-3
+	})
 	const span = 4 * time.Second
 	use := func() float64 {
 		accepted, _ := r.Servers[0].Received()
@@ -50,14 +53,17 @@
 	}
 }
 
-// TestRests: windows that are longer than leases. What one node used and gave back is used by another only once its window is
-// past, though shares move within half a second. Without rests this broke the whole, and no other test here did.
+// TestRests: windows that are longer than leases. What one node used and gave back is used by another only once its
+// window is past, though shares move within half a second. Without rests this broke the whole, and no other test
+// here did.
 func TestRests(t *testing.T) {
 	runParallel(t)
 	const window = 2 * time.Second
 	plan := fleetPlan(3, 3, 1)
 	plan.Fleet["most"] = 3
-	plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{"whole": connectTotal, "floor": 1, "window_ms": window.Milliseconds()}
+	plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{
+		"whole": connectTotal, "floor": 1, "window_ms": window.Milliseconds(),
+	}
 	r := testcluster.New(t, plan)
 	for _, n := range r.Nodes {
 		n.Start()
@@ -84,8 +90,9 @@
 	}
 }
 
-// TestAgain: executors that turn everything away draw second postings from all nodes; together they are no more than the
-// whole, or than a share of first ones. Without a fleet the same traffic sends far more: the count can fail.
+// TestAgain: executors that turn everything away draw second postings from all nodes; together they are no more
+// than the whole, or than a share of first ones. Without a fleet the same traffic sends far more: the count can
+// fail.
 func TestAgain(t *testing.T) {
 	runParallel(t)
 	for _, kind := range []string{"whole", "share", "alone"} {
@@ -95,7 +102,9 @@
 		case "alone":
 			plan.Settings["Limits"].(map[string]any)["MayTell"] = false
 		case "share":
-			plan.Fleet["budgets"].(map[string]any)["again"] = map[string]any{"whole": 10000, "share": share, "floor": 1, "window_ms": windowTime.Milliseconds()}
+			plan.Fleet["budgets"].(map[string]any)["again"] = map[string]any{
+				"whole": 10000, "share": share, "floor": 1, "window_ms": windowTime.Milliseconds(),
+			}
 		}
 		r := testcluster.New(t, plan)
 		for _, n := range r.Nodes {
@@ -158,11 +167,20 @@
 // node is killed and one joins. Nodes of which each takes itself for the only one send far more: the count can fail.
 func TestCold(t *testing.T) {
 	runParallel(t)
-	const fall, cold, multiple, share, work, part = 500 * time.Millisecond, 6 * time.Second, 2.5, 0.3, 5 * time.Millisecond, 1 / 1.5
+	const (
+		fall     = 500 * time.Millisecond
+		cold     = 6 * time.Second
+		multiple = 2.5
+		share    = 0.3
+		work     = 5 * time.Millisecond
+		part     = 1 / 1.5
+	)
 	for _, together := range []bool{true, false} {
 		plan := fleetPlan(4, 3, 2)
 		// Connections are not what is tried here.
-		plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{"whole": 4000, "floor": 100, "step": 100, "window_ms": fall.Milliseconds()}
+		plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{
+			"whole": 4000, "floor": 100, "step": 100, "window_ms": fall.Milliseconds(),
+		}
 		if plan.JobCost, plan.ServersStarted = work, time.Now(); !together {
 			plan.Settings["Limits"].(map[string]any)["MayTell"] = false
 			plan.Settings["ReplicasOfMe"] = 1
@@ -183,7 +201,8 @@
 		r.Nodes[0].Kill()
 		r.Nodes[3].Start()
 		r.Nodes[3].WaitReady()
-		b.stopLoads = append(b.stopLoads, r.Nodes[3].StartLoad("job", "/look", 8, 5*time.Millisecond, 300*time.Millisecond))
+		stop := r.Nodes[3].StartLoad("job", "/look", 8, 5*time.Millisecond, 300*time.Millisecond)
+		b.stopLoads = append(b.stopLoads, stop)
 		after(cold)
 		for _, end := range b.stopLoads {
 			end()
@@ -191,19 +210,26 @@
 		began, count, worst := r.Now()-int64(time.Since(plan.ServersStarted)), 0, 0.0
 		for _, e := range r.Servers {
 			_, jobs := e.Received()
-			for from, to, sum := 0, 0, time.Duration(0); to < len(jobs) && jobs[to].ArrivedAt-began < int64(cold); to++ {
-				for sum += jobs[to].Cost; jobs[to].ArrivedAt-jobs[from].ArrivedAt >= int64(fall-jitter); from++ {
+			from, sum := 0, time.Duration(0)
+			for _, job := range jobs {
+				if job.ArrivedAt-began >= int64(cold) {
+					break
+				}
+				sum += job.Cost
+				for ; job.ArrivedAt-jobs[from].ArrivedAt >= int64(fall-jitter); from++ {
 					sum -= jobs[from].Cost
 				}
-				warmth := share + (1-share)*float64(jobs[to].ArrivedAt-began)/float64(cold)
+				warmth := share + (1-share)*float64(job.ArrivedAt-began)/float64(cold)
 				worst = max(worst, float64(sum)/(multiple*float64(fall)*warmth))
 				count++
 			}
 		}
 		t.Logf("together %v: %d jobs, at worst %.2f of what a cold executor bears", together, count, worst)
-		// What nodes reckon with is a part of what it bears, by running times that each has seen; what must hold is the whole.
+		// What nodes reckon with is a part of what it bears, by running times that each has seen; what must hold is
+		// the whole.
 		if together && worst > 1 || !together && worst <= part {
-			t.Errorf("together %v: at worst %.2f of what a cold executor bears; nodes use %.2f of it", together, worst, part)
+			t.Errorf("together %v: at worst %.2f of what a cold server bears; nodes use %.2f of it",
+				together, worst, part)
 		}
 		if together && worst < part/2 {
 			t.Errorf("%.2f is too little to have tried it", worst)
--- a/internal/testcluster/clock_test.go
+++ b/internal/testcluster/clock_test.go
@@ -10,8 +10,8 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestClockBeyond: a clock that is slower than the margin allows, at a node that can be reached: it is named, gets no lease,
-// and the whole holds.
+// TestClockBeyond: a clock that is slower than the margin allows, at a node that can be reached: it is named, gets
+// no lease, and the whole holds.
 func TestClockBeyond(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(4, 3, 1), 4)
@@ -22,15 +22,18 @@
 	b.Until("it is named", convergeTime, func() bool {
 		f := statusOf(slow)
 		g := leader(b.Cluster)
-		return f != nil && f.ClockRate > 0.4 && f.ClockRate < 0.6 && g != nil && statusOf(g).Voter.ClockRates[slow.Name] > 0
+		if f == nil || f.ClockRate <= 0.4 || f.ClockRate >= 0.6 {
+			return false
+		}
+		return g != nil && statusOf(g).Voter.ClockRates[slow.Name] > 0
 	})
 	b.Until("it is on its floors", convergeTime, func() bool { return connectQuota(slow) <= connectFloor })
 	b.finish(t, connectTotal)
 }
 
-// TestBreachIsSeen: a node's clock falls to a fifth of its rate as the node is cut off. Its lease lasts for five, and the
-// stand-ins see more than the whole: this is what margins are for, and what the other tests would see if one were broken.
-// Healed, the node is named.
+// TestBreachIsSeen: a node's clock falls to a fifth of its rate as the node is cut off. Its lease lasts for five,
+// and the stand-ins see more than the whole: this is what margins are for, and what the other tests would see if
+// one were broken. Healed, the node is named.
 func TestBreachIsSeen(t *testing.T) {
 	runParallel(t)
 	r := testcluster.New(t, fleetPlan(4, 3, 1))
@@ -48,18 +51,29 @@
 	before, _ := countConnections(r)
 	end()
 	b.RunFor(windowTime) // all it has is free at once, and goes out at once
-	// The clock falls as the cut is there, whatever the machine does meanwhile. Danger: a slow clock that is not cut off yet is
-	// found out, and nothing is broken.
-	b.stopLoads = append(b.stopLoads, slow.StartLoad("job", "/look?close=1", 12, 8*time.Millisecond, 400*time.Millisecond))
-	// Danger: on a busy machine a lease is renewed late; what is left of it at the cut is over before others have its share.
-	b.Until("a lease just renewed", convergeTime, func() bool { f := statusOf(slow); return f != nil && f.LeaseMillis > 9*leaseTime.Milliseconds()/10 })
+	// The clock falls as the cut is there, whatever the machine does meanwhile: a slow clock that is
+	// not cut off yet would be found out, and nothing would be broken.
+	stop := slow.StartLoad("job", "/look?close=1", 12, 8*time.Millisecond, 400*time.Millisecond)
+	b.stopLoads = append(b.stopLoads, stop)
+	// On a busy machine a lease is renewed late; what is left of it at the cut would be over before others have
+	// its quota.
+	b.Until("a lease just renewed", convergeTime, func() bool {
+		f := statusOf(slow)
+		return f != nil && f.LeaseMillis > 9*leaseTime.Milliseconds()/10
+	})
 	cutLinks([]*testcluster.Node{slow}, r.Nodes[:3], testcluster.Forward, testcluster.Backward)
 	slow.Signal(syscall.SIGUSR1)
-	b.Until("the whole is broken", convergeTime, func() bool { most, _ := countConnections(r); return most > connectTotal })
+	b.Until("the whole is broken", convergeTime, func() bool {
+		most, _ := countConnections(r)
+		return most > connectTotal
+	})
 	for seat := range 3 {
 		slow.VoterRelay(seat).Heal()
 	}
-	b.Until("it is named", 2*convergeTime, func() bool { f := statusOf(slow); return f != nil && f.ClockRate > 0.1 && f.ClockRate < 0.9 })
+	b.Until("it is named", 2*convergeTime, func() bool {
+		f := statusOf(slow)
+		return f != nil && f.ClockRate > 0.1 && f.ClockRate < 0.9
+	})
 	most, _ := countConnections(r)
 	t.Logf("%d in a window before, %d after", before, most)
 	if before > connectTotal {
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -31,11 +31,11 @@
 		n.WaitReady()
 		b.startLoad(n)
 	}
-	b.Until("the whole is in use", 20*time.Second, func() bool { return totalQuota(b.Nodes) >= sharedQuota(4)-4 })
+	b.Until("the whole is in use", 20*time.Second, quotaReaches(b.Nodes, sharedQuota(4)-4))
 	slow := b.Nodes[3]
 	for range 2 {
 		slow.Signal(syscall.SIGSTOP)
-		b.Until("the rest have the whole", convergeTime, func() bool { return totalQuota(b.Nodes[:3]) >= sharedQuota(3)-3 })
+		b.Until("the rest have the whole", convergeTime, quotaReaches(b.Nodes[:3], sharedQuota(3)-3))
 		slow.Signal(syscall.SIGCONT)
 		b.Until("it has a share again", convergeTime, func() bool { return connectQuota(slow) > connectFloor })
 	}
@@ -56,7 +56,8 @@
 		return fmt.Sprintf("%x", sha256.Sum256(fmt.Appendf(nil, "fernrail fleet %d %s", version, secret)))
 	}
 	ask := func(token, length, body string) string {
-		return "POST /ask HTTP/1.1\r\nHost: x\r\nX-Fernrail-Fleet: " + token + "\r\nContent-Length: " + length + "\r\n\r\n" + body
+		return "POST /ask HTTP/1.1\r\nHost: x\r\nX-Fernrail-Fleet: " + token +
+			"\r\nContent-Length: " + length + "\r\n\r\n" + body
 	}
 	greedy := `{"node":"thief","holder":"h","seq":1,"hold":{"connect":40},"want":{"connect":40}}`
 	right := token(1, "only for tests")
@@ -65,7 +66,8 @@
 		"\x00\xff\xfe garbage that is no protocol\r\n\r\n",
 		"\x01" + strings.Repeat("a", 200),
 		"\x01" + right + "\x05n0/xx" + strings.Repeat("\x00\xff", 3000),
-		"\x01" + right + string(rune(len(id))) + id + "\x00" + strings.Repeat("\xdf\xff\xff\xff\xff", 2000), // maps of four thousand million
+		// Maps of four thousand million entries.
+		"\x01" + right + string(rune(len(id))) + id + "\x00" + strings.Repeat("\xdf\xff\xff\xff\xff", 2000),
 		"\x01" + right + string(rune(len(id))) + id + strings.Repeat("\xff", 5000),
 		ask(token(1, "another fleet"), fmt.Sprint(len(greedy)), greedy),
 		ask(token(0, "only for tests"), fmt.Sprint(len(greedy)), greedy),
@@ -94,7 +96,7 @@
 			}
 		}
 	}
-	b.Until("shares go on", convergeTime, func() bool { return totalQuota(b.Nodes) >= sharedQuota(3)-3 })
+	b.Until("shares go on", convergeTime, quotaReaches(b.Nodes, sharedQuota(3)-3))
 	for _, n := range b.Nodes {
 		f := statusOf(n)
 		if !n.Running() || f == nil || f.Voter == nil {
@@ -112,7 +114,8 @@
 	b.finish(t, connectTotal)
 }
 
-// TestOtherPact: a node whose file tells of larger floors than the fleet was founded with is refused, says so, and uses none.
+// TestOtherPact: a node whose file tells of larger floors than the fleet was founded with is refused, says so, and
+// uses none.
 func TestOtherPact(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(4, 3, 1), 3)
@@ -121,7 +124,9 @@
 	odd.Start()
 	odd.WaitReady()
 	b.startLoad(odd)
-	b.Until("it is refused", convergeTime, func() bool { return strings.Contains(odd.Log(), "differ from what the fleet was founded with") })
+	b.Until("it is refused", convergeTime, func() bool {
+		return strings.Contains(odd.Log(), "differ from what the fleet was founded with")
+	})
 	from := b.Now()
 	b.Until("some windows have passed", convergeTime, func() bool { return b.Now()-from > int64(4*windowTime) })
 	if got := connectQuota(odd); got != 0 {
@@ -144,8 +149,9 @@
 	return strings.TrimSpace(names)
 }
 
-// TestMembers: nodes hear of each other by gossip, through datagrams that get lost, pass each other and come twice. A dead one
-// is missed, two halves find each other again, two of one name are named. What anyone believes moves no share.
+// TestMembers: nodes hear of each other by gossip, through datagrams that get lost, pass each other and come twice.
+// A dead one is missed, two halves find each other again, two of one name are named. What anyone believes moves no
+// share.
 func TestMembers(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(5, 3, 1)
--- a/internal/testcluster/helpers_test.go
+++ b/internal/testcluster/helpers_test.go
@@ -23,26 +23,90 @@
 	connectReserve = 2
 )
 
-// jitter is by how much a stand-in may see two moments closer together than they were at the senders: a process that has
-// asked its share waits for the processor before its packet leaves, and the stand-in waits before it looks.
+// jitter is by how much a stand-in may see two moments closer together than they were at the senders: a process
+// that has asked its share waits for the processor before its packet leaves, and the stand-in waits before it
+// looks.
 const jitter = 60 * time.Millisecond
 
-func fleetPlan(nodes, seats, executors int) testcluster.Plan {
-	scheme := func(name, kind string) map[string]any {
-		return map[string]any{"Name": name, "SlaTime": 300_000_000, "Expiry": 3_000_000_000, "BillingValue": 1, "LateBillingValue": 0.5, "Idempotency": kind}
+// budgetSection is the section of one budget in a node's file, in units per windowTime.
+func budgetSection(total, floor, reserve int) map[string]any {
+	return map[string]any{"whole": total, "floor": floor, "reserve": reserve, "window_ms": windowTime.Milliseconds()}
+}
+
+// classSettings is a class with a deadline of 3 s.
+func classSettings(name, idempotency string) map[string]any {
+	return map[string]any{
+		"Name":             name,
+		"SlaTime":          300_000_000,
+		"Expiry":           3_000_000_000,
+		"BillingValue":     1,
+		"LateBillingValue": 0.5,
+		"Idempotency":      idempotency,
+	}
+}
+
+// fleetPlan is a plan of nodes that share all budgets.
+func fleetPlan(nodes, voters, servers int) testcluster.Plan {
+	return testcluster.Plan{
+		Program:   []string{binary},
+		Nodes:     nodes,
+		Voters:    voters,
+		Servers:   servers,
+		Disk:      true,
+		ServeTime: time.Millisecond,
+		Settings:  platformSettings(nodes),
+		Fleet:     fleetSection(),
+	}
+}
+
+// platformSettings allow nodes all that the tests need.
+func platformSettings(nodes int) map[string]any {
+	return map[string]any{
+		"Tick":              5_000_000,
+		"ReplicasOfMe":      nodes,
+		"Dcs":               []string{"a"},
+		"Skus":              []string{"m"},
+		"Discovery":         "automatic",
+		"BillingValueBasis": "request",
+		"Report":            map[string]any{"Source": "piggyback"},
+		"Limits": map[string]any{
+			"MayTell":       true,
+			"MayCancel":     true,
+			"MayDuplicate":  true,
+			"MostPostings":  4,
+			"RetryAfter":    true,
+			"MaxRetryAfter": 2_000_000_000,
+			"DialTimeout":   250_000_000,
+			"IdleClose":     10_000_000_000,
+		},
+		"Rules": map[string]any{
+			"AskWithin":    8_000_000_000,
+			"Cold":         6_000_000_000,
+			"ColdShare":    0.3,
+			"Fall":         500_000_000,
+			"FallMultiple": 2.5,
+		},
+		"Schemes": []any{classSettings("look", "idempotent"), classSettings("book", "at_most_once")},
+	}
+}
+
+// fleetSection is the fleet section of a node's file.
+func fleetSection() map[string]any {
+	coldBudget := budgetSection(1000, 20, 50)
+	coldBudget["step"] = 20
+	return map[string]any{
+		"secret":        "only for tests",
+		"most":          maxNodes,
+		"lease_ms":      leaseTime.Milliseconds(),
+		"margin":        clockMargin,
+		"pace_ms":       200,
+		"round_trip_ms": 100,
+		"budgets": map[string]any{
+			"connect": budgetSection(connectTotal, connectFloor, connectReserve),
+			"again":   budgetSection(retryTotal, 1, 4),
+			"cold":    coldBudget,
+		},
 	}
-	return testcluster.Plan{Program: []string{binary}, Nodes: nodes, Voters: seats, Servers: executors, Disk: true, ServeTime: time.Millisecond,
-		Settings: map[string]any{"Tick": 5_000_000, "ReplicasOfMe": nodes, "Dcs": []string{"a"}, "Skus": []string{"m"}, "Discovery": "automatic",
-			"BillingValueBasis": "request", "Report": map[string]any{"Source": "piggyback"},
-			"Limits": map[string]any{"MayTell": true, "MayCancel": true, "MayDuplicate": true, "MostPostings": 4, "RetryAfter": true, "MaxRetryAfter": 2_000_000_000,
-				"DialTimeout": 250_000_000, "IdleClose": 10_000_000_000},
-			"Rules":   map[string]any{"AskWithin": 8_000_000_000, "Cold": 6_000_000_000, "ColdShare": 0.3, "Fall": 500_000_000, "FallMultiple": 2.5},
-			"Schemes": []any{scheme("look", "idempotent"), scheme("book", "at_most_once")}},
-		Fleet: map[string]any{"secret": "only for tests", "most": maxNodes, "lease_ms": leaseTime.Milliseconds(), "margin": clockMargin, "pace_ms": 200, "round_trip_ms": 100,
-			"budgets": map[string]any{
-				"connect": map[string]any{"whole": connectTotal, "floor": connectFloor, "reserve": connectReserve, "window_ms": windowTime.Milliseconds()},
-				"again":   map[string]any{"whole": retryTotal, "floor": 1, "reserve": 4, "window_ms": windowTime.Milliseconds()},
-				"cold":    map[string]any{"whole": 1000, "floor": 20, "reserve": 50, "step": 20, "window_ms": windowTime.Milliseconds()}}}}
 }
 
 // checkConnectTotal checks that no more arrived at any executor in any window than the whole.
@@ -82,6 +146,7 @@
 	return 0
 }
 
+// totalQuota is what all these nodes together may use of the connections now.
 func totalQuota(nodes []*testcluster.Node) (all int64) {
 	for _, n := range nodes {
 		all += connectQuota(n)
@@ -89,6 +154,11 @@
 	return all
 }
 
+// quotaReaches reports whether nodes together may use so many connections.
+func quotaReaches(nodes []*testcluster.Node, least int64) func() bool {
+	return func() bool { return totalQuota(nodes) >= least }
+}
+
 // leader is the node whose seat grants; nil: none does.
 func leader(r *testcluster.Cluster) *testcluster.Node {
 	for _, n := range r.Nodes {
@@ -116,7 +186,8 @@
 	return connectTotal - connectReserve - connectFloor*int64(maxNodes-nodes)
 }
 
-// convergeTime is within what a lease, its margin, a window and an election take, with as much again for a loaded machine.
+// convergeTime is within what a lease, its margin, a window and an election take, with as much again for a loaded
+// machine.
 const convergeTime = 8 * time.Second
 
 // cutLinks holds both ways, or one, between two parts of the fleet.
--- a/internal/testcluster/leader_test.go
+++ b/internal/testcluster/leader_test.go
@@ -10,15 +10,16 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestGranterKilled: three nodes, one budget, one fault. The whole holds throughout; the survivors go on, and what the dead
-// one held is theirs within a lease, its margin, a window and the election.
+// TestGranterKilled: three nodes, one budget, one fault. The whole holds throughout; the survivors go on, and what
+// the dead one held is theirs within a lease, its margin, a window and the election.
 func TestGranterKilled(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
 	dead := leader(b.Cluster)
 	dead.Kill()
 	rest := without(b.Nodes, dead)
-	t.Logf("in use again after %v", b.Until("what the dead one held is in use", convergeTime, func() bool { return totalQuota(rest) >= sharedQuota(2)-2 }))
+	t.Logf("in use again after %v",
+		b.Until("what the dead one held is in use", convergeTime, quotaReaches(rest, sharedQuota(2)-2)))
 	b.finish(t, connectTotal)
 }
 
@@ -31,15 +32,17 @@
 		stopped := leader(b.Cluster)
 		stopped.Signal(syscall.SIGSTOP)
 		rest := without(b.Nodes, stopped)
-		t.Logf("in use again after %v", b.Until("what the stopped one held is in use", convergeTime, func() bool { return totalQuota(rest) >= sharedQuota(4)-4 }))
+		t.Logf("in use again after %v",
+			b.Until("what the stopped one held is in use", convergeTime, quotaReaches(rest, sharedQuota(4)-4)))
 		stopped.Signal(syscall.SIGCONT)
-		t.Logf("it has a share again after %v", b.Until("it has a share again", convergeTime, func() bool { return connectQuota(stopped) > connectFloor }))
+		t.Logf("it has a share again after %v",
+			b.Until("it has a share again", convergeTime, func() bool { return connectQuota(stopped) > connectFloor }))
 	}
 	b.finish(t, connectTotal)
 }
 
-// TestSplits: two seats of five apart from three, then the granter alone, then each direction alone. Who is on the smaller
-// side falls to its floors; the larger goes on with the whole; healed, all have shares again.
+// TestSplits: two seats of five apart from three, then the granter alone, then each direction alone. Who is on the
+// smaller side falls to its floors; the larger goes on with the whole; healed, all have shares again.
 func TestSplits(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(5, 5, 2), 5)
@@ -62,14 +65,17 @@
 	cutLinks(two, three, testcluster.Forward, testcluster.Backward)
 	cutLinks(three, two, testcluster.Forward, testcluster.Backward)
 	t.Logf("2|3: on floors after %v", b.Until("the two are on their floors", convergeTime, floors(two)))
-	t.Logf("2|3: in use again after %v", b.Until("the three have the whole", convergeTime, func() bool { return totalQuota(three) >= sharedQuota(3)-3 }))
+	t.Logf("2|3: in use again after %v",
+		b.Until("the three have the whole", convergeTime, quotaReaches(three, sharedQuota(3)-3)))
 	whole()
 	alone := leader(b.Cluster)
 	rest := without(b.Nodes, alone)
 	cutLinks([]*testcluster.Node{alone}, rest, testcluster.Forward, testcluster.Backward)
 	cutLinks(rest, []*testcluster.Node{alone}, testcluster.Forward, testcluster.Backward)
-	t.Logf("granter alone: on its floors after %v", b.Until("it is on its floors", convergeTime, floors([]*testcluster.Node{alone})))
-	t.Logf("granter alone: in use again after %v", b.Until("the rest have the whole", convergeTime, func() bool { return totalQuota(rest) >= sharedQuota(4)-4 }))
+	t.Logf("granter alone: on its floors after %v",
+		b.Until("it is on its floors", convergeTime, floors([]*testcluster.Node{alone})))
+	t.Logf("granter alone: in use again after %v",
+		b.Until("the rest have the whole", convergeTime, quotaReaches(rest, sharedQuota(4)-4)))
 	whole()
 	for _, d := range []testcluster.Direction{testcluster.Forward, testcluster.Backward} {
 		deaf := leader(b.Cluster)
@@ -84,8 +90,8 @@
 	b.finish(t, connectTotal)
 }
 
-// TestEachSeatAlone: of nine nodes with five seats each seat in turn is cut off from all the others. It falls to its floors, the
-// rest have the whole; and in the end two are cut off at once, each alone.
+// TestEachSeatAlone: of nine nodes with five seats each seat in turn is cut off from all the others. It falls to
+// its floors, the rest have the whole; and in the end two are cut off at once, each alone.
 func TestEachSeatAlone(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(9, 5, 2), 9)
@@ -100,14 +106,17 @@
 			rest = without(rest, a)
 		}
 		b.Until("they are on their floors, and the rest have the whole", 2*convergeTime, func() bool {
-			return totalQuota(alone) == int64(len(alone))*connectFloor && totalQuota(rest) >= sharedQuota(len(rest))-int64(len(rest))
+			onFloors := totalQuota(alone) == int64(len(alone))*connectFloor
+			return onFloors && totalQuota(rest) >= sharedQuota(len(rest))-int64(len(rest))
 		})
 		for _, n := range b.Nodes {
 			for seat := range 5 {
 				n.VoterRelay(seat).Heal()
 			}
 		}
-		b.Until("they have shares again", 2*convergeTime, func() bool { return totalQuota(alone) > int64(len(alone))*connectFloor })
+		b.Until("they have shares again", 2*convergeTime, func() bool {
+			return totalQuota(alone) > int64(len(alone))*connectFloor
+		})
 	}
 	for _, n := range b.Nodes[:5] {
 		apart(n)
@@ -116,8 +125,8 @@
 	b.finish(t, connectTotal)
 }
 
-// TestLateAnswers: answers to one node come later than its lease is long. It lives on its floors; what it was granted and
-// never used goes to the others.
+// TestLateAnswers: answers to one node come later than its lease is long. It lives on its floors; what it was
+// granted and never used goes to the others.
 func TestLateAnswers(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(4, 3, 2), 4)
@@ -126,7 +135,7 @@
 		late.VoterRelay(seat).Delay(testcluster.Backward, leaseTime+200*time.Millisecond)
 	}
 	b.Until("it is on its floors", convergeTime, func() bool { return connectQuota(late) == connectFloor })
-	b.Until("the rest have the whole", convergeTime, func() bool { return totalQuota(b.Nodes[:3]) >= sharedQuota(3)-3 })
+	b.Until("the rest have the whole", convergeTime, quotaReaches(b.Nodes[:3], sharedQuota(3)-3))
 	for seat := range 3 {
 		late.VoterRelay(seat).Delay(testcluster.Backward, 0)
 	}
--- a/internal/testcluster/loaded_cluster_test.go
+++ b/internal/testcluster/loaded_cluster_test.go
@@ -89,7 +89,10 @@
 }
 
 // startHoggingNode has one node without a seat hold most of the whole, with nobody else wanting any.
-func startHoggingNode(t *testing.T, plan testcluster.Plan) (b *loadedCluster, one *testcluster.Node, rest []*testcluster.Node) {
+func startHoggingNode(
+	t *testing.T,
+	plan testcluster.Plan,
+) (b *loadedCluster, one *testcluster.Node, rest []*testcluster.Node) {
 	t.Helper()
 	b = &loadedCluster{Cluster: testcluster.New(t, plan)}
 	one, rest = b.Nodes[3], b.Nodes[:3]
--- a/internal/testcluster/main_test.go
+++ b/internal/testcluster/main_test.go
@@ -8,10 +8,12 @@
 	"os/exec"
 	"path/filepath"
 	"runtime"
+	"slices"
 	"testing"
 )
 
-// clusterSlots is how many fleets run at a time: each is some processes that mostly wait, on machines of four cores and more.
+// clusterSlots is how many fleets run at a time: each is some processes that mostly wait, on machines of four cores
+// and more.
 var clusterSlots = make(chan struct{}, min(max(runtime.NumCPU()/2, 1), 3))
 
 func runParallel(t *testing.T) {
@@ -34,7 +36,9 @@
 		}
 		defer os.RemoveAll(dir)
 		binary = filepath.Join(dir, "fernrail")
-		if out, err := exec.Command("go", append(append([]string{"build", "-tags", "rig"}, raceFlags...), "-o", binary, "fernrail/cmd/fernrail")...).CombinedOutput(); err != nil {
+		target := []string{"-o", binary, "fernrail/cmd/fernrail"}
+		arguments := slices.Concat([]string{"build", "-tags", "rig"}, raceFlags, target)
+		if out, err := exec.Command("go", arguments...).CombinedOutput(); err != nil {
 			fmt.Printf("%s\n", out)
 			return 1
 		}
--- a/internal/testcluster/replay_test.go
+++ b/internal/testcluster/replay_test.go
@@ -9,7 +9,8 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestDoubledAndLate: all calls of all nodes come once more, some of them long after they were answered, while shares move.
+// TestDoubledAndLate: all calls of all nodes come once more, some of them long after they were answered, while
+// shares move.
 func TestDoubledAndLate(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(4, 3, 2), 4)
@@ -20,7 +21,7 @@
 				answered += n.VoterRelay(seat).Replay()
 			}
 		}
-		b.Until("shares go on", convergeTime, func() bool { return totalQuota(b.Nodes) >= sharedQuota(4)-6 })
+		b.Until("shares go on", convergeTime, quotaReaches(b.Nodes, sharedQuota(4)-6))
 		if n := b.Nodes[3]; round%2 == 0 {
 			n.Kill() // what comes again is of a process that is gone, and then of one before this one
 		} else {
@@ -34,8 +35,8 @@
 	b.finish(t, connectTotal)
 }
 
-// TestOldCallsOfACutOffNode: a node that holds most of the whole is cut off, and calls of its from long before come again. They
-// tell of a time when it held nothing; what it holds now is not granted to others for that.
+// TestOldCallsOfACutOffNode: a node that holds most of the whole is cut off, and calls of its from long before come
+// again. They tell of a time when it held nothing; what it holds now is not granted to others for that.
 func TestOldCallsOfACutOffNode(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(4, 3, 1)
@@ -52,7 +53,7 @@
 	for seat := range 3 {
 		answered += one.VoterRelay(seat).Replay()
 	}
-	b.Until("the rest have the whole", convergeTime, func() bool { return totalQuota(rest) >= connectTotal-connectReserve-connectFloor-3 })
+	b.Until("the rest have the whole", convergeTime, quotaReaches(rest, connectTotal-connectReserve-connectFloor-3))
 	for seat := range 3 {
 		one.VoterRelay(seat).Heal()
 	}
@@ -62,20 +63,25 @@
 	b.finish(t, connectTotal)
 }
 
-// TestAnswersThatTakeLong: answers to a node that holds most of the whole take nearly as long as it waits for them, and then it
-// is cut off. Its lease counts from its requests: when others are granted what it held it uses that no more.
+// TestAnswersThatTakeLong: answers to a node that holds most of the whole take nearly as long as it waits for them,
+// and then it is cut off. Its lease counts from its requests: when others are granted what it held it uses that no
+// more.
 func TestAnswersThatTakeLong(t *testing.T) {
 	runParallel(t)
 	const window = 400 * time.Millisecond
 	plan := fleetPlan(4, 3, 1)
 	plan.Fleet["most"], plan.Fleet["lease_ms"], plan.Fleet["margin"] = 4, 3000, 0.01
-	plan.Fleet["budgets"].(map[string]any)["connect"] = map[string]any{"whole": connectTotal, "floor": connectFloor, "reserve": connectReserve, "window_ms": window.Milliseconds()}
+	connectBudget := budgetSection(connectTotal, connectFloor, connectReserve)
+	connectBudget["window_ms"] = window.Milliseconds()
+	plan.Fleet["budgets"].(map[string]any)["connect"] = connectBudget
 	b, one, rest := startHoggingNode(t, plan)
 	for seat := range 3 {
 		one.VoterRelay(seat).Delay(testcluster.Backward, 900*time.Millisecond)
 	}
 	from := b.Now()
-	b.Until("a lease has passed under the delay", convergeTime, func() bool { return b.Now()-from > int64(3*time.Second) && connectQuota(one) >= connectTotal/2 })
+	b.Until("a lease has passed under the delay", convergeTime, func() bool {
+		return b.Now()-from > int64(3*time.Second) && connectQuota(one) >= connectTotal/2
+	})
 	for seat := range 3 {
 		one.VoterRelay(seat).Cut(testcluster.Forward) // its last answer still comes
 	}
@@ -84,7 +90,7 @@
 	for _, n := range rest {
 		b.startLoad(n)
 	}
-	b.Until("the rest have the whole", 2*convergeTime, func() bool { return totalQuota(rest) >= connectTotal-connectReserve-connectFloor-3 })
+	b.Until("the rest have the whole", 2*convergeTime, quotaReaches(rest, connectTotal-connectReserve-connectFloor-3))
 	for _, end := range b.stopLoads {
 		end()
 	}
--- a/internal/testcluster/restart_test.go
+++ b/internal/testcluster/restart_test.go
@@ -15,8 +15,8 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestAllRestarted: all processes are killed and started again within a second, with their disks, and then without: what
-// the dead had sent and been granted counts against those that come.
+// TestAllRestarted: all processes are killed and started again within a second, with their disks, and then without:
+// what the dead had sent and been granted counts against those that come.
 func TestAllRestarted(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
@@ -30,13 +30,14 @@
 			}
 			n.Start()
 		}
-		t.Logf("in use again after %v, disks lost: %v", b.Until("the whole is in use", 2*convergeTime, func() bool { return totalQuota(b.Nodes) >= sharedQuota(3)-3 }), forget)
+		t.Logf("in use again after %v, disks lost: %v",
+			b.Until("the whole is in use", 2*convergeTime, quotaReaches(b.Nodes, sharedQuota(3)-3)), forget)
 	}
 	b.finish(t, connectTotal)
 }
 
-// TestUpgrades: each node in turn is taken over by a second process on its socket, under traffic. The two have one node's
-// floors together, and the seat is the second's once the first has left it.
+// TestUpgrades: each node in turn is taken over by a second process on its socket, under traffic. The two have one
+// node's floors together, and the seat is the second's once the first has left it.
 func TestUpgrades(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
@@ -47,12 +48,12 @@
 			return f != nil && f.Voter != nil && f.Voter.Leader != "" && f.LeaseMillis > 0
 		})
 	}
-	b.Until("the whole is in use", 2*convergeTime, func() bool { return totalQuota(b.Nodes) >= sharedQuota(3)-3 })
+	b.Until("the whole is in use", 2*convergeTime, quotaReaches(b.Nodes, sharedQuota(3)-3))
 	b.finish(t, connectTotal)
 }
 
-// TestSeatForgets: a seat that has lost its disk comes back under its name. It is another one, which the rest let in; the
-// group can then do without one of those that let it in.
+// TestSeatForgets: a seat that has lost its disk comes back under its name. It is another one, which the rest let
+// in; the group can then do without one of those that let it in.
 func TestSeatForgets(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
@@ -63,18 +64,22 @@
 	lost.Start()
 	b.Until("it is let in", convergeTime, func() bool {
 		f := statusOf(lost)
-		return f != nil && f.Voter.ID != was && len(f.Voter.Voters) == 3 && strings.Contains(strings.Join(f.Voter.Voters, " "), f.Voter.ID)
+		if f == nil || f.Voter.ID == was || len(f.Voter.Voters) != 3 {
+			return false
+		}
+		return strings.Contains(strings.Join(f.Voter.Voters, " "), f.Voter.ID)
 	})
 	b.Until("it has a share", convergeTime, func() bool { return connectQuota(lost) > connectFloor })
 	dead := leader(b.Cluster)
 	dead.Kill()
 	rest := without(b.Nodes, dead)
-	b.Until("the two go on", convergeTime, func() bool { return totalQuota(rest) >= sharedQuota(2)-2 })
+	b.Until("the two go on", convergeTime, quotaReaches(rest, sharedQuota(2)-2))
 	b.finish(t, connectTotal)
 }
 
-// TestMostForget: seats keep nothing on disk, and two of three start anew at once. The third lets go of a group that can never
-// decide again; one is founded anew, and grants only once all that the old one may have granted has run out.
+// TestMostForget: seats keep nothing on disk, and two of three start anew at once. The third lets go of a group
+// that can never decide again; one is founded anew, and grants only once all that the old one may have granted has
+// run out.
 func TestMostForget(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(3, 3, 2)
@@ -86,12 +91,14 @@
 	for _, n := range b.Nodes[:2] {
 		n.Start()
 	}
-	t.Logf("in use again after %v", b.Until("the whole is in use", 3*convergeTime, func() bool { return totalQuota(b.Nodes) >= sharedQuota(3)-3 }))
+	t.Logf("in use again after %v",
+		b.Until("the whole is in use", 3*convergeTime, quotaReaches(b.Nodes, sharedQuota(3)-3)))
 	b.finish(t, connectTotal)
 }
 
-// TestFoundedAnew: all seats lose all they knew at once, while a node without a seat is cut off and goes on with its lease. The
-// group that is founded anew grants nothing until that has run out; healed, the node has a share of the new group's.
+// TestFoundedAnew: all seats lose all they knew at once, while a node without a seat is cut off and goes on with
+// its lease. The group that is founded anew grants nothing until that has run out; healed, the node has a share of
+// the new group's.
 func TestFoundedAnew(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(4, 3, 1)
@@ -141,13 +148,14 @@
 		n.Kill()
 	}
 	rest := b.Nodes[:4]
-	t.Logf("in use again after %v", b.Until("what they held is in use", convergeTime, func() bool { return totalQuota(rest) >= sharedQuota(4)-4 }))
+	t.Logf("in use again after %v",
+		b.Until("what they held is in use", convergeTime, quotaReaches(rest, sharedQuota(4)-4)))
 	b.finish(t, connectTotal)
 }
 
-// TestDiskFull: the disk under the seat that grants takes no more. It grants nothing and says so, another one does, and the
-// node serves on; with room again its seat goes on.
-// Danger: the library ends the process when a vote can't be written.
+// TestDiskFull: the disk under the seat that grants takes no more. It grants nothing and says so, another one does,
+// and the node serves on; with room again its seat goes on. The raft library would end the process
+// when a vote can't be written.
 func TestDiskFull(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(3, 3, 2)
@@ -167,19 +175,23 @@
 		n.WaitReady()
 		b.startLoad(n)
 	}
-	b.Until("the whole is in use", 20*time.Second, func() bool { return totalQuota(r.Nodes) >= sharedQuota(3)-3 })
+	b.Until("the whole is in use", 20*time.Second, quotaReaches(r.Nodes, sharedQuota(3)-3))
 	filler := filepath.Join(disk, "filler")
 	if err := os.WriteFile(filler, make([]byte, 1<<20), 0o600); err == nil {
 		t.Fatal("a megabyte fits on half of one")
 	}
 	// Whoever grants hands over if it is the small one; elections write, and so show the fault.
+	voterFails := func() bool {
+		f := statusOf(small)
+		return f != nil && f.Voter != nil && f.Voter.Error != ""
+	}
 	if leader(r) != small {
 		dead := leader(r)
 		dead.Kill()
-		b.Until("it says so", 2*convergeTime, func() bool { f := statusOf(small); return f != nil && f.Voter != nil && f.Voter.Error != "" })
+		b.Until("it says so", 2*convergeTime, voterFails)
 		dead.Start()
 	} else {
-		b.Until("it says so", 2*convergeTime, func() bool { f := statusOf(small); return f != nil && f.Voter != nil && f.Voter.Error != "" })
+		b.Until("it says so", 2*convergeTime, voterFails)
 	}
 	b.Until("another one grants, and all of it is in use", 2*convergeTime, func() bool {
 		g := leader(r)
--- a/internal/testcluster/schedule_test.go
+++ b/internal/testcluster/schedule_test.go
@@ -12,9 +12,10 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestSchedules: faults by chance, several at a time, on five nodes of which three have seats, or nine of which five have. The whole holds throughout, and
-// once all is healed the whole is in use again. FERNRAIL_RIG_SEED=N tries another seed, FERNRAIL_RIG_SCHEDULE=FILE plays what a
-// failure printed, FERNRAIL_RIG_SHORTER=1 cuts it down, which takes as many runs as that needs.
+// TestSchedules: faults by chance, several at a time, on five nodes of which three have seats, or nine of which
+// five have. The whole holds throughout, and once all is healed the whole is in use again. FERNRAIL_RIG_SEED=N
+// tries another seed, FERNRAIL_RIG_SCHEDULE=FILE plays what a failure printed, FERNRAIL_RIG_SHORTER=1 cuts it down,
+// which takes as many runs as that needs.
 func TestSchedules(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		if v, err := strconv.ParseUint(os.Getenv("FERNRAIL_RIG_SEED"), 10, 64); err == nil {
@@ -44,16 +45,20 @@
 			play := func(t *testing.T, s testcluster.Schedule) {
 				b := startLoaded(t, fleetPlan(nodes, seats, 2), nodes)
 				b.RunSchedule(s)
-				b.Until("the whole is in use again", 3*convergeTime, func() bool { return totalQuota(b.Nodes) >= sharedQuota(nodes)-int64(nodes) })
+				inUse := quotaReaches(b.Nodes, sharedQuota(nodes)-int64(nodes))
+				b.Until("the whole is in use again", 3*convergeTime, inUse)
 				b.finish(t, connectTotal)
 			}
 			if os.Getenv("FERNRAIL_RIG_SHORTER") != "" {
-				s = s.Minimize(func(less testcluster.Schedule) bool { return !t.Run("less", func(t *testing.T) { play(t, less) }) })
+				s = s.Minimize(func(less testcluster.Schedule) bool {
+					return !t.Run("less", func(t *testing.T) { play(t, less) })
+				})
 				t.Fatalf("fails still:\n%s", s)
 			}
 			defer func() {
 				if t.Failed() {
-					t.Logf("again with: FERNRAIL_RIG_SEED=%d go test ./internal/testcluster -run TestSchedules, or this in a file:\n%s", seed, s)
+					t.Logf("again with: FERNRAIL_RIG_SEED=%d go test ./internal/testcluster -run TestSchedules,"+
+						" or this in a file:\n%s", seed, s)
 				}
 			}()
 			play(t, s)
--- a/internal/testcluster/shares_test.go
+++ b/internal/testcluster/shares_test.go
@@ -22,30 +22,37 @@
 	})
 }
 
-// TestJobs: what one tenant has out at all executors together is never more than the whole, while a node is killed with its jobs
-// out, the granter is stopped and goes on, and jobs outlast their clients; the other tenant has as much for itself. What a job
-// that ended took is used again at once. Nodes that share nothing have several times as much out: the count can fail.
+// TestJobs: what one tenant has out at all executors together is never more than the whole, while a node is killed
+// with its jobs out, the granter is stopped and goes on, and jobs outlast their clients; the other tenant has as
+// much for itself. What a job that ended took is used again at once. Nodes that share nothing have several times as
+// much out: the count can fail.
 func TestJobs(t *testing.T) {
 	runParallel(t)
 	const whole = 24
 	for _, held := range []bool{true, false} {
 		plan := fleetPlan(4, 3, 4)
 		plan.ServeTime = 120 * time.Millisecond
-		plan.Settings["Tenants"] = []any{map[string]any{"Name": "large", "Share": 0.5}, map[string]any{"Name": "small", "Share": 0.5}}
+		plan.Settings["Tenants"] = []any{
+			map[string]any{"Name": "large", "Share": 0.5},
+			map[string]any{"Name": "small", "Share": 0.5},
+		}
 		for _, s := range plan.Settings["Schemes"].([]any) {
 			s.(map[string]any)["Expiry"] = 1_000_000_000
 		}
 		if !held {
 			plan.Settings["Limits"].(map[string]any)["MayTell"] = false
 		}
-		plan.Fleet["budgets"].(map[string]any)["jobs"] = map[string]any{"whole": whole, "floor": 1, "reserve": 2, "window_ms": 1000}
+		plan.Fleet["budgets"].(map[string]any)["jobs"] = map[string]any{
+			"whole": whole, "floor": 1, "reserve": 2, "window_ms": 1000,
+		}
 		b := startAll(t, plan)
 		if held {
 			waitForLeases(b.Cluster, b.Nodes)
 		}
 		for _, n := range b.Nodes {
 			// Some jobs go on when their clients have given up.
-			b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look?from=large", 10, 5*time.Millisecond, 500*time.Millisecond),
+			b.stopLoads = append(b.stopLoads,
+				n.StartLoad("job", "/look?from=large", 10, 5*time.Millisecond, 500*time.Millisecond),
 				n.StartLoad("slow", "/look?from=large&slow=780ms", 10, 5*time.Millisecond, 500*time.Millisecond),
 				n.StartLoad("few", "/look?from=small", 1, 20*time.Millisecond, 500*time.Millisecond))
 		}
@@ -75,9 +82,10 @@
 	}
 }
 
-// TestCalls: discovery is asked by all nodes together no oftener than the whole, while its list changes on and on, while it fails,
-// with the granter killed, and with a node that the others refuse; what drains is left by all of them within the time that the
-// rules give, share or not. Nodes that share nothing call several times as often: the count can fail.
+// TestCalls: discovery is asked by all nodes together no oftener than the whole, while its list changes on and on,
+// while it fails, with the granter killed, and with a node that the others refuse; what drains is left by all of
+// them within the time that the rules give, share or not. Nodes that share nothing call several times as often: the
+// count can fail.
 func TestCalls(t *testing.T) {
 	runParallel(t)
 	const whole, within = 12, 1500 * time.Millisecond
@@ -89,7 +97,7 @@
 		}
 		budgets := plan.Fleet["budgets"].(map[string]any)
 		delete(budgets, "connect") // or the odd node could send nothing anyhow
-		budgets["calls"] = map[string]any{"whole": whole, "floor": 1, "reserve": 1, "window_ms": windowTime.Milliseconds()}
+		budgets["calls"] = budgetSection(whole, 1, 1)
 		b := &loadedCluster{Cluster: testcluster.New(t, plan)}
 		odd := b.Nodes[5]
 		odd.ChangeFleet = func(f map[string]any) { f["margin"] = 0.2 }
@@ -103,7 +111,8 @@
 			waitForLeases(b.Cluster, b.Nodes[:5])
 		}
 		for _, n := range b.Nodes {
-			b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 2, 10*time.Millisecond, 400*time.Millisecond))
+			b.stopLoads = append(b.stopLoads,
+				n.StartLoad("job", "/look", 2, 10*time.Millisecond, 400*time.Millisecond))
 		}
 		news := func(span time.Duration) {
 			for end := b.Now() + int64(span); b.Now() < end; b.RunFor(30 * time.Millisecond) {
@@ -131,7 +140,8 @@
 		_, jobs := b.Servers[1].Received()
 		last := jobs[len(jobs)-1].ArrivedAt - at
 		most := testcluster.MaxInWindow(calls, windowTime-jitter)
-		t.Logf("held together: %v: %d calls, %d in a window at most, of %d; the last job for what drains after %v", held, len(calls), most, whole, time.Duration(last))
+		t.Logf("held together: %v: %d calls, %d in a window at most, of %d; the last job for what drains after %v",
+			held, len(calls), most, whole, time.Duration(last))
 		if held != (most <= whole) {
 			t.Errorf("%d calls in a window, the whole is %d", most, whole)
 		}
--- a/internal/testcluster/signals_test.go
+++ b/internal/testcluster/signals_test.go
@@ -33,8 +33,8 @@
 	return b
 }
 
-// TestSignals: an executor that fails all is left by all nodes after few jobs, since those that it failed tell the others; one
-// node to which it is well does not keep the others at it. Well again it is used by all within seconds.
+// TestSignals: an executor that fails all is left by all nodes after few jobs, since those that it failed tell the
+// others; one node to which it is well does not keep the others at it. Well again it is used by all within seconds.
 func TestSignals(t *testing.T) {
 	runParallel(t)
 	const nodes = 8
@@ -51,14 +51,15 @@
 		}
 		bad.BreakJobsOf(nil)
 		since = b.Now()
-		t.Logf("told: %v: %d jobs wasted in 8 s; used by all again after %v", told, wasted[told], b.Until("all use it again", 4*convergeTime, func() bool {
+		took := b.Until("all use it again", 4*convergeTime, func() bool {
 			for _, n := range b.Nodes {
 				if !b.ServersUsedBy(n, since)[bad] {
 					return false
 				}
 			}
 			return true
-		}))
+		})
+		t.Logf("told: %v: %d jobs wasted in 8 s; used by all again after %v", told, wasted[told], took)
 		for i, statuses := range b.stopEach() {
 			if statuses[0] > 0 || statuses[200] < 50 {
 				t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
@@ -71,7 +72,8 @@
 	}
 }
 
-// TestLiar: a node on whose links all executors fail says so of all of them, truly as it seems to it. No other node leaves any.
+// TestLiar: a node on whose links all executors fail says so of all of them, truly as it seems to it. No other node
+// leaves any.
 func TestLiar(t *testing.T) {
 	runParallel(t)
 	b := startOutlierCluster(t, 6, true, 25*time.Millisecond)
@@ -80,7 +82,7 @@
 		e.BreakJobsOf(func(node string) bool { return node == liar })
 	}
 	since := b.Now()
-	// Danger: on a busy machine four seconds are not the jobs that the verdict wants; both are waited for.
+	// On a busy machine four seconds do not bring the jobs that the verdict needs, so both are waited for.
 	all, least := 0, 0
 	b.Until("jobs by the others", 8*time.Second, func() bool {
 		all, least = 0, 1<<30
--- a/internal/testcluster/size_test.go
+++ b/internal/testcluster/size_test.go
@@ -49,7 +49,8 @@
 	status int   // 0: no whole answer
 }
 
-// clientPool send requests to a node at moments drawn at random, whatever becomes of those before. One in ten leaves early.
+// clientPool send requests to a node at moments drawn at random, whatever becomes of those before. One in ten
+// leaves early.
 type clientPool struct {
 	*testcluster.Cluster
 	mu   sync.Mutex
@@ -78,7 +79,11 @@
 	defer cancel()
 	q, _ := http.NewRequestWithContext(ctx, "POST", "http://"+n.Listen+"/look", io.NopCloser(strings.NewReader("b")))
 	q.ContentLength = 1
-	q.Header = http.Header{"X-Call-Id": {id}, "X-Call-Class": {"look"}, "X-Budget-Ms": {fmt.Sprint(clientBudget.Milliseconds())}}
+	q.Header = http.Header{
+		"X-Call-Id":    {id},
+		"X-Call-Class": {"look"},
+		"X-Budget-Ms":  {fmt.Sprint(clientBudget.Milliseconds())},
+	}
 	r := &clientRequest{sent: c.Now()}
 	c.mu.Lock()
 	c.all[id] = r
@@ -99,44 +104,66 @@
 	r.status, r.ended, r.left = status, c.Now(), left
 }
 
-// TestManyServers: nodes with a small share of a core among 200 and 3,200 servers, of which half are replaced within seconds. Each
-// request has its answer in time, no attempt begins for a client that has gone, and none goes to a server that drains.
+// TestManyServers: nodes with a small share of a core among 200 and 3,200 servers, of which half are replaced
+// within seconds. Each request has its answer in time, no attempt begins for a client that has gone, and none goes
+// to a server that drains.
 func TestManyServers(t *testing.T) {
 	used := map[int]time.Duration{}
 	for _, servers := range []int{200, 3200} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
-			used[servers] = runScenario(t, scenario{servers: servers, rate: requestRate, grace: 2 * time.Second, served: 0.3})
+			used[servers] = runScenario(t, scenario{
+				servers: servers,
+				rate:    requestRate,
+				grace:   2 * time.Second,
+				served:  0.3,
+			})
 		})
 	}
 	t.Logf("processor time of a node: %v with 200 servers, %v with 3,200", used[200], used[3200])
 }
 
-// TestShortOfProcessor: the same with several times the requests that a node's share of a core can serve; with a discovery that is out
-// while half of 3,200 servers drain, and new configurations in quick succession; and with processes that stand still, one after the
-// other, for longer than drains allow. What can't be served is shed, and no rule is broken.
+// TestShortOfProcessor: the same with several times the requests that a node's share of a core can serve; with a
+// discovery that is out while half of 3,200 servers drain, and new configurations in quick succession; and with
+// processes that stand still, one after the other, for longer than drains allow. What can't be served is shed, and
+// no rule is broken.
 func TestShortOfProcessor(t *testing.T) {
 	t.Run("requests", func(t *testing.T) {
 		runScenario(t, scenario{servers: 200, rate: 4 * requestRate, grace: 2 * time.Second, served: 0.05})
 	})
 	t.Run("outage and new configurations", func(t *testing.T) {
-		runScenario(t, scenario{servers: 3200, rate: requestRate / 2, grace: 2 * time.Second, served: 0.3, outage: 4 * time.Second, faults: func(r *testcluster.Cluster) {
+		reloads := func(r *testcluster.Cluster) {
 			for range 20 {
 				time.Sleep(300 * time.Millisecond)
 				for _, n := range r.Nodes {
 					n.Signal(syscall.SIGHUP)
 				}
 			}
-		}})
+		}
+		runScenario(t, scenario{
+			servers: 3200,
+			rate:    requestRate / 2,
+			grace:   2 * time.Second,
+			served:  0.3,
+			outage:  4 * time.Second,
+			faults:  reloads,
+		})
 	})
 	t.Run("stops", func(t *testing.T) {
 		const still = 1300 * time.Millisecond
-		runScenario(t, scenario{servers: 200, rate: requestRate / 4, grace: time.Second, served: 0.4, faults: func(r *testcluster.Cluster) {
+		stops := func(r *testcluster.Cluster) {
 			for i := range 2 * smallNodes {
 				time.Sleep(500 * time.Millisecond)
 				r.Nodes[i%smallNodes].Pause(still)
 				time.Sleep(still)
 			}
-		}})
+		}
+		runScenario(t, scenario{
+			servers: 200,
+			rate:    requestRate / 4,
+			grace:   time.Second,
+			served:  0.4,
+			faults:  stops,
+		})
 	})
 }
 
@@ -169,7 +196,11 @@
 	for _, n := range r.Nodes {
 		n.WaitReady()
 	}
-	c := &clientPool{Cluster: r, all: map[string]*clientRequest{}, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+	c := &clientPool{
+		Cluster: r,
+		all:     map[string]*clientRequest{},
+		http:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
+	}
 	t.Cleanup(c.http.CloseIdleConnections)
 	until := r.Now() + int64(trafficTime)
 	for i, n := range r.Nodes {
@@ -225,9 +256,11 @@
 	for _, n := range r.Nodes {
 		used += n.ProcessorTime() / smallNodes
 	}
-	t.Logf("%d servers, %v requests a second: answers by status %v, the slowest after %v; a node used %v", day.servers, day.rate, statuses, time.Duration(slowest), used)
+	t.Logf("%d servers, %v requests a second: answers by status %v, the slowest after %v; a node used %v",
+		day.servers, day.rate, statuses, time.Duration(slowest), used)
 	if lost > 0 || unasked > 0 || drained > 0 {
-		t.Errorf("%d requests lost, %d attempts begun for clients that had gone, %d at servers that drain", lost, unasked, drained)
+		t.Errorf("%d requests lost, %d attempts begun for clients that had gone, %d at servers that drain",
+			lost, unasked, drained)
 	}
 	if float64(statuses[200]) < day.served*float64(len(c.all)) {
 		t.Errorf("%d of %d requests served", statuses[200], len(c.all))
--- a/internal/testcluster/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -23,9 +23,9 @@
 	return plan
 }
 
-// TestSubsets: of thirty executors each is used by about as many nodes as the next while a fleet of nine grows to eighteen and
-// falls to five under traffic, all the time but for what gossip needs; no client of a node that lives goes without its one
-// answer. Nodes that use all executors are heard by each: the count can fail.
+// TestSubsets: of thirty executors each is used by about as many nodes as the next while a fleet of nine grows to
+// eighteen and falls to five under traffic, all the time but for what gossip needs; no client of a node that lives
+// goes without its one answer. Nodes that use all executors are heard by each: the count can fail.
 func TestSubsets(t *testing.T) {
 	runParallel(t)
 	b := &loadedCluster{Cluster: testcluster.New(t, subsetPlan(18, 10))}
@@ -47,9 +47,11 @@
 		b.RunFor(2 * time.Second)
 		spread := b.Spread(since)
 		a, z, idlest, busiest := spread.FewestNodes, spread.MostNodes, spread.LeastWork, spread.MostWork
-		t.Logf("%s after %v; then %d to %d nodes at an executor, work %.2f to %.2f of the mean", what, took, a, z, idlest, busiest)
+		t.Logf("%s after %v; then %d to %d nodes at a server, work %.2f to %.2f of the mean",
+			what, took, a, z, idlest, busiest)
 		if a < fewest || z > most || idlest < 0.3 || busiest > 2 {
-			t.Errorf("%s: %d to %d nodes at an executor, %d to %d are promised; work %.2f to %.2f of the mean", what, a, z, fewest, most, idlest, busiest)
+			t.Errorf("%s: %d to %d nodes at a server, %d to %d are promised; work %.2f to %.2f of the mean",
+				what, a, z, fewest, most, idlest, busiest)
 		}
 	}
 	start := func(nodes []*testcluster.Node) {
@@ -89,8 +91,8 @@
 	b.RunFor(500 * time.Millisecond)
 }
 
-// TestSubsetWidens: what a node is to use breaks off for it alone, then drains; it goes on with others, of which it takes no
-// more than it needs, and comes back once it can. The other nodes keep to theirs.
+// TestSubsetWidens: what a node is to use breaks off for it alone, then drains; it goes on with others, of which it
+// takes no more than it needs, and comes back once it can. The other nodes keep to theirs.
 func TestSubsetWidens(t *testing.T) {
 	runParallel(t)
 	plan := subsetPlan(6, 6)
@@ -169,8 +171,8 @@
 	}
 }
 
-// TestSubsetsSplit: gossip is cut into two halves, while all executors are in reach of both. Each half covers all executors by
-// itself; healed they divide them together again, within seconds.
+// TestSubsetsSplit: gossip is cut into two halves, while all executors are in reach of both. Each half covers all
+// executors by itself; healed they divide them together again, within seconds.
 func TestSubsetsSplit(t *testing.T) {
 	runParallel(t)
 	plan := subsetPlan(8, 6)
