--- a/internal/testcluster/budget_test.go
+++ b/internal/testcluster/budget_test.go
@@ -11,9 +11,9 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestUse: nine tenths of the demand are at one node, which gets what the others leave: nine tenths of the whole
+// TestUnevenDemand: nine tenths of the demand are at one node, which gets what the others leave: nine tenths of the whole
 // and more arrive at the executors. A fixed split would let through one in three.
-func TestUse(t *testing.T) {
+func TestUnevenDemand(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(3, 3, 1)
 	const whole = 100
@@ -53,10 +53,10 @@
 	}
 }
 
-// TestRests: windows that are longer than leases. What one node used and gave back is used by another only once its
+// TestCooldown: windows that are longer than leases. What one node used and gave back is used by another only once its
 // window is past, though shares move within half a second. Without rests this broke the whole, and no other test
 // here did.
-func TestRests(t *testing.T) {
+func TestCooldown(t *testing.T) {
 	runParallel(t)
 	const window = 2 * time.Second
 	plan := fleetPlan(3, 3, 1)
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestCold: executors that have just started are sent no more by all nodes together than they bear in a window, while a
+// TestSlowStart: executors that have just started are sent no more by all nodes together than they bear in a window, while a
 // node is killed and one joins. Nodes of which each takes itself for the only one send far more: the count can fail.
-func TestCold(t *testing.T) {
+func TestSlowStart(t *testing.T) {
 	runParallel(t)
 	const (
 		fall     = 500 * time.Millisecond
--- a/internal/testcluster/clock_test.go
+++ b/internal/testcluster/clock_test.go
@@ -10,9 +10,9 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestClockBeyond: a clock that is slower than the margin allows, at a node that can be reached: it is named, gets
+// TestClockBeyondMargin: a clock that is slower than the margin allows, at a node that can be reached: it is named, gets
 // no lease, and the whole holds.
-func TestClockBeyond(t *testing.T) {
+func TestClockBeyondMargin(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(4, 3, 1), 4)
 	slow := b.Nodes[3]
@@ -31,10 +31,10 @@
 	b.finish(t, connectTotal)
 }
 
-// TestBreachIsSeen: a node's clock falls to a fifth of its rate as the node is cut off. Its lease lasts for five,
+// TestViolationIsDetected: a node's clock falls to a fifth of its rate as the node is cut off. Its lease lasts for five,
 // and the stand-ins see more than the whole: this is what margins are for, and what the other tests would see if
 // one were broken. Healed, the node is named.
-func TestBreachIsSeen(t *testing.T) {
+func TestViolationIsDetected(t *testing.T) {
 	runParallel(t)
 	r := testcluster.New(t, fleetPlan(4, 3, 1))
 	b, slow := &loadedCluster{Cluster: r}, r.Nodes[3]
--- a/internal/testcluster/leader_test.go
+++ b/internal/testcluster/leader_test.go
@@ -10,9 +10,9 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestGranterKilled: three nodes, one budget, one fault. The whole holds throughout; the survivors go on, and what
+// TestLeaderKilled: three nodes, one budget, one fault. The whole holds throughout; the survivors go on, and what
 // the dead one held is theirs within a lease, its margin, a window and the election.
-func TestGranterKilled(t *testing.T) {
+func TestLeaderKilled(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
 	dead := leader(b.Cluster)
@@ -23,9 +23,9 @@
 	b.finish(t, connectTotal)
 }
 
-// TestGranterStopped: the granter stands still for longer than a lease, with requests in its sockets, and goes on as if
+// TestLeaderStopped: the granter stands still for longer than a lease, with requests in its sockets, and goes on as if
 // nothing had happened. Neither its grants nor its own lease count any more.
-func TestGranterStopped(t *testing.T) {
+func TestLeaderStopped(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(5, 5, 2), 5)
 	for range 2 {
@@ -41,9 +41,9 @@
 	b.finish(t, connectTotal)
 }
 
-// TestSplits: two seats of five apart from three, then the granter alone, then each direction alone. Who is on the
+// TestPartitions: two seats of five apart from three, then the granter alone, then each direction alone. Who is on the
 // smaller side falls to its floors; the larger goes on with the whole; healed, all have shares again.
-func TestSplits(t *testing.T) {
+func TestPartitions(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(5, 5, 2), 5)
 	floors := func(part []*testcluster.Node) func() bool {
@@ -90,9 +90,9 @@
 	b.finish(t, connectTotal)
 }
 
-// TestEachSeatAlone: of nine nodes with five seats each seat in turn is cut off from all the others. It falls to
+// TestEachVoterPartitioned: of nine nodes with five seats each seat in turn is cut off from all the others. It falls to
 // its floors, the rest have the whole; and in the end two are cut off at once, each alone.
-func TestEachSeatAlone(t *testing.T) {
+func TestEachVoterPartitioned(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(9, 5, 2), 9)
 	apart := func(alone ...*testcluster.Node) {
@@ -125,9 +125,9 @@
 	b.finish(t, connectTotal)
 }
 
-// TestLateAnswers: answers to one node come later than its lease is long. It lives on its floors; what it was
+// TestLateResponses: answers to one node come later than its lease is long. It lives on its floors; what it was
 // granted and never used goes to the others.
-func TestLateAnswers(t *testing.T) {
+func TestLateResponses(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(4, 3, 2), 4)
 	late := b.Nodes[3]
--- a/internal/testcluster/replay_test.go
+++ b/internal/testcluster/replay_test.go
@@ -9,9 +9,9 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestDoubledAndLate: all calls of all nodes come once more, some of them long after they were answered, while
+// TestDuplicatedCalls: all calls of all nodes come once more, some of them long after they were answered, while
 // shares move.
-func TestDoubledAndLate(t *testing.T) {
+func TestDuplicatedCalls(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(4, 3, 2), 4)
 	answered := 0
@@ -35,9 +35,9 @@
 	b.finish(t, connectTotal)
 }
 
-// TestOldCallsOfACutOffNode: a node that holds most of the whole is cut off, and calls of its from long before come
+// TestReplayedCallsOfAPartitionedNode: a node that holds most of the whole is cut off, and calls of its from long before come
 // again. They tell of a time when it held nothing; what it holds now is not granted to others for that.
-func TestOldCallsOfACutOffNode(t *testing.T) {
+func TestReplayedCallsOfAPartitionedNode(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(4, 3, 1)
 	plan.Fleet["most"] = 4
@@ -63,10 +63,10 @@
 	b.finish(t, connectTotal)
 }
 
-// TestAnswersThatTakeLong: answers to a node that holds most of the whole take nearly as long as it waits for them,
+// TestSlowResponses: answers to a node that holds most of the whole take nearly as long as it waits for them,
 // and then it is cut off. Its lease counts from its requests: when others are granted what it held it uses that no
 // more.
-func TestAnswersThatTakeLong(t *testing.T) {
+func TestSlowResponses(t *testing.T) {
 	runParallel(t)
 	const window = 400 * time.Millisecond
 	plan := fleetPlan(4, 3, 1)
--- a/internal/testcluster/restart_test.go
+++ b/internal/testcluster/restart_test.go
@@ -52,9 +52,9 @@
 	b.finish(t, connectTotal)
 }
 
-// TestSeatForgets: a seat that has lost its disk comes back under its name. It is another one, which the rest let
+// TestVoterLosesDisk: a seat that has lost its disk comes back under its name. It is another one, which the rest let
 // in; the group can then do without one of those that let it in.
-func TestSeatForgets(t *testing.T) {
+func TestVoterLosesDisk(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
 	lost := without(b.Nodes, leader(b.Cluster))[0]
@@ -77,10 +77,10 @@
 	b.finish(t, connectTotal)
 }
 
-// TestMostForget: seats keep nothing on disk, and two of three start anew at once. The third lets go of a group
+// TestQuorumLosesState: seats keep nothing on disk, and two of three start anew at once. The third lets go of a group
 // that can never decide again; one is founded anew, and grants only once all that the old one may have granted has
 // run out.
-func TestMostForget(t *testing.T) {
+func TestQuorumLosesState(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(3, 3, 2)
 	plan.Disk = false
@@ -96,10 +96,10 @@
 	b.finish(t, connectTotal)
 }
 
-// TestFoundedAnew: all seats lose all they knew at once, while a node without a seat is cut off and goes on with
+// TestNewClusterIsFounded: all seats lose all they knew at once, while a node without a seat is cut off and goes on with
 // its lease. The group that is founded anew grants nothing until that has run out; healed, the node has a share of
 // the new group's.
-func TestFoundedAnew(t *testing.T) {
+func TestNewClusterIsFounded(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(4, 3, 1)
 	plan.Disk, plan.Fleet["lease_ms"], plan.Fleet["most"] = false, 6000, 4
--- a/internal/testcluster/signals_test.go
+++ b/internal/testcluster/signals_test.go
@@ -33,9 +33,9 @@
 	return b
 }
 
-// TestSignals: an executor that fails all is left by all nodes after few jobs, since those that it failed tell the
+// TestOutlierSignals: an executor that fails all is left by all nodes after few jobs, since those that it failed tell the
 // others; one node to which it is well does not keep the others at it. Well again it is used by all within seconds.
-func TestSignals(t *testing.T) {
+func TestOutlierSignals(t *testing.T) {
 	runParallel(t)
 	const nodes = 8
 	wasted := map[bool]int{}
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestLiar: a node on whose links all executors fail says so of all of them, truly as it seems to it. No other node
+// TestFalseReports: a node on whose links all executors fail says so of all of them, truly as it seems to it. No other node
 // leaves any.
-func TestLiar(t *testing.T) {
+func TestFalseReports(t *testing.T) {
 	runParallel(t)
 	b := startOutlierCluster(t, 6, true, 25*time.Millisecond)
 	liar := b.Nodes[5].Name
