--- a/internal/testcluster/budget_test.go
+++ b/internal/testcluster/budget_test.go
@@ -11,8 +11,8 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestUnevenDemand: nine tenths of the demand are at one node, which gets what the others leave: nine tenths of the whole
-// and more arrive at the executors. A fixed split would let through one in three.
+// TestUnevenDemand: nine tenths of the demand are at one node, which gets what the others leave: nine tenths of the
+// whole and more arrive at the servers. A fixed split would let through one in three.
 func TestUnevenDemand(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(3, 3, 1)
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestAgain: executors that turn everything away draw second postings from all nodes; together they are no more
+// TestAgain: servers that turn everything away draw second postings from all nodes; together they are no more
 // than the whole, or than a share of first ones. Without a fleet the same traffic sends far more: the count can
 // fail.
 func TestAgain(t *testing.T) {
@@ -163,8 +163,9 @@
 	}
 }
 
-// TestSlowStart: executors that have just started are sent no more by all nodes together than they bear in a window, while a
-// node is killed and one joins. Nodes of which each takes itself for the only one send far more: the count can fail.
+// TestSlowStart: servers that have just started are sent no more by all nodes together than they bear in a window,
+// while a node is killed and one joins. Nodes of which each takes itself for the only one send far more: the count
+// can fail.
 func TestSlowStart(t *testing.T) {
 	runParallel(t)
 	const (
@@ -224,7 +225,7 @@
 				count++
 			}
 		}
-		t.Logf("together %v: %d jobs, at worst %.2f of what a cold executor bears", together, count, worst)
+		t.Logf("together %v: %d jobs, at worst %.2f of what a cold server bears", together, count, worst)
 		// What nodes reckon with is a part of what it bears, by running times that each has seen; what must hold is
 		// the whole.
 		if together && worst > 1 || !together && worst <= part {
--- a/internal/testcluster/clock_test.go
+++ b/internal/testcluster/clock_test.go
@@ -10,8 +10,8 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestClockBeyondMargin: a clock that is slower than the margin allows, at a node that can be reached: it is named, gets
-// no lease, and the whole holds.
+// TestClockBeyondMargin: a clock that is slower than the margin allows, at a node that can be reached: it is named,
+// gets no lease, and the whole holds.
 func TestClockBeyondMargin(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(4, 3, 1), 4)
@@ -31,9 +31,9 @@
 	b.finish(t, connectTotal)
 }
 
-// TestViolationIsDetected: a node's clock falls to a fifth of its rate as the node is cut off. Its lease lasts for five,
-// and the stand-ins see more than the whole: this is what margins are for, and what the other tests would see if
-// one were broken. Healed, the node is named.
+// TestViolationIsDetected: a node's clock falls to a fifth of its rate as the node is cut off. Its lease lasts for
+// five, and the stand-ins see more than the whole: this is what margins are for, and what the other tests would see
+// if one were broken. Healed, the node is named.
 func TestViolationIsDetected(t *testing.T) {
 	runParallel(t)
 	r := testcluster.New(t, fleetPlan(4, 3, 1))
@@ -67,8 +67,8 @@
 		most, _ := countConnections(r)
 		return most > connectTotal
 	})
-	for seat := range 3 {
-		slow.VoterRelay(seat).Heal()
+	for voter := range 3 {
+		slow.VoterRelay(voter).Heal()
 	}
 	b.Until("it is named", 2*convergeTime, func() bool {
 		f := statusOf(slow)
--- a/internal/testcluster/helpers_test.go
+++ b/internal/testcluster/helpers_test.go
@@ -12,7 +12,7 @@
 
 // What the fleets of these tests hold together. Real time is short here, so leases are as well.
 const (
-	connectTotal = 40 // new connections to one executor in a window
+	connectTotal = 40 // new connections to one server in a window
 	connectFloor = 1
 	retryTotal   = 60
 	leaseTime    = 1500 * time.Millisecond
@@ -109,18 +109,18 @@
 	}
 }
 
-// checkConnectTotal checks that no more arrived at any executor in any window than the whole.
+// checkConnectTotal checks that no more arrived at any server in any window than the whole.
 func checkConnectTotal(t *testing.T, r *testcluster.Cluster) (all int) {
 	t.Helper()
 	most, all := countConnections(r)
-	t.Logf("%d connections, at most %d in a window at one executor, the whole is %d", all, most, connectTotal)
+	t.Logf("%d connections, at most %d in a window at one server, the whole is %d", all, most, connectTotal)
 	if most > connectTotal {
 		t.Errorf("%d connections in a window, the whole is %d", most, connectTotal)
 	}
 	return all
 }
 
-// countConnections is the most connections in any window at any executor, and all that came.
+// countConnections is the most connections in any window at any server, and all that came.
 func countConnections(r *testcluster.Cluster) (most, all int) {
 	for _, e := range r.Servers {
 		accepted, _ := e.Received()
@@ -159,7 +159,7 @@
 	return func() bool { return totalQuota(nodes) >= least }
 }
 
-// leader is the node whose seat grants; nil: none does.
+// leader is the node whose voter grants; nil: none does.
 func leader(r *testcluster.Cluster) *testcluster.Node {
 	for _, n := range r.Nodes {
 		if !n.Running() {
--- a/internal/testcluster/leader_test.go
+++ b/internal/testcluster/leader_test.go
@@ -23,7 +23,7 @@
 	b.finish(t, connectTotal)
 }
 
-// TestLeaderStopped: the granter stands still for longer than a lease, with requests in its sockets, and goes on as if
+// TestLeaderStopped: the leader stands still for longer than a lease, with requests in its sockets, and goes on as if
 // nothing had happened. Neither its grants nor its own lease count any more.
 func TestLeaderStopped(t *testing.T) {
 	runParallel(t)
@@ -41,7 +41,7 @@
 	b.finish(t, connectTotal)
 }
 
-// TestPartitions: two seats of five apart from three, then the granter alone, then each direction alone. Who is on the
+// TestPartitions: two voters of five apart from three, then the leader alone, then each direction alone. Who is on the
 // smaller side falls to its floors; the larger goes on with the whole; healed, all have shares again.
 func TestPartitions(t *testing.T) {
 	runParallel(t)
@@ -72,9 +72,9 @@
 	rest := without(b.Nodes, alone)
 	cutLinks([]*testcluster.Node{alone}, rest, testcluster.Forward, testcluster.Backward)
 	cutLinks(rest, []*testcluster.Node{alone}, testcluster.Forward, testcluster.Backward)
-	t.Logf("granter alone: on its floors after %v",
+	t.Logf("leader alone: on its floors after %v",
 		b.Until("it is on its floors", convergeTime, floors([]*testcluster.Node{alone})))
-	t.Logf("granter alone: in use again after %v",
+	t.Logf("leader alone: in use again after %v",
 		b.Until("the rest have the whole", convergeTime, quotaReaches(rest, sharedQuota(4)-4)))
 	whole()
 	for _, d := range []testcluster.Direction{testcluster.Forward, testcluster.Backward} {
@@ -90,8 +90,8 @@
 	b.finish(t, connectTotal)
 }
 
-// TestEachVoterPartitioned: of nine nodes with five seats each seat in turn is cut off from all the others. It falls to
-// its floors, the rest have the whole; and in the end two are cut off at once, each alone.
+// TestEachVoterPartitioned: of nine nodes with five voters each voter in turn is cut off from all the others. It
+// falls to its floors, the rest have the whole; and in the end two are cut off at once, each alone.
 func TestEachVoterPartitioned(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(9, 5, 2), 9)
@@ -110,8 +110,8 @@
 			return onFloors && totalQuota(rest) >= sharedQuota(len(rest))-int64(len(rest))
 		})
 		for _, n := range b.Nodes {
-			for seat := range 5 {
-				n.VoterRelay(seat).Heal()
+			for voter := range 5 {
+				n.VoterRelay(voter).Heal()
 			}
 		}
 		b.Until("they have shares again", 2*convergeTime, func() bool {
@@ -131,13 +131,13 @@
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(4, 3, 2), 4)
 	late := b.Nodes[3]
-	for seat := range 3 {
-		late.VoterRelay(seat).Delay(testcluster.Backward, leaseTime+200*time.Millisecond)
+	for voter := range 3 {
+		late.VoterRelay(voter).Delay(testcluster.Backward, leaseTime+200*time.Millisecond)
 	}
 	b.Until("it is on its floors", convergeTime, func() bool { return connectQuota(late) == connectFloor })
 	b.Until("the rest have the whole", convergeTime, quotaReaches(b.Nodes[:3], sharedQuota(3)-3))
-	for seat := range 3 {
-		late.VoterRelay(seat).Delay(testcluster.Backward, 0)
+	for voter := range 3 {
+		late.VoterRelay(voter).Delay(testcluster.Backward, 0)
 	}
 	b.Until("it has a share again", convergeTime, func() bool { return connectQuota(late) > connectFloor })
 	b.finish(t, connectTotal)
--- a/internal/testcluster/loaded_cluster_test.go
+++ b/internal/testcluster/loaded_cluster_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// startHoggingNode has one node without a seat hold most of the whole, with nobody else wanting any.
+// startHoggingNode has one node without a voter hold most of the whole, with nobody else wanting any.
 func startHoggingNode(
 	t *testing.T,
 	plan testcluster.Plan,
--- a/internal/testcluster/replay_test.go
+++ b/internal/testcluster/replay_test.go
@@ -17,8 +17,8 @@
 	answered := 0
 	for round := range 4 {
 		for _, n := range b.Nodes {
-			for seat := range 3 {
-				answered += n.VoterRelay(seat).Replay()
+			for voter := range 3 {
+				answered += n.VoterRelay(voter).Replay()
 			}
 		}
 		b.Until("shares go on", convergeTime, quotaReaches(b.Nodes, sharedQuota(4)-6))
@@ -35,8 +35,8 @@
 	b.finish(t, connectTotal)
 }
 
-// TestReplayedCallsOfAPartitionedNode: a node that holds most of the whole is cut off, and calls of its from long before come
-// again. They tell of a time when it held nothing; what it holds now is not granted to others for that.
+// TestReplayedCallsOfAPartitionedNode: a node that holds most of the whole is cut off, and calls of its from long
+// before come again. They tell of a time when it held nothing; what it holds now is not granted to others for that.
 func TestReplayedCallsOfAPartitionedNode(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(4, 3, 1)
@@ -45,17 +45,17 @@
 	for _, n := range rest {
 		b.startLoad(n)
 	}
-	for seat := range 3 {
-		one.VoterRelay(seat).Cut(testcluster.Forward)
-		one.VoterRelay(seat).Cut(testcluster.Backward)
+	for voter := range 3 {
+		one.VoterRelay(voter).Cut(testcluster.Forward)
+		one.VoterRelay(voter).Cut(testcluster.Backward)
 	}
 	answered := 0
-	for seat := range 3 {
-		answered += one.VoterRelay(seat).Replay()
+	for voter := range 3 {
+		answered += one.VoterRelay(voter).Replay()
 	}
 	b.Until("the rest have the whole", convergeTime, quotaReaches(rest, connectTotal-connectReserve-connectFloor-3))
-	for seat := range 3 {
-		one.VoterRelay(seat).Heal()
+	for voter := range 3 {
+		one.VoterRelay(voter).Heal()
 	}
 	if answered < 5 {
 		t.Errorf("%d calls came again: too few to have tried it", answered)
@@ -75,15 +75,15 @@
 	connectBudget["window_ms"] = window.Milliseconds()
 	plan.Fleet["budgets"].(map[string]any)["connect"] = connectBudget
 	b, one, rest := startHoggingNode(t, plan)
-	for seat := range 3 {
-		one.VoterRelay(seat).Delay(testcluster.Backward, 900*time.Millisecond)
+	for voter := range 3 {
+		one.VoterRelay(voter).Delay(testcluster.Backward, 900*time.Millisecond)
 	}
 	from := b.Now()
 	b.Until("a lease has passed under the delay", convergeTime, func() bool {
 		return b.Now()-from > int64(3*time.Second) && connectQuota(one) >= connectTotal/2
 	})
-	for seat := range 3 {
-		one.VoterRelay(seat).Cut(testcluster.Forward) // its last answer still comes
+	for voter := range 3 {
+		one.VoterRelay(voter).Cut(testcluster.Forward) // its last answer still comes
 	}
 	from = b.Now()
 	b.Until("its last answer has come", convergeTime, func() bool { return b.Now()-from > int64(time.Second) })
--- a/internal/testcluster/restart_test.go
+++ b/internal/testcluster/restart_test.go
@@ -37,13 +37,13 @@
 }
 
 // TestUpgrades: each node in turn is taken over by a second process on its socket, under traffic. The two have one
-// node's floors together, and the seat is the second's once the first has left it.
+// node's floors together, and the voter is the second's once the first has left it.
 func TestUpgrades(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
 	for _, n := range b.Nodes {
 		n.Upgrade()
-		b.Until(n.Name+" has its seat again", convergeTime, func() bool {
+		b.Until(n.Name+" has its voter again", convergeTime, func() bool {
 			f := statusOf(n)
 			return f != nil && f.Voter != nil && f.Voter.Leader != "" && f.LeaseMillis > 0
 		})
@@ -52,7 +52,7 @@
 	b.finish(t, connectTotal)
 }
 
-// TestVoterLosesDisk: a seat that has lost its disk comes back under its name. It is another one, which the rest let
+// TestVoterLosesDisk: a voter that has lost its disk comes back under its name. It is another one, which the rest let
 // in; the group can then do without one of those that let it in.
 func TestVoterLosesDisk(t *testing.T) {
 	runParallel(t)
@@ -77,7 +77,7 @@
 	b.finish(t, connectTotal)
 }
 
-// TestQuorumLosesState: seats keep nothing on disk, and two of three start anew at once. The third lets go of a group
+// TestQuorumLosesState: voters keep nothing on disk, and two of three start anew at once. The third lets go of a group
 // that can never decide again; one is founded anew, and grants only once all that the old one may have granted has
 // run out.
 func TestQuorumLosesState(t *testing.T) {
@@ -96,29 +96,29 @@
 	b.finish(t, connectTotal)
 }
 
-// TestNewClusterIsFounded: all seats lose all they knew at once, while a node without a seat is cut off and goes on with
-// its lease. The group that is founded anew grants nothing until that has run out; healed, the node has a share of
-// the new group's.
+// TestNewClusterIsFounded: all voters lose all they knew at once, while a node without a voter is cut off and goes
+// on with its lease. The group that is founded anew grants nothing until that has run out; healed, the node has a
+// share of the new group's.
 func TestNewClusterIsFounded(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(4, 3, 1)
 	plan.Disk, plan.Fleet["lease_ms"], plan.Fleet["most"] = false, 6000, 4
-	b, apart, seats := startHoggingNode(t, plan)
-	cutLinks([]*testcluster.Node{apart}, seats, testcluster.Forward, testcluster.Backward)
-	for _, n := range seats {
+	b, apart, voters := startHoggingNode(t, plan)
+	cutLinks([]*testcluster.Node{apart}, voters, testcluster.Forward, testcluster.Backward)
+	for _, n := range voters {
 		n.Kill()
 	}
-	for _, n := range seats {
+	for _, n := range voters {
 		n.Start()
 	}
-	for _, n := range seats {
+	for _, n := range voters {
 		b.startLoad(n)
 	}
-	t.Logf("in use again after %v", b.Until("the seats' nodes have the whole", 4*convergeTime, func() bool {
-		return totalQuota(seats) >= connectTotal-connectReserve-connectFloor-3
+	t.Logf("in use again after %v", b.Until("the voters' nodes have the whole", 4*convergeTime, func() bool {
+		return totalQuota(voters) >= connectTotal-connectReserve-connectFloor-3
 	}))
-	for seat := range 3 {
-		apart.VoterRelay(seat).Heal()
+	for voter := range 3 {
+		apart.VoterRelay(voter).Heal()
 	}
 	b.Until("it has a share again", convergeTime, func() bool { return connectQuota(apart) > connectFloor })
 	b.finish(t, connectTotal)
@@ -153,8 +153,8 @@
 	b.finish(t, connectTotal)
 }
 
-// TestDiskFull: the disk under the seat that grants takes no more. It grants nothing and says so, another one does,
-// and the node serves on; with room again its seat goes on. The raft library would end the process
+// TestDiskFull: the disk under the voter that grants takes no more. It grants nothing and says so, another one does,
+// and the node serves on; with room again its voter goes on. The raft library would end the process
 // when a vote can't be written.
 func TestDiskFull(t *testing.T) {
 	runParallel(t)
@@ -205,7 +205,7 @@
 	if err := os.Remove(filler); err != nil {
 		t.Fatal(err)
 	}
-	b.Until("its seat goes on", 2*convergeTime, func() bool {
+	b.Until("its voter goes on", 2*convergeTime, func() bool {
 		f := statusOf(small)
 		return f != nil && f.Voter != nil && f.Voter.Error == "" && f.Voter.Leader != ""
 	})
--- a/internal/testcluster/schedule_test.go
+++ b/internal/testcluster/schedule_test.go
@@ -12,7 +12,7 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestSchedules: faults by chance, several at a time, on five nodes of which three have seats, or nine of which
+// TestSchedules: faults by chance, several at a time, on five nodes of which three have voters, or nine of which
 // five have. The whole holds throughout, and once all is healed the whole is in use again. FERNRAIL_RIG_SEED=N
 // tries another seed, FERNRAIL_RIG_SCHEDULE=FILE plays what a failure printed, FERNRAIL_RIG_SHORTER=1 cuts it down,
 // which takes as many runs as that needs.
@@ -23,13 +23,13 @@
 		}
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			runParallel(t)
-			nodes, seats, faults := 5, 3, 9
+			nodes, voters, faults := 5, 3, 9
 			if seed%2 == 0 {
-				nodes, seats, faults = 9, 5, 14
+				nodes, voters, faults = 9, 5, 14
 			}
 			s := testcluster.RandomSchedule(seed, testcluster.ScheduleSize{
 				Nodes:  nodes,
-				Voters: seats,
+				Voters: voters,
 				Faults: faults,
 				Span:   9 * time.Second,
 			})
@@ -43,7 +43,7 @@
 				}
 			}
 			play := func(t *testing.T, s testcluster.Schedule) {
-				b := startLoaded(t, fleetPlan(nodes, seats, 2), nodes)
+				b := startLoaded(t, fleetPlan(nodes, voters, 2), nodes)
 				b.RunSchedule(s)
 				inUse := quotaReaches(b.Nodes, sharedQuota(nodes)-int64(nodes))
 				b.Until("the whole is in use again", 3*convergeTime, inUse)
--- a/internal/testcluster/shares_test.go
+++ b/internal/testcluster/shares_test.go
@@ -22,10 +22,10 @@
 	})
 }
 
-// TestConcurrencyBudget: what one tenant has out at all executors together is never more than the whole, while a node is killed
-// with its jobs out, the granter is stopped and goes on, and jobs outlast their clients; the other tenant has as
-// much for itself. What a job that ended took is used again at once. Nodes that share nothing have several times as
-// much out: the count can fail.
+// TestConcurrencyBudget: what one tenant has out at all servers together is never more than the whole, while a node
+// is killed with its jobs out, the leader is stopped and goes on, and jobs outlast their clients; the other tenant
+// has as much for itself. What a job that ended took is used again at once. Nodes that share nothing have several
+// times as much out: the count can fail.
 func TestConcurrencyBudget(t *testing.T) {
 	runParallel(t)
 	const whole = 24
@@ -83,7 +83,7 @@
 }
 
 // TestPollBudget: discovery is asked by all nodes together no oftener than the whole, while its list changes on and on,
-// while it fails, with the granter killed, and with a node that the others refuse; what drains is left by all of
+// while it fails, with the leader killed, and with a node that the others refuse; what drains is left by all of
 // them within the time that the rules give, share or not. Nodes that share nothing call several times as often: the
 // count can fail.
 func TestPollBudget(t *testing.T) {
--- a/internal/testcluster/signals_test.go
+++ b/internal/testcluster/signals_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// startOutlierCluster is a fleet whose nodes tell each other of executors, or do not.
+// startOutlierCluster is a fleet whose nodes tell each other of servers, or do not.
 func startOutlierCluster(t *testing.T, nodes int, told bool, pause time.Duration) *loadedCluster {
 	plan := fleetPlan(nodes, 3, 12)
 	plan.Gossip = true
@@ -33,7 +33,7 @@
 	return b
 }
 
-// TestOutlierSignals: an executor that fails all is left by all nodes after few jobs, since those that it failed tell the
+// TestOutlierSignals: a server that fails all is left by all nodes after few jobs, since those that it failed tell the
 // others; one node to which it is well does not keep the others at it. Well again it is used by all within seconds.
 func TestOutlierSignals(t *testing.T) {
 	runParallel(t)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestFalseReports: a node on whose links all executors fail says so of all of them, truly as it seems to it. No other node
-// leaves any.
+// TestFalseReports: a node on whose links all servers fail says so of all of them, truly as it seems to it. No
+// other node leaves any.
 func TestFalseReports(t *testing.T) {
 	runParallel(t)
 	b := startOutlierCluster(t, 6, true, 25*time.Millisecond)
@@ -92,9 +92,9 @@
 		}
 		return all >= 300 && b.Now()-since >= int64(4*time.Second)
 	})
-	t.Logf("%d jobs by the others, %d at the executor that had the fewest", all, least)
+	t.Logf("%d jobs by the others, %d at the server that had the fewest", all, least)
 	if mean := all / len(b.Servers); least < mean/2 {
-		t.Errorf("an executor had %d jobs of the others, the mean is %d", least, mean)
+		t.Errorf("a server had %d jobs of the others, the mean is %d", least, mean)
 	}
 	if f := statusOf(b.Nodes[0]); f == nil || f.Outliers == nil || len(f.Outliers.Scores) > 0 {
 		t.Errorf("the others are told: %+v", f.Outliers)
--- a/internal/testcluster/size_test.go
+++ b/internal/testcluster/size_test.go
@@ -41,7 +41,7 @@
 	return path, err
 })
 
-// clientRequest is one of a client's, on the rig's clock.
+// clientRequest is one of a client's, on the cluster's clock.
 type clientRequest struct {
 	sent   int64
 	ended  int64 // when its answer was there
--- a/internal/testcluster/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -9,7 +9,7 @@
 	"fernrail/internal/testcluster"
 )
 
-// subsetPlan is a fleet whose nodes use parts of the executors.
+// subsetPlan is a fleet whose nodes use parts of the servers.
 func subsetPlan(nodes, size int) testcluster.Plan {
 	plan := fleetPlan(nodes, 3, 30)
 	plan.Gossip = true
@@ -23,9 +23,9 @@
 	return plan
 }
 
-// TestSubsets: of thirty executors each is used by about as many nodes as the next while a fleet of nine grows to
+// TestSubsets: of thirty servers each is used by about as many nodes as the next while a fleet of nine grows to
 // eighteen and falls to five under traffic, all the time but for what gossip needs; no client of a node that lives
-// goes without its one answer. Nodes that use all executors are heard by each: the count can fail.
+// goes without its one answer. Nodes that use all servers are heard by each: the count can fail.
 func TestSubsets(t *testing.T) {
 	runParallel(t)
 	b := &loadedCluster{Cluster: testcluster.New(t, subsetPlan(18, 10))}
@@ -110,7 +110,7 @@
 	}
 	near, theirs := look()
 	if len(near) != statusOf(hurt).Subset.Assigned || len(near) > 8 || len(theirs) > 8 {
-		t.Fatalf("%d and %d executors are used, %d are to be", len(near), len(theirs), statusOf(hurt).Subset.Assigned)
+		t.Fatalf("%d and %d servers are used, %d are to be", len(near), len(theirs), statusOf(hurt).Subset.Assigned)
 	}
 	same := func(a, b map[*testcluster.StandInServer]bool) bool {
 		for e := range a {
@@ -136,7 +136,7 @@
 		mine, now := look()
 		t.Logf("%s: after %v it uses %d, of 30", what, took, len(mine))
 		if len(mine) > 20 || !same(now, theirs) {
-			t.Errorf("%s: it uses %d executors, the other node %d", what, len(mine), len(now))
+			t.Errorf("%s: it uses %d servers, the other node %d", what, len(mine), len(now))
 		}
 	}
 	back := func() {
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestSubsetsSplit: gossip is cut into two halves, while all executors are in reach of both. Each half covers all
-// executors by itself; healed they divide them together again, within seconds.
+// TestSubsetsSplit: gossip is cut into two halves, while all servers are in reach of both. Each half covers all
+// servers by itself; healed they divide them together again, within seconds.
 func TestSubsetsSplit(t *testing.T) {
 	runParallel(t)
 	plan := subsetPlan(8, 6)
@@ -209,16 +209,16 @@
 	whole := func() {
 		t.Helper()
 		fewest, most, half := look()
-		t.Logf("together: %d to %d nodes at an executor, %v of 30 by each half", fewest, most, half)
+		t.Logf("together: %d to %d nodes at a server, %v of 30 by each half", fewest, most, half)
 		if fewest < 2 || most > 4 {
-			t.Errorf("%d to %d nodes at an executor, 2 to 4 are promised", fewest, most)
+			t.Errorf("%d to %d nodes at a server, 2 to 4 are promised", fewest, most)
 		}
 	}
 	whole()
 	gossips(func(r *testcluster.Relay) { r.Cut(testcluster.Forward); r.Cut(testcluster.Backward) })
 	waitForMembers(b, b.Nodes, 4)
 	if _, _, half := look(); half != [2]int{30, 30} {
-		t.Errorf("the halves use %v executors, of 30", half)
+		t.Errorf("the halves use %v servers, of 30", half)
 	}
 	gossips(func(r *testcluster.Relay) { r.Heal(); r.Reset() })
 	from := b.Now()
