--- a/internal/testcluster/schedule_test.go
+++ b/internal/testcluster/schedule_test.go
@@ -12,9 +12,10 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestSchedules: faults by chance, several at a time, on five nodes of which three have seats, or nine of which five have. The whole holds throughout, and
-// once all is healed the whole is in use again. FERNRAIL_RIG_SEED=N tries another seed, FERNRAIL_RIG_SCHEDULE=FILE plays what a
-// failure printed, FERNRAIL_RIG_SHORTER=1 cuts it down, which takes as many runs as that needs.
+// TestSchedules: faults by chance, several at a time, on five nodes of which three have voters, or nine of which
+// five have. The whole holds throughout, and once all is healed the whole is in use again. FERNRAIL_RIG_SEED=N
+// tries another seed, FERNRAIL_RIG_SCHEDULE=FILE plays what a failure printed, FERNRAIL_RIG_SHORTER=1 cuts it down,
+// which takes as many runs as that needs.
 func TestSchedules(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		if v, err := strconv.ParseUint(os.Getenv("FERNRAIL_RIG_SEED"), 10, 64); err == nil {
@@ -22,11 +23,16 @@
 		}
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			runParallel(t)
-			nodes, seats, faults := 5, 3, 9
+			nodes, voters, faults := 5, 3, 9
 			if seed%2 == 0 {
-				nodes, seats, faults = 9, 5, 14
+				nodes, voters, faults = 9, 5, 14
 			}
-			s := testcluster.RandomSchedule(seed, nodes, seats, faults, 9*time.Second)
+			s := testcluster.RandomSchedule(seed, testcluster.ScheduleSize{
+				Nodes:  nodes,
+				Voters: voters,
+				Faults: faults,
+				Span:   9 * time.Second,
+			})
 			if path := os.Getenv("FERNRAIL_RIG_SCHEDULE"); path != "" {
 				text, err := os.ReadFile(path)
 				if err == nil {
@@ -37,18 +43,22 @@
 				}
 			}
 			play := func(t *testing.T, s testcluster.Schedule) {
-				b := startLoaded(t, fleetPlan(nodes, seats, 2), nodes)
+				b := startLoaded(t, fleetPlan(nodes, voters, 2), nodes)
 				b.RunSchedule(s)
-				b.Until("the whole is in use again", 3*convergeTime, func() bool { return totalQuota(b.Nodes) >= sharedQuota(nodes)-int64(nodes) })
+				inUse := quotaReaches(b.Nodes, sharedQuota(nodes)-int64(nodes))
+				b.Until("the whole is in use again", 3*convergeTime, inUse)
 				b.finish(t, connectTotal)
 			}
 			if os.Getenv("FERNRAIL_RIG_SHORTER") != "" {
-				s = s.Minimize(func(less testcluster.Schedule) bool { return !t.Run("less", func(t *testing.T) { play(t, less) }) })
+				s = s.Minimize(func(less testcluster.Schedule) bool {
+					return !t.Run("less", func(t *testing.T) { play(t, less) })
+				})
 				t.Fatalf("fails still:\n%s", s)
 			}
 			defer func() {
 				if t.Failed() {
-					t.Logf("again with: FERNRAIL_RIG_SEED=%d go test ./internal/testcluster -run TestSchedules, or this in a file:\n%s", seed, s)
+					t.Logf("again with: FERNRAIL_RIG_SEED=%d go test ./internal/testcluster -run TestSchedules,"+
+						" or this in a file:\n%s", seed, s)
 				}
 			}()
 			play(t, s)
@@ -61,11 +71,18 @@
 
 // TestScheduleText: what is drawn is the same for a seed, can be written and read, and cut down to what matters.
 func TestScheduleText(t *testing.T) {
-	s := testcluster.RandomSchedule(7, 5, 3, 12, 10*time.Second)
+	size := testcluster.ScheduleSize{Nodes: 5, Voters: 3, Faults: 12, Span: 10 * time.Second}
+	s := testcluster.RandomSchedule(7, size)
 	again, err := testcluster.ParseSchedule(s.String())
-	if err != nil || !slices.Equal(s, again) || !slices.Equal(s, testcluster.RandomSchedule(7, 5, 3, 12, 10*time.Second)) || slices.Equal(s, testcluster.RandomSchedule(8, 5, 3, 12, 10*time.Second)) {
+	if err != nil || !slices.Equal(s, again) {
 		t.Errorf("%v\n%v\n%v", err, s, again)
 	}
+	if same := testcluster.RandomSchedule(7, size); !slices.Equal(s, same) {
+		t.Errorf("one seed draws two schedules:\n%v\n%v", s, same)
+	}
+	if other := testcluster.RandomSchedule(8, size); slices.Equal(s, other) {
+		t.Errorf("two seeds draw one schedule:\n%v", s)
+	}
 	if _, err := testcluster.ParseSchedule("10 kill"); err == nil {
 		t.Error("half a step is read")
 	}
--- a/internal/testcluster/signals_test.go
+++ b/internal/testcluster/signals_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// startOutlierCluster is a fleet whose nodes tell each other of executors, or do not.
+// startOutlierCluster is a fleet whose nodes tell each other of servers, or do not.
 func startOutlierCluster(t *testing.T, nodes int, told bool, pause time.Duration) *loadedCluster {
 	plan := fleetPlan(nodes, 3, 12)
 	plan.Gossip = true
@@ -33,9 +33,9 @@
 	return b
 }
 
-// TestSignals: an executor that fails all is left by all nodes after few jobs, since those that it failed tell the others; one
-// node to which it is well does not keep the others at it. Well again it is used by all within seconds.
-func TestSignals(t *testing.T) {
+// TestOutlierSignals: a server that fails all is left by all nodes after few jobs, since those that it failed tell the
+// others; one node to which it is well does not keep the others at it. Well again it is used by all within seconds.
+func TestOutlierSignals(t *testing.T) {
 	runParallel(t)
 	const nodes = 8
 	wasted := map[bool]int{}
@@ -51,14 +51,15 @@
 		}
 		bad.BreakJobsOf(nil)
 		since = b.Now()
-		t.Logf("told: %v: %d jobs wasted in 8 s; used by all again after %v", told, wasted[told], b.Until("all use it again", 4*convergeTime, func() bool {
+		took := b.Until("all use it again", 4*convergeTime, func() bool {
 			for _, n := range b.Nodes {
 				if !b.ServersUsedBy(n, since)[bad] {
 					return false
 				}
 			}
 			return true
-		}))
+		})
+		t.Logf("told: %v: %d jobs wasted in 8 s; used by all again after %v", told, wasted[told], took)
 		for i, statuses := range b.stopEach() {
 			if statuses[0] > 0 || statuses[200] < 50 {
 				t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
@@ -71,8 +72,9 @@
 	}
 }
 
-// TestLiar: a node on whose links all executors fail says so of all of them, truly as it seems to it. No other node leaves any.
-func TestLiar(t *testing.T) {
+// TestFalseReports: a node on whose links all servers fail says so of all of them, truly as it seems to it. No
+// other node leaves any.
+func TestFalseReports(t *testing.T) {
 	runParallel(t)
 	b := startOutlierCluster(t, 6, true, 25*time.Millisecond)
 	liar := b.Nodes[5].Name
@@ -80,7 +82,7 @@
 		e.BreakJobsOf(func(node string) bool { return node == liar })
 	}
 	since := b.Now()
-	// Danger: on a busy machine four seconds are not the jobs that the verdict wants; both are waited for.
+	// On a busy machine four seconds do not bring the jobs that the verdict needs, so both are waited for.
 	all, least := 0, 0
 	b.Until("jobs by the others", 8*time.Second, func() bool {
 		all, least = 0, 1<<30
@@ -90,9 +92,9 @@
 		}
 		return all >= 300 && b.Now()-since >= int64(4*time.Second)
 	})
-	t.Logf("%d jobs by the others, %d at the executor that had the fewest", all, least)
+	t.Logf("%d jobs by the others, %d at the server that had the fewest", all, least)
 	if mean := all / len(b.Servers); least < mean/2 {
-		t.Errorf("an executor had %d jobs of the others, the mean is %d", least, mean)
+		t.Errorf("a server had %d jobs of the others, the mean is %d", least, mean)
 	}
 	if f := statusOf(b.Nodes[0]); f == nil || f.Outliers == nil || len(f.Outliers.Scores) > 0 {
 		t.Errorf("the others are told: %+v", f.Outliers)
--- a/internal/testcluster/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -9,7 +9,7 @@
 	"fernrail/internal/testcluster"
 )
 
-// subsetPlan is a fleet whose nodes use parts of the executors.
+// subsetPlan is a fleet whose nodes use parts of the servers.
 func subsetPlan(nodes, size int) testcluster.Plan {
 	plan := fleetPlan(nodes, 3, 30)
 	plan.Gossip = true
@@ -23,9 +23,9 @@
 	return plan
 }
 
-// TestSubsets: of thirty executors each is used by about as many nodes as the next while a fleet of nine grows to eighteen and
-// falls to five under traffic, all the time but for what gossip needs; no client of a node that lives goes without its one
-// answer. Nodes that use all executors are heard by each: the count can fail.
+// TestSubsets: of thirty servers each is used by about as many nodes as the next while a fleet of nine grows to
+// eighteen and falls to five under traffic, all the time but for what gossip needs; no client of a node that lives
+// goes without its one answer. Nodes that use all servers are heard by each: the count can fail.
 func TestSubsets(t *testing.T) {
 	runParallel(t)
 	b := &loadedCluster{Cluster: testcluster.New(t, subsetPlan(18, 10))}
@@ -36,8 +36,8 @@
 			if b.Now()-since < int64(1500*time.Millisecond) {
 				return false
 			}
-			a, z, _, _ := b.Spread(since)
-			if a >= fewest && z <= most {
+			spread := b.Spread(since)
+			if spread.FewestNodes >= fewest && spread.MostNodes <= most {
 				return true
 			}
 			since = b.Now()
@@ -45,10 +45,13 @@
 		})
 		since = b.Now()
 		b.RunFor(2 * time.Second)
-		a, z, idlest, busiest := b.Spread(since)
-		t.Logf("%s after %v; then %d to %d nodes at an executor, work %.2f to %.2f of the mean", what, took, a, z, idlest, busiest)
+		spread := b.Spread(since)
+		a, z, idlest, busiest := spread.FewestNodes, spread.MostNodes, spread.LeastWork, spread.MostWork
+		t.Logf("%s after %v; then %d to %d nodes at a server, work %.2f to %.2f of the mean",
+			what, took, a, z, idlest, busiest)
 		if a < fewest || z > most || idlest < 0.3 || busiest > 2 {
-			t.Errorf("%s: %d to %d nodes at an executor, %d to %d are promised; work %.2f to %.2f of the mean", what, a, z, fewest, most, idlest, busiest)
+			t.Errorf("%s: %d to %d nodes at a server, %d to %d are promised; work %.2f to %.2f of the mean",
+				what, a, z, fewest, most, idlest, busiest)
 		}
 	}
 	start := func(nodes []*testcluster.Node) {
@@ -88,8 +91,8 @@
 	b.RunFor(500 * time.Millisecond)
 }
 
-// TestSubsetWidens: what a node is to use breaks off for it alone, then drains; it goes on with others, of which it takes no
-// more than it needs, and comes back once it can. The other nodes keep to theirs.
+// TestSubsetWidens: what a node is to use breaks off for it alone, then drains; it goes on with others, of which it
+// takes no more than it needs, and comes back once it can. The other nodes keep to theirs.
 func TestSubsetWidens(t *testing.T) {
 	runParallel(t)
 	plan := subsetPlan(6, 6)
@@ -107,7 +110,7 @@
 	}
 	near, theirs := look()
 	if len(near) != statusOf(hurt).Subset.Assigned || len(near) > 8 || len(theirs) > 8 {
-		t.Fatalf("%d and %d executors are used, %d are to be", len(near), len(theirs), statusOf(hurt).Subset.Assigned)
+		t.Fatalf("%d and %d servers are used, %d are to be", len(near), len(theirs), statusOf(hurt).Subset.Assigned)
 	}
 	same := func(a, b map[*testcluster.StandInServer]bool) bool {
 		for e := range a {
@@ -133,7 +136,7 @@
 		mine, now := look()
 		t.Logf("%s: after %v it uses %d, of 30", what, took, len(mine))
 		if len(mine) > 20 || !same(now, theirs) {
-			t.Errorf("%s: it uses %d executors, the other node %d", what, len(mine), len(now))
+			t.Errorf("%s: it uses %d servers, the other node %d", what, len(mine), len(now))
 		}
 	}
 	back := func() {
@@ -168,8 +171,8 @@
 	}
 }
 
-// TestSubsetsSplit: gossip is cut into two halves, while all executors are in reach of both. Each half covers all executors by
-// itself; healed they divide them together again, within seconds.
+// TestSubsetsSplit: gossip is cut into two halves, while all servers are in reach of both. Each half covers all
+// servers by itself; healed they divide them together again, within seconds.
 func TestSubsetsSplit(t *testing.T) {
 	runParallel(t)
 	plan := subsetPlan(8, 6)
@@ -190,7 +193,8 @@
 	look := func() (fewest, most int, half [2]int) {
 		since := b.Now()
 		b.RunFor(2 * time.Second)
-		fewest, most, _, _ = b.Spread(since)
+		spread := b.Spread(since)
+		fewest, most = spread.FewestNodes, spread.MostNodes
 		for side := range half {
 			used := map[*testcluster.StandInServer]bool{}
 			for _, n := range b.Nodes[4*side : 4*side+4] {
@@ -205,16 +209,16 @@
 	whole := func() {
 		t.Helper()
 		fewest, most, half := look()
-		t.Logf("together: %d to %d nodes at an executor, %v of 30 by each half", fewest, most, half)
+		t.Logf("together: %d to %d nodes at a server, %v of 30 by each half", fewest, most, half)
 		if fewest < 2 || most > 4 {
-			t.Errorf("%d to %d nodes at an executor, 2 to 4 are promised", fewest, most)
+			t.Errorf("%d to %d nodes at a server, 2 to 4 are promised", fewest, most)
 		}
 	}
 	whole()
 	gossips(func(r *testcluster.Relay) { r.Cut(testcluster.Forward); r.Cut(testcluster.Backward) })
 	waitForMembers(b, b.Nodes, 4)
 	if _, _, half := look(); half != [2]int{30, 30} {
-		t.Errorf("the halves use %v executors, of 30", half)
+		t.Errorf("the halves use %v servers, of 30", half)
 	}
 	gossips(func(r *testcluster.Relay) { r.Heal(); r.Reset() })
 	from := b.Now()
