--- a/internal/protocol/endpoint_list_test.go
+++ b/internal/protocol/endpoint_list_test.go
@@ -24,7 +24,8 @@
 		t.Errorf("%+v", l.Endpoints)
 	}
 	for _, c := range [][2]string{{`"version":41,`, ""}, {`"full":true,`, ""}, {`"servers":[`, `"server":[`},
-		{"Ready", "ready"}, {`"weight":1.5`, `"weight":-1`}, {`"weight":1.5`, `"weight":1e9`}, {`"id":"s-1",`, ""}, {"10.0.0.1:7", "nowhere"}, {"1700000000000", "-5"},
+		{"Ready", "ready"}, {`"weight":1.5`, `"weight":-1`}, {`"weight":1.5`, `"weight":1e9`},
+		{`"id":"s-1",`, ""}, {"10.0.0.1:7", "nowhere"}, {"1700000000000", "-5"},
 		{"1700000000000", "9223372036854775807"}, {"]}", "]"}, {`"cell":3`, `"cell":"x"`}} {
 		if l, err := DecodeEndpointList([]byte(strings.Replace(rawList, c[0], c[1], 1)), names); err == nil {
 			t.Errorf("%s for %s: %+v", c[1], c[0], l)
--- a/internal/protocol/job_updates_test.go
+++ b/internal/protocol/job_updates_test.go
@@ -8,12 +8,14 @@
 	"testing"
 )
 
-// TestLoadReportsWithResults: free slots are read where a report tells them; one that makes no
-// sense costs nobody an answer.
+// TestLoadReportsWithResults: free slots are read where a report gives them; a report that makes no
+// sense costs nobody its result.
 func TestLoadReportsWithResults(t *testing.T) {
-	for load, want := range map[string]float64{`{"util":0.2,"x0":3.9}`: 3.9, `{"x0":-1}`: 0, `{"x0":1e9}`: 0, `{"x0":"4"}`: 0, `{}`: 0,
+	for load, want := range map[string]float64{
+		`{"util":0.2,"x0":3.9}`: 3.9, `{"x0":-1}`: 0, `{"x0":1e9}`: 0, `{"x0":"4"}`: 0, `{}`: 0,
 		`null`: 0, `[4]`: 0, `"x0"`: 0, `{"x1":4}`: 0} {
-		l, err := NewUpdateReader("j", "x0", strings.NewReader(`{"id":"j","state":"done","result":"a","load":`+load+"}")).Next()
+		line := `{"id":"j","state":"done","result":"a","load":` + load + "}"
+		l, err := NewUpdateReader("j", "x0", strings.NewReader(line)).Next()
 		if err != nil || l.Result != "a" || l.FreeSlots != want {
 			t.Errorf("%s: %+v %v, want %v", load, l, err, want)
 		}
@@ -39,7 +41,7 @@
 			t.Errorf("%s gave %+v", text, got)
 		}
 	}
-	// Danger: an executor that never ends a line, or never stops talking, takes the node's memory.
+	// A server that never ends a line, or never stops sending, must not fill the node's memory.
 	if _, err := NewUpdateReader("j", "x0", endlessReader("x")).Next(); err == nil {
 		t.Error("an endless line was read")
 	}
--- a/internal/protocol/load_report_test.go
+++ b/internal/protocol/load_report_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestLoadReport: an executor's room as probes bring it. Danger: noise tells of a little less than
-// nothing, and what is absent or absurd must not look like room.
+// TestLoadReport: reports are noisy, so a little less than nothing is nothing, and a value that is
+// absent or absurd must not look like free capacity.
 func TestLoadReport(t *testing.T) {
 	both := LoadReportKeys{FreeSlots: "x0", FreeMemory: "x1"}
 	for text, want := range map[string]LoadReport{
@@ -17,7 +17,9 @@
 			t.Errorf("%s: %+v %v", text, l, err)
 		}
 	}
-	for _, text := range []string{"", "{}", `{"x0":2}`, `{"x0":1e99,"x1":1}`, `{"x0":"many","x1":1}`, "x0=NaN,x1=1", "<html>"} {
+	for _, text := range []string{
+		"", "{}", `{"x0":2}`, `{"x0":1e99,"x1":1}`, `{"x0":"many","x1":1}`, "x0=NaN,x1=1", "<html>",
+	} {
 		if l, err := DecodeLoadReport([]byte(text), both); err == nil {
 			t.Errorf("%s: %+v", text, l)
 		}
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -19,8 +19,7 @@
 		q.ExpectedWork != 1.5e6 || q.Timeout != 480*time.Millisecond || string(q.Body) != "body" {
 		t.Errorf("%+v", q)
 	}
-	// Danger: a mark against repeats that stays behind, or a header of the client's connection that
-	// goes on.
+	// The idempotency key must be forwarded, and the headers of the client's connection must not.
 	var text strings.Builder
 	synctest.Test(t, func(t *testing.T) {
 		job := &Attempt{Address: "10.0.0.1:7", Request: q, Deadline: time.Now().Add(500 * time.Millisecond)}
@@ -76,19 +75,26 @@
 		{"HTTP/1.1", "HTTP/1.0", 411},
 		{"Length: 4\r\n\r\nbody", "Length: 65537\r\n\r\n" + strings.Repeat("x", MaxBodyBytes+1), 413},
 	} {
-		if _, fault := readRequest(t, strings.Replace(rawRequest, c.from, c.to, 1)); fault == nil || fault.Status != c.status {
+		_, fault := readRequest(t, strings.Replace(rawRequest, c.from, c.to, 1))
+		if fault == nil || fault.Status != c.status {
 			t.Errorf("%.40s: %+v, want %d", c.to, fault, c.status)
 		}
 	}
 }
 
-// TestAffinityKeyAndMemory comes from the query alone, the same at every node; memory is refused
-// where it is no number.
+// TestAffinityKeyAndMemory: the affinity key comes from the query alone and is the same at every
+// node; memory that is not a number is rejected.
 func TestAffinityKeyAndMemory(t *testing.T) {
 	read := func(target, info string) (*Request, *RequestError) {
 		r := httptest.NewRequest("POST", target, strings.NewReader("b"))
-		for name, value := range map[string]string{"X-Call-Id": "1", "X-Call-Class": names.Classes[0], "X-Caller": names.Tenants[0],
-			"X-Budget-Ms": "100", "Content-Length": "1", "X-Call-Info": info} {
+		for name, value := range map[string]string{
+			"X-Call-Id":      "1",
+			"X-Call-Class":   names.Classes[0],
+			"X-Caller":       names.Tenants[0],
+			"X-Budget-Ms":    "100",
+			"Content-Length": "1",
+			"X-Call-Info":    info,
+		} {
 			r.Header.Set(name, value)
 		}
 		return DecodeRequest(r, names, false)
@@ -98,7 +104,12 @@
 	same, _ := read(about, "")
 	other, _ := read(about+"1", "")
 	none, _ := read("/"+names.Classes[0], "")
-	if fault != nil || one.AffinityKey == 0 || one.AffinityKey >= 1<<53 || one.AffinityKey != same.AffinityKey || one.AffinityKey == other.AffinityKey || none.AffinityKey != 0 || one.Memory != 0.5 {
+	if fault != nil {
+		t.Fatal(fault)
+	}
+	key := one.AffinityKey
+	keyIsWrong := key == 0 || key >= 1<<53 || key != same.AffinityKey || key == other.AffinityKey
+	if keyIsWrong || none.AffinityKey != 0 || one.Memory != 0.5 {
 		t.Errorf("%+v %+v %+v %+v %+v", one, same, other, none, fault)
 	}
 	for _, info := range []string{"mem=", "mem=-1", "mem=NaN", "mem=much"} {
