--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -64,11 +64,12 @@
 	return x
 }
 
-func (f *fields) wholeOr(name string, absent int64) int64 {
+// wholeOrZero reads a whole number; 0 where the field is absent.
+func (f *fields) wholeOrZero(name string) int64 {
 	if v, found := f.find(name); found {
 		return f.parsed(name, v)
 	}
-	return absent
+	return 0
 }
 
 func (f *fields) realOr(name string, absent float64) float64 {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -156,7 +156,7 @@
 		}
 	}
 	s.touched, s.spoke, s.inRound = s.touched[:0], nil, false
-	s.out.WriteString("YIELD\tbatch=" + s.batch + "\n")
+	s.write("YIELD\tbatch=", s.batch, "\n")
 	return s.out.Flush()
 }
 
@@ -239,8 +239,8 @@
 		e = &dispatch.Server{Tag: tag, Hash: dispatch.HashName(tag)}
 		n.executors[tag], n.marks[uint32(e.Hash)] = e, e
 	}
-	m := dispatch.Endpoint{Server: e, Zone: int(f.wholeOr("Zone", 0)), MachineType: int(f.wholeOr("ClassOfHost", 0)),
-		Cell: int(f.wholeOr("UnitGroup", 0)), StartedAt: f.wholeOr("OnlineSince", 0),
+	m := dispatch.Endpoint{Server: e, Zone: int(f.wholeOrZero("Zone")), MachineType: int(f.wholeOrZero("ClassOfHost")),
+		Cell: int(f.wholeOrZero("UnitGroup")), StartedAt: f.wholeOrZero("OnlineSince"),
 		Capacity: f.realOr("Units", 1)}
 	switch state {
 	case "up":
@@ -270,9 +270,9 @@
 
 func (n *node) order(f *fields) {
 	tag, scheme := f.text("Job"), int(f.whole("Grade"))
-	t := &dispatch.Request{Tag: tag, Tenant: int(f.wholeOr("Tenant", 0)), Slots: f.realOr("Slots", 1),
-		AffinityKey:  uint64(f.wholeOr("Resource", 0)),
-		ExpectedWork: f.wholeOr("Predicted", 0), Deadline: f.whole("GiveUpAt")}
+	t := &dispatch.Request{Tag: tag, Tenant: int(f.wholeOrZero("Tenant")), Slots: f.realOr("Slots", 1),
+		AffinityKey:  uint64(f.wholeOrZero("Resource")),
+		ExpectedWork: f.wholeOrZero("Predicted"), Deadline: f.whole("GiveUpAt")}
 	if f.err == nil && (scheme < 0 || scheme >= len(n.terms.Classes)) {
 		f.fail("no scheme %d in the settings", scheme)
 	}
@@ -297,7 +297,7 @@
 }
 
 func (n *node) reportBack(f *fields) {
-	p, o, took, over := n.posting(f), f.outcome(), f.wholeOr("TimeTaken", 0), f.wholeOr("Ended", 0) != 0
+	p, o, took, over := n.posting(f), f.outcome(), f.wholeOrZero("TimeTaken"), f.wholeOrZero("Ended") != 0
 	if p != nil && p.InFlight && f.err == nil {
 		p.FreeSlots = f.reported(n.values.FreeSlots)
 		n.module.AttemptEnded(p, o, took, over)
@@ -361,19 +361,22 @@
 
 // say writes one action; parts are names and values in turn.
 func (n *node) say(verb string, parts ...string) {
-	w := n.session.out
 	if n.session.spoke != n {
 		n.session.spoke = n
-		w.WriteString("AT\tWho=" + n.name + "\n")
+		n.session.write("AT\tWho=", n.name, "\n")
 	}
-	w.WriteString(verb)
+	n.session.write(verb)
 	for i := 0; i < len(parts); i += 2 {
-		w.WriteByte('\t')
-		w.WriteString(parts[i])
-		w.WriteByte('=')
-		w.WriteString(parts[i+1])
+		n.session.write("\t", parts[i], "=", parts[i+1])
+	}
+	n.session.write("\n")
+}
+
+// write appends texts to the reply. A bufio.Writer keeps its first error, and the Flush in commit returns it.
+func (s *session) write(texts ...string) {
+	for _, text := range texts {
+		_, _ = s.out.WriteString(text)
 	}
-	w.WriteByte('\n')
 }
 
 func number(v int64) string { return strconv.FormatInt(v, 10) }
