--- a/internal/invariants/summary.go
+++ b/internal/invariants/summary.go
@@ -6,16 +6,25 @@
 	"cmp"
 	"maps"
 	"slices"
+	"time"
 )
 
-// Group is the service of one scheme, tenant or stretch of time, in billing value of first tries.
+// worstSeconds is the length of the stretch of time whose service Summary.Worst gives, in seconds.
+const worstSeconds = 10
+
+const (
+	resultCompensated = "reversed"
+	second            = int64(time.Second)
+)
+
+// Group is the service of one class, tenant or stretch of time, in priority weights of clients' first requests.
 type Group struct {
 	Asked  float64 `json:"asked"`
-	OnTime float64 `json:"on_time"`
-	Late   float64 `json:"late"` // answered, past the aim; full value, before any part that a late answer earns
+	OnTime float64 `json:"on_time"` // answered within the latency objective
+	Late   float64 `json:"late"`    // answered after it; the full weight, whatever a late answer is worth
 }
 
-// Share is the part served in time; one where nothing was asked for.
+// Share returns the part served in time, 1 if nothing was asked for.
 func (g Group) Share() float64 {
 	if g.Asked == 0 {
 		return 1
@@ -23,106 +32,148 @@
 	return g.OnTime / g.Asked
 }
 
-// Summary are the service that a log shows. A client's tries count as one, from its first on.
+// plus returns the sum of two groups.
+func (g Group) plus(other Group) Group {
+	return Group{Asked: g.Asked + other.Asked, OnTime: g.OnTime + other.OnTime, Late: g.Late + other.Late}
+}
+
+// Summary is the service that a log shows. A client's retries count as one request, from the first on.
 type Summary struct {
 	All      Group            `json:"all"`
-	Schemes  map[string]Group `json:"schemes"`
+	Schemes  map[string]Group `json:"schemes"` // by class
 	Tenants  map[string]Group `json:"tenants,omitempty"`
-	Worst    float64          `json:"worst_10s"` // share in time of the worst ten seconds in a row
-	Waits    []int64          `json:"-"`         // from first try to answer of what was served, in order of size
-	Tries    int              `json:"tries"`
-	Postings int              `json:"postings"`
-	Declined int              `json:"declined"`
-	Reversed int              `json:"reversed"`
+	Worst    float64          `json:"worst_10s"` // the part served in time of the worst ten seconds in a row
+	Waits    []int64          `json:"-"`         // nanoseconds from first request to answer of what was served, sorted
+	Tries    int              `json:"tries"`     // requests, with retries
+	Postings int              `json:"postings"`  // attempts
+	Declined int              `json:"declined"`  // requests that were shed
+	Reversed int              `json:"reversed"`  // requests that were compensated
 }
 
-// At is the wait that so large a part of what was served did not exceed; 0 if nothing was.
-func (f *Summary) At(part float64) int64 {
-	if len(f.Waits) == 0 {
+// At returns the wait, in nanoseconds, that a part of what was served did not exceed, such as 0.99; 0 if nothing was.
+func (s *Summary) At(part float64) int64 {
+	if len(s.Waits) == 0 {
 		return 0
 	}
-	return f.Waits[min(int(part*float64(len(f.Waits))), len(f.Waits)-1)]
+	return s.Waits[min(int(part*float64(len(s.Waits))), len(s.Waits)-1)]
 }
 
+// demand is what one client asked for, over all its retries.
 type demand struct {
-	class, tenant      string
-	firstAt, objective int64
-	weight             float64
-	answeredAt         int64 // 0: not
+	class, tenant string
+	firstAt       int64
+	objective     int64 // until when an answer is in time
+	weight        float64
+	answeredAt    int64 // 0: not
 }
 
-// Collector gathers figures from events, in any order of calls that keeps the log's.
+func (d *demand) isAnswered() bool { return d.answeredAt > 0 }
+
+// service returns the demand as a group.
+func (d *demand) service() Group {
+	g := Group{Asked: d.weight}
+	switch {
+	case !d.isAnswered():
+	case d.answeredAt <= d.objective:
+		g.OnTime = d.weight
+	default:
+		g.Late = d.weight
+	}
+	return g
+}
+
+// Collector makes a summary from the events of a log, in their order.
 type Collector struct {
-	clients  map[string]*demand // by client
-	requests map[string]*demand // by txn
+	clients  map[string]*demand
+	requests map[string]*demand
 	summary  Summary
 }
 
+// NewCollector returns a collector that has seen no event.
 func NewCollector() *Collector {
 	return &Collector{clients: map[string]*demand{}, requests: map[string]*demand{}}
 }
 
+// Add takes the next event.
 func (c *Collector) Add(e Event) {
 	switch e.Kind {
 	case RequestAccepted:
-		if c.clients[e.Client] == nil {
-			c.clients[e.Client] = &demand{class: e.Class, tenant: e.Tenant, firstAt: e.First, objective: e.LatencyObjective, weight: e.Weight}
-		}
-		c.requests[e.Request] = c.clients[e.Client]
-		c.summary.Tries++
+		c.accept(e)
 	case AttemptSent:
 		c.summary.Postings++
 	case RequestAnswered:
-		switch w := c.requests[e.Request]; {
-		case e.Result == "declined":
-			c.summary.Declined++
-		case e.Result == "reversed":
-			c.summary.Reversed++
-		case w != nil && w.answeredAt == 0:
-			w.answeredAt = e.At
+		c.answer(e)
+	}
+}
+
+func (c *Collector) accept(e Event) {
+	if c.clients[e.Client] == nil {
+		c.clients[e.Client] = &demand{
+			class:     e.Class,
+			tenant:    e.Tenant,
+			firstAt:   e.First,
+			objective: e.LatencyObjective,
+			weight:    e.Weight,
 		}
 	}
+	c.requests[e.Request] = c.clients[e.Client]
+	c.summary.Tries++
 }
 
-// End gives the figures.
+func (c *Collector) answer(e Event) {
+	d := c.requests[e.Request]
+	switch {
+	case e.Result == resultShed:
+		c.summary.Declined++
+	case e.Result == resultCompensated:
+		c.summary.Reversed++
+	case d != nil && !d.isAnswered():
+		d.answeredAt = e.At
+	}
+}
+
+// End returns the summary of the events so far.
 func (c *Collector) End() *Summary {
-	f := c.summary
-	f.Schemes, f.Tenants = map[string]Group{}, map[string]Group{}
+	s := c.summary
+	s.Schemes, s.Tenants = map[string]Group{}, map[string]Group{}
 	bySecond := map[int64]Group{}
 	for _, id := range slices.Sorted(maps.Keys(c.clients)) { // sums of fractions depend on their order
-		w := c.clients[id]
-		add := func(g Group) Group {
-			g.Asked += w.weight
-			if w.answeredAt > 0 && w.answeredAt <= w.objective {
-				g.OnTime += w.weight
-			} else if w.answeredAt > 0 {
-				g.Late += w.weight
-			}
-			return g
-		}
-		f.All, f.Schemes[w.class], bySecond[w.firstAt/1e9] = add(f.All), add(f.Schemes[w.class]), add(bySecond[w.firstAt/1e9])
-		if w.tenant != "" {
-			f.Tenants[w.tenant] = add(f.Tenants[w.tenant])
+		d := c.clients[id]
+		served := d.service()
+		s.All = s.All.plus(served)
+		s.Schemes[d.class] = s.Schemes[d.class].plus(served)
+		bySecond[d.firstAt/second] = bySecond[d.firstAt/second].plus(served)
+		if d.tenant != "" {
+			s.Tenants[d.tenant] = s.Tenants[d.tenant].plus(served)
 		}
-		if w.answeredAt > 0 && w.weight > 0 {
-			f.Waits = append(f.Waits, w.answeredAt-w.firstAt)
+		if d.isAnswered() && d.weight > 0 {
+			s.Waits = append(s.Waits, d.answeredAt-d.firstAt)
 		}
 	}
-	slices.Sort(f.Waits)
-	f.Worst = f.All.Share()
+	slices.Sort(s.Waits)
+	s.Worst = min(s.All.Share(), worstShare(bySecond))
+	return &s
+}
+
+// worstShare returns the least part served in time of any stretch that begins and ends in seconds with demand, 1 if
+// there is none.
+func worstShare(bySecond map[int64]Group) float64 {
+	worst := 1.0
 	for from := range bySecond {
-		var g Group
-		for s := from; s < from+10; s++ {
-			g.Asked, g.OnTime = g.Asked+bySecond[s].Asked, g.OnTime+bySecond[s].OnTime
+		last := from + worstSeconds - 1
+		if bySecond[from].Asked <= 0 || bySecond[last].Asked <= 0 {
+			continue
 		}
-		if g.Asked > 0 && bySecond[from].Asked > 0 && bySecond[from+9].Asked > 0 {
-			f.Worst = min(f.Worst, g.Share())
+		var stretch Group
+		for at := from; at <= last; at++ {
+			stretch = stretch.plus(bySecond[at])
 		}
+		worst = min(worst, stretch.Share())
 	}
-	return &f
+	return worst
 }
 
-// Names gives the keys of groups in order.
+// Names returns the keys of groups in order.
 func Names(groups map[string]Group) []string {
 	return slices.SortedFunc(maps.Keys(groups), cmp.Compare[string])
 }
