--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -46,7 +46,7 @@
 	out      map[*dispatch.Attempt]*flight
 	settling bool
 	schemes  []*dispatch.Class // as its decider has them
-	share    *share            // of what all hold together; nil: nothing is
+	share    *nodeQuota        // of what all hold together; nil: nothing is
 }
 
 // held is a txn that the node owes an answer.
@@ -74,7 +74,7 @@
 		n.places[n.fleet[len(n.fleet)-1]] = len(n.fleet) - 1
 	}
 	terms := w.s.terms(n)
-	if n.share = nil; w.s.Leases.shares() {
+	if n.share = nil; w.s.Leases.isShared() {
 		n.share = n.join()
 		terms.Quotas = n.share
 	}
@@ -261,7 +261,7 @@
 		n.event(func() { n.ended(p, i, dispatch.NotSent) })
 		return
 	}
-	if n.share != nil && !n.share.take(p, len(n.idle[i]) == 0) {
+	if n.share != nil && !n.share.reserve(p, len(n.idle[i]) == 0) {
 		n.event(func() { n.ended(p, i, dispatch.NotSent) })
 		return
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -29,7 +29,7 @@
 	bursts    []*Fault // that are on
 	spoilt    float64  // share of txns that err wherever they go
 	out       func(invariants.Event)
-	granter   *granter
+	leader    *leader
 	pact      budget.Agreement
 	seen      map[string]*budget.UsageMeter // of one that sees all
 
@@ -77,10 +77,10 @@
 		w.executors = append(w.executors, e)
 		w.listing = append(w.listing, dispatch.Endpoint{Zone: e.zone, MachineType: best, Capacity: 1})
 	}
-	w.pact = s.Leases.pact(s.Fleet.Nodes)
+	w.pact = s.Leases.agreement(s.Fleet.Nodes)
 	w.seen = w.meters()
 	if s.Leases.Mode == "leased" {
-		w.grant()
+		w.startLeader()
 	}
 	for i := range s.Fleet.Nodes {
 		n := &node{world: w, index: i, zone: i % len(s.Fleet.Zones), name: "n" + strconv.Itoa(i), policy: policy}
@@ -104,8 +104,8 @@
 		r.Twice += n - 1
 	}
 	r.Offered, r.Cold = w.offered/1e9, w.cold/1e9
-	if w.granter != nil {
-		r.Calls = w.granter.calls
+	if w.leader != nil {
+		r.Calls = w.leader.requests
 	}
 	return r
 }
@@ -137,7 +137,7 @@
 		r.Classes[c.Name] = invariants.Class{Idempotency: c.Effect, DedupScope: "all", DedupWindow: int64(c.Memory)}
 	}
 	if s.Leases.Mode == "leased" {
-		p := s.Leases.pact(s.Fleet.Nodes)
+		p := s.Leases.agreement(s.Fleet.Nodes)
 		r.Totals = map[string]int64{}
 		for b, t := range p.Budgets {
 			for _, name := range p.PartitionNames(b) {
@@ -318,8 +318,8 @@
 			w.bursts = append(w.bursts, f)
 			over(func() { w.bursts = slices.DeleteFunc(w.bursts, func(x *Fault) bool { return x == f }) })
 		case "no-granter":
-			if g := w.granter; g != nil {
-				g.reign = nil
+			if g := w.leader; g != nil {
+				g.term = nil
 				over(g.elect)
 			}
 		case "spoilt":
