--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -66,8 +66,9 @@
 			if state == "done" {
 				line["result"] = result
 			}
-			json.NewEncoder(w).Encode(line)
-			http.NewResponseController(w).Flush()
+			// A node that has closed its connection has nobody left to tell.
+			_ = json.NewEncoder(w).Encode(line)
+			_ = http.NewResponseController(w).Flush()
 		}
 		say("started", "")
 		time.Sleep(work/2 + rand.N(work))
@@ -85,6 +86,6 @@
 			time.Sleep(time.Duration(wait) * time.Millisecond)
 			answer = map[string]any{"version": 1, "full": false, "servers": []entry{}}
 		}
-		json.NewEncoder(w).Encode(answer)
+		_ = json.NewEncoder(w).Encode(answer) // a node that has closed asks again
 	}
 }
