--- a/internal/routing/send_gate_test.go
+++ b/internal/routing/send_gate_test.go
@@ -69,12 +69,15 @@
 				mu.Lock()
 				defer mu.Unlock()
 				if left++; !up[address[:1]] || answered[job.Request.ID] {
-					t.Errorf("seed %d: %s left for %s, answered: %v", seed, job.Request.ID, address, answered[job.Request.ID])
+					t.Errorf("seed %d: %s left for %s, answered: %v",
+						seed, job.Request.ID, address, answered[job.Request.ID])
 				}
 			}
 			for i := range 300 {
 				go func() {
-					q := testRequest(fmt.Sprint(i), chance.IntN(2), time.Duration(100+chance.IntN(3000))*time.Millisecond)
+					class := chance.IntN(2)
+					timeout := time.Duration(100+chance.IntN(3000)) * time.Millisecond
+					q := testRequest(fmt.Sprint(i), class, timeout)
 					ctx, gone := context.WithCancel(t.Context())
 					if chance.IntN(4) == 0 {
 						time.AfterFunc(time.Duration(chance.Int64N(1e9)), gone)
