--- a/internal/transport/attempt_fault_test.go
+++ b/internal/transport/attempt_fault_test.go
@@ -22,7 +22,7 @@
 	reusedConnection bool // on a connection that served a job before
 }
 
-// respond puts a txn's id, of one letter since chunks tell their lengths, in place of j.
+// respond writes a text with the request's id in place of j. The id has one letter too, since chunks have lengths.
 func respond(text string) func(net.Conn, string, func() bool) {
 	return func(c net.Conn, id string, _ func() bool) {
 		io.WriteString(c, strings.ReplaceAll(text, `"j"`, `"`+id+`"`))
@@ -41,7 +41,7 @@
 	"reset before its bytes": {},
 	"reset during its bytes": {readBytes: 20},
 	"reset after its bytes":  {readBytes: -1, mayRun: true},
-	"turned away": {
+	"rejected": {
 		readBytes: -1,
 		respond:   respond("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"),
 	},
--- a/internal/transport/client_close_test.go
+++ b/internal/transport/client_close_test.go
@@ -51,13 +51,13 @@
 func startNode(t *testing.T, hears closeSignal, addresses ...string) testNode {
 	t.Helper()
 	c := loadConfig(t, nodeSettings)
-	d, x := newTestClient()
+	budget, client := newTestClient()
 	lists, gone := make(listSource), make(chan struct{}, 99)
-	n := routing.New(c.Settings, 1, endpointList(1, addresses...), x, time.Second, lists, nil, zerolog.Nop())
+	n := routing.New(c.Settings, 1, endpointList(1, addresses...), client, time.Second, lists, nil, zerolog.Nop())
 	follow, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	go n.WatchEndpoints(follow)
-	s, address := startServer(t, d, func(ctx context.Context, q *protocol.Request) *protocol.Response {
+	s, address := startServer(t, budget, func(ctx context.Context, q *protocol.Request) *protocol.Response {
 		defer context.AfterFunc(ctx, func() { gone <- struct{}{} })() // no answer of the node's own ends it
 		if hears == closeNotSignaled {
 			ctx = context.WithoutCancel(ctx)
@@ -69,7 +69,7 @@
 		return a
 	})
 	s.names = c.Names
-	return testNode{address: address, budget: d, client: x, lists: lists, gone: gone}
+	return testNode{address: address, budget: budget, client: client, lists: lists, gone: gone}
 }
 
 // endpointList lists servers as ready, each with its address as its ID.
@@ -119,7 +119,7 @@
 				arrived, hold := make(chan struct{}, 9), make(chan struct{})
 				first := startFakeServer(t, func(c net.Conn, _ int) bool {
 					arrived <- struct{}{}
-					<-hold // turned away when its client has gone
+					<-hold // rejected when its client has gone
 					io.WriteString(c, rejection)
 					return true
 				})
@@ -129,9 +129,9 @@
 					known = nil
 				}
 				node := startNode(t, closeSignaled, known...)
-				address, d, x, gone := node.address, node.budget, node.client, node.gone
+				address, budget, client, gone := node.address, node.budget, node.client, node.gone
 				dialing, dial := make(chan struct{}, 9), make(chan struct{})
-				x.SetDialGate(func(string) bool {
+				client.SetDialGate(func(string) bool {
 					if state == "a connection comes up" {
 						dialing <- struct{}{}
 						<-dial
@@ -146,7 +146,7 @@
 					waitFor(t, "an attempt", arrived)
 				default:
 					waitUntil(t, "a request at work", func() bool {
-						return lockedCount(d, &d.active) > pendingCount(d)
+						return lockedCount(budget, &budget.active) > pendingCount(budget)
 					})
 				}
 				closing(c)
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestClientIsCheckedBeforeTheFirstByte: word of a close is held back for good; the look at the client's socket before a
-// posting's first byte holds the job back all the same, and ends it.
+// TestClientIsCheckedBeforeTheFirstByte: word of a close is held back for good; the look at the client's socket
+// before an attempt's first byte holds the job back all the same, and ends it.
 //
 // Otherwise a busy node, at which that word waits behind other work, would start jobs for clients that left long ago.
 func TestClientIsCheckedBeforeTheFirstByte(t *testing.T) {
@@ -184,9 +184,9 @@
 		t.Run(how, func(t *testing.T) {
 			e := startFakeServer(t, respondWith(doneResponse, true))
 			node := startNode(t, closeNotSignaled, e.Addr().String())
-			address, x, gone := node.address, node.client, node.gone
+			address, client, gone := node.address, node.client, node.gone
 			dialing, dial := make(chan struct{}, 9), make(chan struct{})
-			x.SetDialGate(func(string) bool { dialing <- struct{}{}; <-dial; return true })
+			client.SetDialGate(func(string) bool { dialing <- struct{}{}; <-dial; return true })
 			c := dialAndWrite(t, address, jobRequest).(*net.TCPConn)
 			waitFor(t, "a dial", dialing)
 			closing(c)
--- a/internal/transport/connection_budget_test.go
+++ b/internal/transport/connection_budget_test.go
@@ -15,7 +15,7 @@
 	"fernrail/internal/protocol"
 )
 
-// TestBudget: the longest idle connection gives way; without one the posting never leaves.
+// TestBudget: the longest idle connection gives way; without one the attempt is never sent.
 func TestBudget(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -25,14 +25,14 @@
 		return false
 	})
 	quick := startFakeServer(t, respondWith(chunkedHead+updateLine("done")+chunkedEnd, true))
-	d, x := newTestClient()
-	d.maxHeld[serverSide] = 1
-	if got := forward(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.Succeeded {
+	budget, client := newTestClient()
+	budget.maxHeld[serverSide] = 1
+	if got := forward(t.Context(), client, quick.Addr().String()); got.outcome != dispatch.Succeeded {
 		t.Fatalf("%+v", got)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	out := make(chan forwardResult)
-	go func() { out <- forward(ctx, x, slow.Addr().String()) }()
+	go func() { out <- forward(ctx, client, slow.Addr().String()) }()
 	<-quick.closed // gave way
 	for {
 		if _, requests := slow.counts(); requests == 1 {
@@ -40,7 +40,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if got := forward(t.Context(), x, quick.Addr().String()); got.outcome != dispatch.NotSent {
+	if got := forward(t.Context(), client, quick.Addr().String()); got.outcome != dispatch.NotSent {
 		t.Errorf("%+v", got)
 	}
 	cancel()
@@ -50,12 +50,12 @@
 // TestUnusedConnectionIsEvicted: one whose request found another meanwhile was never used, and must not keep its place.
 func TestUnusedConnectionIsEvicted(t *testing.T) {
 	e := startFakeServer(t, respondWith(chunkedHead+updateLine("done")+chunkedEnd, true))
-	d, x := newTestClient()
-	d.maxHeld[serverSide] = 1
-	if _, err := x.transport.DialContext(t.Context(), "tcp", e.Addr().String()); err != nil {
+	budget, client := newTestClient()
+	budget.maxHeld[serverSide] = 1
+	if _, err := client.transport.DialContext(t.Context(), "tcp", e.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	if got := forward(t.Context(), x, e.Addr().String()); got.outcome != dispatch.Succeeded {
+	if got := forward(t.Context(), client, e.Addr().String()); got.outcome != dispatch.Succeeded {
 		t.Errorf("%+v", got)
 	}
 }
@@ -63,9 +63,9 @@
 // TestShortOfDescriptors: a connection beyond the budget is answered at once, not left unread.
 func TestShortOfDescriptors(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
-	d := NewConnectionBudget(1024)
-	d.maxHeld[clientSide], d.rejectReserve = 2, 1
-	_, address := startServer(t, d, func(context.Context, *protocol.Request) *protocol.Response {
+	budget := NewConnectionBudget(1024)
+	budget.maxHeld[clientSide], budget.rejectReserve = 2, 1
+	_, address := startServer(t, budget, func(context.Context, *protocol.Request) *protocol.Response {
 		taken <- struct{}{}
 		<-hold
 		return &protocol.Response{Status: 200}
@@ -84,9 +84,9 @@
 
 // TestIdleClientsAreReclaimed: a connection that rests is closed for a new one, which is served.
 func TestIdleClientsAreReclaimed(t *testing.T) {
-	d := NewConnectionBudget(1024)
-	d.maxHeld[clientSide], d.rejectReserve = 3, 2
-	_, address := startServer(t, d, succeed)
+	budget := NewConnectionBudget(1024)
+	budget.maxHeld[clientSide], budget.rejectReserve = 3, 2
+	_, address := startServer(t, budget, succeed)
 	for range 20 {
 		c := dialAndWrite(t, address, requestHead+"b")
 		if got := readResponse(t, c); got.StatusCode != 200 {
@@ -95,30 +95,30 @@
 		// A connection that was told to close and has not yet holds its place; on a loaded machine the next client
 		// could come before that, and would be rejected.
 		for rests := false; !rests; time.Sleep(time.Millisecond) {
-			d.mu.Lock()
-			rests = d.idle[clientSide].Len() > 0 && d.reclaiming == 0
-			d.mu.Unlock()
+			budget.mu.Lock()
+			rests = budget.idle[clientSide].Len() > 0 && budget.reclaiming == 0
+			budget.mu.Unlock()
 		}
 	}
 }
 
 // TestResize: what is idle goes when the budget shrinks, and all may come back when it grows.
 func TestResize(t *testing.T) {
-	d := NewConnectionBudget(reservedDescriptors + 100)
-	_, address := startServer(t, d, succeed)
+	budget := NewConnectionBudget(reservedDescriptors + 100)
+	_, address := startServer(t, budget, succeed)
 	var kept []net.Conn
 	for range 20 {
 		c := dialAndWrite(t, address, requestHead+"b")
 		readResponse(t, c)
 		kept = append(kept, c)
 	}
-	d.Resize(reservedDescriptors + 10)
+	budget.Resize(reservedDescriptors + 10)
 	for start, held := time.Now(), 20; held > 10 && time.Since(start) < 2*time.Second; time.Sleep(time.Millisecond) {
-		d.mu.Lock()
-		held = d.held[clientSide]
-		d.mu.Unlock()
+		budget.mu.Lock()
+		held = budget.held[clientSide]
+		budget.mu.Unlock()
 	}
-	d.Resize(reservedDescriptors + 100)
+	budget.Resize(reservedDescriptors + 100)
 	closed := 0
 	for _, c := range kept {
 		io.WriteString(c, requestHead+"b")
--- a/internal/transport/discovery_client_test.go
+++ b/internal/transport/discovery_client_test.go
@@ -39,9 +39,9 @@
 			}
 		}))
 		names := &protocol.Names{Zones: []string{"a"}, MachineTypes: []string{"m"}}
-		d := NewDiscoveryClient(strings.TrimPrefix(agent.URL, "http://"), names)
+		budget := NewDiscoveryClient(strings.TrimPrefix(agent.URL, "http://"), names)
 		start := time.Now()
-		l, err := d.Poll(t.Context(), 0, true)
+		l, err := budget.Poll(t.Context(), 0, true)
 		switch took := time.Since(start); {
 		case come == pieces && (err != nil || len(l.Endpoints) != len(entries)):
 			t.Errorf("a list that comes slowly, after %v: %v", took, err)
@@ -69,15 +69,15 @@
 	}
 	go s.Serve(l)
 	defer s.Close()
-	d := NewDiscoveryClient(l.Addr().String(), &protocol.Names{})
-	if list, err := d.Poll(t.Context(), 0, true); err != nil || list.Version != 4 || !list.Complete {
+	budget := NewDiscoveryClient(l.Addr().String(), &protocol.Names{})
+	if list, err := budget.Poll(t.Context(), 0, true); err != nil || list.Version != 4 || !list.Complete {
 		t.Error(list, err)
 	}
-	if list, err := d.Poll(t.Context(), 4, false); err != nil || list.Version != 5 {
+	if list, err := budget.Poll(t.Context(), 4, false); err != nil || list.Version != 5 {
 		t.Error(list, err)
 	}
 	for range 2 {
-		if list, err := d.Poll(t.Context(), 5, false); err == nil {
+		if list, err := budget.Poll(t.Context(), 5, false); err == nil {
 			t.Error(list)
 		}
 	}
--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// TestPendingConnectionsAreEvicted: connections that say nothing, or never stop, take each other's places and not those of clients
-// that work; what a connection got an error for is one of them while it lingers.
+// TestPendingConnectionsAreEvicted: connections that say nothing, or never stop, take each other's places and not
+// those of clients that work; what a connection got an error for is one of them while it lingers.
 func TestPendingConnectionsAreEvicted(t *testing.T) {
 	d := NewConnectionBudget(64)
 	d.evictionGrace = 0
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -22,11 +22,11 @@
 // though a connection took its time to come up or the process is behind. A span computed at the
 // decision would have the server work when its client has left.
 func TestForwardedBudgetIsWhatIsLeft(t *testing.T) {
-	told := make(chan time.Duration, 1)
+	budgets := make(chan time.Duration, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		span, _ := strconv.Atoi(r.Header.Get("X-Budget-Ms"))
-		told <- time.Duration(span) * time.Millisecond
+		budgets <- time.Duration(span) * time.Millisecond
 		fmt.Fprintf(w, `{"id":"j","from":"x","state":"done","result":"r"}`+"\n")
 	}))
 	defer server.Close()
@@ -51,7 +51,7 @@
 				t.Errorf("%v: %v", e.Outcome, e.Cause)
 			}
 		})
-		if span := <-told; span > 700*time.Millisecond-lag || span < 300*time.Millisecond {
+		if span := <-budgets; span > 700*time.Millisecond-lag || span < 300*time.Millisecond {
 			t.Errorf("lag %v: the server was told %v of at most %v", lag, span, 700*time.Millisecond-lag)
 		}
 	}
--- a/internal/transport/fake_agent_test.go
+++ b/internal/transport/fake_agent_test.go
@@ -39,11 +39,11 @@
 	version       int64
 	changes       []endpointChange // by version, from 1 on
 	sentVersion   int64            // the last version that was written to the present process
-	assumedEvents map[int64][]int  // what counts as told and was not written yet, by version: events
+	assumedEvents map[int64][]int  // events that count as notified and were not sent yet, by version
 	downUntil     chan struct{}
 	pollFate      pollFate // while it is down
 	missedChanges []endpointChange
-	assumedAt     time.Time // by then what calls that are never answered miss counts as told
+	assumedAt     time.Time // by then what calls that are never answered miss counts as notified
 	changed       chan struct{}
 	openPolls     map[net.Conn]time.Time // out, by when their wait is over
 	nextFault     string                 // the next answer, in place of one that makes sense
@@ -60,7 +60,7 @@
 	return invariants.Event{Kind: invariants.EndpointNotified, Server: id, Result: drainStates[state]}
 }
 
-// assumeNotified has the node count as told of one version, no earlier than a moment. Under mu.
+// assumeNotified has the node count as notified of one version, no earlier than a moment. Under mu.
 func (a *fakeAgent) assumeNotified(v int64, least time.Time) {
 	if a != a.world.currentAgent {
 		return
@@ -85,18 +85,18 @@
 	}
 }
 
-// retractAssumed takes back what counts as told and was not heard: the agent can't be asked any more. What it has
+// retractAssumed takes back what counts as notified and was not sent: the agent can't be asked any more. What it has
 // when it can counts then.
 func (a *fakeAgent) retractAssumed() {
-	for _, told := range a.assumedEvents {
-		for _, i := range told {
+	for _, events := range a.assumedEvents {
+		for _, i := range events {
 			a.world.events[i].Kind = ""
 		}
 	}
 	clear(a.assumedEvents)
 }
 
-// recordSent takes what was told to the node itself, at this moment.
+// recordSent records that the node was sent a response, at this moment.
 func (a *fakeAgent) recordSent(since int64, whole bool) {
 	latest := map[string]string{}
 	for v, n := range a.changes {
@@ -105,8 +105,8 @@
 		}
 	}
 	now := time.Now()
-	for v, told := range a.assumedEvents {
-		for _, i := range told {
+	for v, events := range a.assumedEvents {
+		for _, i := range events {
 			if a.world.events[i].At > int64(now.Sub(a.world.started)) {
 				a.world.events[i].Kind = ""
 			}
@@ -216,7 +216,7 @@
 		latest[n.id] = n.state
 	}
 	for _, id := range serverIDs {
-		if state, told := latest[id]; told && (!whole || state != "Gone") {
+		if state, changed := latest[id]; changed && (!whole || state != "Gone") {
 			l.Servers = append(l.Servers, map[string]any{
 				"id": id, "addr": id + ":1", "zone": "home", "kind": "toy", "state": state,
 			})
--- a/internal/transport/notification_test.go
+++ b/internal/transport/notification_test.go
@@ -27,7 +27,7 @@
 	},
 }
 
-// TestDrainNotifications: however it comes to be told, a node sends nothing to what leaves once the grace is over, by
+// TestDrainNotifications: however it is notified, a node sends nothing to what leaves once the grace is over, by
 // first bytes.
 func TestDrainNotifications(t *testing.T) {
 	for name, steps := range notificationSteps {
--- a/internal/transport/repeat_test.go
+++ b/internal/transport/repeat_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestNonIdempotentIsNotRepeated: whatever becomes of a posting, a once-only txn is sent again only where the one before surely
-// never ran, and is never declined where it may have; others are served elsewhere. With and without a body nothing
-// arrives that this node's module did not send: the library repeats nothing by itself.
+// TestNonIdempotentIsNotRepeated: whatever becomes of an attempt, a non-idempotent request is sent again only where
+// the one before surely never ran, and is never shed where it may have; others are served elsewhere. With and
+// without a body nothing arrives that this node's router did not send: http.Transport repeats nothing by itself.
 func TestNonIdempotentIsNotRepeated(t *testing.T) {
 	effects := []dispatch.Idempotency{dispatch.Idempotent, dispatch.IdempotentInGroup, dispatch.NonIdempotent}
 	for name, f := range attemptFaults {
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestUnexpectedResponses: servers respond twice, with a rejection behind the result. http.Transport takes it for the answer
-// to the next request on that connection, which has run all the same, and must not count as never run.
+// TestUnexpectedResponses: servers respond twice, with a rejection behind the result. http.Transport takes it for
+// the answer to the next request on that connection, which has run all the same, and must not count as never run.
 func TestUnexpectedResponses(t *testing.T) {
 	var mu sync.Mutex
 	e := startFakeServer(t, func(c net.Conn, n int) bool {
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -87,7 +87,7 @@
 }
 
 // FuzzRequestHead: however bytes are cut, a head goes on whole and nothing is changed, doubled or left behind; and a
-// length in the first head is seen if the library sees it.
+// length in the first head is seen if http.ReadRequest sees it.
 func FuzzRequestHead(f *testing.F) {
 	for _, text := range []string{
 		requestHead + "b",
--- a/internal/transport/server_client_test.go
+++ b/internal/transport/server_client_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestConnectionsAreKeptAndClosed: an answer read to its end gives its connection back, a posting given up closes it.
+// TestConnectionsAreKeptAndClosed: an answer read to its end gives its connection back, an attempt given up closes it.
 func TestConnectionsAreKeptAndClosed(t *testing.T) {
 	withdraw, told := make(chan context.CancelFunc, 1), make(chan struct{})
 	e := startFakeServer(t, func(c net.Conn, nth int) bool {
@@ -123,12 +123,13 @@
 	<-e.closed
 }
 
-// TestClosedBeforeTheResultIsReported: once a posting's end is known the txn may go again, and must not be out twice.
+// TestClosedBeforeTheResultIsReported: once an attempt's end is known the request may be sent again, and must not
+// be out twice.
 func TestClosedBeforeTheResultIsReported(t *testing.T) {
 	for name, text := range map[string]string{"no head": "", "no last line": chunkedHead + updateLine("started"),
 		"foreign": chunkedHead + chunk("odd")} {
 		for range 20 {
-			// All is new each time: what an earlier attempt at a connection comes to later is not this posting's.
+			// All is new each time: what an earlier attempt at a connection comes to later is not this attempt's.
 			e := startFakeServer(t, respondWith(text, true))
 			d, x := newTestClient()
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
--- a/internal/transport/server_phase_test.go
+++ b/internal/transport/server_phase_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestStopLeavesHalfRequests: what a stranger never finished is no request that the node owes an answer.
+// TestStopLeavesHalfRequests: what a client never finished is no request that the node owes a response.
 func TestStopLeavesHalfRequests(t *testing.T) {
 	d := NewConnectionBudget(64)
 	s, address := startServer(t, d, succeed)
@@ -98,7 +98,7 @@
 	}
 }
 
-// TestNothingIsTakenAfterTheEnd: a stranger's second half comes when the server has ended. It is not served, and
+// TestNothingIsTakenAfterTheEnd: a client's second half comes when the server has ended. It is not served, and
 // nothing is made up.
 func TestNothingIsTakenAfterTheEnd(t *testing.T) {
 	d := NewConnectionBudget(64)
--- a/internal/transport/simulation_test.go
+++ b/internal/transport/simulation_test.go
@@ -162,29 +162,29 @@
 			return
 		}
 		io.Copy(io.Discard, r.Body)
-		txn := r.Header.Get("X-Call-Id")
+		request := r.Header.Get("X-Call-Id")
 		w.mu.Lock()
 		if !w.conns[c] { // its process has ended
 			w.mu.Unlock()
 			return
 		}
-		n := w.attempts[txn]
-		w.attempts[txn]++
-		w.record(f.at, invariants.Event{Kind: invariants.AttemptSent, Request: txn, Server: id, Attempt: n})
-		runs, result := time.Duration(5e6+w.actorRand(txn, uint64(n)).Int64N(6e7)), "settled"
+		n := w.attempts[request]
+		w.attempts[request]++
+		w.record(f.at, invariants.Event{Kind: invariants.AttemptSent, Request: request, Server: id, Attempt: n})
+		runs, result := time.Duration(5e6+w.actorRand(request, uint64(n)).Int64N(6e7)), "settled"
 		if w.serverStates[id] != "Ready" {
 			runs, result = 0, "full"
 		}
 		w.mu.Unlock()
 		time.Sleep(runs)
 		w.mu.Lock()
-		w.record(time.Now(), invariants.Event{Kind: invariants.AttemptEnded, Request: txn, Attempt: n, Result: result})
+		w.record(time.Now(), invariants.Event{Kind: invariants.AttemptEnded, Request: request, Attempt: n, Result: result})
 		w.mu.Unlock()
 		if result == "full" {
 			_, err = io.WriteString(c, rejection)
 		} else {
-			started := fmt.Sprintf(`{"id":%q,"from":%q,"state":"started"}`+"\n", txn, id)
-			done := fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"r"}`+"\n", txn, id)
+			started := fmt.Sprintf(`{"id":%q,"from":%q,"state":"started"}`+"\n", request, id)
+			done := fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"r"}`+"\n", request, id)
 			body := started + done
 			_, err = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
