--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -193,7 +193,7 @@
 			{Name: "r", Share: 0.3, Run: Span(2e8), Shape: "exponential", Slots: 1, Sla: Span(4e8), Stretch: 2, Expiry: Span(4e9), Value: 2, Late: 0.5, Effect: "referenced", Memory: Span(5e9)},
 			{Name: "o", Share: 0.2, Run: Span(2e8), Shape: "exponential", Slots: 1, Sla: Span(6e8), Stretch: 2, Expiry: Span(6e9), Value: 5, Late: 0.5, Effect: "once-only"}}}
 	for range 2 + r.IntN(4) {
-		f := Fault{Kind: faults[r.IntN(len(faults))], At: Span(1e9 + r.Int64N(5e9)), For: Span(5e8 + r.Int64N(4e9)), Part: 0.1 + 0.6*r.Float64(), Strength: 2 + 3*r.Float64(), Again: Span(1e9)}
+		f := Fault{Kind: faultKinds[r.IntN(len(faultKinds))], At: Span(1e9 + r.Int64N(5e9)), For: Span(5e8 + r.Int64N(4e9)), Part: 0.1 + 0.6*r.Float64(), Strength: 2 + 3*r.Float64(), Again: Span(1e9)}
 		if f.Kind == "errors" {
 			f.Strength = r.Float64()
 		}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -4,7 +4,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"errors"
 	"fmt"
 	"reflect"
@@ -148,8 +147,6 @@
 	Again    Span    `toml:"again"`    // flap: from one fall to the next
 }
 
-var faults = []string{"crash", "hang", "slow", "errors", "flap", "deploy", "cut", "loss", "restart-nodes", "no-discovery", "burst", "spoilt", "no-granter"}
-
 // Read reads a scenario and checks it; an error names the place.
 func Read(text []byte) (*Scenario, error) {
 	s := &Scenario{Warm: Span(5e9), Subset: Subset{Cover: 3, Notice: Span(1e9)}, Leases: Leases{Mode: "turns", Lease: Span(3e9), Margin: 0.05},
@@ -222,86 +219,6 @@
 	return out
 }
 
-// Check refuses what makes no sense, and names its key.
-func (s *Scenario) Check() error {
-	var err error
-	want := func(ok bool, key, format string, args ...any) {
-		if !ok && err == nil {
-			err = fmt.Errorf("%s: %s", key, fmt.Sprintf(format, args...))
-		}
-	}
-	share := func(key string, v float64) { want(v >= 0 && v <= 1, key, "%v is no share from 0 to 1", v) }
-	above := func(key string, v float64) { want(v > 0, key, "missing, or not above 0") }
-	above("length", float64(s.Length))
-	want(s.Warm >= 0 && s.Warm < s.Length, "warm", "not within the length")
-	above("fleet.nodes", float64(s.Fleet.Nodes))
-	above("fleet.executors", float64(s.Fleet.Executors))
-	above("fleet.tick", float64(s.Fleet.Tick))
-	want(s.Fleet.Decision >= 0, "fleet.decision", "below 0")
-	want(len(s.Fleet.Zones) > 0, "fleet.zones", "empty")
-	above("clients.rate", s.Crowd.Rate)
-	want(s.Crowd.Retries >= 0, "clients.retries", "below 0")
-	want(s.Crowd.Keys >= 0, "clients.keys", "below 0")
-	above("clients.backoff", float64(s.Crowd.Backoff))
-	share("clients.follow", s.Crowd.Follow)
-	share("clients.skew", s.Crowd.Skew)
-	share("network.loss", s.Net.Loss)
-	share("discovery.loss", s.Lists.Loss)
-	share("rules.cold_share", s.Rules.ColdShare)
-	above("rules.postings", float64(s.Rules.Postings))
-	for _, v := range []struct {
-		key string
-		is  Span
-	}{{"network.same", s.Net.Same}, {"network.cross", s.Net.Cross}, {"network.dial", s.Net.Dial}, {"network.idle", s.Net.Idle},
-		{"discovery.notice", s.Lists.Notice}, {"discovery.spread", s.Lists.Spread}, {"rules.slack", s.Rules.Slack}, {"rules.grace", s.Rules.Grace}, {"rules.cold", s.Rules.Cold},
-		{"rules.fall", s.Rules.Fall}, {"rules.progress", s.Rules.Progress}, {"rules.return", s.Rules.Return}} {
-		want(v.is >= 0, v.key, "below 0")
-	}
-	want(len(s.Kinds) > 0, "kind", "none")
-	for i, k := range s.Kinds {
-		at := fmt.Sprintf("kind %d: ", i+1)
-		share(at+"share", k.Share)
-		above(at+"slots", float64(k.Slots))
-		above(at+"cores", k.Cores)
-		above(at+"speed", k.Speed)
-		want(k.Spread >= 0 && k.Spread < 1, at+"spread", "not from 0 to under 1")
-		want(k.Queue >= 0 && k.Handshake >= 0, at+"queue, handshake", "below 0")
-		above(at+"connections", float64(k.Connections))
-		want(slices.Contains([]string{"none", "queued", "all"}, k.Cancel), at+"cancel", "%q is not one of none, queued, all", k.Cancel)
-	}
-	want(len(s.Scheme) > 0, "scheme", "none")
-	for i, c := range s.Scheme {
-		at := fmt.Sprintf("scheme %d: ", i+1)
-		want(c.Name != "", at+"name", "missing")
-		share(at+"share", c.Share)
-		above(at+"run", float64(c.Run))
-		above(at+"slots", float64(c.Slots))
-		above(at+"sla", float64(c.Sla))
-		above(at+"expiry", float64(c.Expiry))
-		above(at+"value", c.Value)
-		share(at+"late", c.Late)
-		want(slices.Contains([]string{"exponential", "fixed"}, c.Shape), at+"shape", "%q is not exponential or fixed", c.Shape)
-		want(effectOf(c.Effect) >= 0, at+"effect", "%q is not one of repeatable, referenced, once-only", c.Effect)
-	}
-	for i, f := range s.Faults {
-		at := fmt.Sprintf("fault %d: ", i+1)
-		want(slices.Contains(faults, f.Kind), at+"kind", "%q is not one of %v", f.Kind, faults)
-		want(f.At >= 0 && f.At < s.Length, at+"at", "not within the length")
-		above(at+"for", float64(f.For))
-		share(at+"part", f.Part)
-		want(f.Zone == "" || slices.Contains(s.Fleet.Zones, f.Zone), at+"zone", "%q is none of the fleet's", f.Zone)
-		want(f.Strength >= 0, at+"strength", "below 0")
-		want(f.Kind != "slow" && f.Kind != "burst" || f.Strength > 0, at+"strength", "missing")
-		want(f.Kind != "flap" || f.Again > 0, at+"again", "missing")
-		want(f.Scheme == "" || slices.ContainsFunc(s.Scheme, func(c Scheme) bool { return c.Name == f.Scheme }), at+"scheme", "%q is none", f.Scheme)
-		want(f.Tenant == "" || slices.ContainsFunc(s.Tenant, func(c Tenant) bool { return c.Name == f.Tenant }), at+"tenant", "%q is none", f.Tenant)
-	}
-	if err == nil {
-		err = cmp.Or(s.Leases.check(s.Fleet.Nodes, s.Rules.Fall), s.Subset.check(s.Fleet.Executors))
-	}
-	return err
-}
-
 func effectOf(word string) dispatch.Idempotency {
 	return dispatch.Idempotency(slices.Index([]string{"repeatable", "referenced", "once-only"}, word))
 }
