--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -23,14 +23,7 @@
 	}
 }
 
-func (f *fields) or(message string) error {
-	if f.err != nil {
-		return f.err
-	}
-	return fmt.Errorf("%s", message)
-}
-
-// find looks a field up; lines are short, so each look-up walks the line.
+// find returns a field's value; lines are short, so each call scans the line.
 func (f *fields) find(name string) (string, bool) {
 	rest := f.rest
 	for rest != "" {
@@ -51,7 +44,7 @@
 	return v
 }
 
-func (f *fields) whole(name string) int64 { return f.parsed(name, f.text(name)) }
+func (f *fields) integer(name string) int64 { return f.parsed(name, f.text(name)) }
 
 func (f *fields) parsed(name, v string) int64 {
 	if f.err != nil {
@@ -64,15 +57,15 @@
 	return x
 }
 
-// wholeOrZero reads a whole number; 0 where the field is absent.
-func (f *fields) wholeOrZero(name string) int64 {
+// integerOrZero reads a whole number; 0 where the field is absent.
+func (f *fields) integerOrZero(name string) int64 {
 	if v, found := f.find(name); found {
 		return f.parsed(name, v)
 	}
 	return 0
 }
 
-func (f *fields) realOr(name string, absent float64) float64 {
+func (f *fields) numberOr(name string, absent float64) float64 {
 	v, found := f.find(name)
 	if !found || f.err != nil {
 		return absent
@@ -97,16 +90,20 @@
 			if err != nil {
 				f.fail("field ServerStats: %s: %q is not a number of slots", key, v)
 			}
-			// Danger: reports are noisy; nothing free may be told as a little less, and an absurd value tells nothing.
-			if !(x >= 0 && x < 1<<16) {
-				return 0
+			// Reports are noisy: none free may be reported as a little less than none, and an absurd value reports nothing.
+			if x >= 0 && x < maxReportedSlots {
+				return x
 			}
-			return x
+			return 0
 		}
 	}
 	return 0
 }
 
+// maxReportedSlots bounds a plausible number of free slots.
+const maxReportedSlots = 1 << 16
+
+// outcomes are the outcomes of attempts by the simulator's words.
 var outcomes = map[string]dispatch.Outcome{
 	"delivered": dispatch.Succeeded, "app_error": dispatch.Failed, "shed": dispatch.Rejected,
 	"expired": dispatch.TimedOut, "dial_failed": dispatch.ConnectFailed, "dropped": dispatch.ConnectionLost,
--- /dev/null
+++ b/internal/simwire/messages.go
@@ -0,0 +1,218 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package simwire
+
+import (
+	"encoding/base64"
+	"encoding/binary"
+	"math"
+
+	"fernrail/dispatch"
+)
+
+// messageHandlers hand each message's fields to the dispatcher.
+var messageHandlers = map[string]func(n *instance, f *fields){
+	"NEW_INSTANCE": (*instance).start,
+	"KILL":         (*instance).kill,
+	"UPDATE":       (*instance).beginUpdate,
+	"ITEM":         (*instance).addEndpoint,
+	"ORDER":        (*instance).addRequest,
+	"ABANDONED":    (*instance).abandonRequest,
+	"REPORT_BACK":  (*instance).endAttempt,
+	"HINT_UPDATE":  (*instance).noteProgress,
+	"WAKE":         (*instance).fireTimer,
+	"PROBED":       (*instance).reportCapacity,
+	"WHISPER":      (*instance).hearPeer,
+	"ACK_FIRST":    func(*instance, *fields) {}, // streams are not used
+}
+
+// The topics of a progress note.
+const (
+	topicStarted  = 1
+	topicProgress = 2
+)
+
+// peerMessageBytes is the length of a message between nodes: slots, and the server's hash.
+const peerMessageBytes = 5
+
+func (n *instance) beginUpdate(f *fields) {
+	mode := f.text("Mode")
+	if f.err != nil {
+		return
+	}
+	switch mode {
+	case "broken":
+		n.module.PollFailed(0, 0)
+	case "patch", "whole", "stale_copy":
+		update := &endpointUpdate{remaining: int(f.integer("MembersList")), mode: mode}
+		if update.remaining > 0 {
+			n.session.update = update
+		} else {
+			n.applyUpdate(update)
+		}
+	default:
+		f.fail("unknown list mode %q", mode)
+	}
+}
+
+// addEndpoint adds one entry to the update that is being read, and applies the update after the last one.
+func (n *instance) addEndpoint(f *fields) {
+	update := n.session.update
+	if update == nil {
+		f.fail("ITEM outside a list")
+		return
+	}
+	tag, state := f.text("Executor"), f.text("Lifecycle")
+	endpoint := dispatch.Endpoint{
+		Server:      n.server(tag),
+		Zone:        int(f.integerOrZero("Zone")),
+		MachineType: int(f.integerOrZero("ClassOfHost")),
+		Cell:        int(f.integerOrZero("UnitGroup")),
+		StartedAt:   f.integerOrZero("OnlineSince"),
+		Capacity:    f.numberOr("Units", 1),
+	}
+	switch state {
+	case "up":
+	case "draining":
+		endpoint.State = dispatch.Draining
+	case "removed":
+		endpoint.State = dispatch.Removed
+	default:
+		f.fail("unknown state %q", state)
+	}
+	update.endpoints = append(update.endpoints, endpoint)
+	update.remaining--
+	if update.remaining == 0 && f.err == nil {
+		n.session.update = nil
+		n.applyUpdate(update)
+	}
+}
+
+// server returns the server of a name, which is made if it is new.
+func (n *instance) server(tag string) *dispatch.Server {
+	server := n.servers[tag]
+	if server == nil {
+		server = &dispatch.Server{Tag: tag, Hash: dispatch.HashName(tag)}
+		n.servers[tag] = server
+		n.serversByHash[uint32(server.Hash)] = server
+	}
+	return server
+}
+
+func (n *instance) applyUpdate(update *endpointUpdate) {
+	n.module.UpdateEndpoints(update.mode != "patch", update.endpoints)
+	for tag, server := range n.servers {
+		if server.State == dispatch.Removed {
+			delete(n.servers, tag)
+			delete(n.serversByHash, uint32(server.Hash))
+		}
+	}
+}
+
+func (n *instance) addRequest(f *fields) {
+	tag, class := f.text("Job"), int(f.integer("Grade"))
+	request := &dispatch.Request{
+		Tag:          tag,
+		Tenant:       int(f.integerOrZero("Tenant")),
+		Slots:        f.numberOr("Slots", 1),
+		AffinityKey:  uint64(f.integerOrZero("Resource")),
+		ExpectedWork: f.integerOrZero("Predicted"),
+		Deadline:     f.integer("GiveUpAt"),
+	}
+	if f.err == nil && (class < 0 || class >= len(n.settings.Classes)) {
+		f.fail("no scheme %d in the settings", class)
+	}
+	tenants := len(n.settings.Tenants)
+	if f.err == nil && tenants > 0 && (request.Tenant < 0 || request.Tenant >= tenants) {
+		f.fail("no tenant %d in the settings", request.Tenant)
+	}
+	if f.err != nil {
+		return
+	}
+	request.Class = n.settings.Classes[class]
+	n.requests[tag] = request
+	n.module.Arrive(request)
+	n.removeIfEnded(request)
+}
+
+func (n *instance) abandonRequest(f *fields) {
+	request := n.requests[f.text("Job")]
+	if request == nil || f.err != nil {
+		return
+	}
+	n.module.Finish(request)
+	n.removeIfEnded(request)
+}
+
+// attempt returns the attempt that a message is about; nil: it is not known any more.
+func (n *instance) attempt(f *fields) *dispatch.Attempt {
+	request, number := n.requests[f.text("Job")], f.integer("Trial")
+	if request == nil || f.err != nil || number < 0 || number >= int64(len(request.Attempts)) {
+		return nil
+	}
+	return request.Attempts[number]
+}
+
+func (n *instance) endAttempt(f *fields) {
+	attempt := n.attempt(f)
+	outcome := f.outcome()
+	took := f.integerOrZero("TimeTaken")
+	requestEnded := f.integerOrZero("Ended") != 0
+	if attempt == nil || !attempt.InFlight || f.err != nil {
+		return
+	}
+	attempt.FreeSlots = f.reported(n.loadReportKeys.FreeSlots)
+	n.module.AttemptEnded(attempt, outcome, took, requestEnded)
+	n.removeIfEnded(attempt.Request)
+}
+
+func (n *instance) noteProgress(f *fields) {
+	attempt, topic := n.attempt(f), f.integer("Topic")
+	if attempt == nil || !attempt.InFlight || f.err != nil {
+		return
+	}
+	switch topic {
+	case topicStarted:
+		n.module.AttemptStarted(attempt)
+	case topicProgress:
+		n.module.AttemptProgressed(attempt)
+	}
+}
+
+func (n *instance) fireTimer(f *fields) {
+	token := f.integer("Cookie")
+	if then := n.timers[token]; then != nil {
+		delete(n.timers, token)
+		then()
+	}
+}
+
+// reportCapacity hands on what a server said of its capacity: none, where the probe failed or its report lacks the value.
+func (n *instance) reportCapacity(f *fields) {
+	server := n.servers[f.text("Executor")]
+	reported := f.text("Status") == "delivered"
+	freeSlots := f.reported(n.loadReportKeys.FreeSlots)
+	freeMemory := math.MaxFloat64
+	if n.loadReportKeys.FreeMemory != "" {
+		freeMemory = f.reported(n.loadReportKeys.FreeMemory)
+	}
+	if server == nil || f.err != nil {
+		return
+	}
+	if !reported {
+		freeSlots = 0
+	}
+	n.module.CapacityReported(server, reported, freeSlots, freeMemory)
+}
+
+// hearPeer takes another node's word of slots that it reserved. Malformed messages, and servers that this node's own list has not
+// named, are ignored.
+func (n *instance) hearPeer(f *fields) {
+	message, err := base64.StdEncoding.DecodeString(f.text("Content"))
+	if err != nil || len(message) != peerMessageBytes {
+		return
+	}
+	if server := n.serversByHash[binary.BigEndian.Uint32(message[1:])]; server != nil {
+		n.module.SlotsReserved(server, float64(message[0]))
+	}
+}
--- /dev/null
+++ b/internal/simwire/session.go
@@ -0,0 +1,161 @@
+// SPDX-License-Identifier: Apache-2.0
+
+// Package simwire speaks the simulator's text protocol for any number of instances of the decision package: batches of lines in,
+// actions out. It owns ids, the tables from ids to objects, and timer tokens; it decides nothing.
+package simwire
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+
+	"fernrail/dispatch"
+)
+
+// Sizes of the buffers, in bytes; a batch of a large fleet is long.
+const (
+	inputBufferBytes  = 1 << 20
+	outputBufferBytes = 1 << 16
+)
+
+var (
+	errInputEndsInRound = errors.New("input ends within a round")
+	errRoundInRound     = errors.New("ROUND within a round")
+	errCommitOutside    = errors.New("COMMIT outside a round")
+	errInstanceOutside  = errors.New("ON outside a round")
+)
+
+// Serve answers batches until the input ends. A line that cannot be read is an error that names its number.
+func Serve(in io.Reader, out io.Writer) error {
+	s := &session{
+		in:        bufio.NewReaderSize(in, inputBufferBytes),
+		out:       bufio.NewWriterSize(out, outputBufferBytes),
+		instances: map[string]*instance{},
+	}
+	for {
+		text, err := s.in.ReadString('\n')
+		if err != nil && text == "" {
+			return s.endOfInput(err)
+		}
+		s.lineNumber++
+		text = strings.TrimRight(text, "\r\n")
+		if text == "" {
+			continue
+		}
+		if err := s.handleLine(text); err != nil {
+			return fmt.Errorf("line %d: %w", s.lineNumber, err)
+		}
+	}
+}
+
+// session is one conversation with the simulator.
+type session struct {
+	in         *bufio.Reader
+	out        *bufio.Writer
+	lineNumber int
+	inRound    bool
+	now        int64 // nanoseconds
+	batch      string
+	instances  map[string]*instance
+	current    *instance
+	touched    []*instance     // addressed in this round
+	writing    *instance       // whose actions are being written
+	update     *endpointUpdate // whose entries are being read; nil: none
+}
+
+// endpointUpdate gathers the entries of one UPDATE.
+type endpointUpdate struct {
+	remaining int
+	mode      string
+	endpoints []dispatch.Endpoint
+}
+
+func (s *session) endOfInput(err error) error {
+	if !errors.Is(err, io.EOF) {
+		return err
+	}
+	if s.inRound {
+		return fmt.Errorf("line %d: %w", s.lineNumber, errInputEndsInRound)
+	}
+	return nil
+}
+
+// handleLine handles one line: a message to the session, or one to the current instance.
+func (s *session) handleLine(text string) error {
+	name, rest, _ := strings.Cut(text, "\t")
+	f := &fields{rest: rest, message: name}
+	if s.update != nil && name != "ITEM" {
+		return fmt.Errorf("%s where %d more list entries are due", name, s.update.remaining)
+	}
+	switch name {
+	case "ROUND":
+		return s.beginRound(f)
+	case "COMMIT":
+		if !s.inRound {
+			return errCommitOutside
+		}
+		return s.commit()
+	case "ON":
+		return s.selectInstance(f)
+	}
+	if s.current == nil || !s.inRound {
+		return fmt.Errorf("%s with no instance selected", name)
+	}
+	return s.current.handleMessage(name, f)
+}
+
+func (s *session) beginRound(f *fields) error {
+	if s.inRound {
+		return errRoundInRound
+	}
+	s.inRound = true
+	s.current = nil
+	s.now = f.integer("Now")
+	s.batch = f.text("batch")
+	return f.err
+}
+
+func (s *session) selectInstance(f *fields) error {
+	name := f.text("Who")
+	if f.err != nil {
+		return f.err
+	}
+	if !s.inRound {
+		return errInstanceOutside
+	}
+	selected := s.instances[name]
+	if selected == nil {
+		selected = &instance{name: name, session: s}
+		s.instances[name] = selected
+	}
+	s.current = selected
+	if !selected.touched {
+		selected.touched = true
+		s.touched = append(s.touched, selected)
+	}
+	return nil
+}
+
+// commit ends a round: the instances that were addressed in it act, and the reply is sent.
+func (s *session) commit() error {
+	for _, touched := range s.touched {
+		touched.touched = false
+		if touched.module != nil && !touched.crashed {
+			touched.step(touched.module.ProcessQueue)
+		}
+	}
+	s.touched = s.touched[:0]
+	s.writing = nil
+	s.inRound = false
+	s.write("YIELD\tbatch=", s.batch, "\n")
+	return s.out.Flush()
+}
+
+// write appends texts to the reply. A bufio.Writer keeps its first error, and the Flush in commit returns it.
+func (s *session) write(texts ...string) {
+	for _, text := range texts {
+		_, _ = s.out.WriteString(text)
+	}
+}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/session_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestProbes: a probe goes out for a txn, and what it brings leads to a posting; reports that are odd, late or of unknown
-// executors are ignored. Danger: noise tells of a little less than nothing free, and the adapter stops.
+// TestProbes: a probe goes out for a request, and its answer leads to an attempt; reports that are odd, late or of unknown
+// servers are ignored, so that noise, such as a little less than nothing free, does not end the adapter.
 func TestProbes(t *testing.T) {
 	probing := strings.Replace(opening, "Tick", "Report.Source=pull\tReport.Fields=x0,x1\tExtra.ReportX0=free_slots\tExtra.ReportX1=free_memory"+
 		"\tExtra.MemoryUnit=one\tLimits.MayProbe=true\tTick", 1)
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestClocksDiffer: by how much txns may be told too little time reaches the module; one told of none goes out, and without
+// TestClocksDiffer: by how much a deadline may be too early reaches the dispatcher; a request with no time left goes out, and without
 // the setting it is answered at once.
 func TestClocksDiffer(t *testing.T) {
 	short := strings.Replace(order, "GiveUpAt=1904000000", "GiveUpAt=1004000000", 1)
@@ -100,10 +100,12 @@
 func TestPanicIsReportedForItsInstanceAlone(t *testing.T) {
 	var out strings.Builder
 	s := &session{out: bufio.NewWriter(&out)}
-	n := &node{name: "node/1", session: s}
-	n.guard(func() { panic("index\tout") })
-	s.out.Flush()
-	if !n.dead || !strings.HasPrefix(out.String(), "AT\tWho=node/1\nCRASH\tText=index out") {
+	n := &instance{name: "node/1", session: s}
+	n.step(func() { panic("index\tout") })
+	if err := s.out.Flush(); err != nil {
+		t.Fatal(err)
+	}
+	if !n.crashed || !strings.HasPrefix(out.String(), "AT\tWho=node/1\nCRASH\tText=index out") {
 		t.Fatal(out.String())
 	}
 }
