--- a/internal/testcluster/helpers_test.go
+++ b/internal/testcluster/helpers_test.go
@@ -172,6 +172,16 @@
 	return nil
 }
 
+// waitForLeader returns the leader as soon as a node says that it is the one; on a loaded machine an election may be under way.
+func waitForLeader(r *testcluster.Cluster) (node *testcluster.Node) {
+	r.Helper()
+	r.Until("a node is the leader", 10*time.Second, func() bool {
+		node = leader(r)
+		return node != nil
+	})
+	return node
+}
+
 func without(nodes []*testcluster.Node, not *testcluster.Node) (rest []*testcluster.Node) {
 	for _, n := range nodes {
 		if n != not {
--- a/internal/testcluster/leader_test.go
+++ b/internal/testcluster/leader_test.go
@@ -15,7 +15,7 @@
 func TestLeaderKilled(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
-	dead := leader(b.Cluster)
+	dead := waitForLeader(b.Cluster)
 	dead.Kill()
 	rest := without(b.Nodes, dead)
 	t.Logf("in use again after %v",
@@ -29,7 +29,7 @@
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(5, 5, 2), 5)
 	for range 2 {
-		stopped := leader(b.Cluster)
+		stopped := waitForLeader(b.Cluster)
 		stopped.Signal(syscall.SIGSTOP)
 		rest := without(b.Nodes, stopped)
 		t.Logf("in use again after %v",
@@ -68,7 +68,7 @@
 	t.Logf("2|3: in use again after %v",
 		b.Until("the three have the whole", convergeTime, quotaReaches(three, sharedQuota(3)-3)))
 	whole()
-	alone := leader(b.Cluster)
+	alone := waitForLeader(b.Cluster)
 	rest := without(b.Nodes, alone)
 	cutLinks([]*testcluster.Node{alone}, rest, testcluster.Forward, testcluster.Backward)
 	cutLinks(rest, []*testcluster.Node{alone}, testcluster.Forward, testcluster.Backward)
@@ -78,7 +78,7 @@
 		b.Until("the rest have the whole", convergeTime, quotaReaches(rest, sharedQuota(4)-4)))
 	whole()
 	for _, d := range []testcluster.Direction{testcluster.Forward, testcluster.Backward} {
-		deaf := leader(b.Cluster)
+		deaf := waitForLeader(b.Cluster)
 		rest := without(b.Nodes, deaf)
 		cutLinks(rest, []*testcluster.Node{deaf}, d) // calls and streams of the others to it, one way alone
 		t.Logf("one way %d: another grants after %v", d, b.Until("another one grants", convergeTime, func() bool {
--- a/internal/testcluster/restart_test.go
+++ b/internal/testcluster/restart_test.go
@@ -57,7 +57,7 @@
 func TestVoterLosesDisk(t *testing.T) {
 	runParallel(t)
 	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
-	lost := without(b.Nodes, leader(b.Cluster))[0]
+	lost := without(b.Nodes, waitForLeader(b.Cluster))[0]
 	was := statusOf(lost).Voter.ID
 	lost.Kill()
 	lost.LoseDisk()
@@ -70,7 +70,7 @@
 		return strings.Contains(strings.Join(f.Voter.Voters, " "), f.Voter.ID)
 	})
 	b.Until("it has a share", convergeTime, func() bool { return connectQuota(lost) > connectFloor })
-	dead := leader(b.Cluster)
+	dead := waitForLeader(b.Cluster)
 	dead.Kill()
 	rest := without(b.Nodes, dead)
 	b.Until("the two go on", convergeTime, quotaReaches(rest, sharedQuota(2)-2))
@@ -186,7 +186,7 @@
 		return f != nil && f.Voter != nil && f.Voter.Error != ""
 	}
 	if leader(r) != small {
-		dead := leader(r)
+		dead := waitForLeader(r)
 		dead.Kill()
 		b.Until("it says so", 2*convergeTime, voterFails)
 		dead.Start()
--- a/internal/testcluster/shares_test.go
+++ b/internal/testcluster/shares_test.go
@@ -59,7 +59,7 @@
 		b.RunFor(3 * time.Second)
 		b.Nodes[3].Kill()
 		if held {
-			stopped := leader(b.Cluster)
+			stopped := waitForLeader(b.Cluster)
 			stopped.Signal(syscall.SIGSTOP)
 			b.RunFor(leaseTime + time.Second)
 			stopped.Signal(syscall.SIGCONT)
@@ -122,7 +122,7 @@
 		from := b.Now()
 		news(2 * time.Second)
 		if held {
-			leader(b.Cluster).Kill()
+			waitForLeader(b.Cluster).Kill()
 		}
 		b.SetDiscoveryDown(true)
 		news(2 * time.Second)
