--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// leader is the seats, as one actor of the world. While it is down nobody answers; what comes after it is another reign.
+// leader is the voters, as one actor of the world. While it is down nobody answers; what comes after it is another term.
 type leader struct {
 	world    *world
 	ledger   *budget.Ledger
--- a/internal/testcluster/shares_test.go
+++ b/internal/testcluster/shares_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestPollBudget: discovery is asked by all nodes together no oftener than the whole, while its list changes on and on,
+// TestPollBudget: discovery is asked by all nodes together no more often than the total allows, while its list changes on and on,
 // while it fails, with the leader killed, and with a node that the others refuse; what drains is left by all of
 // them within the time that the rules give, share or not. Nodes that share nothing call several times as often: the
 // count can fail.
