--- a/cmd/fernrail/commands.go
+++ b/cmd/fernrail/commands.go
@@ -18,10 +18,10 @@
 
 // commandLine is what the program can be told to do. A start without arguments serves.
 type commandLine struct {
-	Serve   serveCommand   `cmd:"" help:"Serve clients, as a bare start does. The configuration is the file that EDGE_CONFIG names."`
-	Config  configCommand  `cmd:"" help:"Look at a configuration without starting a node."`
-	Fleet   fleetCommand   `cmd:"" help:"Ask a node what it holds together with others: seats, epochs and each budget."`
-	Version versionCommand `cmd:"" help:"Say which build this is."`
+	Serve   serveCommand   `name:"serve" cmd:"" help:"Serve clients, as a bare start does. The configuration is the file that EDGE_CONFIG names."`
+	Config  configCommand  `name:"config" cmd:"" help:"Look at a configuration without starting a node."`
+	Fleet   fleetCommand   `name:"fleet" cmd:"" help:"Ask a node what it holds together with others: seats, epochs and each budget."`
+	Version versionCommand `name:"version" cmd:"" help:"Say which build this is."`
 }
 
 // runCommand carries out the command that the arguments name.
@@ -43,11 +43,11 @@
 type serveCommand struct{}
 
 type configCommand struct {
-	Check checkCommand `cmd:"" help:"Read a file as a start would, and name the key that is at fault."`
+	Check checkCommand `name:"check" cmd:"" help:"Read a file as a start would, and name the key that is at fault."`
 }
 
 type checkCommand struct {
-	File string `arg:"" help:"The configuration, JSON." type:"existingfile"`
+	File string `name:"file" arg:"" help:"The configuration, JSON." type:"existingfile"`
 }
 
 // Run reads a configuration as a start would, and prints what a node would be by it.
--- a/cmd/fleetsim/count.go
+++ b/cmd/fleetsim/count.go
@@ -13,10 +13,10 @@
 
 // countCommand adds up what all nodes did, from logs written with EDGE_LOG=trace.
 type countCommand struct {
-	Logs []string      `arg:"" type:"existingfile" help:"The nodes' logs. A line's JSON object may follow other text."`
-	Step time.Duration `default:"1s" help:"Width of a row in time."`
-	Late time.Duration `default:"20ms" help:"A start that took longer counts as late."`
-	By   string        `enum:"time,executor,both" default:"both" help:"What to tell apart: ${enum}."`
+	Logs []string      `name:"logs" arg:"" type:"existingfile" help:"The nodes' logs. A line's JSON object may follow other text."`
+	Step time.Duration `name:"step" default:"1s" help:"Width of a row in time."`
+	Late time.Duration `name:"late" default:"20ms" help:"A start that took longer counts as late."`
+	By   string        `name:"by" enum:"time,executor,both" default:"both" help:"What to tell apart: ${enum}."`
 }
 
 // The log lines that are counted, by their message.
@@ -30,12 +30,14 @@
 
 // logLine is one log line of a node; times of attempts are Unix time in microseconds.
 type logLine struct {
-	Message, Node, Outcome string
-	Server                 string `json:"executor"`
-	Number                 int
-	Time                   time.Time
-	SentAt                 int64 `json:"sent_us"`
-	StartedAt              int64 `json:"began_us"` // 0: no start was reported
+	Message   string    `json:"message"`
+	Node      string    `json:"node"`
+	Outcome   string    `json:"outcome"`
+	Server    string    `json:"executor"`
+	Number    int       `json:"number"`
+	Time      time.Time `json:"time"`
+	SentAt    int64     `json:"sent_us"`
+	StartedAt int64     `json:"began_us"` // 0: no start was reported
 }
 
 // at is the time that a line counts at, in microseconds.
--- a/cmd/fleetsim/emulate.go
+++ b/cmd/fleetsim/emulate.go
@@ -18,13 +18,13 @@
 
 // emulateCommand plays a scenario in virtual time.
 type emulateCommand struct {
-	Scenario string `arg:"" type:"existingfile" help:"A scenario; docs/emulator.md has its keys, example/scenarios some of them."`
-	Seed     uint64 `default:"1" help:"Of all that is drawn. The same scenario and seed give the same log to the byte."`
-	Policy   string `default:"module" help:"What decides on the nodes: module, random, round-robin, least, two-choices, or truth, which sees all."`
-	Subset   int    `default:"-1" help:"In place of the scenario's subset.size: servers that a node uses; 0: all."`
-	Budgets  string `help:"In place of the scenario's leases.mode: turns, leased, alone, or all, where one sees what all send."`
-	Log      string `help:"Where the event log goes, for fleetsim judge."`
-	Max      int    `default:"5" help:"How many violations are printed."`
+	Scenario string `name:"scenario" arg:"" type:"existingfile" help:"A scenario; docs/emulator.md has its keys, example/scenarios some of them."`
+	Seed     uint64 `name:"seed" default:"1" help:"Of all that is drawn. The same scenario and seed give the same log to the byte."`
+	Policy   string `name:"policy" default:"module" help:"What decides on the nodes: module, random, round-robin, least, two-choices, or truth, which sees all."`
+	Subset   int    `name:"subset" default:"-1" help:"In place of the scenario's subset.size: servers that a node uses; 0: all."`
+	Budgets  string `name:"budgets" help:"In place of the scenario's leases.mode: turns, leased, alone, or all, where one sees what all send."`
+	Log      string `name:"log" help:"Where the event log goes, for fleetsim judge."`
+	Max      int    `name:"max" default:"5" help:"How many violations are printed."`
 }
 
 // Run plays the scenario and prints to standard output.
@@ -162,7 +162,7 @@
 
 // scenarioCheckCommand reads scenarios and runs nothing.
 type scenarioCheckCommand struct {
-	Scenario []string `arg:"" type:"existingfile" help:"Scenarios."`
+	Scenario []string `name:"scenario" arg:"" type:"existingfile" help:"Scenarios."`
 }
 
 // Run returns what is wrong with the first scenario that can't be read.
--- a/cmd/fleetsim/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -17,10 +17,10 @@
 
 // experimentCommand plays a grid of scenarios, variants and seeds, and keeps the results.
 type experimentCommand struct {
-	Plan    string   `arg:"" type:"existingfile" help:"The experiment; docs/emulator.md has its keys, example/experiments some of them."`
-	Out     string   `required:"" help:"A directory for results: runs.jsonl with a line for each run, table.md, and a chart for each scenario. What is there already is not run again."`
-	Jobs    int      `default:"0" help:"Runs at a time; 0: one a core. The results are the same."`
-	Figures []string `default:"in time,worst 10 s,handshakes,held" help:"What the table shows, of: in time, worst 10 s, p99 ms, handshakes, held, fallen, cold work, work, twice, breaches."`
+	Plan    string   `name:"plan" arg:"" type:"existingfile" help:"The experiment; docs/emulator.md has its keys, example/experiments some of them."`
+	Out     string   `name:"out" required:"" help:"A directory for results: runs.jsonl with a line for each run, table.md, and a chart for each scenario. What is there already is not run again."`
+	Jobs    int      `name:"jobs" default:"0" help:"Runs at a time; 0: one a core. The results are the same."`
+	Figures []string `name:"figures" default:"in time,worst 10 s,handshakes,held" help:"What the table shows, of: in time, worst 10 s, p99 ms, handshakes, held, fallen, cold work, work, twice, breaches."`
 }
 
 // Run plays the experiment and prints to standard output.
