--- a/internal/ci/outer_names_test.go
+++ b/internal/ci/outer_names_test.go
@@ -20,7 +20,7 @@
 const minOuterNames = 700
 
 // TestOuterNames guards against renaming what leaves the process: each name on the list has to be a whole word of a string or a struct
-// tag in a package of its section.
+// tag in a package of its section. A name that has several places in a section is found as long as one of them has it.
 func TestOuterNames(t *testing.T) {
 	root := filepath.Join("..", "..")
 	sections, err := readOuterNames(filepath.Join("testdata", "outer_names.txt"))
