--- a/internal/fleet/budget/demand.go
+++ b/internal/fleet/budget/demand.go
@@ -9,36 +9,38 @@
 )
 
 const (
-	// demandDecay is what is left of a node's demand from one request to the next while it uses less. A lease outlasts
-	// three requests.
+	// demandDecay is the factor by which a node's demand decays from one request to the next while usage is
+	// lower. A holder sends three requests within a lease.
 	demandDecay = 0.8
-	// demandHeadroom is what is asked for over what was used, so that a node whose use grows seldom has to wait.
+	// demandHeadroom is the factor by which demand exceeds usage, so that a node with growing usage rarely
+	// waits for units.
 	demandHeadroom = 1.25
-	// minDemand is the demand beyond a floor, in units, below which nothing is asked for.
+	// minDemand is the demand beyond a floor, in units, below which no units are requested.
 	minDemand = 0.5
-	// roundUp is added to a demand before it is cut to whole units.
+	// roundUp is added to a demand before it is truncated to an integer number of units.
 	roundUp = 0.99
 )
 
-// DemandEstimator estimates what a node could use of each budget. A wrong estimate wastes units; it never lets more
-// than the total be used.
+// DemandEstimator estimates how many units of each budget a node could use. A wrong estimate wastes units but
+// never causes usage above the total.
 type DemandEstimator struct {
 	agreement  *Agreement
 	partitions map[string]*partitionDemand // by budget or partition
-	// partitionOrder is the order in which this node asks for the partitions of a budget.
+	// partitionOrder is the order in which this node requests the partitions of a budget.
 	partitionOrder map[string][]string
-	// extraPartitions is how many partitions of a budget it asks for beyond its due, having been granted none.
+	// extraPartitions is the number of additional partitions of a budget that the node requests after it was
+	// granted none.
 	extraPartitions map[string]int
 	activeHolders   int
 }
 
 type partitionDemand struct {
 	limits   Limits
-	estimate float64 // with the floor, in units
+	estimate float64 // including the floor, in units
 }
 
-// NewDemandEstimator returns the estimator of a node. The order in which it asks for partitions is drawn from its
-// name, so that nodes differ in it.
+// NewDemandEstimator returns the estimator of a node. The order in which it requests partitions is derived
+// from the node's name, so that different nodes prefer different partitions.
 func NewDemandEstimator(node string, agreement *Agreement) *DemandEstimator {
 	d := &DemandEstimator{
 		agreement:       agreement,
@@ -60,29 +62,30 @@
 	return d
 }
 
-// orderHash returns a number that places a partition in a node's order.
+// orderHash returns the sort key of a partition in a node's partition order.
 func orderHash(node, partition string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(node))
 	h.Write([]byte{0})
 	h.Write([]byte(partition))
 	x := h.Sum64()
-	// FNV hardly mixes the last bytes into the highest bits, which decide the order.
+	// FNV barely mixes the last bytes into the highest bits, which determine the order.
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	return x ^ x>>33
 }
 
-// ObserveResponse takes from a response how many holders there are.
+// ObserveResponse reads the number of active holders from a response.
 func (d *DemandEstimator) ObserveResponse(response *LeaseResponse) {
 	d.activeHolders = max(response.ActiveHolders, 1)
 }
 
-// Estimate returns what the node should ask for beyond its floors, by budget or partition. usage returns the most that
-// was used of one since the last call and whether some use was rejected, units what the node may use of it now.
+// Estimate returns the units that the node should request beyond its floors, by budget or partition. usage
+// returns the peak usage of a budget or partition since the last call and whether any use was rejected. units
+// returns the units that the node may use of it now.
 //
-// An even part of a total is less than one send takes where many nodes share it, so that all of it would be granted
-// and none used. A partitioned budget is therefore asked for in whole steps, of as few partitions as give each holder
-// a step.
+// If many nodes share a total, an even part of it is less than one send needs: all units would be granted and
+// none used. A node therefore requests multiples of a step from a partitioned budget, and only as many
+// partitions as leave one step for each holder.
 func (d *DemandEstimator) Estimate(
 	usage func(name string) (peak float64, rejected bool), units func(name string) int64,
 ) map[string]int64 {
@@ -101,17 +104,18 @@
 ) {
 	names, limits := d.partitionOrder[budget], d.agreement.Budgets[budget]
 	isPartitioned := len(names) > 1
-	due := d.duePartitions(budget)
-	wantsMore, hasLease := false, false
+	count := d.partitionsToRequest(budget)
+	anyDemand, anyLeased := false, false
 	for i, name := range names {
-		held := units(name)
+		current := units(name)
 		peak, rejected := usage(name)
-		beyondFloor := d.partitions[name].update(peak, rejected, held) - float64(limits.Floor)
-		isWanted, isHeld := beyondFloor > minDemand, held > limits.Floor
-		wantsMore = wantsMore || isWanted
-		hasLease = hasLease || isHeld
-		// What is held beyond the due partitions is kept: given back at once it would be in cooldown more than in use.
-		if !isWanted || i >= due && !isHeld {
+		beyondFloor := d.partitions[name].update(peak, rejected, current) - float64(limits.Floor)
+		hasDemand, isLeased := beyondFloor > minDemand, current > limits.Floor
+		anyDemand = anyDemand || hasDemand
+		anyLeased = anyLeased || isLeased
+		// Leases beyond the first count partitions are renewed. Returned at once, their units would spend
+		// more time in cooldown than in use.
+		if !hasDemand || i >= count && !isLeased {
 			continue
 		}
 		requested[name] = int64(beyondFloor + roundUp)
@@ -120,26 +124,26 @@
 		}
 	}
 	d.extraPartitions[budget] = 0
-	if wantsMore && !hasLease && isPartitioned {
-		d.extraPartitions[budget] = due
+	if anyDemand && !anyLeased && isPartitioned {
+		d.extraPartitions[budget] = count
 	}
 }
 
-// duePartitions returns how many partitions of a budget the node asks for: as many as there are steps for each holder,
-// at least one, and more after it was granted none.
-func (d *DemandEstimator) duePartitions(budget string) int {
+// partitionsToRequest returns the number of partitions of a budget that the node requests: the number of
+// steps available per holder, at least one, plus the extra partitions after it was granted none.
+func (d *DemandEstimator) partitionsToRequest(budget string) int {
 	limits, partitions := d.agreement.Budgets[budget], len(d.partitionOrder[budget])
 	steps := (limits.Total - limits.minTotal(d.agreement.MaxNodes)) / limits.Step * int64(partitions)
-	due := max(int(steps)/d.activeHolders, 1) + d.extraPartitions[budget]
-	return min(due, partitions)
+	count := max(int(steps)/d.activeHolders, 1) + d.extraPartitions[budget]
+	return min(count, partitions)
 }
 
-// update takes the latest use of a partition and returns the new estimate: with headroom at once if use grew, decaying
-// if it fell.
-func (p *partitionDemand) update(peak float64, rejected bool, held int64) float64 {
+// update sets the estimate from the latest usage of a partition and returns it. The estimate follows growing
+// usage at once, with headroom, and decays if usage falls.
+func (p *partitionDemand) update(peak float64, rejected bool, current int64) float64 {
 	needed := peak * demandHeadroom
 	if rejected {
-		needed = max(needed, float64(2*held+p.limits.Step))
+		needed = max(needed, float64(2*current+p.limits.Step))
 	}
 	p.estimate = min(max(needed, p.estimate*demandDecay), float64(p.limits.Total))
 	return p.estimate
@@ -147,5 +151,5 @@
 
 func roundUpTo(step, units int64) int64 { return (units + step - 1) / step * step }
 
-// LastEstimate returns the latest estimate for a budget or partition, with its floor, in units.
+// LastEstimate returns the latest estimate for a budget or partition, including its floor, in units.
 func (d *DemandEstimator) LastEstimate(name string) float64 { return d.partitions[name].estimate }
--- a/internal/fleet/budget/grant.go
+++ b/internal/fleet/budget/grant.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// grant gives units of one budget to the holders whose requests are due a response, in order, as far as there are free
-// units and fairness allows.
+// grant grants units of one budget to the holders whose requests get a response, in the order of the requests
+// and within the limits of the free units and max-min fairness.
 func (l *Ledger) grant(name string, requests []LeaseRequest, responses []*LeaseResponse) {
 	account, limits := l.Budgets[name], l.Agreement.limits(name)
 	pool := max(account.Total-limits.Floor*l.Agreement.MaxNodes, 0)
@@ -30,32 +30,33 @@
 	}
 }
 
-// grantTo raises a holder's units towards its target, and returns the target: what it should have, or come down to.
+// grantTo raises a holder's units towards its target and returns the target. A target below the current units
+// is the amount to which the holder should reduce them.
 func (l *Ledger) grantTo(lease *Lease, name string, pool, fair int64) (target int64) {
 	account, limits := l.Budgets[name], l.Agreement.limits(name)
-	held, demand := lease.Units[name], lease.Demand[name]
+	current, demand := lease.Units[name], lease.Demand[name]
 	free := pool - account.Granted - account.CoolingDownTotal
-	if held > 0 {
-		free -= limits.Reserve // is for holders that have nothing yet
+	if current > 0 {
+		free -= limits.Reserve // only for holders without any leased units
 	}
 	target = min(demand, max(fair, limits.Step))
-	if target > held {
-		worthwhile := target-held >= limits.Step || held == 0 || target == demand
+	if target > current {
+		worthwhile := target-current >= limits.Step || current == 0 || target == demand
 		if free > 0 && worthwhile {
-			granted := min(target-held, free)
+			granted := min(target-current, free)
 			account.Granted += granted
-			lease.Units[name] = held + granted
+			lease.Units[name] = current + granted
 		}
 		return target
 	}
-	// Leases that followed each small change of demand would spend more time in cooldowns than in use.
-	if held-target < limits.Step && demand > 0 {
-		target = held
+	// If leases followed each small change of demand, units would spend more time in cooldown than in use.
+	if current-target < limits.Step && demand > 0 {
+		target = current
 	}
 	return target
 }
 
-// fairLevel returns the max-min fair level: the most that each holder gets so that the sum of all demands, each cut at
+// fairLevel returns the max-min fair level: the largest level at which the sum of all demands, each capped at
 // that level, fits into the pool.
 func (l *Ledger) fairLevel(name string, pool int64) int64 {
 	demands := make([]int64, 0, len(l.Holders))
--- a/internal/fleet/budget/lease_holder.go
+++ b/internal/fleet/budget/lease_holder.go
@@ -4,43 +4,47 @@
 
 import "maps"
 
-// requestsPerLease is how often a lease is renewed while it lasts, so that two requests in a row may be lost.
+// requestsPerLease is the number of renewals within a lease duration, so that a lease survives two lost
+// requests in a row.
 const requestsPerLease = 3
 
-// LeaseHolder is what one process may use. The clock that its times come from has to go on while the machine sleeps.
+// LeaseHolder tracks the units that one process may use. The clock that supplies its times must keep running
+// while the machine sleeps.
 type LeaseHolder struct {
-	Node, Name string // of the node, and of the process
+	Node, Name string // names of the node and of the process
 	agreement  *Agreement
 
-	floorsSince     int64 // since when the node's floors are this process's
-	floorsElsewhere bool  // the floors are another process's
-	rejected        bool  // voters reject this process's agreement, so that it may use nothing
+	floorsSince     int64 // when this process became the owner of the node's floors
+	floorsElsewhere bool  // another process of the node owns the floors
+	rejected        bool  // voters reject this process's agreement, so it may use no floors
 
 	seq              uint64 // of the latest request
-	requestedAt      int64  // when that was sent
-	awaitingResponse bool   // it has no response yet
-	requestNow       bool   // the next one is due at once, to give units back
+	requestedAt      int64  // when the latest request was sent
+	awaitingResponse bool   // the latest request has no response yet
+	requestNow       bool   // the next request is due at once, to return units
 
 	epoch     uint64 // of the latest response
-	clusterID string // that the epoch is of
+	clusterID string // of the latest response; epochs of different clusters can't be compared
 	expiry    int64  // of the lease
 	units     map[string]int64
 
 	firstExchange clockExchange // with the current leader
-	clockRate     float64       // of this clock by the leader's, once it is proved to be beyond the margin; else 0
+	clockRate     float64       // relative to the leader's clock, once proved to be beyond the margin; else 0
 }
 
-// clockExchange is one request and its response: when they were sent and received by this clock, and a time in between
-// by the leader's.
+// clockExchange is one request and its response: the times of sending and receiving by this clock, and a time
+// in between by the leader's clock.
 type clockExchange struct{ requestedAt, receivedAt, leaderTime int64 }
 
-// NewLeaseHolder returns a holder without a lease. name is the process's own, which no process had before.
+// NewLeaseHolder returns a holder without a lease. name identifies the process and must never have been used
+// before.
 func NewLeaseHolder(node, name string, agreement *Agreement, now int64) *LeaseHolder {
-	return &LeaseHolder{Node: node, Name: name, agreement: agreement, floorsSince: now, units: map[string]int64{}}
+	return &LeaseHolder{
+		Node: node, Name: name, agreement: agreement, floorsSince: now, units: map[string]int64{}}
 }
 
-// Units returns what may be used of a budget now. A floor counts from a window after the process's start, since a
-// process before it may have used the same floor until then.
+// Units returns the units of a budget that may be used now. The floor is available one window after the
+// process started, since an earlier process may have used the same floor until then.
 func (h *LeaseHolder) Units(budget string, now int64) int64 {
 	return h.floor(budget, now) + h.LeasedUnits(budget, now)
 }
@@ -53,8 +57,9 @@
 	return limits.Floor
 }
 
-// SetFloorOwner says whether the node's floors are this process's, as they are from its start. Of two processes of a
-// node, as during an upgrade, only one may use them. Taken over they count from a window later.
+// SetFloorOwner sets whether this process owns the node's floors, as it does from its start. If a node has
+// two processes, as during an upgrade, only one of them may use the floors. After a takeover the floors are
+// available one window later.
 func (h *LeaseHolder) SetFloorOwner(owner bool, now int64) {
 	if owner && h.floorsElsewhere {
 		h.floorsSince = now
@@ -62,8 +67,8 @@
 	h.floorsElsewhere = !owner
 }
 
-// SetRejected says whether voters reject this process's agreement. When they accept it again floors count from a
-// window later.
+// SetRejected sets whether voters reject this process's agreement. When they accept it again, the floors are
+// available one window later.
 func (h *LeaseHolder) SetRejected(rejected bool, now int64) {
 	if h.rejected && !rejected {
 		h.floorsSince = now
@@ -71,7 +76,7 @@
 	h.rejected = rejected
 }
 
-// LeasedUnits returns the part of Units that is leased, without the floor.
+// LeasedUnits returns the leased units of a budget that may be used now, without the floor.
 func (h *LeaseHolder) LeasedUnits(budget string, now int64) int64 {
 	if now >= h.expiry {
 		return 0
@@ -79,8 +84,8 @@
 	return h.units[budget]
 }
 
-// NextRequest returns the next request, to be sent now. demand is what the node could use of each budget beyond its
-// floor.
+// NextRequest returns the next request, to be sent now. demand is the number of units of each budget that the
+// node could use beyond its floor.
 func (h *LeaseHolder) NextRequest(demand map[string]int64, now int64) LeaseRequest {
 	if now >= h.expiry {
 		clear(h.units)
@@ -89,7 +94,8 @@
 		demand = nil
 	}
 	h.seq++
-	// The lease is counted from here. Counted from the response it would end after the leader takes it for expired.
+	// The lease begins when the request is sent. If it began with the response, it would end after the leader
+	// considers it expired.
 	h.requestedAt = now
 	h.awaitingResponse = true
 	h.requestNow = false
@@ -105,10 +111,10 @@
 	}
 }
 
-// ApplyResponse takes the response to the latest request, and reports whether that is a lease that is in force. Any
-// other response is ignored: it may grant units that a later request gave back.
+// ApplyResponse applies the response to the latest request and reports whether the lease is now in force. It
+// ignores responses to earlier requests: they may grant units that a later request returned.
 func (h *LeaseHolder) ApplyResponse(response *LeaseResponse, now int64) bool {
-	// Epochs of different clusters can't be compared: a newly founded one counts from the start.
+	// Epochs of different clusters can't be compared: a newly founded cluster counts from the start.
 	isStale := response.Epoch < h.epoch && response.ClusterID == h.clusterID
 	if !h.awaitingResponse || response.Seq != h.seq || isStale {
 		return false
@@ -117,18 +123,20 @@
 	h.compareClocks(response, now)
 	h.epoch = response.Epoch
 	h.clusterID = response.ClusterID
-	// On a slower clock than was agreed the lease would be in use after it was granted to another holder.
+	// If this clock is slower than the margin allows, the lease would be in use after its units were granted
+	// to another holder.
 	if h.clockRate != 0 {
 		clear(h.units)
 		return false
 	}
 	h.expiry = h.requestedAt + min(response.Lease, h.agreement.Lease)
-	h.takeUnits(response)
+	h.applyUnits(response)
 	return now < h.expiry
 }
 
-// takeUnits takes the granted units. Where the target is less, the rest is not used from now on and given back at once.
-func (h *LeaseHolder) takeUnits(response *LeaseResponse) {
+// applyUnits sets the leased units to the granted units. If the target is lower, the holder uses only the
+// target and returns the remaining units with a request at once.
+func (h *LeaseHolder) applyUnits(response *LeaseResponse) {
 	clear(h.units)
 	for name, units := range response.Units {
 		target := max(response.Target[name], 0)
@@ -142,8 +150,8 @@
 	}
 }
 
-// compareClocks sets the clock rate if this exchange and the first one with the same leader prove it to be beyond the
-// margin.
+// compareClocks sets the clock rate if this exchange and the first one with the same leader prove that the
+// rate is beyond the margin.
 func (h *LeaseHolder) compareClocks(response *LeaseResponse, now int64) {
 	exchange := clockExchange{requestedAt: h.requestedAt, receivedAt: now, leaderTime: response.LeaderTime}
 	if response.Epoch != h.epoch || response.ClusterID != h.clusterID {
@@ -155,8 +163,8 @@
 	}
 }
 
-// measureClock returns the rate of this clock by the leader's, and whether it is beyond the margin however long calls
-// took.
+// measureClock returns the rate of this clock relative to the leader's, and whether it is beyond the margin
+// regardless of how long the messages were in transit.
 func (h *LeaseHolder) measureClock(exchange clockExchange) (rate float64, isSkewed bool) {
 	leaderElapsed := float64(exchange.leaderTime - h.firstExchange.leaderTime)
 	leastElapsed := float64(exchange.requestedAt - h.firstExchange.receivedAt)
@@ -169,13 +177,15 @@
 	return (leastElapsed + mostElapsed) / 2 / leaderElapsed, isSkewed
 }
 
-// ClockRate returns the rate of this process's clock by the leader's if that is proved to be beyond the margin, else 0.
+// ClockRate returns the rate of this process's clock relative to the leader's if it is proved to be beyond
+// the margin, else 0.
 func (h *LeaseHolder) ClockRate() float64 { return h.clockRate }
 
 // Epoch returns the epoch of the latest response.
 func (h *LeaseHolder) Epoch() uint64 { return h.epoch }
 
-// NextRequestTime returns when the next request is due: at once if there are units to give back.
+// NextRequestTime returns the time at which the next request is due. It is due at once if there are units to
+// return.
 func (h *LeaseHolder) NextRequestTime() int64 {
 	if h.requestNow {
 		return h.requestedAt
@@ -186,5 +196,5 @@
 // Seq returns the number of the latest request.
 func (h *LeaseHolder) Seq() uint64 { return h.seq }
 
-// LeaseExpiry returns when the lease expires by this process's clock.
+// LeaseExpiry returns the time at which the lease expires by this process's clock.
 func (h *LeaseHolder) LeaseExpiry() int64 { return h.expiry }
--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// foundingCooldown is the number of the cooldown that a ledger begins with. It lasts a lease longer than others.
-	foundingCooldown = 0
-	// maxFirstAttempts bounds what is believed of one node's first attempts in a window.
+	// initialCooldown is the number of the cooldown with which a new ledger begins. It lasts one lease
+	// duration longer than other cooldowns.
+	initialCooldown = 0
+	// maxFirstAttempts bounds the number of first attempts per window that is accepted from one node.
 	maxFirstAttempts = 1 << 24
 )
 
-// Ledger is what was granted. It is replicated: applying the same entries in the same order makes the same ledger at
-// every voter. Only Apply changes it.
+// Ledger records the granted leases. It is replicated: applying the same entries in the same order yields the
+// same ledger on every voter. Only Apply changes it.
 type Ledger struct {
 	Agreement Agreement           `json:"pact"`
-	ClusterID string              `json:"group"` // a random one, from the first leader term
+	ClusterID string              `json:"group"` // random, set by the first leader term
 	Epoch     uint64              `json:"epoch"` // of the current leader term
 	Budgets   map[string]*Account `json:"budgets"`
 	Holders   map[string]*Lease   `json:"holders"`
@@ -28,27 +29,29 @@
 
 // Account is the state of one budget or partition, in units.
 type Account struct {
-	// MaxTotal is the total by the agreement or by operators.
+	// MaxTotal is the total set by the agreement or by operators.
 	MaxTotal int64 `json:"most"`
-	// Total is what may be granted and used as floors. While it is being lowered more may be granted still.
+	// Total is the number of units for leases and floors together. After the total was lowered, more units
+	// may remain granted until leases expire.
 	Total   int64 `json:"whole"`
-	Granted int64 `json:"granted"` // by leases that are in force or have to be taken for that
-	// CoolingDown is what was given back and may still count at its former holder, by the number of the cooldown.
+	Granted int64 `json:"granted"` // by leases that are in force or may still be
+	// CoolingDown is the number of returned units that may still count at their former holder, by cooldown
+	// number.
 	CoolingDown      map[int64]int64 `json:"resting"`
 	CoolingDownTotal int64           `json:"pause"`
 	LatestCooldown   int64           `json:"rested"` // the number of the latest cooldown
 }
 
-// Lease is what one process has been granted. Maps are by budget or partition.
+// Lease records the units granted to one process. Maps are by budget or partition.
 type Lease struct {
 	Node          string           `json:"node"`
 	Seq           uint64           `json:"seq"`   // of its latest request
-	FirstAttempts int64            `json:"first"` // by its latest request
+	FirstAttempts int64            `json:"first"` // reported by its latest request
 	Units         map[string]int64 `json:"units"`
 	Demand        map[string]int64 `json:"want"`
 }
 
-// StaleEpochError is returned for an entry of a leader term that is over.
+// StaleEpochError is returned for an entry of a leader term that has ended.
 type StaleEpochError struct {
 	Epoch, Current uint64
 }
@@ -58,17 +61,18 @@
 	return fmt.Sprintf("epoch %d is over, the current one is %d", e.Epoch, e.Current)
 }
 
-// NewLedger returns an empty ledger. The first leader term brings the agreement.
+// NewLedger returns an empty ledger. The first entry of a leader term sets its agreement.
 func NewLedger() *Ledger {
 	return &Ledger{Budgets: map[string]*Account{}, Holders: map[string]*Lease{}}
 }
 
-// Apply applies one entry. It returns the response to each request in it, nil for those that were seen before.
+// Apply applies one entry and returns the response to each of its requests. The response to a late or
+// duplicate request is nil.
 func (l *Ledger) Apply(entry *LogEntry) ([]*LeaseResponse, error) {
 	if entry.NewTerm {
 		return nil, l.beginTerm(entry)
 	}
-	// A leader that was stopped may go on with what it had decided after another term has begun.
+	// A leader that was paused may continue with earlier decisions after another term has begun.
 	if entry.Epoch != l.Epoch {
 		return nil, &StaleEpochError{Epoch: entry.Epoch, Current: l.Epoch}
 	}
@@ -100,8 +104,8 @@
 	return nil
 }
 
-// initialize opens the accounts. All units begin in a cooldown: a cluster before this one, of which no voter has any
-// state left, may have granted them a moment ago.
+// initialize creates the accounts. All units begin in a cooldown: an earlier cluster, of which no voter has
+// kept any state, may have granted them a moment ago.
 func (l *Ledger) initialize(agreement *Agreement) {
 	l.Agreement = *agreement
 	for budget, limits := range agreement.Budgets {
@@ -110,14 +114,15 @@
 			l.Budgets[name] = &Account{
 				MaxTotal:         limits.Total,
 				Total:            limits.Total,
-				CoolingDown:      map[int64]int64{foundingCooldown: pool},
+				CoolingDown:      map[int64]int64{initialCooldown: pool},
 				CoolingDownTotal: pool,
 			}
 		}
 	}
 }
 
-// setTotals takes operators' totals of budgets that exist, if they cover the floors and the reserve.
+// setTotals applies the operators' totals. It skips unknown budgets and totals that do not cover the floors
+// and the reserve.
 func (l *Ledger) setTotals(totals map[string]int64) {
 	for budget, total := range totals {
 		limits, known := l.Agreement.Budgets[budget]
@@ -131,7 +136,7 @@
 	}
 }
 
-// releaseCooldowns ends the cooldowns of each budget up to a number.
+// releaseCooldowns ends the cooldowns of each budget up to the given cooldown number.
 func (l *Ledger) releaseCooldowns(released map[string]int64) {
 	for name, latest := range released {
 		account := l.Budgets[name]
@@ -147,7 +152,7 @@
 	}
 }
 
-// expire ends leases, unless their holders have sent requests since.
+// expire ends leases, unless their holders have sent a later request.
 func (l *Ledger) expire(expired []Expiry) {
 	for _, expiry := range expired {
 		lease := l.Holders[expiry.Holder]
@@ -161,12 +166,13 @@
 	}
 }
 
-// recordRequest takes what a holder says of itself. It returns false for a request that arrived late or twice: what it
-// gave back may be in use elsewhere by now, and would be granted twice.
+// recordRequest updates the holder's lease from its request. It returns false for a late or duplicate
+// request: units returned since then may already be granted to another holder and would be granted twice.
 func (l *Ledger) recordRequest(request *LeaseRequest) bool {
 	lease := l.Holders[request.Holder]
 	if lease == nil {
-		// A late request of a process whose lease has expired gets here too. It is granted units for one lease at most.
+		// A late request of a process whose lease has expired also gets here. It ties up units for one lease
+		// duration at most.
 		lease = &Lease{Node: request.Node, Units: map[string]int64{}}
 		l.Holders[request.Holder] = lease
 	} else if request.Seq <= lease.Seq {
@@ -185,15 +191,16 @@
 	return true
 }
 
-// reduceUnits takes units that the holder uses no more from its lease. They cool down before they are granted again,
-// since what was sent on them still counts for a window, and a second holder would fill that window as well.
+// reduceUnits removes units from a lease that its holder no longer uses. They cool down before they are
+// granted again: the former holder's usage counts for one window, and a second holder would use the same
+// units in that window.
 func (l *Ledger) reduceUnits(lease *Lease, name string, remaining int64) {
 	units := lease.Units[name] - remaining
 	if units <= 0 {
 		return
 	}
-	// Each account numbers its own cooldowns. Numbers for all of them would depend on the order of a map, and differ
-	// from voter to voter.
+	// Each account numbers its own cooldowns. Numbers across accounts would depend on the order of map
+	// iteration and differ between voters.
 	account := l.Budgets[name]
 	account.LatestCooldown++
 	account.CoolingDown[account.LatestCooldown] = units
@@ -215,7 +222,7 @@
 	}
 }
 
-// adjustTotals has the totals that are a ratio of first attempts follow these.
+// adjustTotals recalculates the totals that are a ratio of the first attempts of all holders.
 func (l *Ledger) adjustTotals() {
 	firstAttempts := int64(0)
 	for _, lease := range l.Holders {
@@ -231,7 +238,8 @@
 	}
 }
 
-// Outstanding returns the most units that may be in use of a budget: all leases and the floors of all nodes.
+// Outstanding returns the largest number of units of a budget that may be in use: all leases and the floors
+// of all nodes.
 func (l *Ledger) Outstanding(name string) int64 {
 	return l.Budgets[name].Granted + l.Agreement.limits(name).Floor*l.Agreement.MaxNodes
 }
--- a/internal/fleet/budget/usage_meter.go
+++ b/internal/fleet/budget/usage_meter.go
@@ -4,35 +4,37 @@
 
 import "slices"
 
-// roundingTolerance is below any amount that counts. Sums of fractions are not exact.
+// roundingTolerance, in units, absorbs rounding errors in sums of floating-point amounts. It is smaller than
+// any amount that is charged.
 const roundingTolerance = 1e-9
 
-// UsageMeter counts what one process sent in the latest window, by key: a server, a tenant, or empty where a budget is
-// not counted by any. Amounts are units or fractions of them.
+// UsageMeter measures the usage of one process in the latest window, by key. A key is a server, a tenant, or
+// empty if a budget is not divided by key. Amounts are units or fractions of units.
 type UsageMeter struct {
 	window     int64 // nanoseconds
 	usages     map[string][]*Usage
-	rejections int     // since PeakDemand was called last
-	peak       float64 // the same
+	rejections int     // since the last call of PeakDemand
+	peak       float64 // since the last call of PeakDemand, in units
 }
 
-// Usage is one send, from its reservation on.
+// Usage is the usage of one send, from its reservation until its window ends.
 type Usage struct {
 	key    string
 	amount float64
 	sentAt int64 // 0: not sent yet
 }
 
-// Key returns what the usage is counted by.
+// Key returns the key to which the usage is charged.
 func (u *Usage) Key() string { return u.key }
 
-// NewUsageMeter returns a meter over a budget's window, longer by the clock margin as this node's clock may be fast.
+// NewUsageMeter returns a meter with a budget's window. The window is extended by the clock margin, since
+// this node's clock may be fast.
 func NewUsageMeter(agreement *Agreement, budget string) *UsageMeter {
 	window := agreement.withMargin(agreement.limits(budget).Window)
 	return &UsageMeter{window: window, usages: map[string][]*Usage{}}
 }
 
-// Used returns what counts for a key now: what was reserved, and what was sent within the window.
+// Used returns the current usage of a key: reserved amounts and amounts sent within the window.
 func (m *UsageMeter) Used(key string, now int64) float64 {
 	if len(m.usages[key]) == 0 {
 		return 0
@@ -45,7 +47,7 @@
 	return sum
 }
 
-// remove drops the usages of a key that a condition holds for.
+// remove removes the usages of a key that satisfy a condition.
 func (m *UsageMeter) remove(key string, condition func(*Usage) bool) {
 	m.usages[key] = slices.DeleteFunc(m.usages[key], condition)
 	if len(m.usages[key]) == 0 {
@@ -53,8 +55,8 @@
 	}
 }
 
-// Reserve reserves an amount for a send, given the units that the process may use now. It returns nil if they don't
-// suffice.
+// Reserve reserves an amount for a send. units are the units that the process may use now. Reserve returns
+// nil if they do not cover the amount.
 func (m *UsageMeter) Reserve(key string, amount float64, units int64, now int64) *Usage {
 	used := m.Used(key, now)
 	m.peak = max(m.peak, used+amount)
@@ -67,15 +69,15 @@
 	return u
 }
 
-// RecordRejected counts that an amount more could have been used, though none was tried to be reserved.
+// RecordRejected records unmet demand for an amount that was rejected without a call of Reserve.
 func (m *UsageMeter) RecordRejected(key string, amount float64, now int64) {
 	m.rejections++
 	m.peak = max(m.peak, m.Used(key, now)+amount)
 }
 
-// Send reports whether a reserved amount may be sent at this moment, given the units that the process may use now. The
-// process may have been stopped since it reserved, so that its lease expired or was reduced. The window counts from
-// here.
+// Send reports whether a reserved amount may be sent now, given the units that the process may use now. The
+// process may have been paused since the reservation, so that its lease expired or was reduced. The usage's
+// window begins with this call.
 func (m *UsageMeter) Send(u *Usage, units int64, now int64) bool {
 	if m.Used(u.key, now) > float64(units)+roundingTolerance {
 		return false
@@ -84,26 +86,26 @@
 	return true
 }
 
-// Record counts a send that was not reserved.
+// Record records a send without a reservation.
 func (m *UsageMeter) Record(key string, amount float64, now int64) {
 	m.usages[key] = append(m.usages[key], &Usage{key: key, amount: amount, sentAt: now})
 }
 
-// Cancel gives back what was reserved and not sent. What was sent counts until its window is over.
+// Cancel releases an amount that was reserved and not sent. A sent amount counts until its window ends.
 func (m *UsageMeter) Cancel(u *Usage) {
 	if u.sentAt == 0 {
 		m.Release(u)
 	}
 }
 
-// Release gives back what is known to have ended, for a budget that counts what is in flight. Where the end is never
-// learned of, a usage counts for the window, which nothing in flight outlasts.
+// Release removes a usage whose attempt has ended, for budgets that limit attempts in flight. If the end is
+// never observed, the usage counts for the window, which no attempt in flight outlasts.
 func (m *UsageMeter) Release(u *Usage) {
 	m.remove(u.key, func(other *Usage) bool { return other == u })
 }
 
-// PeakDemand returns the most that was used or asked for by any one key since the last call, and whether some was
-// rejected.
+// PeakDemand returns the highest usage or demand of any single key since the last call, and whether any
+// demand was rejected.
 func (m *UsageMeter) PeakDemand(now int64) (peak float64, rejected bool) {
 	peak = max(m.peak, m.Peak(now))
 	rejected = m.rejections > 0
@@ -112,7 +114,7 @@
 	return peak, rejected
 }
 
-// Peak returns the most that counts now for any one key.
+// Peak returns the highest current usage of any single key.
 func (m *UsageMeter) Peak(now int64) float64 {
 	peak := 0.0
 	for key := range m.usages {
