--- a/internal/fleet/budget/grant_benchmark_test.go
+++ b/internal/fleet/budget/grant_benchmark_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// BenchmarkGrant applies one request of each of so many holders, with demand that changes. The time of one request has
-// to stay far below what a lease leaves for it: three requests a lease and node.
+// BenchmarkGrant measures the time per request when one entry contains a request of each holder, with
+// changing demand. The leader must process three requests per node within each lease duration, so the time of
+// one request must stay far below its part of that.
 func BenchmarkGrant(b *testing.B) {
 	for _, count := range []int{9, 100, 300, 1000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) { benchmarkGrant(b, count) })
--- a/internal/fleet/budget/lease_holder_test.go
+++ b/internal/fleet/budget/lease_holder_test.go
@@ -6,15 +6,16 @@
 	"testing"
 )
 
-// TestNewCluster: a holder takes responses of a newly founded cluster, whose epochs are low again, and none of an
-// older epoch of its own cluster.
-func TestNewCluster(t *testing.T) {
-	agreement := &Agreement{MaxNodes: 1, Lease: 1000, Budgets: map[string]Limits{"b": {Total: 9, Step: 1, Window: 1}}}
+// TestApplyResponseAcrossClusters checks that a holder accepts responses of a newly founded cluster, whose
+// epochs start low again, and ignores responses of an older epoch of the same cluster.
+func TestApplyResponseAcrossClusters(t *testing.T) {
+	agreement := &Agreement{MaxNodes: 1, Lease: 1000,
+		Budgets: map[string]Limits{"b": {Total: 9, Step: 1, Window: 1}}}
 	h := NewLeaseHolder("n", "p", agreement, 0)
 	for i, c := range []struct {
 		clusterID string
 		epoch     uint64
-		taken     bool
+		applied   bool
 	}{{"x", 7, true}, {"x", 6, false}, {"y", 2, true}, {"y", 1, false}, {"y", 2, true}} {
 		now := int64(i)
 		request := h.NextRequest(nil, now)
@@ -25,16 +26,18 @@
 			Lease:      1000,
 			LeaderTime: now,
 		}
-		if got := h.ApplyResponse(response, now); got != c.taken {
-			t.Errorf("epoch %d of %s: taken %v", c.epoch, c.clusterID, got)
+		if got := h.ApplyResponse(response, now); got != c.applied {
+			t.Errorf("response of epoch %d of cluster %s: applied %v",
+				c.epoch, c.clusterID, got)
 		}
 	}
 }
 
-// TestClockSkew: a holder proves that its clock is beyond the margin however long calls take, and never takes a slow
-// call for a slow clock.
-func TestClockSkew(t *testing.T) {
-	agreement := &Agreement{Lease: 1000, ClockMargin: 0.1, Budgets: map[string]Limits{"b": {Total: 1, Window: 1}}}
+// TestClockSkewDetection checks that a holder detects a clock rate beyond the margin regardless of message
+// delays, and never reports skew because of slow messages.
+func TestClockSkewDetection(t *testing.T) {
+	agreement := &Agreement{Lease: 1000, ClockMargin: 0.1,
+		Budgets: map[string]Limits{"b": {Total: 1, Window: 1}}}
 	for _, c := range []struct {
 		rate, callTime float64
 		isSkewed       bool
@@ -48,11 +51,13 @@
 			callTime := c.callTime * float64(i%3) / 3
 			h.NextRequest(nil, clock(now))
 			leaderTime := int64(now + callTime*float64(i%2))
-			h.ApplyResponse(&LeaseResponse{Epoch: 1, Seq: i, Lease: 1000, LeaderTime: leaderTime}, clock(now+callTime))
+			h.ApplyResponse(&LeaseResponse{Epoch: 1, Seq: i, Lease: 1000, LeaderTime: leaderTime},
+				clock(now+callTime))
 			now += callTime + 500
 		}
 		if (h.ClockRate() != 0) != c.isSkewed {
-			t.Errorf("rate %v, calls of %v: taken for %v", c.rate, c.callTime, h.ClockRate())
+			t.Errorf("clock rate %v, calls of up to %v ns: got rate %v",
+				c.rate, c.callTime, h.ClockRate())
 		}
 	}
 }
--- a/internal/fleet/budget/ledger_test.go
+++ b/internal/fleet/budget/ledger_test.go
@@ -11,26 +11,26 @@
 	"testing"
 )
 
-// testLeader is a ledger and its leader, whose time the test sets.
+// testLeader is a ledger and its leader term, with a clock that the test sets.
 type testLeader struct {
 	ledger *Ledger
 	term   *LeaderTerm
 	now    int64
 }
 
-// newTestLeader founds a cluster at time 0, with all units in the founding cooldown.
+// newTestLeader returns the leader of a cluster founded at time 0, with all units in the initial cooldown.
 func newTestLeader(agreement *Agreement) *testLeader {
 	ledger := NewLedger()
 	ledger.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: agreement})
 	return &testLeader{ledger: ledger, term: NewLeaderTerm(ledger, 1, 0)}
 }
 
-// endFoundingCooldown makes the units of a budget free.
-func (l *testLeader) endFoundingCooldown(budget string) {
-	l.ledger.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{budget: foundingCooldown}})
+// endInitialCooldown makes the units of a budget available.
+func (l *testLeader) endInitialCooldown(budget string) {
+	l.ledger.Apply(&LogEntry{Epoch: 1, ReleasedAfterCooldown: map[string]int64{budget: initialCooldown}})
 }
 
-// expire ends what is over by now.
+// expire ends the leases and cooldowns that are due.
 func (l *testLeader) expire() {
 	due := l.term.DueExpirations(l.now)
 	if due == nil {
@@ -40,7 +40,8 @@
 	l.term.RecordApplied(l.ledger, due, nil, l.now)
 }
 
-// request has a holder ask for units of the budget "b", and returns what it has leased after the response.
+// request sends a holder's request for units of the budget "b" and returns its leased units after the
+// response.
 func (l *testLeader) request(h *LeaseHolder, demand int64) int64 {
 	request := h.NextRequest(map[string]int64{"b": demand}, l.now)
 	entry := &LogEntry{Epoch: 1, Requests: []LeaseRequest{request}}
@@ -51,13 +52,14 @@
 	return h.LeasedUnits("b", l.now)
 }
 
-// settledUnits has holders with these demands ask in turn, with time for all cooldowns in between, and returns what
-// each ends up with.
+// settledUnits lets holders with the given demands send requests in turn, with time for cooldowns in between,
+// and returns the leased units of each once they have settled.
 func settledUnits(agreement *Agreement, demands []int64) []int64 {
 	leader := newTestLeader(agreement)
 	var holders []*LeaseHolder
 	for i := range demands {
-		holders = append(holders, NewLeaseHolder(fmt.Sprint("n", i), fmt.Sprint("p", i), agreement, leader.now))
+		holders = append(holders, NewLeaseHolder(fmt.Sprint("n", i), fmt.Sprint("p", i),
+			agreement, leader.now))
 	}
 	for range 40 {
 		leader.now += agreement.Lease / 4
@@ -73,9 +75,10 @@
 	return units
 }
 
-// TestFairShares: a total is divided by max-min fairness, in steps. A node whose demand fits beside all others' is not
-// reduced to what is left over; with that fault leases swung between a third and a seventh of the total.
-func TestFairShares(t *testing.T) {
+// TestMaxMinFairness checks that a total is divided by max-min fairness, in steps. A node whose demand fits
+// beside all others' must not be reduced to the remaining units: that fault made leases oscillate between a
+// third and a seventh of the total.
+func TestMaxMinFairness(t *testing.T) {
 	agreement := &Agreement{MaxNodes: 4, Lease: 1000, ClockMargin: 0.1, Budgets: map[string]Limits{
 		"b": {Total: 110, Floor: 1, Reserve: 6, Step: 1, Window: 100},
 	}}
@@ -87,93 +90,96 @@
 		{[]int64{0, 0, 0, 0}, []int64{0, 0, 0, 0}},
 	} {
 		if got := settledUnits(agreement, c.demands); !slices.Equal(got, c.units) {
-			t.Errorf("demands %v: %v, want %v", c.demands, got, c.units)
+			t.Errorf("demands %v: leased %v units, want %v", c.demands, got, c.units)
 		}
 	}
 }
 
-// TestSmallDemandChanges: demand that changes by less than a step changes no lease.
+// TestSmallDemandChanges checks that a demand change smaller than a step changes no lease.
 func TestSmallDemandChanges(t *testing.T) {
 	agreement := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{
 		"b": {Total: 100, Step: 10, Window: 100},
 	}}
 	leader := newTestLeader(agreement)
-	leader.endFoundingCooldown("b")
+	leader.endInitialCooldown("b")
 	h := NewLeaseHolder("n", "p", agreement, 0)
 	for i, demand := range []int64{50, 45, 41, 49, 50} {
 		leader.now = int64(i)
 		if got := leader.request(h, demand); got != 50 {
-			t.Errorf("%d units after a demand of %d", got, demand)
+			t.Errorf("demand of %d units: leased %d units, want 50", demand, got)
 		}
 	}
 }
 
-// TestLoweredTotal: a total that is lowered waits for what is leased, and is never exceeded meanwhile.
+// TestLoweredTotal checks that after a total is lowered no units are granted beyond it while earlier leases
+// last, and that leases then shrink to the new total.
 func TestLoweredTotal(t *testing.T) {
 	agreement := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{
 		"b": {Total: 100, Floor: 5, Step: 1, Window: 100},
 	}}
 	leader := newTestLeader(agreement)
-	leader.endFoundingCooldown("b")
-	one, two := NewLeaseHolder("n", "p", agreement, 0), NewLeaseHolder("m", "q", agreement, 0)
+	leader.endInitialCooldown("b")
+	first, second := NewLeaseHolder("n", "p", agreement, 0), NewLeaseHolder("m", "q", agreement, 0)
 	round := func(h *LeaseHolder, demand int64) int64 {
 		leader.now += 50
 		leader.expire()
 		return leader.request(h, demand)
 	}
-	if got := round(one, 80); got != 80 {
+	if got := round(first, 80); got != 80 {
 		t.Fatal(got)
 	}
 	leader.ledger.Apply(&LogEntry{Epoch: 1, Totals: map[string]int64{"b": 30}})
-	if got := round(two, 80); got != 0 {
-		t.Errorf("%d units are granted while 80 of a total of 30 are leased", got)
+	if got := round(second, 80); got != 0 {
+		t.Errorf("granted %d units while 80 units are leased and the total is 30, want 0", got)
 	}
 	for range 20 {
-		a, c := round(one, 80), round(two, 80)
+		a, c := round(first, 80), round(second, 80)
 		if a+c > 20 && a+c > 80 {
-			t.Errorf("%d and %d", a, c)
+			t.Errorf("leased %d and %d units, want a sum of at most 80", a, c)
 		}
 	}
-	if a, c := round(one, 80), round(two, 80); a != 10 || c != 10 {
-		t.Errorf("%d and %d of a total of 30 with floors of 10", a, c)
+	if a, c := round(first, 80), round(second, 80); a != 10 || c != 10 {
+		t.Errorf("leased %d and %d units of a total of 30 with floors of 10 in sum, want 10 and 10", a, c)
 	}
-	// Neither a total under the floors nor one of an unknown budget is taken.
+	// A total below the floors and a total of an unknown budget are ignored.
 	leader.ledger.Apply(&LogEntry{Epoch: 1, Totals: map[string]int64{"b": 9, "none": 100}})
 	if got := leader.ledger.Budgets["b"].Total; got != 30 {
 		t.Error(got)
 	}
 }
 
-// TestTotalFollowsFirstAttempts: a total that is a ratio of first attempts follows what nodes report, and forgets a
-// node whose lease has expired.
+// TestTotalFollowsFirstAttempts checks that a total that is a ratio of first attempts follows the nodes'
+// reports and excludes a node whose lease has expired.
 func TestTotalFollowsFirstAttempts(t *testing.T) {
 	agreement := &Agreement{MaxNodes: 2, Lease: 1000, Budgets: map[string]Limits{
 		"b": {Total: 50, Floor: 2, Step: 1, Window: 100, FirstAttemptRatio: 0.1},
 	}}
 	leader := newTestLeader(agreement)
-	leader.endFoundingCooldown("b")
+	leader.endInitialCooldown("b")
 	account := leader.ledger.Budgets["b"]
-	for i, c := range []struct{ one, two, total int64 }{
+	for i, c := range []struct{ first, second, total int64 }{
 		{0, 0, 4}, {100, 0, 10}, {200, 100, 30}, {9000, -5, 50}, {1 << 60, 1 << 60, 50}, {100, 50, 15},
 	} {
-		for j, attempts := range []int64{c.one, c.two} {
+		for j, attempts := range []int64{c.first, c.second} {
 			name := fmt.Sprint(j)
 			request := LeaseRequest{Node: name, Holder: name, Seq: uint64(i + 1), FirstAttempts: attempts}
 			leader.ledger.Apply(&LogEntry{Epoch: 1, Requests: []LeaseRequest{request}})
 		}
 		if account.Total != c.total {
-			t.Errorf("%d and %d first attempts: a total of %d, want %d", c.one, c.two, account.Total, c.total)
+			t.Errorf("%d and %d first attempts: total %d units, want %d",
+				c.first, c.second, account.Total, c.total)
 		}
 	}
 	leader.ledger.Apply(&LogEntry{Epoch: 1, Expired: []Expiry{{Holder: "0", Seq: 6}}})
 	if account.Total != 5 {
-		t.Errorf("%d after the first node is gone", account.Total)
+		t.Errorf("total after the first node's lease expired: got %d units, want 5", account.Total)
 	}
 }
 
-// TestVotersAgree: the same entries lead to the same ledger at every voter. Cooldowns that were numbered in the order
-// of a map would have other numbers at another voter, which would then end one that has just begun.
-func TestVotersAgree(t *testing.T) {
+// TestLedgerDeterminism checks that the same entries yield the same ledger on every voter. If cooldowns were
+// numbered in the order of map iteration, voters would number them differently and one would end a cooldown
+// that has just begun.
+func TestLedgerDeterminism(t *testing.T) {
 	agreement := &Agreement{MaxNodes: 4, Lease: 1000, ClockMargin: 0.1, Budgets: map[string]Limits{}}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		agreement.Budgets[name] = Limits{Total: 40, Floor: 1, Step: 1, Window: 100, Partitions: 3}
@@ -208,7 +214,7 @@
 	want, _ := json.Marshal(ledgers[0])
 	for _, ledger := range ledgers[1:] {
 		if got, _ := json.Marshal(ledger); !bytes.Equal(got, want) {
-			t.Fatalf("the ledgers of two voters:\n%s\n%s", got, want)
+			t.Fatalf("ledgers of two voters differ: got\n%s\nwant\n%s", got, want)
 		}
 	}
 }
--- a/internal/fleet/budget/model_explore_test.go
+++ b/internal/fleet/budget/model_explore_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// clone returns a copy that shares nothing with this cluster, so that both can continue.
+// clone returns a deep copy, so that both clusters can continue independently.
 func (c *modelCluster) clone() *modelCluster {
 	copied := *c
 	copied.ledger = cloneLedger(c.ledger)
@@ -57,18 +57,20 @@
 	return &copied
 }
 
-// key is the same for two clusters only if all that follows is the same as well. Times are absolute in it, which tells
-// some apart that could be taken for one.
+// key returns a key that is equal for two clusters only if their possible futures are equal. It contains
+// absolute times, so some equivalent states get different keys.
 func (c *modelCluster) key() string {
 	var k strings.Builder
 	account := c.ledger.Budgets["b"]
-	fmt.Fprint(&k, c.now, c.processes, c.ledger.Epoch, account.LatestCooldown, c.requests, c.responses, c.history)
+	fmt.Fprint(&k, c.now, c.processes, c.ledger.Epoch, account.LatestCooldown,
+		c.requests, c.responses, c.history)
 	fmt.Fprint(&k, len(c.stale), c.term.expirations, c.term.cooldowns)
 	for _, entry := range c.stale {
 		fmt.Fprint(&k, *entry)
 	}
 	for _, h := range c.holders {
-		fmt.Fprint(&k, h.Name, h.seq, h.epoch, h.requestedAt, h.awaitingResponse, h.expiry, h.units, h.requestNow)
+		fmt.Fprint(&k, h.Name, h.seq, h.epoch, h.requestedAt, h.awaitingResponse,
+			h.expiry, h.units, h.requestNow)
 	}
 	fmt.Fprint(&k, account.Granted, account.CoolingDown)
 	for _, name := range slices.Sorted(maps.Keys(c.ledger.Holders)) {
@@ -78,7 +80,7 @@
 	return k.String()
 }
 
-// explore plays all orders of moves up to a depth, breadth first.
+// explore runs all orders of moves up to a depth, breadth first.
 func explore(v variant, depth int) (states int, violation string, steps []string) {
 	seen, level := map[string]bool{}, []*modelCluster{newModelCluster(v)}
 	for range depth {
@@ -100,9 +102,10 @@
 	return len(seen), "", nil
 }
 
-// playHistories plays random moves, far deeper than can be explored, until one breaks a promise. Each history has its
-// own weights of moves, so that some have many losses, others many elections or long silence.
-func playHistories(v variant, seed uint64, count, length int) (violation string, steps []string) {
+// runRandomHistories runs random moves, far deeper than explore can, until one violates an invariant. Each
+// history has its own weights of moves, so that some have many lost messages, others many elections or long
+// silence.
+func runRandomHistories(v variant, seed uint64, count, length int) (violation string, steps []string) {
 	random := rand.New(rand.NewPCG(seed, 7))
 	for range count {
 		c, weights := newModelCluster(v), map[string]float64{}
@@ -115,7 +118,8 @@
 	return "", nil
 }
 
-// randomMove draws one of the moves by the weights of their kinds, which it draws as well where they are not set yet.
+// randomMove selects one of the moves at random by the weights of their kinds. It first selects the weights
+// that are not set yet.
 func randomMove(random *rand.Rand, moves []string, weights map[string]float64) string {
 	var sums []float64
 	sum := 0.0
@@ -131,9 +135,10 @@
 	return moves[i]
 }
 
-// TestAllOrders: what holders may use never sums to more than the total, at one moment or within a window, in all
-// orders of loss, doubling, lateness, expiry, election, stops and restarts up to a depth.
-func TestAllOrders(t *testing.T) {
+// TestTotalHoldsInAllOrders checks that the units that holders may use never exceed the total, at one moment
+// or within a window, in all orders of lost, duplicate and late messages, expirations, elections, pauses and
+// restarts up to a depth.
+func TestTotalHoldsInAllOrders(t *testing.T) {
 	depth := 5 // FERNRAIL_MODEL_DEPTH=6 explores 435,907 states, in some minutes with -race
 	if v, err := strconv.Atoi(os.Getenv("FERNRAIL_MODEL_DEPTH")); err == nil {
 		depth = v
@@ -144,28 +149,30 @@
 	}
 	t.Logf("%d states to a depth of %d", states, depth)
 	if states < 10000 {
-		t.Errorf("%d states are too few to have tried all orders", states)
+		t.Errorf("explored %d states, want at least 10000", states)
 	}
 }
 
-// TestRandomHistories is TestAllOrders at random, far deeper.
-func TestRandomHistories(t *testing.T) {
-	if violation, steps := playHistories(correct, 1, 1000, 150); violation != "" {
+// TestTotalHoldsInRandomHistories checks the same invariant as TestTotalHoldsInAllOrders in random orders,
+// far deeper.
+func TestTotalHoldsInRandomHistories(t *testing.T) {
+	if violation, steps := runRandomHistories(correct, 1, 1000, 150); violation != "" {
 		t.Fatalf("%s after %q", violation, steps)
 	}
 }
 
-// TestWrongVariants: each wrong variant is caught. A check that none of them fails would prove nothing.
-func TestWrongVariants(t *testing.T) {
+// TestModelDetectsFaults checks that the model detects each deliberate fault. Without this, a passing model
+// would prove nothing.
+func TestModelDetectsFaults(t *testing.T) {
 	for _, v := range []variant{
-		withoutMargin, countedFromResponse, forgetfulLeader, returnCountedTwice,
-		uncheckedEpoch, anyResponseIsTaken, withoutCooldown,
+		withoutMargin, startsAtResponse, leasesNotRestored, returnCountedTwice,
+		uncheckedEpoch, staleResponseApplied, withoutCooldown,
 	} {
-		violation, steps := playHistories(v, 1, 20000, 150)
+		violation, steps := runRandomHistories(v, 1, 20000, 150)
 		if violation == "" {
-			t.Errorf("%s: not caught", v)
+			t.Errorf("fault %q: not detected", v)
 			continue
 		}
-		t.Logf("%s: caught after %d steps: %s", v, len(steps), violation)
+		t.Logf("fault %q: detected after %d steps: %s", v, len(steps), violation)
 	}
 }
--- a/internal/fleet/budget/model_test.go
+++ b/internal/fleet/budget/model_test.go
@@ -7,44 +7,45 @@
 	"slices"
 )
 
-// variant is a deliberate mistake in the code under test. The model has to find each of them.
+// variant is a fault that is deliberately added to the code under test. The model must detect each of them.
 type variant string
 
 const (
-	correct             variant = ""
-	withoutMargin       variant = "leases without the clock margin"
-	forgetfulLeader     variant = "a new leader that forgets what is leased"
-	returnCountedTwice  variant = "a return that is counted twice"
-	uncheckedEpoch      variant = "an epoch that is not checked"
-	withoutCooldown     variant = "units granted again without a cooldown"
-	countedFromResponse variant = "a lease that is counted from the response"
-	anyResponseIsTaken  variant = "any response is taken"
+	correct              variant = ""
+	withoutMargin        variant = "leases expire without the clock margin"
+	leasesNotRestored    variant = "a new leader lets existing leases expire at once"
+	returnCountedTwice   variant = "a duplicate request returns its units twice"
+	uncheckedEpoch       variant = "the epoch of entries is not checked"
+	withoutCooldown      variant = "units are granted again without a cooldown"
+	startsAtResponse     variant = "a lease begins when its response arrives"
+	staleResponseApplied variant = "responses to earlier requests are applied"
 )
 
-// modelCluster is a fleet in which any message may be lost, doubled or late, any voter may be elected, stop and
-// continue, and any holder may restart. What is checked is what the holders may use, and nothing that the ledger says.
+// modelCluster is a model of a fleet in which any message may be lost, duplicated or late, any voter may be
+// elected, pause and continue, and any holder may restart. The checks examine only the units that holders may
+// use, not the ledger's own sums.
 type modelCluster struct {
 	variant    variant
 	now        int64
 	ledger     *Ledger
 	term       *LeaderTerm
-	stale      []*LogEntry // decided by leaders that were stopped before they committed it
+	stale      []*LogEntry // entries of leaders that were paused before they committed them
 	holders    []*LeaseHolder
 	clockRates []int64 // of each holder's clock, in tenths
 	requests   []LeaseRequest
 	responses  []addressedResponse
 	history    []usageSample // of the latest window
-	processes  int           // that were ever started
+	processes  int           // number of processes started so far
 	steps      []string
 }
 
-// addressedResponse is a response on its way.
+// addressedResponse is a response in transit.
 type addressedResponse struct {
-	to string // the holder
+	to string // name of the holder
 	LeaseResponse
 }
 
-// usageSample is what each holder could use at one moment.
+// usageSample records the units that each holder could use at one moment.
 type usageSample struct {
 	at    int64
 	units []int64
@@ -67,9 +68,9 @@
 	c := &modelCluster{variant: v, ledger: NewLedger(), now: 10 * modelTick}
 	agreement := modelAgreement
 	c.ledger.Apply(&LogEntry{NewTerm: true, Epoch: 1, Agreement: &agreement})
-	c.clearCooldowns() // it was founded long ago
+	c.clearCooldowns() // the cluster was founded long ago
 	c.term = c.newTerm(1)
-	for i, rate := range []int64{10, 7, 10} { // one is slow, within the margin
+	for i, rate := range []int64{10, 7, 10} { // one clock is slow, within the margin
 		c.clockRates = append(c.clockRates, rate)
 		c.holders = append(c.holders, c.newProcess(i))
 	}
@@ -83,7 +84,7 @@
 	account.CoolingDownTotal = 0
 }
 
-// newTerm has a voter become leader.
+// newTerm begins a leader term.
 func (c *modelCluster) newTerm(epoch uint64) *LeaderTerm {
 	term := NewLeaderTerm(c.ledger, epoch, c.now)
 	switch c.variant {
@@ -91,7 +92,7 @@
 		agreement := *term.agreement
 		agreement.ClockMargin = 0
 		term.agreement = &agreement
-	case forgetfulLeader:
+	case leasesNotRestored:
 		for name, x := range term.expirations {
 			term.expirations[name] = expiration{seq: x.seq, expiresAt: c.now}
 		}
@@ -99,7 +100,7 @@
 	return term
 }
 
-// clock is the time by a holder's own clock.
+// clock returns the time by a holder's own clock.
 func (c *modelCluster) clock(holder int) int64 { return c.now * c.clockRates[holder] / 10 }
 
 func (c *modelCluster) newProcess(holder int) *LeaseHolder {
@@ -108,7 +109,7 @@
 	return NewLeaseHolder(fmt.Sprint("n", holder), name, &c.ledger.Agreement, c.clock(holder))
 }
 
-// commit applies an entry that a leader decided on in its term; nil: a term that is over.
+// commit applies an entry of a leader term. term is nil if the term has ended.
 func (c *modelCluster) commit(entry *LogEntry, term *LeaderTerm) {
 	switch {
 	case c.variant == uncheckedEpoch && !entry.NewTerm:
@@ -128,12 +129,14 @@
 	for i, response := range responses {
 		if response != nil {
 			response.LeaderTime = c.now
-			c.responses = append(c.responses, addressedResponse{to: entry.Requests[i].Holder, LeaseResponse: *response})
+			c.responses = append(c.responses,
+				addressedResponse{to: entry.Requests[i].Holder, LeaseResponse: *response})
 		}
 	}
 }
 
-// rewindRequests has the ledger forget that it saw the requests of an entry, until the returned function is called.
+// rewindRequests makes the ledger accept duplicate requests of an entry, until the returned function is
+// called.
 func (c *modelCluster) rewindRequests(entry *LogEntry) (restore func()) {
 	seqs := map[*Lease]uint64{}
 	for _, request := range entry.Requests {
@@ -150,8 +153,8 @@
 	}
 }
 
-// checkUsage samples what each holder may use, and returns what is wrong with it: too much at this moment or within a
-// window.
+// checkUsage samples the units that each holder may use. It returns a description of the violation if their
+// sum exceeds the total at this moment or within a window, else an empty string.
 func (c *modelCluster) checkUsage() string {
 	units, sum := make([]int64, len(c.holders)), int64(0)
 	for i, h := range c.holders {
@@ -159,12 +162,13 @@
 		sum += units[i]
 	}
 	if sum > modelTotal {
-		return fmt.Sprintf("at %d: %v in force, %d in all", c.now/modelTick, units, sum)
+		return fmt.Sprintf("tick %d: usable units by holder %v, sum %d exceeds the total",
+			c.now/modelTick, units, sum)
 	}
 	c.history = append(slices.Clone(c.history), usageSample{at: c.now, units: units})
 	c.history = slices.DeleteFunc(c.history, func(s usageSample) bool { return c.now-s.at >= modelWindow })
-	// A process that restarts keeps its place in the samples. What the old one used counts with the most of both,
-	// unless both used some, which two samples of one place show.
+	// A restarted process keeps the index of its predecessor in the samples. The larger usage of the two
+	// counts, since a holder's units within the window are the maximum over its samples.
 	most := int64(0)
 	for i := range c.holders {
 		mostOfHolder := int64(0)
@@ -174,12 +178,13 @@
 		most += mostOfHolder
 	}
 	if most > modelTotal {
-		return fmt.Sprintf("at %d: %v within a window", c.now/modelTick, c.history)
+		return fmt.Sprintf("tick %d: usable units within a window exceed the total: %v",
+			c.now/modelTick, c.history)
 	}
 	return ""
 }
 
-// moves returns all that may happen next. Messages that are never delivered are lost.
+// moves returns all possible next moves. Messages that are never delivered are lost.
 func (c *modelCluster) moves() []string {
 	moves := []string{"tick"}
 	for i, h := range c.holders {
@@ -208,7 +213,7 @@
 	return moves
 }
 
-// move makes one move, and returns which promise it breaks, empty for none.
+// move makes one move and returns a description of the invariant that it violates, empty if none.
 func (c *modelCluster) move(step string) string {
 	c.steps = append(c.steps, step)
 	var kind string
@@ -224,7 +229,7 @@
 	case "restart":
 		c.holders[i] = c.newProcess(i)
 		changesUsage = true
-	case "commit", "commit-and-keep": // a request that is kept may be committed once more
+	case "commit", "commit-and-keep": // a kept request may be committed again, as a duplicate
 		c.commitRequest(i, kind == "commit-and-keep")
 	case "respond", "respond-and-keep":
 		c.respond(i, kind == "respond-and-keep")
@@ -238,10 +243,10 @@
 		c.stale = slices.Delete(slices.Clone(c.stale), i, i+1)
 		c.commit(entry, nil)
 	}
-	// A lease that no leader will ever end is lost.
+	// If the leader does not track a lease's expiration, its units are never released.
 	for name, lease := range c.ledger.Holders {
 		if x, known := c.term.expirations[name]; !known || x.seq != lease.Seq {
-			return fmt.Sprintf("nobody ends what %s was granted", name)
+			return fmt.Sprintf("the leader does not track the expiration of the lease of %s", name)
 		}
 	}
 	if changesUsage {
@@ -275,16 +280,16 @@
 			continue
 		}
 		switch c.variant {
-		case countedFromResponse:
+		case startsAtResponse:
 			h.requestedAt = c.clock(j)
-		case anyResponseIsTaken:
+		case staleResponseApplied:
 			h.awaitingResponse, h.seq = true, response.Seq
 		}
 		h.ApplyResponse(&response.LeaseResponse, c.clock(j))
 	}
 }
 
-// elect begins another leader term. The leader before is stopped with what it had decided and not committed.
+// elect begins another leader term. The previous leader is paused with entries that it has not committed.
 func (c *modelCluster) elect() {
 	if due := c.term.DueExpirations(c.now); due != nil {
 		c.stale = append(c.stale, due)
