--- a/internal/fleet/budget/lease_holder_test.go
+++ b/internal/fleet/budget/lease_holder_test.go
@@ -27,8 +27,8 @@
 			LeaderTime: now,
 		}
 		if got := h.ApplyResponse(response, now); got != c.applied {
-			t.Errorf("response of epoch %d of cluster %s: applied %v",
-				c.epoch, c.clusterID, got)
+			t.Errorf("response of epoch %d of cluster %s: applied %v, want %v",
+				c.epoch, c.clusterID, got, c.applied)
 		}
 	}
 }
@@ -56,8 +56,8 @@
 			now += callTime + 500
 		}
 		if (h.ClockRate() != 0) != c.isSkewed {
-			t.Errorf("clock rate %v, calls of up to %v ns: got rate %v",
-				c.rate, c.callTime, h.ClockRate())
+			t.Errorf("clock rate %v, calls of up to %v ns: got rate %v, want skew detected: %v",
+				c.rate, c.callTime, h.ClockRate(), c.isSkewed)
 		}
 	}
 }
--- a/internal/fleet/budget/ledger_test.go
+++ b/internal/fleet/budget/ledger_test.go
@@ -126,7 +126,7 @@
 		return leader.request(h, demand)
 	}
 	if got := round(first, 80); got != 80 {
-		t.Fatal(got)
+		t.Fatalf("first lease: got %d units, want 80", got)
 	}
 	leader.ledger.Apply(&LogEntry{Epoch: 1, Totals: map[string]int64{"b": 30}})
 	if got := round(second, 80); got != 0 {
@@ -144,7 +144,7 @@
 	// A total below the floors and a total of an unknown budget are ignored.
 	leader.ledger.Apply(&LogEntry{Epoch: 1, Totals: map[string]int64{"b": 9, "none": 100}})
 	if got := leader.ledger.Budgets["b"].Total; got != 30 {
-		t.Error(got)
+		t.Errorf("total after invalid changes: got %d units, want 30", got)
 	}
 }
 
