--- a/internal/fleet/accept_queue.go
+++ b/internal/fleet/accept_queue.go
@@ -17,7 +17,7 @@
 // String implements net.Addr.
 func (a voterAddress) String() string { return string(a) }
 
-// handshakeConn is a connection whose first bytes were read already.
+// handshakeConn is a connection whose first bytes were already read into a buffer.
 type handshakeConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -30,7 +30,7 @@
 // Close implements net.Conn.
 func (c *handshakeConn) Close() error { return c.layer.closeConnection(c.Conn) }
 
-// acceptQueue is a net.Listener for connections that were accepted elsewhere.
+// acceptQueue is a net.Listener for connections that another listener accepted.
 type acceptQueue struct {
 	address net.Addr
 	conns   chan net.Conn
@@ -44,7 +44,8 @@
 	return q
 }
 
-// deliver waits until somebody accepts the connection. If the queue is closed the connection is as well.
+// deliver waits until the connection is accepted. If the queue is closed first, deliver closes the
+// connection.
 func (q *acceptQueue) deliver(conn net.Conn) {
 	select {
 	case q.conns <- conn:
--- a/internal/fleet/cluster.go
+++ b/internal/fleet/cluster.go
@@ -15,19 +15,20 @@
 const (
 	// peerCallTimeout bounds a call to another voter, and a change of the cluster's members.
 	peerCallTimeout = time.Second
-	// minDiscoveryInterval is the least time between two looks at the cluster.
+	// minDiscoveryInterval is the minimum time between two checks of the cluster's state.
 	minDiscoveryInterval = 50 * time.Millisecond
 )
 
-// voterIdentity is what a voter says of itself, in status and join calls and in the responses to them.
+// voterIdentity identifies a voter in status and join calls and in the responses to them.
 type voterIdentity struct {
 	Name  string `json:"name"`  // of its node
 	ID    string `json:"id"`    // of the voter
-	Blank bool   `json:"blank"` // it knows of no cluster
+	Blank bool   `json:"blank"` // it has no cluster configuration
 }
 
-// discoverCluster makes this voter a member of the cluster and keeps it one. A cluster is founded once, when all
-// voters are up and none has any state. After that the members add whoever has lost its state, under its new id.
+// discoverCluster makes this voter a member of the cluster and checks periodically that it still is. A
+// cluster is founded once, when all voters are up and none has any state. Afterwards its members add each
+// voter that has lost its state, under that voter's new id.
 func (v *voter) discoverCluster(ctx context.Context) {
 	ticker := time.NewTicker(max(v.cfg.ElectionTimeout, minDiscoveryInterval))
 	defer ticker.Stop()
@@ -41,7 +42,7 @@
 		case !v.clusterLost(ctx):
 			lastUsable = v.clock()
 		case v.clock()-lastUsable > v.cfg.Agreement.Lease:
-			v.log.Error().Msg("quorum lost its durable state; founding a new cluster")
+			v.log.Error().Msg("most voters lost their state; founding a new cluster")
 			close(v.quorumLost)
 			return
 		}
@@ -53,10 +54,12 @@
 	}
 }
 
-// clusterLost reports whether the cluster can never elect a leader again: there is none, and most voters are up
-// without the state that was theirs. Nobody could add them, and all nodes would live on their floors for good.
+// clusterLost reports whether the cluster can never elect a leader again: it has no leader, and most voters
+// are up but have lost their state. Without a leader no voter can be added, and all nodes would be limited to
+// their floors permanently.
 //
-// With data directories the answer is always no, since a disk may come back; then operators decide.
+// It always returns false with data directories, since a disk may become available again. Operators decide
+// then.
 func (v *voter) clusterLost(ctx context.Context) bool {
 	if v.cfg.DataDir != "" {
 		return false
@@ -77,13 +80,13 @@
 	return 2*blank > len(v.cfg.Voters)
 }
 
-// isBlank reports whether this voter knows of no cluster.
+// isBlank reports whether this voter has no cluster configuration.
 func (v *voter) isBlank() bool {
 	members := v.raft.GetConfiguration()
 	return members.Error() != nil || len(members.Configuration().Servers) == 0
 }
 
-// isMember reports whether this voter is part of the cluster that it knows of.
+// isMember reports whether this voter is listed in its own cluster configuration.
 func (v *voter) isMember() bool {
 	members := v.raft.GetConfiguration()
 	if members.Error() != nil {
@@ -101,12 +104,12 @@
 	return false
 }
 
-// identity returns what this voter says of itself.
+// identity returns this voter's identity.
 func (v *voter) identity() voterIdentity {
 	return voterIdentity{Name: v.name, ID: v.id, Blank: v.isBlank()}
 }
 
-// identify asks another voter what it says of itself.
+// identify requests another voter's identity.
 func (v *voter) identify(ctx context.Context, peer config.Voter, own voterIdentity) (voterIdentity, error) {
 	return v.callPeer(ctx, peer, statusPath, own)
 }
@@ -122,8 +125,8 @@
 	return identity, err
 }
 
-// bootstrapCluster founds the cluster if all voters are up and blank, and this is the one that does: the first by
-// name. It reports whether the cluster is founded by this voter or about to be by that one.
+// bootstrapCluster founds the cluster if all voters are up and blank, and if this voter's name is the first
+// in sorted order. It reports whether all voters are up and blank, so that the first one founds the cluster.
 func (v *voter) bootstrapCluster(ctx context.Context) bool {
 	var servers []raft.Server
 	first := v.name
@@ -146,17 +149,17 @@
 		return true
 	}
 	err := v.raft.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
-	v.log.Info().Err(err).Int("voters", len(servers)).Msg("founded the cluster")
+	v.log.Info().Err(err).Int("voters", len(servers)).Msg("cluster bootstrap finished")
 	return true
 }
 
-// raftServer returns the raft member with a voter's id. The id is its address as well: the stream layer knows where it
-// is.
+// raftServer returns the raft member with a voter's id. The id is also its raft address: the stream layer
+// resolves it.
 func raftServer(id string) raft.Server {
 	return raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(id), Address: raft.ServerAddress(id)}
 }
 
-// joinCluster asks the other voters to add this one, until one has done so.
+// joinCluster requests each of the other voters in turn to add this one, until one succeeds.
 func (v *voter) joinCluster(ctx context.Context) {
 	own := voterIdentity{Name: v.name, ID: v.id, Blank: true}
 	for _, peer := range v.cfg.Voters {
@@ -170,7 +173,7 @@
 	}
 }
 
-// addVoter adds a voter to the cluster in place of the one that its node had before.
+// addVoter adds a voter to the cluster and removes the earlier voter of the same node.
 func (v *voter) addVoter(joining *voterIdentity) error {
 	if v.cfg.Voter(joining.Name) == nil || nodeName(joining.ID) != joining.Name {
 		return fmt.Errorf("%.60q has no seat", joining.Name)
@@ -186,12 +189,13 @@
 	if err != nil {
 		return err
 	}
-	v.log.Warn().Str("voter", joining.Name).Msg("adding a voter that lost its state")
+	v.log.Warn().Str("voter", joining.Name).Msg("adding a voter that lost its state, under its new id")
 	server := raftServer(joining.ID)
 	return v.raft.AddVoter(server.ID, server.Address, index, peerCallTimeout).Error()
 }
 
-// removeVoters removes a node's voters from the cluster, and returns the index of the last change.
+// removeVoters removes a node's voters from the cluster. It returns the log index of the latest configuration
+// change.
 func (v *voter) removeVoters(node string, members raft.ConfigurationFuture) (index uint64, err error) {
 	index = members.Index()
 	for _, server := range members.Configuration().Servers {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fleet shares budgets with other nodes. It requests leases on them, checks at the moment of sending that a
-// lease covers what is sent, and on some nodes runs a voter of the raft cluster that grants the leases. How a budget
-// is divided is decided in package budget.
+// Package fleet shares budgets among nodes. It requests leases, checks immediately before each send that the
+// leases cover it, and on some nodes runs a voter of the raft cluster that grants the leases. Package budget
+// decides how a budget is divided.
 package fleet
 
 import (
@@ -20,48 +20,51 @@
 	"fernrail/internal/fleet/budget"
 )
 
-// retryInterval is the time between two attempts to take over an address that another process of this node still has.
+// retryInterval is the time between two attempts to bind an address that another process of this node still
+// uses.
 const retryInterval = 200 * time.Millisecond
 
-// Fleet is one process's part in sharing budgets. Its methods may be called by many goroutines.
+// Fleet requests leases for one process and limits its usage to them. Its methods are safe for concurrent
+// use.
 type Fleet struct {
 	cfg    *config.Fleet
 	name   string // of this node
 	clock  Clock
 	log    zerolog.Logger
 	client *voterClient
-	gossip *gossipState // nil: nodes don't tell each other of servers
+	gossip *gossipState // nil: nodes don't exchange reports on servers
 
 	requestSoon       chan struct{} // wakes the lease loop
-	membershipChanged chan struct{}
+	membershipChanged chan struct{} // receives a value after nodes joined or left
 
 	tasks  sync.WaitGroup
 	cancel context.CancelFunc
 
-	mu            sync.Mutex  // guards what follows
+	mu            sync.Mutex  // guards the fields below
 	voter         *voter      // nil: this process runs none, or none yet
 	membership    *membership // nil: this process takes no part in gossip, or not yet
 	holder        *budget.LeaseHolder
 	demand        *budget.DemandEstimator
-	firstAttempts *budget.UsageMeter // in a window of the budget of retries
-	quotas        map[string]*quota  // by name of a budget, or of one of its partitions
+	firstAttempts *budget.UsageMeter // over the window of the retry budget
+	quotas        map[string]*quota  // by budget or partition
 }
 
-// Start begins to request leases, and runs a voter if the configuration names this node as one. beside says that other
-// processes of this node may be alive, which may still have the addresses of the voter and of gossip. Close ends all
-// of it.
-func Start(name string, cfg *config.Fleet, beside bool, clock Clock, log zerolog.Logger) (*Fleet, error) {
+// Start begins to request leases, and runs a voter if the configuration lists this node as one. othersRunning
+// reports whether other processes of this node may be running and may still use the addresses of the voter
+// and of gossip. Close ends everything that Start began.
+func Start(
+	name string, cfg *config.Fleet, othersRunning bool, clock Clock, log zerolog.Logger) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := newFleet(name, cfg, clock, log)
 	f.cancel = cancel
 	if cfg.Voter(name) != nil {
-		if err := f.startFirstVoter(ctx, beside); err != nil {
+		if err := f.startFirstVoter(ctx, othersRunning); err != nil {
 			cancel()
 			return nil, err
 		}
 	}
 	if cfg.Gossip != "" {
-		if err := f.startGossip(ctx, beside); err != nil {
+		if err := f.startGossip(ctx, othersRunning); err != nil {
 			f.Close()
 			return nil, err
 		}
@@ -100,11 +103,11 @@
 	return f
 }
 
-// startFirstVoter starts the node's voter. Where another process of the node has its address, as during an upgrade,
-// the voter starts once that one has released it.
-func (f *Fleet) startFirstVoter(ctx context.Context, beside bool) error {
+// startFirstVoter starts the node's voter. If another process of the node uses its address, as during an
+// upgrade, the voter starts after that process has released it.
+func (f *Fleet) startFirstVoter(ctx context.Context, othersRunning bool) error {
 	listener, err := net.Listen("tcp", f.cfg.Listen)
-	if errors.Is(err, syscall.EADDRINUSE) && beside {
+	if errors.Is(err, syscall.EADDRINUSE) && othersRunning {
 		f.tasks.Go(func() { f.retryStartVoter(ctx) })
 		return nil
 	}
@@ -114,8 +117,8 @@
 	return f.startVoter(ctx, listener)
 }
 
-// startVoter starts the node's voter on a listener, and replaces it by a new one if its cluster has lost its quorum
-// for good.
+// startVoter starts the node's voter on a listener. It replaces the voter by a new one if its cluster can
+// never elect a leader again.
 func (f *Fleet) startVoter(ctx context.Context, listener net.Listener) error {
 	v, err := startVoter(ctx, listener, voterConfig{
 		name:   f.name,
@@ -135,6 +138,8 @@
 	return nil
 }
 
+// superviseVoter waits until the voter ends. If its cluster can never elect a leader again, it starts a new
+// voter.
 func (f *Fleet) superviseVoter(ctx context.Context, v *voter) {
 	select {
 	case <-ctx.Done():
@@ -153,7 +158,7 @@
 	}
 }
 
-// retryStartVoter starts the voter once its address is free.
+// retryStartVoter starts the voter as soon as its address is free.
 func (f *Fleet) retryStartVoter(ctx context.Context) {
 	retryUntilDone(ctx, func() bool {
 		listener, err := net.Listen("tcp", f.cfg.Listen)
@@ -164,16 +169,17 @@
 			err = f.startVoter(ctx, listener)
 		}
 		if err != nil {
-			f.log.Error().Err(err).Msg("starting the voter failed")
+			f.log.Error().Err(err).Msg("failed to start the voter; this process runs without one")
 		}
 		return true
 	})
 }
 
-// startGossip joins the gossip of the fleet. Where another process of the node has its address this one joins later.
-func (f *Fleet) startGossip(ctx context.Context, beside bool) error {
+// startGossip joins the gossip of the fleet. If that fails while other processes of the node may use the
+// address, it is retried in the background.
+func (f *Fleet) startGossip(ctx context.Context, othersRunning bool) error {
 	err := f.joinGossip(ctx)
-	if err != nil && beside {
+	if err != nil && othersRunning {
 		f.tasks.Go(func() { f.retryJoinGossip(ctx) })
 		return nil
 	}
@@ -200,7 +206,7 @@
 	return nil
 }
 
-// retryJoinGossip joins the gossip once its address is free.
+// retryJoinGossip joins the gossip as soon as its address is free.
 func (f *Fleet) retryJoinGossip(ctx context.Context) {
 	retryUntilDone(ctx, func() bool { return f.joinGossip(ctx) == nil })
 }
@@ -228,11 +234,12 @@
 	}
 }
 
-// MembershipChanges returns a channel that receives a value when nodes joined or left since the last one.
+// MembershipChanges returns a channel that receives a value after nodes joined or left. Changes between two
+// receives are combined into one value.
 func (f *Fleet) MembershipChanges() <-chan struct{} { return f.membershipChanged }
 
-// Peers returns the names of the nodes that are alive as far as this one knows, including its own, in order. It
-// returns none where this process takes no part in gossip.
+// Peers returns the sorted names of the nodes that gossip considers alive, including this one. It returns
+// none if this process takes no part in gossip.
 func (f *Fleet) Peers() []string {
 	f.mu.Lock()
 	m := f.membership
@@ -243,14 +250,15 @@
 	return m.names()
 }
 
-// SetFloorOwner says whether the node's floors belong to this process, or to another process of the node.
+// SetFloorOwner sets whether this process or another process of the node may use the node's floors.
 func (f *Fleet) SetFloorOwner(owner bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.holder.SetFloorOwner(owner, f.clock())
 }
 
-// HandOver releases the addresses of the voter and of gossip to another process of this node. Leases go on.
+// HandOver releases the addresses of the voter and of gossip to another process of this node. Leases are
+// still renewed.
 func (f *Fleet) HandOver() {
 	v, m := f.takeServices()
 	if m != nil {
@@ -261,7 +269,7 @@
 	}
 }
 
-// Close ends all goroutines. The lease is not given back: it expires by itself.
+// Close ends all goroutines. It does not return the lease, which expires by itself.
 func (f *Fleet) Close() {
 	f.cancel()
 	f.tasks.Wait()
@@ -274,7 +282,8 @@
 	}
 }
 
-// takeServices returns the voter and the membership, which are the caller's to end from then on.
+// takeServices removes the voter and the membership from the Fleet and returns them. The caller must close
+// them.
 func (f *Fleet) takeServices() (*voter, *membership) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/gossip_broadcast.go
+++ b/internal/fleet/gossip_broadcast.go
@@ -4,8 +4,8 @@
 
 import "github.com/hashicorp/memberlist"
 
-// reportBroadcast is one report of a node. It takes the place of that node's report before, whether that was sent or
-// not. It implements memberlist.NamedBroadcast.
+// reportBroadcast is one report of a node. It replaces the node's previous report in the queue, even if that
+// was not sent yet. It implements memberlist.NamedBroadcast.
 type reportBroadcast struct {
 	node    string
 	payload []byte
@@ -14,7 +14,7 @@
 // Name implements memberlist.NamedBroadcast. The queue keeps one broadcast of each name.
 func (b reportBroadcast) Name() string { return b.node }
 
-// Invalidates implements memberlist.Broadcast. It is not asked for named broadcasts.
+// Invalidates implements memberlist.Broadcast. The library does not call it for named broadcasts.
 func (b reportBroadcast) Invalidates(memberlist.Broadcast) bool { return false }
 
 // Message implements memberlist.Broadcast.
@@ -23,8 +23,8 @@
 // Finished implements memberlist.Broadcast.
 func (b reportBroadcast) Finished() {}
 
-// broadcast has gossip carry a node's report. What does not fit into gossip's packets waits, and is replaced by later
-// reports of its node, so that the queue is bounded by the number of nodes.
+// broadcast queues a node's report for gossip. Reports that do not fit into the next packets wait, and a
+// later report of the same node replaces them, so the number of nodes bounds the queue.
 func (m *membership) broadcast(node string, payload []byte) {
 	m.broadcasts.QueueBroadcast(reportBroadcast{node: node, payload: payload})
 }
--- a/internal/fleet/handlers.go
+++ b/internal/fleet/handlers.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	// maxNameBytes bounds the names of a node and its process in a lease request, together.
+	// maxNameBytes bounds the total length of the names of the node and the process in a lease request.
 	maxNameBytes = 256
-	// maxTotalFactor bounds by how much operators may raise a total over the agreed one.
+	// maxTotalFactor bounds a total set by operators, as a multiple of the agreed total.
 	maxTotalFactor = 64
 )
 
-// newServer returns the server of the calls of nodes and other voters.
+// newServer returns the HTTP server for calls of nodes and other voters.
 func (v *voter) newServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+leasePath, v.handleLease)
@@ -46,46 +46,48 @@
 
 // authenticate rejects calls that don't carry the token of this fleet and protocol version.
 func (v *voter) authenticate(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !v.client.isAuthentic(r.Header.Get(tokenHeader)) {
-			v.streams.rejectUnauthenticated("a call without the token of this fleet and protocol version")
-			out.Header().Set("Connection", "close")
-			http.Error(out, "not of this fleet, or of another version", http.StatusForbidden)
+			v.streams.rejectUnauthenticated("HTTP call without the token of this fleet and protocol version")
+			w.Header().Set("Connection", "close")
+			http.Error(w, "not of this fleet, or of another version", http.StatusForbidden)
 			return
 		}
-		r.Body = http.MaxBytesReader(out, r.Body, maxBodyBytes)
-		next.ServeHTTP(out, r)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
+		next.ServeHTTP(w, r)
 	})
 }
 
-// decodeRequest reads the body of a call. If that is not valid it answers the call and returns false.
-func decodeRequest(out http.ResponseWriter, r *http.Request, request any) bool {
+// decodeRequest decodes the body of a call. If the body is invalid, it sends an error response and returns
+// false.
+func decodeRequest(w http.ResponseWriter, r *http.Request, request any) bool {
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(request); err != nil {
-		http.Error(out, err.Error(), http.StatusBadRequest)
+		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-func respond(out http.ResponseWriter, response any) {
-	// A write fails if the caller has gone; it calls again.
-	_ = json.NewEncoder(out).Encode(response)
+func respond(w http.ResponseWriter, response any) {
+	// A write fails if the caller has disconnected; the caller then retries.
+	_ = json.NewEncoder(w).Encode(response)
 }
 
-// handleLease answers a lease request, or names the leader if this voter is not.
-func (v *voter) handleLease(out http.ResponseWriter, r *http.Request) {
+// handleLease answers a lease request. A voter that is not the leader responds with the leader's name
+// instead.
+func (v *voter) handleLease(w http.ResponseWriter, r *http.Request) {
 	request := &pendingRequest{response: make(chan *budget.LeaseResponse, 1)}
-	if !decodeRequest(out, r, &request.LeaseRequest) {
+	if !decodeRequest(w, r, &request.LeaseRequest) {
 		return
 	}
 	if digest, founded := v.agreementDigest(); founded && r.Header.Get(agreementHeader) != digest {
-		http.Error(out, errAgreementMismatch.Error(), http.StatusConflict)
+		http.Error(w, errAgreementMismatch.Error(), http.StatusConflict)
 		return
 	}
 	if request.Node == "" || request.Holder == "" || len(request.Node)+len(request.Holder) > maxNameBytes {
-		http.Error(out, "no name", http.StatusBadRequest)
+		http.Error(w, "no name", http.StatusBadRequest)
 		return
 	}
 	response := v.awaitResponse(r, request)
@@ -94,14 +96,14 @@
 	}
 	if response == nil {
 		_, leader := v.raft.LeaderWithID()
-		respond(out, leaderRedirect{Leader: nodeName(string(leader))})
+		respond(w, leaderRedirect{Leader: nodeName(string(leader))})
 		return
 	}
-	respond(out, response)
+	respond(w, response)
 }
 
-// awaitResponse hands a request to the leader loop and waits for its response. It returns nil if this voter is not the
-// leader, if too many requests wait already, or if the caller has gone.
+// awaitResponse passes a request to the leader loop and waits for its response. It returns nil if this voter
+// is not the leader, if maxPending requests are already waiting, or if the caller has disconnected.
 func (v *voter) awaitResponse(r *http.Request, request *pendingRequest) *budget.LeaseResponse {
 	if !v.isServing() {
 		return nil
@@ -119,7 +121,8 @@
 	}
 }
 
-// agreementDigest returns the digest of what the cluster was founded with, once a leader term has begun.
+// agreementDigest returns the digest of the agreement with which the cluster was founded. founded is false
+// until the first leader term begins.
 func (v *voter) agreementDigest() (digest string, founded bool) {
 	v.state.withLedger(func(ledger *budget.Ledger) {
 		digest = ledger.Agreement.Digest()
@@ -128,39 +131,39 @@
 	return digest, founded
 }
 
-func (v *voter) handleStatus(out http.ResponseWriter, _ *http.Request) {
-	respond(out, v.identity())
+func (v *voter) handleStatus(w http.ResponseWriter, _ *http.Request) {
+	respond(w, v.identity())
 }
 
 // handleJoin adds a voter that has lost its state to the cluster, if this voter is the leader.
-func (v *voter) handleJoin(out http.ResponseWriter, r *http.Request) {
+func (v *voter) handleJoin(w http.ResponseWriter, r *http.Request) {
 	var joining voterIdentity
-	if !decodeRequest(out, r, &joining) {
+	if !decodeRequest(w, r, &joining) {
 		return
 	}
 	if v.raft.State() != raft.Leader {
-		http.Error(out, errNotLeader.Error(), http.StatusMisdirectedRequest)
+		http.Error(w, errNotLeader.Error(), http.StatusMisdirectedRequest)
 		return
 	}
 	if err := v.addVoter(&joining); err != nil {
-		http.Error(out, err.Error(), http.StatusServiceUnavailable)
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	respond(out, voterIdentity{Name: v.name, ID: v.id})
+	respond(w, voterIdentity{Name: v.name, ID: v.id})
 }
 
 // handleSetTotal changes totals for an operator, if this voter is the leader.
-func (v *voter) handleSetTotal(out http.ResponseWriter, r *http.Request) {
+func (v *voter) handleSetTotal(w http.ResponseWriter, r *http.Request) {
 	command := &adminCommand{done: make(chan error, 1)}
-	if !decodeRequest(out, r, &command.totals) {
+	if !decodeRequest(w, r, &command.totals) {
 		return
 	}
 	if err := v.validateTotals(command.totals); err != nil {
-		http.Error(out, err.Error(), http.StatusBadRequest)
+		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if !v.isServing() {
-		http.Error(out, errNotLeader.Error(), http.StatusMisdirectedRequest)
+		http.Error(w, errNotLeader.Error(), http.StatusMisdirectedRequest)
 		return
 	}
 	select {
@@ -169,19 +172,21 @@
 		return
 	}
 	if err := <-command.done; err != nil {
-		http.Error(out, err.Error(), http.StatusServiceUnavailable)
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	respond(out, command.totals)
+	respond(w, command.totals)
 }
 
-// validateTotals checks that the budgets exist and that their totals cover the floors and the reserve.
+// validateTotals checks that the budgets exist, and that each total covers the floors and the reserve and is
+// at most maxTotalFactor times the agreed total.
 func (v *voter) validateTotals(totals map[string]int64) error {
 	for name, total := range totals {
 		limits, known := v.cfg.Agreement.Budgets[name]
 		least := limits.Floor*v.cfg.Agreement.MaxNodes + limits.Reserve
 		if !known || total < least || total > limits.Total*maxTotalFactor {
-			return fmt.Errorf("%.40q: no such budget, or a whole under its floors and reserve (%d)", name, least)
+			return fmt.Errorf("%.40q: no such budget, or a whole under its floors and reserve (%d)",
+				name, least)
 		}
 	}
 	return nil
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// batchWindow is how long requests are collected into one log entry, so that one write to disk serves them all.
+	// batchWindow is the time during which requests are collected into one log entry, so that they share one
+	// disk write.
 	batchWindow = 5 * time.Millisecond
-	// maxBatch is the most requests in one log entry.
+	// maxBatch is the maximum number of requests in one log entry.
 	maxBatch = 512
-	// maxPending is the most requests that wait at a voter; more are rejected.
+	// maxPending is the maximum number of requests that wait at a voter. Further requests are rejected.
 	maxPending = 4096
-	// expiryInterval is the time between two searches for leases and cooldowns that are over.
+	// expiryInterval is the time between two searches for leases and cooldowns that have ended.
 	expiryInterval = 25 * time.Millisecond
 )
 
 var (
-	// errVotersUnreachable ends a leader term: messages get through in one direction only, so that this leader stays
-	// elected and yet no node gets a lease.
-	errVotersUnreachable = errors.New("most voters' nodes get no responses of this leader")
+	// errVotersUnreachable ends a leader term if messages get through in one direction only: this leader
+	// would stay elected although no node gets a lease.
+	errVotersUnreachable = errors.New("leader's responses do not reach a majority of the voters' nodes")
 	// errLeadershipLost ends a leader term.
 	errLeadershipLost = errors.New("another voter was elected")
 )
@@ -34,7 +35,7 @@
 // pendingRequest is a lease request that waits for its response.
 type pendingRequest struct {
 	budget.LeaseRequest
-	response chan *budget.LeaseResponse // receives one value; nil if this voter does not grant it
+	response chan *budget.LeaseResponse // receives one value; nil if the request is not granted
 }
 
 // adminCommand is an operator's change of totals, by budget.
@@ -43,7 +44,7 @@
 	done   chan error
 }
 
-// runLeader serves leases whenever this voter is elected, until the context ends.
+// runLeader serves lease requests whenever this voter is elected, until the context ends.
 func (v *voter) runLeader(ctx context.Context) {
 	for {
 		select {
@@ -61,15 +62,16 @@
 		}
 		v.log.Warn().Err(err).Msg("leader term ended")
 		v.rejectPending()
-		// A voter whose disk is full could stay elected and grant nothing, so another one takes over.
+		// A voter with a full disk could stay elected without granting leases, so another voter has to take
+		// over.
 		if v.raft.State() == raft.Leader {
-			// If no other voter can take over there is nobody to hand over to, and the next election decides.
+			// The transfer fails if no other voter can take over. The next election then decides.
 			_ = v.raft.LeadershipTransfer().Error()
 		}
 	}
 }
 
-// serveLeases is one leader term, up to its end. It returns why the term ended, nil if the context did.
+// serveLeases runs one leader term until it ends. It returns the reason, or nil if the context has ended.
 func (v *voter) serveLeases(ctx context.Context) error {
 	term, err := v.beginTerm()
 	if err != nil {
@@ -97,7 +99,7 @@
 	return errLeadershipLost
 }
 
-// beginTerm waits until the ledger is up to date and has a majority write that this voter's term has begun.
+// beginTerm waits until the ledger is up to date and commits the entry that begins this voter's term.
 func (v *voter) beginTerm() (*budget.LeaderTerm, error) {
 	if err := v.raft.Barrier(time.Duration(v.cfg.Agreement.Lease)).Error(); err != nil {
 		return nil, err
@@ -140,7 +142,7 @@
 	return v.serving
 }
 
-// expireLeases ends the leases and cooldowns that are over by now.
+// expireLeases commits the end of the leases and cooldowns that are due.
 func (v *voter) expireLeases(term *budget.LeaderTerm) error {
 	if term.Unreachable(v.voterNames(), v.clock()) {
 		return errVotersUnreachable
@@ -169,7 +171,7 @@
 	return names
 }
 
-// collectBatch returns the first request and those that come within batchWindow of it.
+// collectBatch returns the first request and those that arrive within batchWindow after it, at most maxBatch.
 func (v *voter) collectBatch(first *pendingRequest) []*pendingRequest {
 	batch := []*pendingRequest{first}
 	timer := time.NewTimer(batchWindow)
@@ -185,8 +187,8 @@
 	return batch
 }
 
-// answerBatch commits the requests as one log entry and answers each of them. It returns an error if that was not
-// committed.
+// answerBatch commits the requests as one log entry and answers each of them. It returns an error if the
+// entry was not committed.
 func (v *voter) answerBatch(term *budget.LeaderTerm, batch []*pendingRequest) error {
 	entry := &budget.LogEntry{Epoch: term.Epoch}
 	for _, request := range batch {
@@ -213,8 +215,8 @@
 	return nil
 }
 
-// recordClockRate keeps which nodes proved that their clock's rate differs from the leader's by more than the margin;
-// 0 says that a node's does not. Each is logged once.
+// recordClockRate records the nodes whose clock rate provably differs from the leader's by more than the
+// margin, and logs each of them once. A clockRate of 0 means that the node has detected no such skew.
 func (v *voter) recordClockRate(node string, clockRate float64) {
 	v.mu.Lock()
 	_, known := v.skewedClocks[node]
@@ -231,10 +233,11 @@
 		Str("clock", node).
 		Float64("rate", clockRate).
 		Float64("margin", v.cfg.Agreement.ClockMargin).
-		Msg("clock skew of a node exceeds the margin; it uses no lease")
+		Msg("clock skew of a node exceeds the margin; the node uses no leases")
 }
 
-// rejectPending answers the requests that still wait when a leader term has ended.
+// rejectPending answers the requests that are still waiting after a leader term has ended. They are not
+// granted.
 func (v *voter) rejectPending() {
 	for {
 		select {
--- a/internal/fleet/lease_loop.go
+++ b/internal/fleet/lease_loop.go
@@ -11,46 +11,48 @@
 )
 
 const (
-	// maxRequestsPerLease bounds how many requests a node that needs more makes within a lease. One that needs no more
-	// makes three.
+	// maxRequestsPerLease bounds the number of requests within a lease duration by a node that needs more
+	// units. A node that needs no more units sends three.
 	maxRequestsPerLease = 15
-	// requestTimeoutDivisor is the part of a lease after which a request without a response is given up.
+	// requestTimeoutDivisor divides the lease duration to get the timeout of a request.
 	requestTimeoutDivisor = 3
-	// retryDivisor is the part of a lease after which a failed request is repeated, at another voter.
+	// retryDivisor divides the lease duration to get the delay before a failed request is retried at another
+	// voter.
 	retryDivisor = 10
-	// minPauseDivisor is the part of the shortest time between two hurried requests that lies between any two.
+	// minPauseDivisor divides the minimum interval of early requests to get the minimum pause between any two
+	// requests.
 	minPauseDivisor = 8
 )
 
-// leaseLoop is what the lease loop remembers from one request to the next.
+// leaseLoop is the state of the lease loop between requests.
 type leaseLoop struct {
-	fleet *Fleet
-	voter int  // index of the voter to call next
-	heard bool // the latest request had a response
+	fleet     *Fleet
+	voter     int  // index of the voter to call next
+	succeeded bool // the latest request succeeded
 }
 
 // renewLeases requests leases until the context ends.
 func (f *Fleet) renewLeases(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	loop := &leaseLoop{fleet: f, heard: true}
-	hurryInterval := time.Duration(f.cfg.Agreement.Lease / maxRequestsPerLease)
-	hurried := false
+	loop := &leaseLoop{fleet: f, succeeded: true}
+	earlyInterval := time.Duration(f.cfg.Agreement.Lease / maxRequestsPerLease)
+	earlyScheduled := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-f.requestSoon:
-			if !hurried {
-				hurried = true
-				timer.Reset(hurryInterval)
+			if !earlyScheduled {
+				earlyScheduled = true
+				timer.Reset(earlyInterval)
 			}
 			continue
 		case <-timer.C:
 		}
-		hurried = false
+		earlyScheduled = false
 		err := loop.request(ctx)
-		timer.Reset(max(loop.pause(err), hurryInterval/minPauseDivisor))
+		timer.Reset(max(loop.pause(err), earlyInterval/minPauseDivisor))
 	}
 }
 
@@ -65,8 +67,9 @@
 	if err == nil {
 		f.applyResponse(response)
 	}
-	// A node with another agreement may not use its floors either: by its own configuration they may be larger than
-	// what was set aside for each node. A voter that is not reached proves nothing of that kind.
+	// A node with a different agreement may not use its floors either: its own configuration may give it
+	// larger floors than were set aside for each node. An unreachable voter is no evidence of a different
+	// agreement.
 	if rejected := errors.Is(err, errAgreementMismatch); rejected || err == nil {
 		f.mu.Lock()
 		f.holder.SetRejected(rejected, f.clock())
@@ -78,13 +81,13 @@
 
 // logChange logs the first failure after a response, and the first response after a failure.
 func (l *leaseLoop) logChange(err error) {
-	heard := err == nil
-	if heard == l.heard {
+	succeeded := err == nil
+	if succeeded == l.succeeded {
 		return
 	}
-	l.heard = heard
-	if heard {
-		l.fleet.log.Warn().Msg("lease requests are answered again")
+	l.succeeded = succeeded
+	if succeeded {
+		l.fleet.log.Warn().Msg("lease requests succeed again")
 	} else {
 		l.fleet.log.Warn().Err(err).Msg("lease request failed; trying other voters")
 	}
@@ -102,7 +105,7 @@
 	return pause
 }
 
-// nextRequest makes the next lease request from what was used and rejected since the last one.
+// nextRequest builds the next lease request from the usage and the rejections since the last one.
 func (f *Fleet) nextRequest() budget.LeaseRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,8 +136,8 @@
 	}
 }
 
-// hurryRequest has the next request made soon. It may be called under f.mu.
-func (f *Fleet) hurryRequest() {
+// requestEarly makes the lease loop send the next request early. It may be called while f.mu is held.
+func (f *Fleet) requestEarly() {
 	select {
 	case f.requestSoon <- struct{}{}:
 	default:
--- a/internal/fleet/library_log.go
+++ b/internal/fleet/library_log.go
@@ -10,20 +10,23 @@
 	"golang.org/x/time/rate"
 )
 
-// libraryLogWriter passes the warnings and errors of a library's own log on to this program's log. The rate is bounded,
-// since a node that is cut off would otherwise log each failed attempt.
+// libraryLogWriter forwards a library's warnings and errors to this program's log. The rate is limited, since
+// a disconnected node would otherwise log each failed attempt.
 type libraryLogWriter struct {
 	log     zerolog.Logger
 	library string
 	limiter *rate.Limiter
 }
 
-// newLibraryLogWriter returns a writer that passes on burst lines at once, and one in each interval after that.
-func newLibraryLogWriter(library string, interval time.Duration, burst int, log zerolog.Logger) *libraryLogWriter {
-	return &libraryLogWriter{log: log, library: library, limiter: rate.NewLimiter(rate.Every(interval), burst)}
+// newLibraryLogWriter returns a writer that forwards up to burst lines at once, and then one line per
+// interval.
+func newLibraryLogWriter(
+	library string, interval time.Duration, burst int, log zerolog.Logger) *libraryLogWriter {
+	return &libraryLogWriter{log: log, library: library,
+		limiter: rate.NewLimiter(rate.Every(interval), burst)}
 }
 
-// Write implements io.Writer. It gets one whole line in each call.
+// Write implements io.Writer. The library writes one complete line per call.
 func (w *libraryLogWriter) Write(line []byte) (int, error) {
 	text := strings.TrimSpace(string(line))
 	verbose := strings.Contains(text, "[DEBUG]") || strings.Contains(text, "[INFO]")
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -21,29 +21,32 @@
 )
 
 const (
-	// rejoinFactor is the time between two attempts to reach nodes that are not there, in election timeouts. Without
-	// them two halves of a fleet that took each other for dead during a network split would never join again.
+	// rejoinFactor is the time between two attempts to reach nodes that are not alive, in election timeouts.
+	// Without these attempts, two halves of a fleet that declared each other dead during a network partition
+	// would never join again.
 	rejoinFactor = 10
-	// maxAwarenessMultiplier lets a node that is cut off probe the others nearly as often as it does otherwise.
+	// maxAwarenessMultiplier bounds how much a disconnected node lowers its probe rate, so that it still
+	// probes the others nearly as often as usual.
 	maxAwarenessMultiplier = 2
-	// retransmitFactor scales how many times a report is sent on by each node.
+	// retransmitFactor scales the number of times that each node retransmits a report.
 	retransmitFactor = 2
-	// gossipLogInterval is the least time between two log lines of the gossip library.
+	// gossipLogInterval is the interval at which further log lines of the gossip library are allowed after a
+	// burst.
 	gossipLogInterval = time.Second
-	// gossipLogBurst is how many log lines of the gossip library may come at once.
+	// gossipLogBurst is the number of log lines of the gossip library that may be logged at once.
 	gossipLogBurst = 2
 )
 
-// gossipConfig is what a process takes part in gossip with.
+// gossipConfig is the configuration of a process's gossip.
 type gossipConfig struct {
 	name     string // of this node
 	fleet    *config.Fleet
 	onChange func()       // called after nodes joined or left
-	onReport func([]byte) // called with each report on servers; nil: nodes don't send any
+	onReport func([]byte) // called with each report on servers; nil: reports are not exchanged
 	log      zerolog.Logger
 }
 
-// membership is which nodes are alive, as they tell each other. No budget depends on it.
+// membership tracks by gossip which nodes are alive. No budget depends on it.
 type membership struct {
 	gossipConfig
 	list       *memberlist.Memberlist
@@ -51,20 +54,20 @@
 	tasks      sync.WaitGroup
 	cancel     context.CancelFunc
 
-	mu         sync.Mutex        // guards what follows
-	alive      map[string]string // addresses by node, copied as the library notifies of them
-	gone       map[string]string // addresses by node of those that were alive
-	duplicates map[string]string // by node: the address of another node of the same name
+	mu         sync.Mutex        // guards the fields below
+	alive      map[string]string // addresses of live nodes by name, from notifications
+	departed   map[string]string // addresses of nodes that were alive before, by name
+	duplicates map[string]string // by name: the address of another node of the same name
 }
 
-// joinGossip takes part in the gossip of the fleet.
+// joinGossip starts the process's gossip with the fleet.
 func joinGossip(ctx context.Context, c gossipConfig) (*membership, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	m := &membership{
 		gossipConfig: c,
 		cancel:       cancel,
 		alive:        map[string]string{},
-		gone:         map[string]string{},
+		departed:     map[string]string{},
 		duplicates:   map[string]string{},
 	}
 	m.broadcasts.RetransmitMult = retransmitFactor
@@ -77,7 +80,7 @@
 	return m, nil
 }
 
-// create opens the address of gossip.
+// create binds the gossip address and starts the library.
 func (m *membership) create() error {
 	settings, err := m.settings()
 	if err != nil {
@@ -93,13 +96,14 @@
 	settings.Transport = &routedTransport{NetTransport: transport, routes: m.fleet.Routes}
 	m.list, err = memberlist.Create(settings)
 	if err != nil {
-		// The error above is the one to report.
+		// The error of Create is the one to report.
 		_ = transport.Shutdown()
 	}
 	return err
 }
 
-// settings returns the library's configuration, with all times in proportion to the election timeout.
+// settings returns the library's configuration, with all intervals and timeouts proportional to the election
+// timeout.
 func (m *membership) settings() (*memberlist.Config, error) {
 	host, port, err := net.SplitHostPort(m.fleet.Gossip)
 	if err != nil {
@@ -128,7 +132,8 @@
 	settings.Conflict = m
 	if m.onReport != nil {
 		settings.Delegate = m
-		// A report reaches most nodes by way of one or two others, each of which sends it in its own turn.
+		// A report reaches most nodes through one or two others, each of which adds up to one gossip interval
+		// of delay.
 		settings.GossipInterval = electionTimeout / 3
 	}
 	return settings, nil
@@ -148,7 +153,7 @@
 	for {
 		for _, address := range m.missing() {
 			if ctx.Err() == nil {
-				// A node that is not reached is tried again in the next round.
+				// The next round retries a node that was not reached.
 				_, _ = m.list.Join([]string{address})
 			}
 		}
@@ -160,7 +165,8 @@
 	}
 }
 
-// missing returns the addresses to join at, and those of nodes that were alive once, without those that are alive.
+// missing returns the configured join addresses and the addresses of departed nodes, without those of nodes
+// that are alive.
 func (m *membership) missing() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,7 +175,7 @@
 		alive[address] = true
 	}
 	addresses := slices.Clone(m.fleet.Join)
-	for _, address := range m.gone {
+	for _, address := range m.departed {
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
@@ -177,18 +183,19 @@
 	return slices.DeleteFunc(addresses, func(address string) bool { return alive[address] })
 }
 
-// leave tells the other nodes that this one leaves, and ends its part.
+// leave notifies the other nodes that this one leaves, and ends this process's gossip.
 func (m *membership) leave() {
 	m.cancel()
-	// Nodes that this was not told to find out by their health checks.
+	// Nodes that miss the notification detect the departure by their probes.
 	_ = m.list.Leave(m.fleet.ElectionTimeout)
 	m.shutdown()
 }
 
-// shutdown ends this process's part without telling the others, as another process of the node continues.
+// shutdown ends this process's gossip without notifying the others, since another process of the node
+// continues.
 func (m *membership) shutdown() {
 	m.cancel()
-	// It fails only if it was called before.
+	// Shutdown fails only if it was called before.
 	_ = m.list.Shutdown()
 	m.tasks.Wait()
 }
@@ -196,18 +203,19 @@
 // NotifyJoin implements memberlist.EventDelegate.
 func (m *membership) NotifyJoin(node *memberlist.Node) {
 	m.mu.Lock()
-	delete(m.gone, node.Name)
+	delete(m.departed, node.Name)
 	m.alive[node.Name] = node.Address()
 	m.mu.Unlock()
 	m.log.Info().Str("member", node.Name).Msg("member joined")
 	m.onChange()
 }
 
-// NotifyLeave implements memberlist.EventDelegate. It is called for nodes that left and for those taken for dead.
+// NotifyLeave implements memberlist.EventDelegate. It is called for nodes that left and for nodes declared
+// dead.
 func (m *membership) NotifyLeave(node *memberlist.Node) {
 	m.mu.Lock()
 	delete(m.alive, node.Name)
-	m.gone[node.Name] = node.Address()
+	m.departed[node.Name] = node.Address()
 	m.mu.Unlock()
 	m.log.Info().Str("member", node.Name).Msg("member left")
 	m.onChange()
@@ -216,8 +224,8 @@
 // NotifyUpdate implements memberlist.EventDelegate.
 func (m *membership) NotifyUpdate(*memberlist.Node) {}
 
-// NotifyConflict implements memberlist.ConflictDelegate. Two nodes of one name both use the floors that were set aside
-// for one.
+// NotifyConflict implements memberlist.ConflictDelegate. Two nodes with the same name both use the floors
+// that were set aside for one node.
 func (m *membership) NotifyConflict(existing, other *memberlist.Node) {
 	m.mu.Lock()
 	_, known := m.duplicates[existing.Name]
@@ -233,14 +241,14 @@
 		Msg("two nodes have the same name; rename one of them")
 }
 
-// names returns the nodes that are alive, in order.
+// names returns the sorted names of the nodes that are alive.
 func (m *membership) names() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Sorted(maps.Keys(m.alive))
 }
 
-// MemberStatus is one node as this one knows it.
+// MemberStatus is the state of one node according to this node's gossip.
 type MemberStatus struct {
 	Name             string `json:"name"`
 	Address          string `json:"address"`
@@ -263,7 +271,7 @@
 		}
 	}
 	add("alive", m.alive)
-	add("gone", m.gone)
+	add("gone", m.departed)
 	slices.SortFunc(members, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
 	return members
 }
--- a/internal/fleet/outlier_gossip.go
+++ b/internal/fleet/outlier_gossip.go
@@ -16,29 +16,30 @@
 )
 
 const (
-	// scoreChangeThreshold is by how much an outlier score has to change before scores are handed over again.
+	// scoreChangeThreshold is the smallest change of an outlier score after which onScores is called again.
 	scoreChangeThreshold = 0.02
-	// maxReportBytes bounds a report's size. Gossip never sends what does not fit into one packet beside other
-	// messages.
+	// maxReportBytes bounds a report's size. The gossip library never sends a report that does not fit into
+	// one packet together with other messages.
 	maxReportBytes = 900
-	// maxReportServers is how many servers a report names if they fit.
+	// maxReportServers is the maximum number of servers in a report, if they fit into maxReportBytes.
 	maxReportServers = 64
 )
 
-// gossipState is what the nodes' reports say of servers.
+// gossipState combines the nodes' reports on servers.
 type gossipState struct {
 	clock       Clock
 	failureSeen chan struct{} // wakes the gossip loop
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	tracker *signals.OutlierTracker
 	listed  func(server string) bool
-	scores  map[string]float64 // as last handed over
+	scores  map[string]float64 // as last passed to onScores
 }
 
 func newGossipState(name string, cfg *config.Fleet, clock Clock) *gossipState {
-	// The incarnation rises with each process of the node, unless the machine's clock was set back in between. Other
-	// nodes then take no reports of this process until its Unix time is past that of the process before.
+	// The incarnation increases with each process of the node, unless the machine's clock was set back in
+	// between. In that case other nodes ignore this process's reports, until a process starts with a Unix
+	// time after that of the earlier process.
 	incarnation := time.Now().UnixNano()
 	return &gossipState{
 		clock:       clock,
@@ -49,21 +50,22 @@
 	}
 }
 
-// reportHandler returns what gossip calls with the reports of other nodes; nil where nodes don't report on servers.
+// reportHandler returns the handler for reports of other nodes, or nil if nodes don't exchange reports.
 func (f *Fleet) reportHandler() func([]byte) {
 	if f.gossip == nil {
 		return nil
 	}
 	return func(text []byte) {
-		// A report is passed on, as gossip alone carries it no further than to the nodes that its sender reaches. The
-		// text is gossip's own and changes after this call.
+		// New reports are forwarded, since the gossip library delivers a report only to nodes that its sender
+		// reaches directly. The library reuses the buffer after this call, so the text is copied.
 		if node, isNew := f.gossip.merge(text); isNew {
 			f.broadcast(node, slices.Clone(text))
 		}
 	}
 }
 
-// merge adds a report to what is known, and returns whose it is and whether it said anything new.
+// merge merges a report into the tracker. It returns the node that sent the report and whether the report was
+// new.
 func (g *gossipState) merge(text []byte) (node string, isNew bool) {
 	var report signals.Report
 	err := json.Unmarshal(text, &report)
@@ -76,7 +78,7 @@
 	return report.Node, g.tracker.MergeReport(&report, g.listed, g.clock())
 }
 
-// broadcast has gossip carry a node's report. Gossip itself may call it.
+// broadcast queues a node's report for gossip. It may be called from a callback of the gossip library.
 func (f *Fleet) broadcast(node string, text []byte) {
 	f.mu.Lock()
 	m := f.membership
@@ -86,7 +88,7 @@
 	}
 }
 
-// RecordOutcome counts an attempt of this node at a server.
+// RecordOutcome records the outcome of an attempt of this node at a server.
 func (f *Fleet) RecordOutcome(server string, failed bool) {
 	g := f.gossip
 	g.mu.Lock()
@@ -101,9 +103,9 @@
 	}
 }
 
-// RunOutlierGossip sends this node's reports until the context ends, and calls onScores with the outlier scores of all
-// servers that have one whenever these change. A score goes from 0, for a healthy server, to 1. listed reports which
-// servers there are.
+// RunOutlierGossip sends this node's reports until the context ends. It calls onScores with all outlier
+// scores above 0 whenever a score has changed. Scores range from 0 for a healthy server to 1. listed reports
+// whether a server is in the endpoint list.
 func (f *Fleet) RunOutlierGossip(
 	ctx context.Context, listed func(server string) bool, onScores func(scores map[string]float64),
 ) {
@@ -130,7 +132,8 @@
 	}
 }
 
-// update returns this node's next report, nil if there is none, and the scores with whether they changed.
+// update returns this node's next report, nil if there is none, the current scores, and whether they have
+// changed.
 func (g *gossipState) update() (report []byte, scores map[string]float64, changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,7 +149,8 @@
 	return report, scores, changed
 }
 
-// encodeReport returns a report on as many servers as fit, nil if there is nothing to report. The caller holds g.mu.
+// encodeReport encodes a report on as many servers as fit into maxReportBytes. It returns nil if there is
+// nothing to report. The caller holds g.mu.
 func (g *gossipState) encodeReport(now int64) []byte {
 	for servers := maxReportServers; servers > 0; servers /= 2 {
 		report := g.tracker.NextReport(now, servers)
@@ -161,10 +165,10 @@
 	return nil
 }
 
-// OutlierStatus is what the nodes' reports say of servers, as this one heard them.
+// OutlierStatus summarizes the nodes' reports on servers, as received by this node.
 type OutlierStatus struct {
 	Scores          map[string]float64 `json:"bad"`     // by server, from 0 to 1; only those with a score
-	RejectedReports int64              `json:"dropped"` // reports, or parts of them, that were not valid
+	RejectedReports int64              `json:"dropped"` // invalid reports, or invalid entries of reports
 }
 
 func (g *gossipState) status() *OutlierStatus {
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -13,21 +13,21 @@
 	"fernrail/internal/fleet/budget"
 )
 
-// setTotalTimeout bounds an operator's change of a total, over all voters that are tried.
+// setTotalTimeout bounds an operator's change of a total, including the calls to all voters.
 const setTotalTimeout = time.Second
 
-// quota is what this node may use of one budget, or of one of its partitions, and what it used.
+// quota tracks this node's usage of one budget or partition, and the budget's limits.
 type quota struct {
 	limits          budget.Limits
 	meter           *budget.UsageMeter
-	total           int64 // of all nodes, as last heard
-	sent            int64 // sends that were charged
-	heldBack        int64 // sends held back at the last moment, as the lease had expired or shrunk
-	sentAfterExpiry int64 // sends whose lease had expired once the write was over, or that could not wait for one
+	total           int64 // of all nodes, from the latest response
+	sent            int64 // number of charged sends
+	heldBack        int64 // sends prevented by the final check, since the lease had expired or been reduced
+	sentAfterExpiry int64 // sends whose lease expired before the write ended, or that could not wait
 }
 
-// Allow reports whether this node may use some more units of a budget now. It may if the budget is not shared. key is
-// what the units are used on: the name of a server or a tenant, or empty.
+// Allow reports whether this node may use the given units of a budget now. It returns true if the budget is
+// not shared. key is the name of the server or tenant to which the units are charged, or empty.
 func (f *Fleet) Allow(budgetName, key string, units float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,11 +40,12 @@
 		return true
 	}
 	q.meter.RecordRejected(key, units, now)
-	f.hurryRequest()
+	f.requestEarly()
 	return false
 }
 
-// Quota returns the part of a budget's total that this node may use now, from 0 to 1; 1 if the budget is not shared.
+// Quota returns the fraction of a budget's agreed total that this node may use now, from 0 to 1. It is 1 if
+// the budget is not shared.
 func (f *Fleet) Quota(budgetName, key string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,13 +56,14 @@
 	return float64(f.holder.Units(name, f.clock())) / float64(q.limits.Total)
 }
 
-// quota returns the quota that a key falls to and its name; nil if the budget is not shared. The caller holds f.mu.
+// quota returns the quota to which a key is charged, and the quota's name. The quota is nil if the budget is
+// not shared. The caller holds f.mu.
 func (f *Fleet) quota(budgetName, key string) (name string, q *quota) {
 	name = f.quotaName(budgetName, key)
 	return name, f.quotas[name]
 }
 
-// quotaName returns the name of the quota that a key falls to.
+// quotaName returns the name of the quota to which a key is charged.
 func (f *Fleet) quotaName(budgetName, key string) string {
 	if f.cfg.Agreement.Budgets[budgetName].Partitions <= 1 {
 		return budgetName
@@ -69,15 +71,16 @@
 	return f.cfg.Agreement.PartitionName(budgetName, dispatch.HashName(key))
 }
 
-// Total returns what all nodes may use of a budget together, in units, as they agreed on beforehand.
+// Total returns the agreed total of a budget for all nodes, in units.
 func (f *Fleet) Total(budgetName string) float64 {
 	return float64(f.cfg.Agreement.Budgets[budgetName].Total)
 }
 
-// SetTotal has the voters agree on another total, in units. A lower one takes effect as leases expire.
+// SetTotal requests the leader to change a budget's total, in units. A lower total takes effect as leases
+// expire.
 func (f *Fleet) SetTotal(budgetName string, units int64) error {
 	if _, known := f.cfg.Agreement.Budgets[budgetName]; !known {
-		return fmt.Errorf("no budget is called %.40q", budgetName)
+		return fmt.Errorf("unknown budget %.40q", budgetName)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), setTotalTimeout)
 	defer cancel()
@@ -89,7 +92,7 @@
 		if err == nil {
 			return nil
 		}
-		// What the leader says is the result, whatever the voters after it say.
+		// The leader's error is the result, regardless of the errors of later voters.
 		if errors.Is(result, errNotLeader) {
 			result = err
 		}
@@ -97,7 +100,7 @@
 	return result
 }
 
-// RecordOverrun counts a use of units that could not wait for a lease and went ahead without one.
+// RecordOverrun records units that were used without a lease, since their use could not be delayed.
 func (f *Fleet) RecordOverrun(budgetName, key string, units float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,7 +112,7 @@
 	q.sentAfterExpiry++
 }
 
-// isTenantQuota reports whether a quota is the one of a tenant's attempts in flight.
+// isTenantQuota reports whether a quota limits a tenant's attempts in flight.
 func (f *Fleet) isTenantQuota(name, key string) bool {
 	return name == f.quotaName(config.BudgetTenantAttempts, key)
 }
--- a/internal/fleet/reservation.go
+++ b/internal/fleet/reservation.go
@@ -4,9 +4,10 @@
 
 import "fernrail/internal/fleet/budget"
 
-// Reservation is what one send takes of several budgets. The zero value takes nothing.
+// Reservation is the set of units that one send reserves, from any number of budgets. The zero value reserves
+// nothing.
 type Reservation struct {
-	fleet          *Fleet // nil while nothing is taken
+	fleet          *Fleet // nil while nothing is reserved
 	isFirstAttempt bool
 	usages         []reservedUsage
 }
@@ -17,8 +18,8 @@
 	usage *budget.Usage
 }
 
-// Reserve takes units of one more budget for a key. It returns false if there are too few left: nothing may be sent
-// then.
+// Reserve reserves units of a further budget for a key. It returns false if too few units remain; the caller
+// must not send then.
 func (r *Reservation) Reserve(f *Fleet, budgetName, key string, units float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -30,22 +31,22 @@
 	now := f.clock()
 	usage := q.meter.Reserve(key, units, f.holder.Units(name, now), now)
 	if usage == nil {
-		f.hurryRequest()
+		f.requestEarly()
 		return false
 	}
 	r.usages = append(r.usages, reservedUsage{quota: q, name: name, usage: usage})
 	return true
 }
 
-// CountFirstAttempt has the send counted as the first attempt of a request. The total of retries may be a ratio of
-// these.
+// CountFirstAttempt marks the send as the first attempt of a request. The total of the retry budget may be a
+// ratio of first attempts.
 func (r *Reservation) CountFirstAttempt(f *Fleet) {
 	r.fleet = f
 	r.isFirstAttempt = true
 }
 
-// MaySend reports whether the leases still cover what was reserved at this very moment. If they do, the caller sends
-// and then calls Sent.
+// MaySend reports whether the leases still cover the reserved units now. If they do, the caller sends and
+// then calls Sent.
 func (r *Reservation) MaySend() bool {
 	f := r.fleet
 	if f == nil {
@@ -69,8 +70,8 @@
 	return true
 }
 
-// Sent counts the budgets whose lease had expired by the time the write was over. A process can be stopped between any
-// two of its steps, so that MaySend can't rule that out.
+// Sent counts the budgets whose lease expired before the write ended. MaySend can't rule this out, since a
+// process can be paused between any two instructions.
 func (r *Reservation) Sent() {
 	f := r.fleet
 	if f == nil {
@@ -88,8 +89,8 @@
 	}
 }
 
-// Release gives back what was reserved and never sent. over says that what was sent is known to have ended, so that the
-// tenant's attempts in flight are given back as well. All else that was sent counts until its window is over.
+// Release releases reserved units that were not sent. If over is true, the sent attempt has ended, and the
+// tenant's attempt in flight is released as well. All other sent units count until their window ends.
 func (r *Reservation) Release(over bool) {
 	f := r.fleet
 	if f == nil {
--- a/internal/fleet/routed_transport.go
+++ b/internal/fleet/routed_transport.go
@@ -9,10 +9,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// routedTransport is a gossip transport that reaches some addresses by way of others.
+// routedTransport is a gossip transport that replaces some destination addresses by others.
 type routedTransport struct {
 	*memberlist.NetTransport
-	routes map[string]string // the address to use, by the one that gossip names
+	routes map[string]string // the address to use, by destination address
 }
 
 func (t *routedTransport) route(address string) string {
@@ -39,7 +39,8 @@
 }
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
-func (t *routedTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+func (t *routedTransport) DialAddressTimeout(
+	address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	address.Addr = t.route(address.Addr)
 	return t.NetTransport.DialAddressTimeout(address, timeout)
 }
--- a/internal/fleet/state_machine.go
+++ b/internal/fleet/state_machine.go
@@ -13,19 +13,19 @@
 	"fernrail/internal/fleet/budget"
 )
 
-// stateMachine is the replicated ledger. It implements raft.FSM; only the raft library changes it.
+// stateMachine is the replicated ledger. It implements raft.FSM. Only the raft library changes it.
 type stateMachine struct {
 	mu     sync.Mutex // guards ledger
 	ledger *budget.Ledger
 }
 
-// applyResult is what Apply hands to the voter that proposed the entry.
+// applyResult is the result of Apply, which the voter that proposed the entry receives.
 type applyResult struct {
-	responses []*budget.LeaseResponse // to the requests of the entry, nil for those that get none
+	responses []*budget.LeaseResponse // to the requests of the entry; nil for late and duplicate requests
 	err       error
 }
 
-// withLedger calls f while nobody changes the ledger.
+// withLedger calls f while the ledger is locked.
 func (m *stateMachine) withLedger(f func(ledger *budget.Ledger)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// ledgerSnapshot is the ledger in JSON at one moment.
+// ledgerSnapshot is a snapshot of the ledger in JSON.
 type ledgerSnapshot []byte
 
 // Persist implements raft.FSMSnapshot.
@@ -81,10 +81,10 @@
 // Release implements raft.FSMSnapshot.
 func (s ledgerSnapshot) Release() {}
 
-// commit has most voters write an entry, and returns the responses that come of applying it.
+// commit replicates an entry to a majority of the voters, and returns the responses from applying it.
 //
-// A voter that was stopped and continues still believes that it is the leader. Nothing is answered before a majority
-// has written the entry in this voter's term, which proves that no later term had begun by then.
+// A voter that was paused and continues still acts as the leader. Therefore requests are answered only after
+// a majority has written the entry in this voter's term, which proves that no later term had begun by then.
 func (v *voter) commit(entry *budget.LogEntry) ([]*budget.LeaseResponse, error) {
 	text, err := json.Marshal(entry)
 	if err != nil {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -4,11 +4,11 @@
 
 import "time"
 
-// Status is what operators see of a node's part in sharing budgets.
+// Status is the status of a node's leases, voter and gossip for operators.
 type Status struct {
-	Epoch       uint64                  `json:"epoch"`           // of the leader term that the lease is of
-	LeaseMillis int64                   `json:"lease_ms"`        // until the lease expires; 0: it has none
-	ClockRate   float64                 `json:"clock,omitempty"` // by the leader's clock, if beyond the margin
+	Epoch       uint64                  `json:"epoch"`           // of the leader term that granted the lease
+	LeaseMillis int64                   `json:"lease_ms"`        // until the lease expires; 0: no lease
+	ClockRate   float64                 `json:"clock,omitempty"` // by the leader's; 0: within the margin
 	Budgets     map[string]BudgetStatus `json:"budgets"`
 	Members     []MemberStatus          `json:"members,omitempty"`
 	Subset      *SubsetStatus           `json:"subset,omitempty"`
@@ -16,26 +16,26 @@
 	Voter       *VoterStatus            `json:"seat,omitempty"`
 }
 
-// SubsetStatus counts the servers that a node prefers to the others.
+// SubsetStatus counts the servers that are assigned to a node.
 type SubsetStatus struct {
-	Nodes    int `json:"nodes"`  // that servers were assigned to last
-	Listed   int `json:"listed"` // servers
-	Assigned int `json:"near"`   // of these, the servers assigned to this node
+	Nodes    int `json:"nodes"`  // nodes in the latest assignment
+	Listed   int `json:"listed"` // servers in the endpoint list
+	Assigned int `json:"near"`   // listed servers that are assigned to this node
 }
 
-// BudgetStatus is one budget at one node, in units.
+// BudgetStatus is the status of one budget or partition on one node. Amounts are in units.
 type BudgetStatus struct {
 	Total           int64   `json:"whole"`
 	Floor           int64   `json:"floor"`
-	Quota           int64   `json:"mine"` // floor and lease, now
-	Used            float64 `json:"used"` // the most for any one key
+	Quota           int64   `json:"mine"` // current floor and lease
+	Used            float64 `json:"used"` // highest usage of any single key
 	Demand          float64 `json:"want"`
-	Sent            int64   `json:"sent"`    // sends that were charged
-	HeldBack        int64   `json:"lapsed"`  // sends held back, as the lease had expired or shrunk
+	Sent            int64   `json:"sent"`    // number of charged sends
+	HeldBack        int64   `json:"lapsed"`  // sends prevented, since the lease had expired or been reduced
 	SentAfterExpiry int64   `json:"slipped"` // sends whose lease had expired, or that could not wait for one
 }
 
-// Status returns the state of this node's leases, and of its voter and gossip if it takes part in them.
+// Status returns the status of this node's leases, and of its voter and gossip if this process runs them.
 func (f *Fleet) Status() *Status {
 	out := &Status{}
 	v, m := f.addLeaseStatus(out)
@@ -51,7 +51,8 @@
 	return out
 }
 
-// addLeaseStatus fills in what the lease is, and returns the voter and the membership of the same moment.
+// addLeaseStatus adds the status of the lease and of the budgets. It returns the current voter and
+// membership.
 func (f *Fleet) addLeaseStatus(out *Status) (*voter, *membership) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/store.go
+++ b/internal/fleet/store.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// storeFile is the bolt file with the raft log, term and vote, in the voter's data directory.
+	// storeFile is the name of the bolt file with the raft log, term and vote in the voter's data directory.
 	storeFile = "seat.db"
-	// retainedSnapshots is how many snapshots are kept on disk.
+	// retainedSnapshots is the number of snapshots that are kept on disk.
 	retainedSnapshots = 2
-	// writeRetryInterval is the time between two attempts to write to a disk that takes nothing.
+	// writeRetryInterval is the time between two attempts to write to a disk that rejects writes.
 	writeRetryInterval = time.Second
 )
 
 // voterIDKey is the key in the bolt file under which the voter's id is stored.
 var voterIDKey = []byte("fernrail id")
 
-// errForeignStore says that the data directory was written by another node's voter.
+// errForeignStore reports that another node's voter wrote the data directory.
 var errForeignStore = errors.New("the data directory belongs to another voter")
 
-// raftStorage is what the raft library keeps its state in.
+// raftStorage is the set of stores that the raft library uses.
 type raftStorage struct {
 	logs      raft.LogStore
 	stable    raft.StableStore
@@ -38,8 +38,9 @@
 
 // openStore opens the voter's state and sets its id.
 //
-// The id is part of the state. A voter that lost its state and kept its id could vote twice in one election, and would
-// forget grants that it had acknowledged. Under a new id it is no member of the cluster until the others add it.
+// The id is part of the state. A voter that lost its state but kept its id could vote twice in one election,
+// and would lack grants that it had acknowledged. Under a new id it is not a member of the cluster until the
+// others add it.
 func (v *voter) openStore() (*raftStorage, error) {
 	if v.cfg.DataDir == "" {
 		v.id = newVoterID(v.name)
@@ -58,9 +59,11 @@
 		return nil, err
 	}
 	if owner := nodeName(v.id); owner != v.name {
-		return nil, fmt.Errorf("%w: %s is of %s", errForeignStore, v.cfg.DataDir, owner)
+		return nil, fmt.Errorf("%w: %s was written by the voter of node %s",
+			errForeignStore, v.cfg.DataDir, owner)
 	}
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(v.cfg.DataDir, retainedSnapshots, hclog.NewNullLogger())
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(v.cfg.DataDir, retainedSnapshots,
+		hclog.NewNullLogger())
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +71,8 @@
 	return &raftStorage{logs: retrying, stable: retrying, snapshots: snapshots}, nil
 }
 
-// loadVoterID returns the id in the store. A store without one is new and gets one.
+// loadVoterID returns the id in the store. A store without an id is new; loadVoterID creates and stores its
+// id.
 func loadVoterID(store *raftboltdb.BoltStore, node string) (string, error) {
 	stored, err := store.Get(voterIDKey)
 	if err != nil && !errors.Is(err, raftboltdb.ErrKeyNotFound) {
@@ -84,9 +88,9 @@
 	return id, nil
 }
 
-// retryingStore retries writes of the raft term and vote until they succeed. The raft library ends the whole process
-// if such a write fails. Instead this voter is silent, as one that is down, and continues once the disk takes writes
-// again.
+// retryingStore retries writes of the raft term and vote until they succeed. The raft library would end the
+// process if such a write failed. Instead, this voter stops responding as if it were down, and continues
+// after the disk accepts writes again.
 type retryingStore struct {
 	*raftboltdb.BoltStore
 	voter *voter
@@ -104,8 +108,8 @@
 	return nil
 }
 
-// StoreLog implements raft.LogStore. It may fail: the library then gives up leadership, or leaves the entry to the
-// others.
+// StoreLog implements raft.LogStore. It may fail: a leader then steps down, and a follower does not
+// acknowledge the entry.
 func (s *retryingStore) StoreLog(entry *raft.Log) error {
 	return s.voter.recordDiskError(s.BoltStore.StoreLog(entry))
 }
@@ -115,7 +119,7 @@
 	return s.voter.recordDiskError(s.BoltStore.StoreLogs(entries))
 }
 
-// recordDiskError keeps the result of the latest write for the status, and returns it.
+// recordDiskError records the result of the latest write for the status, and returns it.
 func (v *voter) recordDiskError(err error) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -126,15 +130,16 @@
 	return err
 }
 
-// retryWrite repeats a write until it succeeds or the voter is closed. A closed voter sends nothing any more, so that
-// nobody learns of a vote that was not written.
+// retryWrite repeats a write until it succeeds or the voter is closed. A closed voter sends nothing, so a
+// vote that was not written never reaches another voter.
 func (v *voter) retryWrite(write func() error) {
 	for {
 		err := v.recordDiskError(write())
 		if err == nil {
 			return
 		}
-		v.log.Error().Err(err).Msg("write to the voter's disk failed; silent until a retry succeeds")
+		v.log.Error().Err(err).
+			Msg("write to the voter's disk failed; the voter does not respond until a retry succeeds")
 		select {
 		case <-v.closed:
 			return
--- a/internal/fleet/stream_layer.go
+++ b/internal/fleet/stream_layer.go
@@ -21,17 +21,17 @@
 const (
 	// streamMarker is the first byte of a raft stream. No HTTP request begins with it.
 	streamMarker = 0x01
-	// maxIDBytes bounds a voter's id in a stream's handshake: its length is sent as one byte.
+	// maxIDBytes bounds a voter's id in a stream's handshake, where one byte encodes its length.
 	maxIDBytes = 255
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4096
-	// acceptRetryInterval is the pause after a connection could not be accepted.
+	// acceptRetryInterval is the pause after accepting a connection failed.
 	acceptRetryInterval = 100 * time.Millisecond
 )
 
-// streamLayer shares one listener between the raft streams of other voters and HTTP calls. A raft stream begins with
-// the marker, the fleet's token and the id of the voter that it is for; anything else is taken for HTTP. It implements
-// raft.StreamLayer.
+// streamLayer shares one listener between the raft streams of other voters and HTTP calls. A raft stream
+// begins with the marker, the fleet's token and the id of the destination voter. Any other connection is
+// handled as HTTP. It implements raft.StreamLayer.
 type streamLayer struct {
 	id         string // of this voter
 	cfg        *config.Fleet
@@ -43,12 +43,13 @@
 	httpQueue  *acceptQueue
 	handshakes sync.WaitGroup
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	connections map[net.Conn]bool
 	closed      bool
 }
 
-func newStreamLayer(l net.Listener, id string, cfg *config.Fleet, c *voterClient, log zerolog.Logger) *streamLayer {
+func newStreamLayer(
+	l net.Listener, id string, cfg *config.Fleet, c *voterClient, log zerolog.Logger) *streamLayer {
 	return &streamLayer{
 		id:          id,
 		cfg:         cfg,
@@ -62,7 +63,7 @@
 	}
 }
 
-// rejectUnauthenticated logs a peer that was rejected, at a bounded rate.
+// rejectUnauthenticated logs a rejected peer, at most once per second.
 func (s *streamLayer) rejectUnauthenticated(reason string) {
 	if s.logLimiter.Allow() {
 		s.log.Warn().Str("reason", reason).Msg("rejected unauthenticated peer")
@@ -78,7 +79,7 @@
 			return
 		}
 		if err != nil {
-			s.log.Warn().Err(err).Msg("accepting a connection failed")
+			s.log.Warn().Err(err).Msg("accepting a connection failed; retrying")
 			time.Sleep(acceptRetryInterval)
 			continue
 		}
@@ -86,7 +87,7 @@
 	}
 }
 
-// handshake finds out what a connection is for and hands it to raft or to the HTTP server.
+// handshake determines the protocol of a connection and passes it to raft or to the HTTP server.
 func (s *streamLayer) handshake(conn net.Conn) {
 	if !s.track(conn) {
 		return
@@ -112,15 +113,16 @@
 }
 
 var (
-	errStreamToken = errors.New("a stream without the token of this fleet and protocol version")
-	errStreamID    = errors.New("a stream for a voter id that is no longer here")
+	errStreamToken = errors.New("raft stream without the token of this fleet and protocol version")
+	errStreamID    = errors.New("raft stream to a voter id other than the current id of this voter")
 )
 
-// readStreamHeader reads the handshake of a raft stream. A stream for another id is rejected, since a voter that has
-// lost its state must not take part under the id that it had.
+// readStreamHeader reads the handshake of a raft stream. It rejects a stream to another id, since a voter
+// that has lost its state must not take part under its former id.
 func (s *streamLayer) readStreamHeader(reader io.Reader) error {
 	header := make([]byte, 1+tokenBytes+1) // marker, token and the length of the id
-	if _, err := io.ReadFull(reader, header); err != nil || !s.client.isAuthentic(string(header[1:1+tokenBytes])) {
+	if _, err := io.ReadFull(reader, header); err != nil ||
+		!s.client.isAuthentic(string(header[1:1+tokenBytes])) {
 		return errStreamToken
 	}
 	id := make([]byte, header[1+tokenBytes])
@@ -137,8 +139,8 @@
 	return append(header, id...)
 }
 
-// track remembers a connection until it is closed, so that Close can end it. If the layer is closed already the
-// connection is as well, and track returns false.
+// track registers a connection until it is closed, so that Close can close it. If the layer is already
+// closed, track closes the connection and returns false.
 func (s *streamLayer) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,9 +159,9 @@
 	return conn.Close()
 }
 
-// drop closes a connection that nothing is owed to.
+// drop closes a connection without a response.
 func (s *streamLayer) drop(conn net.Conn) {
-	_ = s.closeConnection(conn) // its peer sees the end in any case
+	_ = s.closeConnection(conn) // the peer detects the end even if closing fails
 }
 
 // Dial implements raft.StreamLayer. A voter's raft address is its id.
@@ -190,7 +192,7 @@
 // Addr implements net.Listener for raft.
 func (s *streamLayer) Addr() net.Addr { return voterAddress(s.id) }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (s *streamLayer) Close() error {
 	err := s.listener.Close()
 	s.raftQueue.close()
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -24,28 +24,29 @@
 )
 
 const (
-	// maxConnections bounds the connections to a voter. Each of at most 4,096 nodes holds one or two.
+	// maxConnections bounds the connections to a voter. Each of at most 4,096 nodes opens one or two.
 	maxConnections = 10_000
 	// maxHeaderBytes bounds the headers of one HTTP call.
 	maxHeaderBytes = 4096
-	// handshakeTimeout bounds how long a connection may take to say what it is, and a call to arrive.
+	// handshakeTimeout bounds the handshake of a connection and the receipt of one HTTP call.
 	handshakeTimeout = 2 * time.Second
 	// idleTimeout is how long an HTTP connection stays open between two calls.
 	idleTimeout = time.Minute
-	// trailingLogs is how many entries behind a snapshot are kept, so that a voter that lags is sent entries one by one
-	// instead of the snapshot.
+	// trailingLogs is the number of log entries kept after a snapshot, so that a voter that lags receives log
+	// entries instead of the snapshot.
 	trailingLogs = 4096
-	// snapshotThreshold is the number of entries after which a snapshot is made.
+	// snapshotThreshold is the number of log entries after which a snapshot is taken.
 	snapshotThreshold = 8192
 	// raftMaxPool is the number of idle raft connections that are kept to each other voter.
 	raftMaxPool = 3
-	// raftLogInterval is the least time between two log lines of the raft library.
+	// raftLogInterval is the interval at which further log lines of the raft library are allowed after a
+	// burst.
 	raftLogInterval = time.Second
-	// raftLogBurst is how many log lines of the raft library may come at once.
+	// raftLogBurst is the number of log lines of the raft library that may be logged at once.
 	raftLogBurst = 5
 )
 
-// voterConfig is what a voter is started with.
+// voterConfig is the configuration of a voter.
 type voterConfig struct {
 	name   string // of this node
 	fleet  *config.Fleet
@@ -54,11 +55,11 @@
 	log    zerolog.Logger
 }
 
-// voter is a member of the raft cluster that grants leases. All voters replicate the ledger; the elected one, the
-// leader, answers lease requests.
+// voter is a member of the raft cluster that grants leases. All voters replicate the ledger; the elected one,
+// the leader, answers lease requests.
 type voter struct {
 	name   string // of this node
-	id     string // node name, "/" and a random part that is lost together with the durable state
+	id     string // node name, "/" and a random part, which is stored with the durable state
 	cfg    *config.Fleet
 	clock  Clock
 	client *voterClient
@@ -66,7 +67,7 @@
 
 	state    *stateMachine
 	raft     *raft.Raft
-	store    io.Closer // nil where the state is in memory
+	store    io.Closer // nil if the state is in memory
 	streams  *streamLayer
 	server   *http.Server
 	pending  chan *pendingRequest
@@ -74,18 +75,18 @@
 
 	tasks      sync.WaitGroup
 	cancel     context.CancelFunc
-	closed     chan struct{} // closed once no bytes leave this voter any more
+	closed     chan struct{} // closed after this voter's listener and connections were closed
 	quorumLost chan struct{} // closed once the cluster can never elect a leader again
 
-	mu           sync.Mutex         // guards what follows
-	skewedClocks map[string]float64 // by node: the rate of its clock by the leader's, where that is beyond the margin
-	diskError    string             // of the latest write; empty if that succeeded
+	mu           sync.Mutex         // guards the fields below
+	skewedClocks map[string]float64 // clock rates relative to the leader's, by node, if beyond the margin
+	diskError    string             // of the latest write; empty if it succeeded
 	termError    string             // why the latest leader term of this voter ended
 	serving      bool               // this voter is the leader and answers lease requests
 }
 
-// startVoter opens the voter's state and serves its peers on the listener. If it fails the caller has to close the
-// listener.
+// startVoter opens the voter's state and serves nodes and voters on the listener. If it fails, the caller
+// must close the listener.
 func startVoter(ctx context.Context, listener net.Listener, c voterConfig) (*voter, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	v := &voter{
@@ -108,7 +109,7 @@
 		return nil, fmt.Errorf("fleet.dir: %w", err)
 	}
 	v.server = v.newServer()
-	// Serve ends with the queue that it accepts from, which fails once it is closed and in no other way.
+	// Serve returns only after the queue is closed; the queue's Accept has no other error.
 	v.tasks.Go(func() { _ = v.server.Serve(v.streams.httpQueue) })
 	v.tasks.Go(v.streams.acceptConnections)
 	v.tasks.Go(func() { v.runLeader(ctx) })
@@ -116,7 +117,7 @@
 	return v, nil
 }
 
-// startRaft opens the durable state and starts the raft library over it.
+// startRaft opens the durable state and starts the raft library with it.
 func (v *voter) startRaft(listener net.Listener) error {
 	storage, err := v.openStore()
 	if err != nil {
@@ -155,10 +156,10 @@
 func (v *voter) close() {
 	v.cancel()
 	v.server.Close()
-	// The listener is only closed twice at worst, and connections have nothing to flush.
+	// The only possible error is that the listener is already closed; connections have nothing to flush.
 	_ = v.streams.Close()
 	close(v.closed)
-	// The future waits for the end of the library's goroutines; it never carries an error.
+	// The future waits for the library's goroutines to end; it never returns an error.
 	_ = v.raft.Shutdown().Error()
 	v.tasks.Wait()
 	v.closeStore()
@@ -170,17 +171,17 @@
 	}
 }
 
-// randomID returns an identifier that no process had before.
+// randomID returns a random 64-bit identifier. It identifies a process or a voter, so none may be used twice.
 func randomID() string {
 	b := make([]byte, 8)
-	rand.Read(b) // never fails: it ends the process instead
+	rand.Read(b) // never returns an error: it crashes the process instead
 	return hex.EncodeToString(b)
 }
 
-// newVoterID returns the id of a voter that has no state yet.
+// newVoterID returns an id for a voter without state.
 func newVoterID(node string) string { return node + "/" + randomID() }
 
-// nodeName returns the node's name in a voter's id.
+// nodeName returns the name of the node from a voter's id.
 func nodeName(voterID string) string {
 	name, _, _ := strings.Cut(voterID, "/")
 	return name
--- a/internal/fleet/voter_client.go
+++ b/internal/fleet/voter_client.go
@@ -19,31 +19,34 @@
 )
 
 const (
-	// protocolVersion is the version of the calls between nodes; a node of another one is rejected.
+	// protocolVersion is the version of the calls between nodes. Nodes with another version are rejected.
 	protocolVersion = 1
-	// maxBodyBytes bounds the body of any call and response: some budgets by name.
+	// maxBodyBytes bounds the body of any call and response. The largest bodies contain several maps of
+	// budgets and partitions.
 	maxBodyBytes = 64 << 10
-	// tokenBytes is the length of a fleet's token.
+	// tokenBytes is the length of a fleet's token, a hex-encoded hash.
 	tokenBytes = 2 * sha256.Size
-	// maxIdleConnections is how many idle connections are kept to each voter.
+	// maxIdleConnections is the number of idle connections that are kept to each voter.
 	maxIdleConnections = 2
 )
 
 // Headers of each call.
 const (
 	tokenHeader     = "X-Fernrail-Fleet" // the fleet's token
-	agreementHeader = "X-Fernrail-Pact"  // the digest of what the caller takes for agreed
+	agreementHeader = "X-Fernrail-Pact"  // the digest of the caller's agreement
 )
 
 // The texts of these errors are sent in responses, so they stay as they are.
 var (
-	// errNotLeader says that the voter called is not the leader. It may know who is.
+	// errNotLeader reports that the called voter is not the leader.
 	errNotLeader = errors.New("this seat does not grant")
-	// errAgreementMismatch says that this node's configuration differs from what the cluster was founded with.
-	errAgreementMismatch = errors.New("fleet: most, lease_ms, margin or budgets differ from what the fleet was founded with")
+	// errAgreementMismatch reports that this node's agreement differs from the one with which the cluster was
+	// founded.
+	errAgreementMismatch = errors.New(
+		"fleet: most, lease_ms, margin or budgets differ from what the fleet was founded with")
 )
 
-// fleetToken returns the token that proves a node to be of a fleet and protocol version.
+// fleetToken returns the token that authenticates nodes of a fleet with the same protocol version.
 func fleetToken(secret string) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "fernrail fleet %d %s", protocolVersion, secret))
 	return hex.EncodeToString(sum[:])
@@ -65,7 +68,7 @@
 	return &voterClient{cfg: cfg, token: fleetToken(cfg.Secret), client: &http.Client{Transport: transport}}
 }
 
-// post makes one call. The HTTP library never repeats it by itself, as the body can be read once only.
+// post makes one call. The HTTP library never retries it by itself, since the body can be read only once.
 func (c *voterClient) post(ctx context.Context, address, path string, request, response any) error {
 	text, err := json.Marshal(request)
 	if err != nil {
@@ -87,7 +90,7 @@
 	return decodeReply(reply, response)
 }
 
-// decodeReply decodes a voter's reply, or returns the error that the reply stands for.
+// decodeReply decodes a voter's reply. It returns an error if the status code is not OK.
 func decodeReply(reply *http.Response, response any) error {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBodyBytes))
 	if err != nil {
@@ -105,13 +108,14 @@
 	}
 }
 
-// leaderRedirect is the reply of a voter that is not the leader to a lease request.
+// leaderRedirect is the reply to a lease request from a voter that does not grant it.
 type leaderRedirect struct {
-	Leader string `json:"granter"` // the leader's node; empty: not known
+	Leader string `json:"granter"` // name of the leader's node; empty: unknown
 }
 
-// requestLease sends a lease request to the voter with an index in the configuration. It returns the index of the
-// voter to call next: the same after a response, else the leader if the voter named it, or the one after this.
+// requestLease sends a lease request to the voter with the given index in the configuration. It also returns
+// the index of the voter to call next: the same voter after a lease response, else the leader if the reply
+// names it, else the next voter in the configuration.
 func (c *voterClient) requestLease(
 	ctx context.Context, index int, request *budget.LeaseRequest,
 ) (response *budget.LeaseResponse, next int, err error) {
@@ -135,7 +139,7 @@
 	return nil, next, err
 }
 
-// isAuthentic reports whether a token is this fleet's, in constant time.
+// isAuthentic reports whether a token matches this fleet's token, in constant time.
 func (c *voterClient) isAuthentic(token string) bool {
 	return subtle.ConstantTimeCompare([]byte(token), []byte(c.token)) == 1
 }
--- a/internal/fleet/voter_status.go
+++ b/internal/fleet/voter_status.go
@@ -9,37 +9,37 @@
 	"fernrail/internal/fleet/budget"
 )
 
-// VoterStatus is what operators see of a voter.
+// VoterStatus is the status of a voter for operators.
 type VoterStatus struct {
 	ID         string                  `json:"id"`
 	State      string                  `json:"state"`   // of raft: follower, candidate, leader or shutdown
-	IsLeader   bool                    `json:"grants"`  // it answers lease requests
-	Leader     string                  `json:"granter"` // the leader's node; empty: not known
+	IsLeader   bool                    `json:"grants"`  // whether it answers lease requests
+	Leader     string                  `json:"granter"` // name of the leader's node; empty: unknown
 	Epoch      uint64                  `json:"epoch"`   // of the leader term in the ledger
 	Voters     []string                `json:"seats"`   // ids of the cluster's members
 	Budgets    map[string]LedgerStatus `json:"budgets"`
 	Holders    []HolderStatus          `json:"holders"`
 	ClockRates map[string]float64      `json:"clocks,omitempty"` // by node, if beyond the margin
-	Error      string                  `json:"fault,omitempty"`  // of the disk, or why the latest leader term ended
+	Error      string                  `json:"fault,omitempty"`  // disk error, or why the latest term ended
 }
 
-// LedgerStatus is one budget in a voter's ledger, in units.
+// LedgerStatus is the status of one budget or partition in a voter's ledger, in units.
 type LedgerStatus struct {
 	Total       int64 `json:"whole"`
-	Floors      int64 `json:"floors"` // of all nodes that may ever be there
+	Floors      int64 `json:"floors"` // of the maximum number of nodes
 	Granted     int64 `json:"granted"`
 	CoolingDown int64 `json:"resting"`
 	Free        int64 `json:"free"`
 }
 
-// HolderStatus is one process in a voter's ledger.
+// HolderStatus is the lease of one process in a voter's ledger.
 type HolderStatus struct {
 	Node   string           `json:"node"`
-	Units  map[string]int64 `json:"units"` // that it holds, by budget
-	Demand map[string]int64 `json:"want"`  // that it asked for, by budget
+	Units  map[string]int64 `json:"units"` // leased units, by budget or partition
+	Demand map[string]int64 `json:"want"`  // requested units, by budget or partition
 }
 
-// status returns what operators see of this voter.
+// status returns the status of this voter.
 func (v *voter) status() *VoterStatus {
 	_, leader := v.raft.LeaderWithID()
 	out := &VoterStatus{
@@ -64,7 +64,7 @@
 	out.IsLeader = v.serving
 	out.ClockRates = maps.Clone(v.skewedClocks)
 	out.Error = v.diskError
-	// Why this voter's latest term ended is of no interest once another one is the leader.
+	// The reason why this voter's latest term ended is irrelevant while another voter is the leader.
 	if out.Error == "" && (out.Leader == "" || out.Leader == v.name) {
 		out.Error = v.termError
 	}
