--- a/internal/fleet/signals/report.go
+++ b/internal/fleet/signals/report.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// maxReportedServers bounds how many servers a report names.
+	// maxReportedServers is the maximum number of servers in a report.
 	maxReportedServers = 24
-	// maxAttempts bounds what is believed of one node's attempts at one server.
+	// maxAttempts bounds the number of attempts at one server that is accepted from one node.
 	maxAttempts = 1e6
-	// reportPrecision is by what counts in reports are rounded, as parts of one attempt.
+	// reportPrecision is the rounding of counts in reports: 100 rounds to 0.01 attempts.
 	reportPrecision = 100
 )
 
-// Report is what one node tells the others: how its counts stand, not what changed. So reports may arrive late, twice
-// and in any order; the latest of a node is what counts. Keys are short since gossip's packets are small.
+// Report contains the outcome counts of one node. It contains the complete counts instead of changes, so
+// reports may arrive late, twice and in any order; the latest report of a node replaces earlier ones. The
+// keys are short because gossip packets are small.
 type Report struct {
 	Node        string                  `json:"n"`
 	Zone        string                  `json:"z"`
-	Incarnation int64                   `json:"l"` // of the process: a later one has a larger number
-	Seq         uint64                  `json:"s"` // rises with each report of the process
+	Incarnation int64                   `json:"l"` // of the process; higher for a later process
+	Seq         uint64                  `json:"s"` // increases with each report of the process
 	Outcomes    map[string]OutcomeCount `json:"e"` // by server
 }
 
@@ -35,11 +36,11 @@
 	return r.Seq > other.Seq
 }
 
-// NextReport returns this node's report on at most so many servers, those with the most failures first; nil if there
-// is nothing to report, as in a fleet without failures.
+// NextReport returns this node's report on at most maxServers servers, those with the most failures first. It
+// returns nil if there is nothing to report, as in a fleet without failures.
 //
-// It names the servers that failed this node lately, and those that it saw succeed if another node saw them fail, or
-// if its report before named them.
+// The report contains servers with recent failures on this node. It also contains servers with recent
+// attempts on this node if another node reported failures, or if this node's previous report contained them.
 func (t *OutlierTracker) NextReport(now int64, maxServers int) *Report {
 	names := t.serversToReport(now)
 	clear(t.reported)
@@ -64,8 +65,8 @@
 }
 
 func (t *OutlierTracker) serversToReport(now int64) []string {
-	// All witnesses are gone through once. To look each server up at each of some hundred witnesses, several times a
-	// second, would take much longer.
+	// One pass over all witnesses collects the servers with failures. Looking up each server at each of
+	// several hundred witnesses, several times per second, would take much longer.
 	failedElsewhere := map[string]bool{}
 	for _, w := range t.witnesses {
 		for name, count := range w.outcomes {
@@ -78,19 +79,19 @@
 	var names []string
 	for name, count := range t.own.outcomes {
 		count.decay(now)
-		isOfInterest := count.Failures >= negligible || failedElsewhere[name] || t.reported[name]
-		if count.Attempts >= negligible && isOfInterest {
+		isRelevant := count.Failures >= negligible || failedElsewhere[name] || t.reported[name]
+		if count.Attempts >= negligible && isRelevant {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// MergeReport takes a report of another node. listed reports which servers there are. It returns false if the report
-// is not valid or says nothing new.
+// MergeReport merges a report of another node. listed reports whether a server is in the endpoint list.
+// MergeReport returns false if the report is invalid or is not newer than the latest report of its node.
 func (t *OutlierTracker) MergeReport(report *Report, listed func(string) bool, now int64) bool {
 	if report.Node == t.own.Node {
-		return false // this node's own, sent back by others
+		return false // own report, forwarded by another node
 	}
 	if report.Node == "" || len(report.Outcomes) > maxReportedServers {
 		t.RejectedReports++
@@ -102,7 +103,7 @@
 	}
 	w := &witness{Report: *report, outcomes: map[string]*OutcomeCount{}}
 	if before != nil && before.Incarnation == report.Incarnation {
-		w.outcomes = before.outcomes // servers that the report does not name any more fade
+		w.outcomes = before.outcomes // servers that the report omits decay
 	}
 	t.witnesses[report.Node] = w
 	for name, count := range report.Outcomes {
@@ -116,7 +117,7 @@
 	return true
 }
 
-// isValid reports whether a count of a report can be true. It is false for counts that are not a number.
+// isValid reports whether a reported count is within its bounds. It returns false for NaN.
 func (c OutcomeCount) isValid() bool {
 	return c.Failures >= 0 && c.Failures <= c.Attempts && c.Attempts <= maxAttempts
 }
--- a/internal/fleet/signals/score.go
+++ b/internal/fleet/signals/score.go
@@ -5,19 +5,20 @@
 import "slices"
 
 const (
-	// fullWeightAttempts is how many attempts lately make a witness count in full.
+	// fullWeightAttempts is the decayed number of attempts from which a witness has its full weight of 1.
 	fullWeightAttempts = 1
-	// majority is the part of a witness's attempts that have to fail for it to hold a server for an outlier, and the
-	// part of the witnesses that have to hold it for one.
+	// majority is the fraction of a witness's attempts that must be exceeded by failures for the witness to
+	// vote a server an outlier. It is also the fraction of the witnesses' weight that such votes must exceed.
 	majority = 0.5
-	// fullScoreExcess is by how much the witnesses have to exceed the majority for a score of 1.
+	// fullScoreExcess is the excess of the outlier votes over the majority that gives a score of 1.
 	fullScoreExcess = majority / 5
 )
 
-// OutlierScore returns how much of an outlier the witnesses hold a server for: 0 if none does or a single one alone, 1
-// if a quorum and most of those who sent there do. A witness counts once however much it saw, and a single zone makes
-// up half of a quorum at most. So a node whose own links are bad, or that reports what is not true, neither has a
-// server ejected nor keeps one from being ejected.
+// OutlierScore returns the outlier score of a server: 0 if at most one witness votes it an outlier, 1 if a
+// quorum and a clear majority of the witnesses with recent attempts do. The weight of a witness is at most 1,
+// however many attempts it made, and a single zone contributes at most half of a quorum. Therefore a node
+// with bad links of its own, or with false reports, can neither have a server ejected nor prevent an
+// ejection.
 func (t *OutlierTracker) OutlierScore(server string, now int64) float64 {
 	var votes tally
 	zones := map[string]bool{}
@@ -31,7 +32,7 @@
 	return votes.score(t.quorum, len(zones))
 }
 
-// OutlierScores returns the scores above 0 of all servers that somebody saw fail lately.
+// OutlierScores returns the scores above 0 of all servers for which any witness recorded recent failures.
 func (t *OutlierTracker) OutlierScores(now int64) map[string]float64 {
 	tallies, zones := map[string]*tally{}, map[string]bool{}
 	for _, w := range t.allWitnesses() {
@@ -54,15 +55,15 @@
 	return scores
 }
 
-// tally adds up what witnesses say of one server.
+// tally sums up the witnesses' votes on one server.
 type tally struct {
 	totalWeight    float64
-	outlierWeight  float64 // of the witnesses that hold it for an outlier
+	outlierWeight  float64 // of the witnesses that vote it an outlier
 	zones          []zoneWeight
-	failedRecently bool // somebody saw it fail
+	failedRecently bool // any witness recorded recent failures
 }
 
-// zoneWeight is the weight of the witnesses of a zone that hold the server for an outlier.
+// zoneWeight is the weight of the witnesses of a zone that vote the server an outlier.
 type zoneWeight struct {
 	zone   string
 	weight float64
@@ -91,7 +92,7 @@
 	t.zones[i].weight += weight
 }
 
-// score returns the outlier score, given the quorum and from how many zones anything was heard.
+// score returns the outlier score, given the quorum and the number of zones with witnesses.
 func (t *tally) score(quorum float64, zones int) float64 {
 	if t.totalWeight == 0 || t.outlierWeight/t.totalWeight <= majority {
 		return 0
@@ -101,7 +102,8 @@
 	return agreement * support
 }
 
-// quorumWeight returns the weight that counts towards the quorum.
+// quorumWeight returns the weight that counts towards the quorum. With several zones, each zone counts for at
+// most half of the quorum.
 func (t *tally) quorumWeight(quorum float64, zones int) float64 {
 	if zones <= 1 {
 		return t.outlierWeight
--- a/internal/fleet/signals/signals_test.go
+++ b/internal/fleet/signals/signals_test.go
@@ -67,8 +67,8 @@
 	return tracker.MergeReport(report, allListed, now)
 }
 
-// TestQuorum: one witness gives no server a score however much it reports, nor does one zone, nor a minority. A quorum
-// does, and one witness that claims that all is well does not keep it from doing so.
+// TestQuorum: one witness gives no server a score however much it reports, nor does one zone, nor a minority.
+// A quorum does, and one witness that claims that all is well does not keep it from doing so.
 func TestQuorum(t *testing.T) {
 	now := int64(0)
 	tracker := New("me", "east", 1, 3)
@@ -120,7 +120,8 @@
 	}
 }
 
-// TestFading: failures that are not seen any more are forgotten, little by little; successes after them count at once.
+// TestFading: failures that are not seen any more are forgotten, little by little; successes after them count
+// at once.
 func TestFading(t *testing.T) {
 	tracker, now := New("me", "a", 1, 3), int64(0)
 	for i := range 4 {
@@ -158,7 +159,8 @@
 	}
 }
 
-// TestBounds: reports that can't be true, are late or name unlisted servers are not taken, and what is kept is bounded.
+// TestBounds: reports that can't be true, are late or name unlisted servers are not taken, and what is kept
+// is bounded.
 func TestBounds(t *testing.T) {
 	tracker := New("me", "a", 5, 3)
 	nan := math.NaN()
--- a/internal/fleet/signals/tracker.go
+++ b/internal/fleet/signals/tracker.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package signals detects outlier servers from what many nodes saw of them lately. What many saw together reaches a
-// node that saw nothing, and no single witness can have a server ejected. The package does no I/O and reads no clock:
-// callers pass the time in nanoseconds. docs/fleet.md lists what it promises.
+// Package signals detects outlier servers from recent outcomes of attempts on many nodes. Nodes without
+// attempts of their own also learn of outliers, and no single witness can have a server ejected. The package
+// does no I/O and reads no clock: callers pass the time in nanoseconds. docs/fleet.md lists its guarantees.
 package signals
 
 import (
@@ -12,30 +12,32 @@
 )
 
 const (
-	// fadeNanos is the time constant, in nanoseconds, by which outcomes lose their weight: some times what a report
-	// takes to reach all nodes.
-	fadeNanos = 5e9
-	// historyWeight is what an attempt leaves of the weight of those before it. With more of it the many successes of
-	// before would hide that a server fails now, and for good, as nobody sends there any more.
+	// decayNanos is the time constant of the exponential decay of outcomes, in nanoseconds. It is several
+	// times the time in which a report reaches all nodes.
+	decayNanos = 5e9
+	// historyWeight is the factor by which an attempt reduces the weight of earlier ones. With a larger
+	// factor, many earlier successes would hide that a server fails now. They would hide it permanently once
+	// no node sends to the server any more.
 	historyWeight = 0.3
-	// maxTrackedServers bounds what is kept of one witness. No endpoint list is known to be longer.
+	// maxTrackedServers bounds the number of servers that are tracked for one witness. No known endpoint list
+	// is longer.
 	maxTrackedServers = 4096
-	// negligible is the weight below which outcomes have faded away.
+	// negligible is the number of decayed attempts or failures below which they are ignored.
 	negligible = 0.05
-	// minQuorum is the smallest quorum: no witness decides by itself.
+	// minQuorum is the smallest quorum, so that no witness decides alone.
 	minQuorum = 2
 )
 
-// OutcomeCount is what a node saw of one server lately, in attempts that fade with time.
+// OutcomeCount is a node's recent attempts at one server. The counts decay exponentially with time.
 type OutcomeCount struct {
 	Attempts  float64 `json:"t"` // that succeeded or failed
 	Failures  float64 `json:"f"`
 	updatedAt int64
 }
 
-// decay lets the counts fade up to now.
+// decay applies the decay since the last update.
 func (c *OutcomeCount) decay(now int64) {
-	factor := math.Exp(-float64(max(now-c.updatedAt, 0)) / fadeNanos)
+	factor := math.Exp(-float64(max(now-c.updatedAt, 0)) / decayNanos)
 	c.Attempts *= factor
 	c.Failures *= factor
 	c.updatedAt = now
@@ -51,10 +53,10 @@
 	}
 }
 
-// OutlierTracker is what one node knows of the outcomes at servers, its own and those that others report. It is not
-// safe for use by several goroutines at once.
+// OutlierTracker tracks the outcomes at servers that one node recorded itself or received in reports. It is
+// not safe for concurrent use.
 type OutlierTracker struct {
-	// RejectedReports counts reports, or parts of them, that were not valid.
+	// RejectedReports counts invalid reports and invalid entries of reports.
 	RejectedReports int64
 
 	quorum    float64
@@ -63,15 +65,15 @@
 	reported  map[string]bool     // servers in this node's latest report
 }
 
-// witness is what one node saw.
+// witness is the outcomes of one node.
 type witness struct {
-	Report   // the latest
+	Report   // the latest report
 	outcomes map[string]*OutcomeCount
 }
 
-// New returns a tracker that knows of no outcomes. incarnation rises with each process of the node. quorum is how many
-// witnesses it takes to have a server ejected, at least two; where nodes are in several zones no zone makes up more
-// than half of it.
+// New returns a tracker without outcomes. incarnation must increase with each process of the node. quorum is
+// the number of witnesses that are needed to eject a server, at least two. If nodes are in several zones, no
+// zone contributes more than half of the quorum.
 func New(node, zone string, incarnation int64, quorum int) *OutlierTracker {
 	return &OutlierTracker{
 		quorum: float64(max(quorum, minQuorum)),
@@ -84,7 +86,7 @@
 	}
 }
 
-// RecordOutcome counts an attempt of this node.
+// RecordOutcome records the outcome of an attempt of this node.
 func (t *OutlierTracker) RecordOutcome(server string, failed bool, now int64) {
 	count := t.own.outcomes[server]
 	if count == nil {
@@ -97,7 +99,8 @@
 	count.record(failed, now)
 }
 
-// prune forgets what has faded, and if too much is left those servers with the fewest attempts.
+// prune removes servers whose attempts have decayed to a negligible number. If maxTrackedServers or more
+// remain, it also removes those with the fewest attempts.
 func (w *witness) prune(now int64) {
 	names := make([]string, 0, len(w.outcomes))
 	for name, count := range w.outcomes {
@@ -116,10 +119,10 @@
 	}
 }
 
-// RemoveWitness forgets what a node saw.
+// RemoveWitness removes the outcomes of another node.
 func (t *OutlierTracker) RemoveWitness(node string) { delete(t.witnesses, node) }
 
-// RetainServers forgets servers that are no longer listed.
+// RetainServers removes servers that are no longer listed.
 func (t *OutlierTracker) RetainServers(listed func(string) bool) {
 	for _, w := range t.allWitnesses() {
 		for name := range w.outcomes {
@@ -130,8 +133,8 @@
 	}
 }
 
-// allWitnesses returns the other nodes in order of their names, and this one last. Sums of fractions depend on their
-// order.
+// allWitnesses returns the other nodes in the order of their names, and this node last. The order is fixed
+// because the result of floating-point sums depends on it.
 func (t *OutlierTracker) allWitnesses() []*witness {
 	all := make([]*witness, 0, len(t.witnesses)+1)
 	for _, w := range t.witnesses {
--- a/internal/fleet/subset/divide.go
+++ b/internal/fleet/subset/divide.go
@@ -8,57 +8,59 @@
 	"slices"
 )
 
-// pair is a node and a server by their indexes. The hash, which all nodes know, puts pairs into an order.
+// pair is a node and a server by their indexes. The hash, which is the same on all nodes, orders the pairs.
 type pair struct {
 	hash         uint64
 	node, server int
 }
 
-// bounds are how many nodes are to use each server at least and at most, by index.
-type bounds struct{ least, most []int }
+// bounds are the minimum and maximum number of nodes that use each server, by index of the server.
+type bounds struct{ minimum, maximum []int }
 
 // classDivider assigns the servers of one class to nodes.
 type classDivider struct {
-	servers  []Server
-	perNode  int // servers that a node takes
-	bounds   bounds
-	pairs    []pair // in order
-	assigned [][]bool
-	used     []int // nodes by server
-	taken    []int // servers by node
+	servers      []Server
+	perNode      int // number of servers to assign to each node
+	bounds       bounds
+	pairs        []pair   // sorted by hash
+	assigned     [][]bool // by node and server
+	nodeCounts   []int    // number of assigned nodes, by server
+	serverCounts []int    // number of assigned servers, by node
 }
 
-// assignClass has each node take perNode servers of one class, or a few more. minNodes is by how many nodes each
-// server is used at least.
+// assignClass assigns perNode servers of one class to each node, or a few more. minNodes is the minimum
+// number of nodes per server.
 //
-// All steps go through the pairs in one order by hash, so that a pair depends on other nodes and servers only as far
-// as bounds are met. An order by index, or by turns, would move nearly all pairs when one node joins.
+// All steps process the pairs in the same order by hash, so that a pair depends on other nodes and servers
+// only through the bounds. With an order by index, or with nodes in turn, nearly all pairs would move when
+// one node joins.
 func assignClass(nodes []string, servers []Server, perNode, minNodes int) classAssignment {
 	hashes := make([]uint64, len(servers))
 	for i, server := range servers {
 		hashes[i] = nameHash(server.Name)
 	}
 	b := newBounds(servers, hashes, perNode, len(nodes), minNodes)
-	// Beside large servers, the nodes that small ones need for minNodes may be more than all nodes take otherwise.
-	for perNode < len(servers) && sum(b.least) > len(nodes)*perNode {
+	// If small servers need minNodes nodes next to large servers, the sum of the minimums may exceed the
+	// number of assignments.
+	for perNode < len(servers) && sum(b.minimum) > len(nodes)*perNode {
 		perNode++
 		b = newBounds(servers, hashes, perNode, len(nodes), minNodes)
 	}
 	d := &classDivider{
-		servers:  servers,
-		perNode:  perNode,
-		bounds:   b,
-		pairs:    orderedPairs(nodes, hashes),
-		assigned: make([][]bool, len(nodes)),
-		used:     make([]int, len(servers)),
-		taken:    make([]int, len(nodes)),
+		servers:      servers,
+		perNode:      perNode,
+		bounds:       b,
+		pairs:        orderedPairs(nodes, hashes),
+		assigned:     make([][]bool, len(nodes)),
+		nodeCounts:   make([]int, len(servers)),
+		serverCounts: make([]int, len(nodes)),
 	}
 	for node := range d.assigned {
 		d.assigned[node] = make([]bool, len(servers))
 	}
-	// Without the first round a fifth more pairs move when a node joins.
-	d.fill(b.least)
-	d.fill(b.most)
+	// Filling only to the maximum would move a fifth more pairs when a node joins.
+	d.fill(b.minimum)
+	d.fill(b.maximum)
 	d.exchange()
 	d.complete()
 	return classAssignment{servers: servers, serversPerNode: perNode, assigned: d.assigned}
@@ -73,7 +75,8 @@
 		}
 	}
 	slices.SortFunc(pairs, func(x, y pair) int {
-		return cmp.Or(cmp.Compare(x.hash, y.hash), cmp.Compare(x.node, y.node), cmp.Compare(x.server, y.server))
+		return cmp.Or(cmp.Compare(x.hash, y.hash), cmp.Compare(x.node, y.node),
+			cmp.Compare(x.server, y.server))
 	})
 	return pairs
 }
@@ -83,8 +86,8 @@
 		return
 	}
 	d.assigned[node][server] = true
-	d.taken[node]++
-	d.used[server]++
+	d.serverCounts[node]++
+	d.nodeCounts[server]++
 }
 
 func (d *classDivider) remove(node, server int) {
@@ -92,27 +95,27 @@
 		return
 	}
 	d.assigned[node][server] = false
-	d.taken[node]--
-	d.used[server]--
+	d.serverCounts[node]--
+	d.nodeCounts[server]--
 }
 
-// fill adds pairs up to what nodes take and up to a bound of each server.
+// fill adds each pair whose node has fewer than perNode servers and whose server is below the given bound.
 func (d *classDivider) fill(bound []int) {
 	for _, p := range d.pairs {
-		if d.taken[p.node] < d.perNode && d.used[p.server] < bound[p.server] {
+		if d.serverCounts[p.node] < d.perNode && d.nodeCounts[p.server] < bound[p.server] {
 			d.add(p.node, p.server)
 		}
 	}
 }
 
-// exchange gives servers below their least bound to nodes that take enough already, in place of a server that has
-// nodes to spare. Bounds that can't all be met would otherwise leave servers that no node uses.
+// exchange assigns servers below their minimum to nodes that already have perNode servers, in place of a
+// server above its minimum. Otherwise, if not all bounds can be met, some servers would be used by no node.
 func (d *classDivider) exchange() {
 	for _, p := range d.pairs {
-		if d.used[p.server] >= d.bounds.least[p.server] || d.assigned[p.node][p.server] {
+		if d.nodeCounts[p.server] >= d.bounds.minimum[p.server] || d.assigned[p.node][p.server] {
 			continue
 		}
-		if d.taken[p.node] >= d.perNode {
+		if d.serverCounts[p.node] >= d.perNode {
 			spare, found := d.mostSpare(p.node)
 			if !found {
 				continue
@@ -123,23 +126,23 @@
 	}
 }
 
-// mostSpare returns which of a node's servers exceeds its least bound by the most.
+// mostSpare returns the node's server that exceeds its minimum by the highest number of nodes.
 func (d *classDivider) mostSpare(node int) (server int, found bool) {
-	most := 0
+	highest := 0
 	for i := range d.servers {
-		spare := d.used[i] - d.bounds.least[i]
-		if d.assigned[node][i] && spare > most {
-			server, most, found = i, spare, true
+		spare := d.nodeCounts[i] - d.bounds.minimum[i]
+		if d.assigned[node][i] && spare > highest {
+			server, highest, found = i, spare, true
 		}
 	}
 	return server, found
 }
 
-// complete adds pairs until each server is used by its least number of nodes, some of which then take more than the
-// others.
+// complete adds pairs until each server has its minimum number of nodes. Some nodes then have more than
+// perNode servers.
 func (d *classDivider) complete() {
 	for _, p := range d.pairs {
-		if d.used[p.server] < d.bounds.least[p.server] {
+		if d.nodeCounts[p.server] < d.bounds.minimum[p.server] {
 			d.add(p.node, p.server)
 		}
 	}
@@ -153,28 +156,29 @@
 	return total
 }
 
-// newBounds returns the bounds if each node takes perNode servers.
+// newBounds returns the bounds for perNode servers per node.
 func newBounds(servers []Server, hashes []uint64, perNode, nodes, minNodes int) bounds {
 	sizes := effectiveSizes(servers)
 	uses := float64(nodes * perNode)
 	var b bounds
 	for i, size := range sizes.each {
-		due := uses * size / sizes.total
-		// The bounds of each server step at another number of nodes. Bounds that all stepped at once would move a pair
-		// at every server when one node joins.
+		expected := uses * size / sizes.total
+		// The offset makes the rounded bounds of different servers change at different numbers of nodes. If
+		// all bounds changed at once, a pair would move at every server when one node joins.
 		offset := float64(hashes[i]>>11) / (1 << 53) // the hash as a fraction from 0 to 1
-		least, most := int(due/BalanceFactor+offset), int(due*BalanceFactor+offset)
-		// A small server needs enough nodes as well: the few that are to use it may be wrong about who else is alive.
-		if least < minNodes {
-			least, most = minNodes, max(most, minNodes)
+		minimum, maximum := int(expected/BalanceFactor+offset), int(expected*BalanceFactor+offset)
+		// A small server also needs minNodes nodes: if only few nodes use it, their differing views of the
+		// live nodes could leave it unused.
+		if minimum < minNodes {
+			minimum, maximum = minNodes, max(maximum, minNodes)
 		}
-		b.least = append(b.least, min(least, nodes))
-		b.most = append(b.most, min(most, nodes))
+		b.minimum = append(b.minimum, min(minimum, nodes))
+		b.maximum = append(b.maximum, min(maximum, nodes))
 	}
 	return b
 }
 
-// serverSizes are sizes of servers, with the mean in place of those that are not known.
+// serverSizes are the sizes of servers, with unknown sizes replaced by the mean.
 type serverSizes struct {
 	each  []float64
 	total float64
@@ -203,16 +207,16 @@
 	return sizes
 }
 
-// nameHash returns a number for a node or server that depends on its name alone.
+// nameHash returns a hash of the name of a node or server.
 func nameHash(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	x := h.Sum64()
-	// FNV hardly mixes the last bytes into the highest bits, which decide the order.
+	// FNV barely mixes the last bytes into the highest bits, which determine the order.
 	return (x ^ x>>33) * 0xff51afd7ed558ccd
 }
 
-// pairHash returns a number for the pair of a node and a server, given the hashes of their names.
+// pairHash returns a hash of the pair of a node and a server from the hashes of their names.
 func pairHash(node, server uint64) uint64 {
 	x := node ^ (server<<32 | server>>32)
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package subset assigns to each node the servers that it is to use, so that servers of one size are used by about as
-// many nodes each, and few connections are held in all. The package does no I/O: from the same names every node works
-// out the same assignment, and from nearly the same names nearly the same one. docs/fleet.md lists what it promises.
+// Package subset assigns a subset of the servers to each node, so that servers of the same size are used by
+// about the same number of nodes and the fleet needs few connections. The package does no I/O: every node
+// computes the same assignment from the same names, and nearly the same assignment from nearly the same
+// names. docs/fleet.md lists its guarantees.
 package subset
 
 import (
@@ -11,42 +12,43 @@
 	"slices"
 )
 
-// BalanceFactor bounds by how much the number of nodes that use a server may differ from what its size calls for, as a
-// factor either way, or by less than one node where that is more.
+// BalanceFactor is the largest factor, in either direction, between the number of nodes that use a server and
+// the number in proportion to its size. A difference of less than one node is always allowed.
 const BalanceFactor = 1.15
 
-// Settings are what nodes agree on beforehand.
+// Settings must be identical on all nodes.
 type Settings struct {
-	// Size is how many servers a node uses, of all classes together.
+	// Size is the number of servers that a node uses, over all classes.
 	Size int
-	// MinNodesPerServer is how many nodes use each server at least, as far as there are so many.
+	// MinNodesPerServer is the minimum number of nodes that use each server. All nodes use it if there are
+	// fewer.
 	MinNodesPerServer int
 }
 
-// Server is a server of the endpoint list. Servers of one zone, machine type and cell, a class, can stand in for each
-// other.
+// Server is a server of the endpoint list. Servers with the same zone, machine type and cell form a class and
+// are interchangeable.
 type Server struct {
 	Name                    string
 	Zone, MachineType, Cell int
-	Size                    float64 // in any unit; 0 or less: not known, taken for the mean
+	Size                    float64 // in any unit; 0 or less: unknown, replaced by the mean
 }
 
 type class struct{ zone, machineType, cell int }
 
-// Assignment is which nodes use which servers.
+// Assignment records which nodes use which servers.
 type Assignment struct {
-	nodes   []string // in order
+	nodes   []string // sorted
 	classes []classAssignment
 }
 
 // classAssignment is the assignment of the servers of one class.
 type classAssignment struct {
-	servers        []Server // in order of their names
+	servers        []Server // sorted by name
 	serversPerNode int
 	assigned       [][]bool // by node and server
 }
 
-// Assign assigns servers to nodes. Both may come in any order, and nodes more than once.
+// Assign assigns servers to nodes. Both may be in any order, and nodes may contain duplicates.
 func Assign(nodes []string, servers []Server, settings Settings) *Assignment {
 	a := &Assignment{nodes: slices.Compact(slices.Sorted(slices.Values(nodes)))}
 	classes := map[class][]Server{}
@@ -62,17 +64,17 @@
 	return a
 }
 
-// serversPerNode returns how many servers of a class a node uses: in proportion to the class, at least one, and more
-// where there are too few nodes for each server to be used by enough of them.
+// serversPerNode returns the number of servers of a class that a node uses. It is proportional to the size of
+// the class, at least one, and higher if too few nodes would otherwise use each server.
 func (s Settings) serversPerNode(nodes, classServers, allServers int) int {
 	proportional := int(math.Ceil(float64(s.Size*classServers) / float64(allServers)))
 	covering := (min(s.MinNodesPerServer, nodes)*classServers + nodes - 1) / nodes
 	return min(max(proportional, covering, 1), classServers)
 }
 
-// Distances returns how far each server is from a node, by name: 0 for those that the node is to use, 1 for as many
-// again that it turns to first if those can't serve, 2 for twice as many, and so on. It is empty for a node that is
-// not known.
+// Distances returns the distance of each server from a node, by server name. Assigned servers have distance
+// 0. If they can't serve, the node uses servers at distance 1, of which there are as many as assigned ones,
+// then twice as many at distance 2, and so on. The result is empty for an unknown node.
 func (a *Assignment) Distances(node string) map[string]int {
 	distances := map[string]int{}
 	index, known := slices.BinarySearch(a.nodes, node)
@@ -85,8 +87,8 @@
 	return distances
 }
 
-// addDistances adds the distances of one class. The order of the servers that the node is not to use is its own:
-// otherwise the nodes whose servers are crowded would all turn to the same next one.
+// addDistances adds the distances of one class. Each node has its own order of the servers that are not
+// assigned to it. Otherwise all nodes with overloaded servers would use the same next server.
 func (c *classAssignment) addDistances(nodeHash uint64, assigned []bool, distances map[string]int) {
 	var others []int
 	for i, server := range c.servers {
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// hasUnmetBounds reports whether some server is due more nodes than there are, or fewer than the least number. The
-// others then have what is left over, or less.
+// hasUnmetBounds reports whether some server is due more nodes than there are, or fewer than the least
+// number. The others then have what is left over, or less.
 func (u *classUses) hasUnmetBounds() bool {
 	return slices.ContainsFunc(u.servers, func(server Server) bool {
 		due := u.due(server)
@@ -181,8 +181,8 @@
 	})
 }
 
-// FuzzPromises: in random histories, after every step, each server is used by as many nodes as its size calls for,
-// each node reaches each class, and a node or server that comes or goes moves few pairs.
+// FuzzPromises: in random histories, after every step, each server is used by as many nodes as its size calls
+// for, each node reaches each class, and a node or server that comes or goes moves few pairs.
 func FuzzPromises(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
@@ -231,8 +231,8 @@
 	return count
 }
 
-// FuzzViews: nodes of which each is wrong about which others are alive, by one or two of them, keep every server in
-// use.
+// FuzzViews: nodes of which each is wrong about which others are alive, by one or two of them, keep every
+// server in use.
 func FuzzViews(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
@@ -262,8 +262,8 @@
 	})
 }
 
-// TestDistances: a node turns to the servers that it does not use in an order of its own: to as many as it uses first,
-// then to twice as many.
+// TestDistances: a node turns to the servers that it does not use in an order of its own: to as many as it
+// uses first, then to twice as many.
 func TestDistances(t *testing.T) {
 	var servers []Server
 	for i := range 64 {
