--- a/internal/fleet/signals/signals_test.go
+++ b/internal/fleet/signals/signals_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// allListed takes every server for one of the endpoint list.
+// allListed reports every server as listed.
 func allListed(string) bool { return true }
 
-// FuzzOrder: reports that are late, doubled and in any order leave the same as the latest of each node alone.
-func FuzzOrder(f *testing.F) {
+// FuzzReportOrder checks that late, duplicate and reordered reports give the same scores as only the latest
+// report of each node.
+func FuzzReportOrder(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
 	}
@@ -36,17 +37,19 @@
 				latest = append(latest, last)
 			}
 		}
-		one, other := New("me", "z0", 1, 3), New("me", "z0", 1, 3)
+		latestOnly, reordered := New("me", "z0", 1, 3), New("me", "z0", 1, 3)
 		for _, n := range latest {
-			one.MergeReport(n, allListed, now)
+			latestOnly.MergeReport(n, allListed, now)
 		}
 		for _, i := range append(r.Perm(len(reports)), r.Perm(len(reports))...) {
-			other.MergeReport(reports[i], allListed, now)
+			reordered.MergeReport(reports[i], allListed, now)
 		}
 		for e := range 3 {
 			name := fmt.Sprint("e", e)
-			if a, b := one.OutlierScore(name, now), other.OutlierScore(name, now); math.Abs(a-b) > 1e-9 {
-				t.Errorf("%s: %v and %v", name, a, b)
+			if a, b := latestOnly.OutlierScore(name, now),
+				reordered.OutlierScore(name, now); math.Abs(a-b) > 1e-9 {
+				t.Errorf("server %s: want score %v of the latest reports, got %v from reordered reports",
+					name, a, b)
 			}
 		}
 	})
@@ -67,15 +70,16 @@
 	return tracker.MergeReport(report, allListed, now)
 }
 
-// TestQuorum: one witness gives no server a score however much it reports, nor does one zone, nor a minority.
-// A quorum does, and one witness that claims that all is well does not keep it from doing so.
+// TestQuorum checks that neither one witness, however many failures it reports, nor one of two zones, nor a
+// minority gives a server a high score. A quorum gives it one, and one witness that reports only successes
+// can't prevent that.
 func TestQuorum(t *testing.T) {
 	now := int64(0)
 	tracker := New("me", "east", 1, 3)
 	check := func(what string, least, most float64) {
 		t.Helper()
 		if score := tracker.OutlierScore("e", now); score < least || score > most {
-			t.Errorf("%s: score %v, not %v to %v", what, score, least, most)
+			t.Errorf("%s: got score %v, want %v to %v", what, score, least, most)
 		}
 	}
 	mergeReport(tracker, "liar", "west", "e", 1, 0, 1e6, now)
@@ -89,21 +93,21 @@
 	check("two zones", 0.7, 1)
 	mergeReport(tracker, "y", "east", "e", 1, 0, 10, now)
 	mergeReport(tracker, "friend", "east", "e", 1, 1e6, 0, now)
-	check("one says that it is well", 0.95, 1)
+	check("two zones and one witness of successes", 0.95, 1)
 	for i := range 8 {
 		mergeReport(tracker, fmt.Sprint("v", i), "east", "e", 1, 10, 0, now)
 	}
-	check("most say so", 0, 0)
-	only := New("me", "", 1, 3)
+	check("a majority of witnesses of successes", 0, 0)
+	singleZone := New("me", "", 1, 3)
 	for i := range 3 {
-		mergeReport(only, fmt.Sprint("w", i), "", "e", 1, 0, 10, now)
+		mergeReport(singleZone, fmt.Sprint("w", i), "", "e", 1, 0, 10, now)
 	}
-	if bad := only.OutlierScore("e", now); bad < 0.95 {
-		t.Errorf("one zone that is all: %v", bad)
+	if score := singleZone.OutlierScore("e", now); score < 0.95 {
+		t.Errorf("fleet with a single zone: got score %v, want at least 0.95", score)
 	}
 }
 
-// TestRecentFailures: what failed lately counts, however well it went before.
+// TestRecentFailures checks that recent failures give a high score despite many earlier successes.
 func TestRecentFailures(t *testing.T) {
 	tracker := New("me", "a", 1, 3)
 	for i := range 5 {
@@ -115,14 +119,14 @@
 		w.RecordOutcome("e", true, 0)
 		tracker.MergeReport(w.NextReport(0, 24), allListed, 0)
 	}
-	if bad := tracker.OutlierScore("e", 0); bad < 0.95 {
-		t.Error(bad)
+	if score := tracker.OutlierScore("e", 0); score < 0.95 {
+		t.Error(score)
 	}
 }
 
-// TestFading: failures that are not seen any more are forgotten, little by little; successes after them count
+// TestScoreDecay checks that the score decays gradually after failures end, and that later successes reset it
 // at once.
-func TestFading(t *testing.T) {
+func TestScoreDecay(t *testing.T) {
 	tracker, now := New("me", "a", 1, 3), int64(0)
 	for i := range 4 {
 		mergeReport(tracker, fmt.Sprint("w", i), "a", "e", 1, 0, 4, now)
@@ -133,20 +137,20 @@
 	}
 	steps := 0
 	for ; last > 0 && now < 60e9; now += 5e8 {
-		bad := tracker.OutlierScore("e", now)
-		if bad > last || last-bad > 0.35 {
-			t.Errorf("from %v to %v in half a second", last, bad)
+		score := tracker.OutlierScore("e", now)
+		if score > last || last-score > 0.35 {
+			t.Errorf("score changed from %v to %v in 0.5 s, want a decrease of at most 0.35", last, score)
 		}
-		if bad > 0 && bad < 0.9 {
+		if score > 0 && score < 0.9 {
 			steps++
 		}
-		last = bad
+		last = score
 	}
 	if now > 30e9 || steps < 4 {
-		t.Errorf("forgotten after %d s, in %d steps", now/1e9, steps)
+		t.Errorf("score is 0 after %d s, in %d steps; want at most 30 s and at least 4 steps", now/1e9, steps)
 	}
 	if len(tracker.OutlierScores(now+60e9)) != 0 {
-		t.Error("doubted for ever")
+		t.Error("a server still has a score 60 s after its score became 0")
 	}
 	for i := range 4 {
 		mergeReport(tracker, fmt.Sprint("w", i), "a", "e", 2, 0, 4, now)
@@ -154,14 +158,14 @@
 	for i := range 3 {
 		mergeReport(tracker, fmt.Sprint("w", i), "a", "e", 3, 8, 4, now)
 	}
-	if bad := tracker.OutlierScore("e", now); bad != 0 {
-		t.Errorf("seen to be well again: %v", bad)
+	if score := tracker.OutlierScore("e", now); score != 0 {
+		t.Errorf("score after later successes: got %v, want 0", score)
 	}
 }
 
-// TestBounds: reports that can't be true, are late or name unlisted servers are not taken, and what is kept
-// is bounded.
-func TestBounds(t *testing.T) {
+// TestReportBounds checks that invalid and late reports and unlisted servers are ignored, and that the number
+// of tracked and reported servers is bounded.
+func TestReportBounds(t *testing.T) {
 	tracker := New("me", "a", 5, 3)
 	nan := math.NaN()
 	for _, c := range []OutcomeCount{
@@ -169,35 +173,37 @@
 		{Attempts: 1e9}, {Attempts: math.Inf(1)},
 	} {
 		before := tracker.RejectedReports
-		tracker.MergeReport(&Report{"w", "a", 1, uint64(before) + 1, map[string]OutcomeCount{"e": c}}, allListed, 0)
+		tracker.MergeReport(&Report{"w", "a", 1, uint64(before) + 1, map[string]OutcomeCount{"e": c}},
+			allListed, 0)
 		if tracker.RejectedReports != before+1 || tracker.OutlierScore("e", 0) != 0 {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("invalid count %+v was not rejected", c)
 		}
 	}
-	isOwnTaken := tracker.MergeReport(&Report{Node: "me", Seq: 9}, allListed, 0)
-	isNobodysTaken := tracker.MergeReport(&Report{Seq: 9}, allListed, 0)
-	if isOwnTaken || isNobodysTaken {
-		t.Error("a report of itself, or of nobody, is taken")
+	isOwnMerged := tracker.MergeReport(&Report{Node: "me", Seq: 9}, allListed, 0)
+	isNamelessMerged := tracker.MergeReport(&Report{Seq: 9}, allListed, 0)
+	if isOwnMerged || isNamelessMerged {
+		t.Error("merged a report of this node itself or without a node name")
 	}
 	mergeReport(tracker, "x", "a", "e", 7, 0, 3, 0)
-	isRepeatTaken := mergeReport(tracker, "x", "a", "e", 7, 3, 0, 0)
-	isLateTaken := mergeReport(tracker, "x", "a", "e", 6, 3, 0, 0)
-	isFormerTaken := tracker.MergeReport(&Report{Node: "x", Zone: "a", Incarnation: 0, Seq: 99}, allListed, 0)
-	if isRepeatTaken || isLateTaken || isFormerTaken {
-		t.Error("a report that is not the latest counts")
+	isDuplicateMerged := mergeReport(tracker, "x", "a", "e", 7, 3, 0, 0)
+	isLateMerged := mergeReport(tracker, "x", "a", "e", 6, 3, 0, 0)
+	isFormerMerged := tracker.MergeReport(
+		&Report{Node: "x", Zone: "a", Incarnation: 0, Seq: 99}, allListed, 0)
+	if isDuplicateMerged || isLateMerged || isFormerMerged {
+		t.Error("merged a duplicate report, a late report or one of an earlier incarnation")
 	}
 	before := tracker.RejectedReports
 	unlisted := &Report{"x", "a", 1, 8, map[string]OutcomeCount{"unlisted": {Attempts: 3, Failures: 3}}}
 	tracker.MergeReport(unlisted, func(string) bool { return false }, 0)
 	if tracker.RejectedReports != before+1 {
-		t.Error("a server that is not listed is taken")
+		t.Error("an unlisted server in a report was not rejected")
 	}
 	large := map[string]OutcomeCount{}
 	for i := range maxReportedServers + 1 {
 		large[fmt.Sprint(i)] = OutcomeCount{Attempts: 1}
 	}
 	if tracker.MergeReport(&Report{"z", "a", 1, 1, large}, allListed, 0) {
-		t.Error("a report over the bound is taken")
+		t.Error("merged a report with more than maxReportedServers servers")
 	}
 	for i := range 3000 {
 		tracker.RecordOutcome(fmt.Sprint("e", i), true, int64(i))
@@ -205,17 +211,18 @@
 	}
 	own, other := len(tracker.own.outcomes), len(tracker.witnesses["w"].outcomes)
 	if own > maxTrackedServers || other > maxTrackedServers {
-		t.Errorf("%d and %d servers are kept", own, other)
+		t.Errorf("tracked servers: got %d own and %d of another node",
+			own, other)
 	}
 	if reported := len(tracker.NextReport(3000, 99).Outcomes); reported > maxReportedServers {
-		t.Errorf("%d servers are reported", reported)
+		t.Errorf("reported %d servers", reported)
 	}
-	quiet := New("q", "a", 1, 3)
-	if quiet.NextReport(0, 24) != nil {
-		t.Error("a node that saw nothing reports")
+	withoutFailures := New("q", "a", 1, 3)
+	if withoutFailures.NextReport(0, 24) != nil {
+		t.Error("a node without attempts sends a report")
 	}
-	quiet.RecordOutcome("e", false, 0)
-	if quiet.NextReport(0, 24) != nil {
-		t.Error("a node that saw no failures reports")
+	withoutFailures.RecordOutcome("e", false, 0)
+	if withoutFailures.NextReport(0, 24) != nil {
+		t.Error("a node without failures sends a report")
 	}
 }
--- a/internal/fleet/signals/size_test.go
+++ b/internal/fleet/signals/size_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// crowdedTracker is a tracker that has heard of so many servers from so many witnesses.
-func crowdedTracker(nodes, servers int) *OutlierTracker {
+// newFilledTracker returns a tracker with outcomes of the given number of servers and reports of the given
+// number of other nodes.
+func newFilledTracker(nodes, servers int) *OutlierTracker {
 	tracker := New("me", "z0", 1, 3)
 	for e := range servers {
 		tracker.RecordOutcome(fmt.Sprint("e", e), e%7 == 0, 1e9)
@@ -30,19 +31,22 @@
 	return tracker
 }
 
-// TestFullSize: 1,024 servers and as many witnesses are kept and reported on, each server with its score.
-func TestFullSize(t *testing.T) {
-	tracker := crowdedTracker(1024, 1024)
+// TestLargestFleet checks that 1,024 servers and 1,024 witnesses are tracked, and that OutlierScores agrees
+// with OutlierScore.
+func TestLargestFleet(t *testing.T) {
+	tracker := newFilledTracker(1024, 1024)
 	if len(tracker.own.outcomes) != 1024 || len(tracker.witnesses) != 1024 {
-		t.Errorf("%d servers, %d witnesses", len(tracker.own.outcomes), len(tracker.witnesses))
+		t.Errorf("tracked %d servers and %d witnesses, want 1024 of each",
+			len(tracker.own.outcomes), len(tracker.witnesses))
 	}
 	scores := tracker.OutlierScores(1e9)
 	if len(scores) == 0 {
-		t.Error("no server has a score")
+		t.Error("no server has a score above 0")
 	}
 	for e, score := range scores {
 		if tracker.OutlierScore(e, 1e9) != score {
-			t.Errorf("%s: %v, %v alone", e, score, tracker.OutlierScore(e, 1e9))
+			t.Errorf("server %s: OutlierScores returns %v, OutlierScore %v",
+				e, score, tracker.OutlierScore(e, 1e9))
 		}
 	}
 	if n := tracker.NextReport(1e9, maxReportedServers); len(n.Outcomes) != maxReportedServers {
@@ -50,11 +54,12 @@
 	}
 }
 
-// BenchmarkRound is what a node does several times a second: its report, and the scores of all servers.
+// BenchmarkRound measures a node's periodic work, several times per second: its report and the scores of all
+// servers.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range [][2]int{{9, 30}, {300, 200}, {1024, 1024}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			tracker := crowdedTracker(size[0], size[1])
+			tracker := newFilledTracker(size[0], size[1])
 			for b.Loop() {
 				tracker.NextReport(1e9, maxReportedServers)
 				tracker.OutlierScores(1e9)
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// history is a fleet that changes at random, one step at a time.
+// history is a fleet to which random changes are applied, one step at a time.
 type history struct {
 	*rand.Rand
 	*testing.T
 	settings Settings
 	nodes    []string
 	servers  []Server
-	named    int // how many nodes and servers there ever were
+	named    int // number of nodes and servers that were ever added
 }
 
 func newHistory(t *testing.T, seed uint64) *history {
@@ -48,7 +48,7 @@
 	})
 }
 
-// step adds or removes a node or a server, and returns how many of its kind there are then.
+// step adds or removes a node or a server. It returns the resulting number of nodes or servers, respectively.
 func (h *history) step() float64 {
 	switch n := h.IntN(4); {
 	case n == 0 || len(h.nodes) < 3:
@@ -67,7 +67,7 @@
 	return float64(len(h.nodes))
 }
 
-// uses returns which node uses which server. view is which nodes a node knows of.
+// uses returns the servers that each node uses. view returns the nodes that a node considers alive.
 func (h *history) uses(view func(node string) []string) map[string]map[string]bool {
 	uses := map[string]map[string]bool{}
 	for _, n := range h.nodes {
@@ -82,17 +82,17 @@
 	return uses
 }
 
-// classUses is which nodes use the servers of one class.
+// classUses contains the nodes that use the servers of one class.
 type classUses struct {
 	*history
 	servers []Server
-	mean    float64 // of the sizes that are known
-	size    float64 // of all servers
+	mean    float64 // of the known sizes
+	size    float64 // sum over all servers
 	uses    map[string]map[string]bool
-	count   int // of pairs of a node and a server
+	count   int // number of pairs of a node and a server
 }
 
-// check compares an assignment with what is promised.
+// check checks an assignment against the guarantees of the package.
 func (h *history) check(uses map[string]map[string]bool) {
 	h.Helper()
 	classes := map[class][]Server{}
@@ -125,7 +125,7 @@
 	return u
 }
 
-// checkNodes counts the uses. Each node reaches the class.
+// checkNodes checks that each node uses a server of the class, and counts the pairs.
 func (u *classUses) checkNodes(c class) {
 	u.Helper()
 	for _, node := range u.nodes {
@@ -137,13 +137,13 @@
 		}
 		u.count += own
 		if own == 0 {
-			u.Errorf("%s reaches none of %v", node, c)
+			u.Errorf("node %s uses no server of class %+v", node, c)
 		}
 	}
 }
 
-// due is how many nodes a server's size calls for.
-func (u *classUses) due(server Server) float64 {
+// expectedNodes returns the number of nodes that use a server in exact proportion to its size.
+func (u *classUses) expectedNodes(server Server) float64 {
 	size := server.Size
 	if size <= 0 {
 		size = u.mean
@@ -151,7 +151,7 @@
 	return float64(u.count) * size / u.size
 }
 
-// checkServer compares the number of nodes that use a server with what its size calls for.
+// checkServer checks that the number of nodes that use a server is in proportion to its size.
 func (u *classUses) checkServer(server Server) {
 	u.Helper()
 	used := 0
@@ -160,30 +160,31 @@
 			used++
 		}
 	}
-	due := u.due(server)
+	expected := u.expectedNodes(server)
 	cover := min(u.settings.MinNodesPerServer, len(u.nodes))
-	least, most := math.Floor(due/BalanceFactor), max(math.Ceil(due*BalanceFactor), float64(cover))
+	least, most := math.Floor(expected/BalanceFactor), max(math.Ceil(expected*BalanceFactor), float64(cover))
 	isBalanced := float64(used) >= least && float64(used) <= most
 	if used < cover || !isBalanced && !u.hasUnmetBounds() {
-		u.Errorf("%s of size %.2f is used by %d of %d nodes, due are %.2f",
-			server.Name, server.Size, used, len(u.nodes), due)
+		u.Errorf("server %s of size %.2f is used by %d of %d nodes, want about %.2f",
+			server.Name, server.Size, used, len(u.nodes), expected)
 	}
 }
 
-// hasUnmetBounds reports whether some server is due more nodes than there are, or fewer than the least
-// number. The others then have what is left over, or less.
+// hasUnmetBounds reports whether the expected number of nodes of some server exceeds the number of all nodes
+// or is below the minimum. The other servers then get the remaining assignments, or fewer.
 func (u *classUses) hasUnmetBounds() bool {
 	return slices.ContainsFunc(u.servers, func(server Server) bool {
-		due := u.due(server)
-		isOverAll := due*BalanceFactor > float64(len(u.nodes))
-		isUnderLeast := due/BalanceFactor < float64(u.settings.MinNodesPerServer)
-		return isOverAll || isUnderLeast
+		expected := u.expectedNodes(server)
+		isAboveAllNodes := expected*BalanceFactor > float64(len(u.nodes))
+		isBelowMinimum := expected/BalanceFactor < float64(u.settings.MinNodesPerServer)
+		return isAboveAllNodes || isBelowMinimum
 	})
 }
 
-// FuzzPromises: in random histories, after every step, each server is used by as many nodes as its size calls
-// for, each node reaches each class, and a node or server that comes or goes moves few pairs.
-func FuzzPromises(f *testing.F) {
+// FuzzAssignmentGuarantees checks three properties after every step of random histories: the number of nodes
+// per server is in proportion to its size, each node uses a server of each class, and adding or removing a
+// node or server moves few pairs.
+func FuzzAssignmentGuarantees(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
 	}
@@ -192,19 +193,19 @@
 		all := func(string) []string { return h.nodes }
 		before := h.uses(all)
 		h.check(before)
-		moved, fair := 0.0, 0.0
+		moved, expected := 0.0, 0.0
 		for range 12 {
 			count := h.step()
 			after := h.uses(all)
 			h.check(after)
-			fair += float64(countPairs(after)) / count
+			expected += float64(countPairs(after)) / count
 			moved += float64(h.newPairs(before, after))
 			before = after
 		}
-		t.Logf("%d nodes, %d servers, %+v: %.0f pairs are new, a fair share is %.0f",
-			len(h.nodes), len(h.servers), h.settings, moved, fair)
-		if moved > 4*fair {
-			t.Errorf("%.0f pairs are new at nodes that stayed, a fair share is %.0f", moved, fair)
+		t.Logf("%d nodes, %d servers, %+v: %.0f new pairs, proportional would be %.0f",
+			len(h.nodes), len(h.servers), h.settings, moved, expected)
+		if moved > 4*expected {
+			t.Errorf("%.0f new pairs on remaining nodes, want at most 4 times %.0f", moved, expected)
 		}
 	})
 }
@@ -217,7 +218,7 @@
 	return count
 }
 
-// newPairs counts the pairs that a step added at nodes that were there before it.
+// newPairs counts the pairs of listed servers that a step added on nodes that existed before it.
 func (h *history) newPairs(before, after map[string]map[string]bool) int {
 	count := 0
 	for node, servers := range after {
@@ -231,9 +232,9 @@
 	return count
 }
 
-// FuzzViews: nodes of which each is wrong about which others are alive, by one or two of them, keep every
-// server in use.
-func FuzzViews(f *testing.F) {
+// FuzzDifferentViews checks that every server is used although each node has a slightly wrong list of live
+// nodes, with up to two missing and up to one extra node.
+func FuzzDifferentViews(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
 	}
@@ -256,14 +257,14 @@
 		})
 		for _, e := range h.servers {
 			if !slices.ContainsFunc(h.nodes, func(n string) bool { return uses[n][e.Name] }) {
-				t.Errorf("nobody uses %s", e.Name)
+				t.Errorf("no node uses server %s", e.Name)
 			}
 		}
 	})
 }
 
-// TestDistances: a node turns to the servers that it does not use in an order of its own: to as many as it
-// uses first, then to twice as many.
+// TestDistances checks that the servers not assigned to a node have increasing distances, first as many as
+// are assigned and then twice as many per distance, and that nodes differ in the order.
 func TestDistances(t *testing.T) {
 	var servers []Server
 	for i := range 64 {
@@ -283,13 +284,14 @@
 	}
 	a, first := counts("a")
 	if a != [8]int{8, 8, 16, 32} {
-		t.Errorf("%v", a)
+		t.Errorf("number of servers by distance: got %v, want 8, 8, 16 and 32", a)
 	}
 	if _, other := counts("b"); slices.Equal(first, other) {
-		t.Error("two nodes turn to the same ones first")
+		t.Error("nodes a and b have the same servers at distance 1")
 	}
 }
 
+// BenchmarkDistances measures Assign and Distances for fleets of different sizes.
 func BenchmarkDistances(b *testing.B) {
 	for _, size := range [][2]int{{9, 30}, {300, 200}, {1000, 200}} {
 		var nodes []string
