--- a/internal/fleet/signals/signals_test.go
+++ b/internal/fleet/signals/signals_test.go
@@ -120,7 +120,7 @@
 		tracker.MergeReport(w.NextReport(0, 24), allListed, 0)
 	}
 	if score := tracker.OutlierScore("e", 0); score < 0.95 {
-		t.Error(score)
+		t.Errorf("got score %v, want at least 0.95", score)
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	last := tracker.OutlierScore("e", now)
 	if last < 0.95 {
-		t.Fatal(last)
+		t.Fatalf("initial score: got %v, want at least 0.95", last)
 	}
 	steps := 0
 	for ; last > 0 && now < 60e9; now += 5e8 {
@@ -211,11 +211,11 @@
 	}
 	own, other := len(tracker.own.outcomes), len(tracker.witnesses["w"].outcomes)
 	if own > maxTrackedServers || other > maxTrackedServers {
-		t.Errorf("tracked servers: got %d own and %d of another node",
-			own, other)
+		t.Errorf("tracked servers: got %d own and %d of another node, want at most %d",
+			own, other, maxTrackedServers)
 	}
 	if reported := len(tracker.NextReport(3000, 99).Outcomes); reported > maxReportedServers {
-		t.Errorf("reported %d servers", reported)
+		t.Errorf("reported %d servers, want at most %d", reported, maxReportedServers)
 	}
 	withoutFailures := New("q", "a", 1, 3)
 	if withoutFailures.NextReport(0, 24) != nil {
--- a/internal/fleet/signals/size_test.go
+++ b/internal/fleet/signals/size_test.go
@@ -50,7 +50,7 @@
 		}
 	}
 	if n := tracker.NextReport(1e9, maxReportedServers); len(n.Outcomes) != maxReportedServers {
-		t.Error(len(n.Outcomes))
+		t.Errorf("reported %d servers, want %d", len(n.Outcomes), maxReportedServers)
 	}
 }
 
