--- a/internal/fleet/stored_data_test.go
+++ b/internal/fleet/stored_data_test.go
@@ -21,11 +21,11 @@
 	"fernrail/internal/fleet/signals"
 )
 
-// The files under testdata were written by the program as of commit be9205f. A voter is restarted over the data of the
-// version before it, and voters of both versions talk to each other during an upgrade, so each of them has to stay
-// readable.
+// The program of commit be9205f wrote the files under testdata. During an upgrade, a voter restarts with the
+// data of the previous version and exchanges messages with voters of that version, so all of these files must
+// stay readable.
 
-// fixtureConfig is the configuration that the voter of the fixtures had.
+// fixtureConfig returns the configuration of the voter that wrote the fixtures.
 func fixtureConfig(address, dataDir string) *config.Fleet {
 	return &config.Fleet{
 		Listen:          address,
@@ -60,8 +60,8 @@
 	return data
 }
 
-// checkFixture decodes a JSON fixture, compares it with what it has to hold, and encodes it again: the bytes are to be
-// the same.
+// checkFixture checks that a JSON fixture decodes to the wanted value, and that encoding this value gives the
+// same bytes again.
 func checkFixture[T any](t *testing.T, data []byte, want T) {
 	t.Helper()
 	var got T
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("decoded\n%+v, want\n%+v", got, want)
+		t.Errorf("decoded value: got\n%+v\nwant\n%+v", got, want)
 	}
 	checkEncoding(t, got, data)
 }
@@ -81,11 +81,11 @@
 		t.Fatal(err)
 	}
 	if want = bytes.TrimSpace(want); !bytes.Equal(got, want) {
-		t.Errorf("encoded\n%s, want\n%s", got, want)
+		t.Errorf("encoded value: got\n%s\nwant\n%s", got, want)
 	}
 }
 
-// TestStoredLogEntries reads a raft log entry of each kind.
+// TestStoredLogEntries checks that stored raft log entries of each kind decode and encode unchanged.
 func TestStoredLogEntries(t *testing.T) {
 	agreement := fixtureAgreement()
 	const clusterID = "9d967dad2543b775"
@@ -105,10 +105,11 @@
 	}
 }
 
-// snapshotDir is the raft snapshot of the fixtures, of term 2 and index 25.
+// snapshotDir is the directory of the raft snapshot among the fixtures, of term 2 and log index 25.
 var snapshotDir = filepath.Join("voter", "snapshots", "2-25-1796292332258")
 
-// TestStoredSnapshot restores the state machine from a snapshot and writes the same snapshot again.
+// TestStoredSnapshot checks that the state machine restores a stored snapshot and writes the same bytes
+// again.
 func TestStoredSnapshot(t *testing.T) {
 	data := readFixture(t, snapshotDir, "state.bin")
 	state := &stateMachine{}
@@ -142,18 +143,19 @@
 		},
 	}
 	if !reflect.DeepEqual(state.ledger, want) {
-		t.Errorf("restored\n%+v, want\n%+v", state.ledger, want)
+		t.Errorf("restored ledger: got\n%+v\nwant\n%+v", state.ledger, want)
 	}
 	snapshot, err := state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := []byte(snapshot.(ledgerSnapshot)); !bytes.Equal(got, data) {
-		t.Errorf("snapshot\n%s, want\n%s", got, data)
+		t.Errorf("written snapshot: got\n%s\nwant\n%s", got, data)
 	}
 }
 
-// restoreVoterDir copies the voter's durable folder of the fixtures to a folder of this test.
+// restoreVoterDir copies the voter's data directory from the fixtures to a temporary directory and returns
+// its path.
 func restoreVoterDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -174,8 +176,8 @@
 	return dir
 }
 
-// TestStoredVoter starts a voter over the durable folder of the version before it. It keeps its id, and its ledger
-// holds what the snapshot and the log entry after that say.
+// TestStoredVoter checks that a voter starts with the data directory of the previous version. It must keep
+// its id, and its ledger must contain the state of the snapshot and of the later log entry.
 func TestStoredVoter(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -197,30 +199,31 @@
 	defer v.close()
 	for deadline := time.Now().Add(10 * time.Second); !v.isServing(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the only voter of its cluster does not become leader")
+			t.Fatal("the only voter of its cluster did not become leader within 10 s")
 		}
 	}
 	status := v.status()
 	if want := "n0/dab0d43402211e7d"; status.ID != want || !reflect.DeepEqual(status.Voters, []string{want}) {
-		t.Errorf("id %q, voters %q, want %q", status.ID, status.Voters, want)
+		t.Errorf("got voter id %q and voters %q, want only %q", status.ID, status.Voters, want)
 	}
 	if status.Epoch <= 2 {
-		t.Errorf("epoch %d is not after that of the stored leader term, 2", status.Epoch)
+		t.Errorf("epoch: got %d, want more than 2, the epoch of the stored leader term", status.Epoch)
 	}
 	wantHolders := []HolderStatus{
 		{Node: "n0", Units: map[string]int64{"connect": 2}, Demand: map[string]int64{"connect": 2}},
 		{Node: "n2", Units: map[string]int64{"connect": 4}, Demand: map[string]int64{"connect": 4}},
 	}
 	if !reflect.DeepEqual(status.Holders, wantHolders) {
-		t.Errorf("holders %+v, want %+v", status.Holders, wantHolders)
+		t.Errorf("holders: got %+v, want %+v", status.Holders, wantHolders)
 	}
 	wantConnect := LedgerStatus{Total: 50, Floors: 6, Granted: 6, CoolingDown: 2, Free: 36}
 	if got := status.Budgets["connect"]; got != wantConnect {
-		t.Errorf("budget connect %+v, want %+v", got, wantConnect)
+		t.Errorf("budget connect: got %+v, want %+v", got, wantConnect)
 	}
 }
 
-// TestStoredGossipReport takes a gossip message of another node.
+// TestStoredGossipReport checks that a stored gossip report of another node is merged, except for the
+// unlisted server.
 func TestStoredGossipReport(t *testing.T) {
 	data := readFixture(t, "gossip_report.json")
 	checkFixture(t, data, signals.Report{
@@ -239,11 +242,12 @@
 	f.gossip.listed = func(server string) bool { return server == "x1" }
 	f.reportHandler()(data)
 	if got := f.gossip.tracker.RejectedReports; got != 1 {
-		t.Errorf("%d servers of the report were rejected, want the unlisted one alone", got)
+		t.Errorf("rejected %d servers of the report, want 1, the unlisted one", got)
 	}
 }
 
-// TestStoredAdminStatus reads the reply to the admin call `fleet`.
+// TestStoredAdminStatus checks that a stored reply to the admin command `fleet` decodes and encodes
+// unchanged.
 func TestStoredAdminStatus(t *testing.T) {
 	data := readFixture(t, "admin_fleet.json")
 	var status Status
@@ -252,17 +256,19 @@
 	}
 	checkEncoding(t, status, data)
 	if status.Epoch != 2 || status.LeaseMillis != 2255 || len(status.Budgets) != 5 {
-		t.Errorf("epoch %d, %d ms of the lease, %d budgets", status.Epoch, status.LeaseMillis, len(status.Budgets))
+		t.Errorf("got epoch %d, lease of %d ms and %d budgets, want epoch 2, 2255 ms and 5 budgets",
+			status.Epoch, status.LeaseMillis, len(status.Budgets))
 	}
 	wantPolls := BudgetStatus{Total: 12, Floor: 1, Quota: 1, Used: 1, Demand: 0.5120000000000001, Sent: 3}
 	if got := status.Budgets[config.BudgetPolls]; got != wantPolls {
-		t.Errorf("budget of polls %+v, want %+v", got, wantPolls)
+		t.Errorf("budget of polls: got %+v, want %+v", got, wantPolls)
 	}
 	wantMembers := []MemberStatus{{Name: "n0", Address: "127.0.0.1:17300", State: "alive"}}
 	if !reflect.DeepEqual(status.Members, wantMembers) {
-		t.Errorf("members %+v, want %+v", status.Members, wantMembers)
+		t.Errorf("members: got %+v, want %+v", status.Members, wantMembers)
 	}
-	if v := status.Voter; v == nil || !v.IsLeader || v.Leader != "n0" || v.State != "leader" || len(v.Budgets) != 5 {
-		t.Errorf("voter %+v", v)
+	if v := status.Voter; v == nil || !v.IsLeader || v.Leader != "n0" || v.State != "leader" ||
+		len(v.Budgets) != 5 {
+		t.Errorf("voter: got %+v, want leader n0 in state leader with 5 budgets", v)
 	}
 }
