--- a/internal/fleet/budget/demand.go
+++ b/internal/fleet/budget/demand.go
@@ -104,7 +104,7 @@
 ) {
 	names, limits := d.partitionOrder[budget], d.agreement.Budgets[budget]
 	isPartitioned := len(names) > 1
-	count := d.partitionsToRequest(budget)
+	partitionCount := d.partitionsToRequest(budget)
 	anyDemand, anyLeased := false, false
 	for i, name := range names {
 		current := units(name)
@@ -113,9 +113,9 @@
 		hasDemand, isLeased := beyondFloor > minDemand, current > limits.Floor
 		anyDemand = anyDemand || hasDemand
 		anyLeased = anyLeased || isLeased
-		// Leases beyond the first count partitions are renewed. Returned at once, their units would spend
+		// The leases of further partitions are renewed. Returned at once, their units would spend
 		// more time in cooldown than in use.
-		if !hasDemand || i >= count && !isLeased {
+		if !hasDemand || i >= partitionCount && !isLeased {
 			continue
 		}
 		requested[name] = int64(beyondFloor + roundUp)
@@ -125,7 +125,7 @@
 	}
 	d.extraPartitions[budget] = 0
 	if anyDemand && !anyLeased && isPartitioned {
-		d.extraPartitions[budget] = count
+		d.extraPartitions[budget] = partitionCount
 	}
 }
 
@@ -134,8 +134,8 @@
 func (d *DemandEstimator) partitionsToRequest(budget string) int {
 	limits, partitions := d.agreement.Budgets[budget], len(d.partitionOrder[budget])
 	steps := (limits.Total - limits.minTotal(d.agreement.MaxNodes)) / limits.Step * int64(partitions)
-	count := max(int(steps)/d.activeHolders, 1) + d.extraPartitions[budget]
-	return min(count, partitions)
+	partitionCount := max(int(steps)/d.activeHolders, 1) + d.extraPartitions[budget]
+	return min(partitionCount, partitions)
 }
 
 // update sets the estimate from the latest usage of a partition and returns it. The estimate follows growing
--- a/internal/fleet/budget/lease_holder.go
+++ b/internal/fleet/budget/lease_holder.go
@@ -14,9 +14,9 @@
 	Node, Name string // names of the node and of the process
 	agreement  *Agreement
 
-	floorsSince     int64 // when this process became the owner of the node's floors
-	floorsElsewhere bool  // another process of the node owns the floors
-	rejected        bool  // voters reject this process's agreement, so it may use no floors
+	floorsSince          int64 // when this process became the owner of the node's floors
+	floorsOwnedElsewhere bool  // another process of the node owns the floors
+	rejected             bool  // voters reject this process's agreement, so it may use no floors
 
 	seq              uint64 // of the latest request
 	requestedAt      int64  // when the latest request was sent
@@ -51,7 +51,7 @@
 
 func (h *LeaseHolder) floor(budget string, now int64) int64 {
 	limits := h.agreement.limits(budget)
-	if h.floorsElsewhere || h.rejected || now-h.floorsSince < h.agreement.withMargin(limits.Window) {
+	if h.floorsOwnedElsewhere || h.rejected || now-h.floorsSince < h.agreement.withMargin(limits.Window) {
 		return 0
 	}
 	return limits.Floor
@@ -61,10 +61,10 @@
 // two processes, as during an upgrade, only one of them may use the floors. After a takeover the floors are
 // available one window later.
 func (h *LeaseHolder) SetFloorOwner(owner bool, now int64) {
-	if owner && h.floorsElsewhere {
+	if owner && h.floorsOwnedElsewhere {
 		h.floorsSince = now
 	}
-	h.floorsElsewhere = !owner
+	h.floorsOwnedElsewhere = !owner
 }
 
 // SetRejected sets whether voters reject this process's agreement. When they accept it again, the floors are
--- a/internal/fleet/budget/model_test.go
+++ b/internal/fleet/budget/model_test.go
@@ -167,8 +167,8 @@
 	}
 	c.history = append(slices.Clone(c.history), usageSample{at: c.now, units: units})
 	c.history = slices.DeleteFunc(c.history, func(s usageSample) bool { return c.now-s.at >= modelWindow })
-	// A restarted process keeps the index of its predecessor in the samples. The larger usage of the two
-	// counts, since a holder's units within the window are the maximum over its samples.
+	// A restarted process keeps the index of its predecessor in the samples. The usage of an index within the
+	// window is the maximum over its samples, so the larger usage of both processes counts.
 	most := int64(0)
 	for i := range c.holders {
 		mostOfHolder := int64(0)
--- a/internal/fleet/lease_loop.go
+++ b/internal/fleet/lease_loop.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxRequestsPerLease bounds the number of requests within a lease duration by a node that needs more
-	// units. A node that needs no more units sends three.
+	// maxRequestsPerLease is the maximum number of requests that a node sends within a lease duration if it
+	// needs more units. Other nodes send three.
 	maxRequestsPerLease = 15
 	// requestTimeoutDivisor divides the lease duration to get the timeout of a request.
 	requestTimeoutDivisor = 3
 	// retryDivisor divides the lease duration to get the delay before a failed request is retried at another
 	// voter.
 	retryDivisor = 10
-	// minPauseDivisor divides the minimum interval of early requests to get the minimum pause between any two
+	// minPauseDivisor divides the interval of early requests to get the minimum pause between any two
 	// requests.
 	minPauseDivisor = 8
 )
@@ -28,7 +28,7 @@
 type leaseLoop struct {
 	fleet     *Fleet
 	voter     int  // index of the voter to call next
-	succeeded bool // the latest request succeeded
+	succeeded bool // whether the latest request succeeded
 }
 
 // renewLeases requests leases until the context ends.
--- a/internal/fleet/quota.go
+++ b/internal/fleet/quota.go
@@ -22,7 +22,7 @@
 	meter           *budget.UsageMeter
 	total           int64 // of all nodes, from the latest response
 	sent            int64 // number of charged sends
-	heldBack        int64 // sends prevented by the final check, since the lease had expired or been reduced
+	blocked         int64 // sends prevented by the final check, since the lease had expired or been reduced
 	sentAfterExpiry int64 // sends whose lease expired before the write ended, or that could not wait
 }
 
--- a/internal/fleet/reservation.go
+++ b/internal/fleet/reservation.go
@@ -57,7 +57,7 @@
 	now := f.clock()
 	for _, u := range r.usages {
 		if !u.quota.meter.Send(u.usage, f.holder.Units(u.name, now), now) {
-			u.quota.heldBack++
+			u.quota.blocked++
 			return false
 		}
 	}
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -69,7 +69,7 @@
 			Used:            q.meter.Peak(now),
 			Demand:          f.demand.LastEstimate(name),
 			Sent:            q.sent,
-			HeldBack:        q.heldBack,
+			HeldBack:        q.blocked,
 			SentAfterExpiry: q.sentAfterExpiry,
 		}
 	}
--- a/internal/fleet/voter_client.go
+++ b/internal/fleet/voter_client.go
@@ -38,7 +38,7 @@
 
 // The texts of these errors are sent in responses, so they stay as they are.
 var (
-	// errNotLeader reports that the called voter is not the leader.
+	// errNotLeader reports that the called voter is not the leader. Its reply may name the leader.
 	errNotLeader = errors.New("this seat does not grant")
 	// errAgreementMismatch reports that this node's agreement differs from the one with which the cluster was
 	// founded.
