--- a/internal/fleet/budget/agreement.go
+++ b/internal/fleet/budget/agreement.go
@@ -86,11 +86,13 @@
 	case !(l.FirstAttemptRatio >= 0 && l.FirstAttemptRatio <= 1):
 		return fmt.Errorf("budgets.%s.share: got %v, want a ratio from 0 to 1", name, l.FirstAttemptRatio)
 	case !isTotalValid || !areOthersValid:
-		return fmt.Errorf("budgets.%s: whole %d, floor %d, reserve %d, step %d, window %d: out of bounds",
-			name, l.Total, l.Floor, l.Reserve, l.Step, l.Window)
+		return fmt.Errorf("budgets.%s: got whole %d, floor %d, reserve %d, step %d and window %d ns, "+
+			"want whole 1 to %d, floor and reserve at least 0, step at least 1 and window above 0 ns",
+			name, l.Total, l.Floor, l.Reserve, l.Step, l.Window, int64(maxTotalUnits))
 	case l.Floor > l.Total/maxNodes || l.minTotal(maxNodes) > l.Total:
 		return fmt.Errorf(
-			"budgets.%s.whole: %d units do not cover %d floors of %d and the reserve of %d units", name, l.Total, maxNodes, l.Floor, l.Reserve)
+			"budgets.%s.whole: %d units do not cover %d floors of %d and the reserve of %d units",
+			name, l.Total, maxNodes, l.Floor, l.Reserve)
 	}
 	return nil
 }
