--- a/internal/fleet/budget/agreement.go
+++ b/internal/fleet/budget/agreement.go
@@ -81,7 +81,7 @@
 	areOthersValid := l.Floor >= 0 && l.Reserve >= 0 && l.Window > 0 && l.Step >= 1
 	switch {
 	case l.Partitions < 0 || l.Partitions > maxPartitions:
-		return fmt.Errorf("budgets.%s.parts: got %d partitions, want 1 to %d",
+		return fmt.Errorf("budgets.%s.parts: got %d partitions, want 0 to %d",
 			name, l.Partitions, maxPartitions)
 	case !(l.FirstAttemptRatio >= 0 && l.FirstAttemptRatio <= 1):
 		return fmt.Errorf("budgets.%s.share: got %v, want a ratio from 0 to 1", name, l.FirstAttemptRatio)
