--- a/internal/fleet/outlier_gossip.go
+++ b/internal/fleet/outlier_gossip.go
@@ -44,7 +44,7 @@
 	return &gossipState{
 		clock:       clock,
 		failureSeen: make(chan struct{}, 1),
-		tracker:     signals.New(name, cfg.Zone, incarnation, cfg.WitnessQuorum),
+		tracker:     signals.NewOutlierTracker(name, cfg.Zone, incarnation, cfg.WitnessQuorum),
 		listed:      func(string) bool { return false },
 		scores:      map[string]float64{},
 	}
--- a/internal/fleet/signals/signals_test.go
+++ b/internal/fleet/signals/signals_test.go
@@ -23,7 +23,7 @@
 		now := int64(1e9)
 		var reports, latest []*Report
 		for i := range 5 {
-			w := New(fmt.Sprint("w", i), fmt.Sprint("z", i%2), 1, 3)
+			w := NewOutlierTracker(fmt.Sprint("w", i), fmt.Sprint("z", i%2), 1, 3)
 			var last *Report
 			for range 6 {
 				for range 1 + r.IntN(4) {
@@ -37,7 +37,7 @@
 				latest = append(latest, last)
 			}
 		}
-		latestOnly, reordered := New("me", "z0", 1, 3), New("me", "z0", 1, 3)
+		latestOnly, reordered := NewOutlierTracker("me", "z0", 1, 3), NewOutlierTracker("me", "z0", 1, 3)
 		for _, n := range latest {
 			latestOnly.MergeReport(n, allListed, now)
 		}
@@ -75,7 +75,7 @@
 // can't prevent that.
 func TestQuorum(t *testing.T) {
 	now := int64(0)
-	tracker := New("me", "east", 1, 3)
+	tracker := NewOutlierTracker("me", "east", 1, 3)
 	check := func(what string, least, most float64) {
 		t.Helper()
 		if score := tracker.OutlierScore("e", now); score < least || score > most {
@@ -98,7 +98,7 @@
 		mergeReport(tracker, fmt.Sprint("v", i), "east", "e", 1, 10, 0, now)
 	}
 	check("a majority of witnesses of successes", 0, 0)
-	singleZone := New("me", "", 1, 3)
+	singleZone := NewOutlierTracker("me", "", 1, 3)
 	for i := range 3 {
 		mergeReport(singleZone, fmt.Sprint("w", i), "", "e", 1, 0, 10, now)
 	}
@@ -109,9 +109,9 @@
 
 // TestRecentFailures checks that recent failures give a high score despite many earlier successes.
 func TestRecentFailures(t *testing.T) {
-	tracker := New("me", "a", 1, 3)
+	tracker := NewOutlierTracker("me", "a", 1, 3)
 	for i := range 5 {
-		w := New(fmt.Sprint("w", i), "a", 1, 3)
+		w := NewOutlierTracker(fmt.Sprint("w", i), "a", 1, 3)
 		for range 50 {
 			w.RecordOutcome("e", false, 0)
 		}
@@ -127,7 +127,7 @@
 // TestScoreDecay checks that the score decays gradually after failures end, and that later successes reset it
 // at once.
 func TestScoreDecay(t *testing.T) {
-	tracker, now := New("me", "a", 1, 3), int64(0)
+	tracker, now := NewOutlierTracker("me", "a", 1, 3), int64(0)
 	for i := range 4 {
 		mergeReport(tracker, fmt.Sprint("w", i), "a", "e", 1, 0, 4, now)
 	}
@@ -166,7 +166,7 @@
 // TestReportBounds checks that invalid and late reports and unlisted servers are ignored, and that the number
 // of tracked and reported servers is bounded.
 func TestReportBounds(t *testing.T) {
-	tracker := New("me", "a", 5, 3)
+	tracker := NewOutlierTracker("me", "a", 5, 3)
 	nan := math.NaN()
 	for _, c := range []OutcomeCount{
 		{Attempts: -1}, {Attempts: 1, Failures: 2}, {Attempts: nan}, {Attempts: 1, Failures: nan},
@@ -217,7 +217,7 @@
 	if reported := len(tracker.NextReport(3000, 99).Outcomes); reported > maxReportedServers {
 		t.Errorf("reported %d servers, want at most %d", reported, maxReportedServers)
 	}
-	withoutFailures := New("q", "a", 1, 3)
+	withoutFailures := NewOutlierTracker("q", "a", 1, 3)
 	if withoutFailures.NextReport(0, 24) != nil {
 		t.Error("a node without attempts sends a report")
 	}
--- a/internal/fleet/signals/size_test.go
+++ b/internal/fleet/signals/size_test.go
@@ -10,7 +10,7 @@
 // newFilledTracker returns a tracker with outcomes of the given number of servers and reports of the given
 // number of other nodes.
 func newFilledTracker(nodes, servers int) *OutlierTracker {
-	tracker := New("me", "z0", 1, 3)
+	tracker := NewOutlierTracker("me", "z0", 1, 3)
 	for e := range servers {
 		tracker.RecordOutcome(fmt.Sprint("e", e), e%7 == 0, 1e9)
 	}
--- a/internal/fleet/signals/tracker.go
+++ b/internal/fleet/signals/tracker.go
@@ -71,10 +71,10 @@
 	outcomes map[string]*OutcomeCount
 }
 
-// New returns a tracker without outcomes. incarnation must increase with each process of the node. quorum is
-// the number of witnesses that are needed to eject a server, at least two. If nodes are in several zones, no
-// zone contributes more than half of the quorum.
-func New(node, zone string, incarnation int64, quorum int) *OutlierTracker {
+// NewOutlierTracker returns a tracker without outcomes. incarnation must increase with each process of the
+// node. quorum is the number of witnesses that are needed to eject a server, at least two. If nodes are in
+// several zones, no zone contributes more than half of the quorum.
+func NewOutlierTracker(node, zone string, incarnation int64, quorum int) *OutlierTracker {
 	return &OutlierTracker{
 		quorum: float64(max(quorum, minQuorum)),
 		own: witness{
