--- a/internal/fleet/budget/demand.go
+++ b/internal/fleet/budget/demand.go
@@ -113,8 +113,8 @@
 		hasDemand, isLeased := beyondFloor > minDemand, current > limits.Floor
 		anyDemand = anyDemand || hasDemand
 		anyLeased = anyLeased || isLeased
-		// The leases of further partitions are renewed. Returned at once, their units would spend
-		// more time in cooldown than in use.
+		// Leased partitions beyond partitionCount are requested again. If their units were returned at once,
+		// they would spend more time in cooldown than in use.
 		if !hasDemand || i >= partitionCount && !isLeased {
 			continue
 		}
--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -35,8 +35,8 @@
 	// may remain granted until leases expire.
 	Total   int64 `json:"whole"`
 	Granted int64 `json:"granted"` // by leases that are in force or may still be
-	// CoolingDown is the number of returned units that may still count at their former holder, by cooldown
-	// number.
+	// CoolingDown is the number of returned units that may still count in their former holder's window, by
+	// cooldown number.
 	CoolingDown      map[int64]int64 `json:"resting"`
 	CoolingDownTotal int64           `json:"pause"`
 	LatestCooldown   int64           `json:"rested"` // the number of the latest cooldown
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("epoch %d is over, the current one is %d", e.Epoch, e.Current)
 }
 
-// NewLedger returns an empty ledger. The first entry of a leader term sets its agreement.
+// NewLedger returns an empty ledger. The entry that begins the first leader term sets its agreement.
 func NewLedger() *Ledger {
 	return &Ledger{Budgets: map[string]*Account{}, Holders: map[string]*Lease{}}
 }
--- a/internal/fleet/cluster.go
+++ b/internal/fleet/cluster.go
@@ -126,7 +126,8 @@
 }
 
 // bootstrapCluster founds the cluster if all voters are up and blank, and if this voter's name is the first
-// in sorted order. It reports whether all voters are up and blank, so that the first one founds the cluster.
+// in sorted order. It reports whether all voters are up and blank. If it returns true, this voter has tried
+// to found the cluster or waits for the first voter to do so.
 func (v *voter) bootstrapCluster(ctx context.Context) bool {
 	var servers []raft.Server
 	first := v.name
