--- a/internal/fleet/stored_data_test.go
+++ b/internal/fleet/stored_data_test.go
@@ -124,7 +124,8 @@
 			"again":   {MaxTotal: 20, Total: 4, CoolingDown: map[int64]int64{}},
 			"cold.0":  {MaxTotal: 1000, Total: 1000, CoolingDown: map[int64]int64{}, LatestCooldown: 1},
 			"cold.1":  {MaxTotal: 1000, Total: 1000, CoolingDown: map[int64]int64{}},
-			"connect": {MaxTotal: 50, Total: 50, Granted: 5, CoolingDown: map[int64]int64{}, LatestCooldown: 2},
+			"connect": {MaxTotal: 50, Total: 50, Granted: 5, CoolingDown: map[int64]int64{},
+				LatestCooldown: 2},
 		},
 		Holders: map[string]*budget.Lease{
 			"ffeeddccbbaa9988": {
