--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,32 +18,32 @@
 // Node is the configuration of one node process.
 type Node struct {
 	Name                    string
-	Listen                  string // where clients connect
-	Discovery               string // where the discovery agent is asked
-	AdminAddress            string // where operators call; empty: nowhere
-	ListenFD                int    // descriptor of an inherited listening socket for clients; 0: none was inherited
+	Listen                  string // client listener, host:port
+	Discovery               string // discovery agent, host:port
+	AdminAddress            string // admin listener, host:port; empty: none
+	ListenFD                int    // file descriptor of the inherited client listener; 0: none
 	Seed                    uint64
 	Cores                   float64
 	Memory                  int64 // bytes
-	Sockets                 int   // descriptors that the node may hold
+	Sockets                 int   // file descriptors that the node may use
 	InitialEndpoints        *protocol.EndpointList
 	Names                   *protocol.Names
 	Settings                *dispatch.Settings
-	DialTimeout             time.Duration // for a connection to a server
-	IdleTimeout             time.Duration // after which a server closes an unused connection
+	DialTimeout             time.Duration // of a connection attempt to a server
+	IdleTimeout             time.Duration // after which a server closes an idle connection
 	LoadReportKeys          protocol.LoadReportKeys
-	ProbeTimeout            time.Duration // for the answer to a capacity probe
-	FleetDisabled           bool          // there is a fleet section, and the settings do not let nodes talk
-	PeerMessagesUnsupported bool          // the settings allow messages between nodes, for which sockets have no protocol
-	MaxDeadline             time.Duration // the longest one of any class
-	Fleet                   *Fleet        // budgets held together with other nodes; nil: none
-	LogLevel                zerolog.Level // the least severe one that is logged; at trace each attempt is logged
+	ProbeTimeout            time.Duration // of a capacity probe
+	FleetDisabled           bool          // the settings forbid messages, so the fleet section is ignored
+	PeerMessagesUnsupported bool          // the settings allow messages, which have no protocol on sockets
+	MaxDeadline             time.Duration // longest deadline of any class
+	Fleet                   *Fleet        // budgets shared with other nodes; nil: none
+	LogLevel                zerolog.Level // least severe level logged; trace logs each attempt
 
-	values map[string]string // the file's values that need a restart, by dotted name
+	values map[string]string // file values that take effect at a restart only, by dotted name
 }
 
-// Load reads the file that EDGE_CONFIG names. The other EDGE variables, where set, take precedence over the file. An
-// error is a KeyError.
+// Load reads the file that EDGE_CONFIG names. The other EDGE variables, if set, take precedence over the
+// file. Any error is a KeyError.
 func Load(getenv func(variable string) string) (*Node, error) {
 	file, err := readFile(getenv)
 	if err != nil {
@@ -52,16 +52,16 @@
 	return decodeNode(file, getenv)
 }
 
-// Reload reads the file again while the node runs. Only the address of discovery can change then; restartKeys names
-// the other keys whose values differ, which take effect at the next start.
+// Reload reads the file again while the node runs. Only a change of the discovery address takes effect then.
+// restartKeys lists the other keys whose values differ; they take effect at the next start.
 func (n *Node) Reload(getenv func(variable string) string) (reloaded *Node, restartKeys []string, err error) {
 	getenv = reloadEnvironment(getenv)
 	file, err := readFile(getenv)
 	if err != nil {
 		return nil, nil, err
 	}
-	// The list can be of thousands of servers, nobody looks at it, and decoding it would hold up a node that has a small
-	// share of a core.
+	// A reload does not use the server list. It can contain thousands of servers, and decoding it would stall
+	// a node that has a small fraction of a core.
 	file.knownServers = nil
 	reloaded, err = decodeNode(file, getenv)
 	if err != nil {
@@ -70,9 +70,9 @@
 	return reloaded, changedKeys(n.values, reloaded.values), nil
 }
 
-// reloadEnvironment leaves out the variables that hold for the start alone. EDGE_DISCOVERY would keep the old address
-// for good, and the descriptor that EDGE_LISTEN_FD names was taken over at the start: its number may be another
-// file's by now.
+// reloadEnvironment hides the variables that apply only at the start. EDGE_DISCOVERY would override every new
+// address in the file. The descriptor in EDGE_LISTEN_FD was taken over at the start, and its number may since
+// belong to another file.
 func reloadEnvironment(getenv func(variable string) string) func(variable string) string {
 	return func(variable string) string {
 		if variable == "EDGE_DISCOVERY" || variable == "EDGE_LISTEN_FD" {
@@ -82,7 +82,7 @@
 	}
 }
 
-// changedKeys returns, sorted, the keys that one map lacks or has another value for.
+// changedKeys returns the sorted keys that only one map has or whose values differ.
 func changedKeys(before, after map[string]string) (changed []string) {
 	keys := maps.Clone(before)
 	maps.Copy(keys, after)
@@ -100,7 +100,7 @@
 func readFile(getenv func(variable string) string) (*file, error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
-		return nil, &KeyError{Key: "EDGE_CONFIG", Err: errors.New("names no file")}
+		return nil, &KeyError{Key: "EDGE_CONFIG", Err: errors.New("no configuration file given")}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,8 +16,8 @@
 	"fernrail/dispatch"
 )
 
-// wholeFile is a configuration with a value of each kind, and some that no release knows.
-const wholeFile = `{"name":"n1","listen":"127.0.0.1:70","discovery":"127.0.0.2:85","seed":"8c1f",
+// completeFile is a configuration with a value of each kind, and some keys that no release knows.
+const completeFile = `{"name":"n1","listen":"127.0.0.1:70","discovery":"127.0.0.2:85","seed":"8c1f",
 "news":{"odd":[1,{"a":null}]},
 "limits":{"cores":0.5,"memory_mb":192,"sockets":1024},
 "known":{"version":4,"full":true,"servers":[
@@ -29,15 +29,15 @@
 "Schemes":[{"Name":"status","SlaTime":100000000,"Expiry":5000000000,"Idempotency":"idempotent"},
 {"Name":"pay","SlaTime":200000000,"Expiry":3000000000,"Idempotency":"deduplicated","Group":"cell","MemorySpan":7}]}}`
 
-// noEnvironment stands for a start with no variable set.
+// noEnvironment is an environment without variables.
 func noEnvironment(string) string { return "" }
 
-// environment stands for a start with these variables set.
+// environment returns an environment with the given variables.
 func environment(variables map[string]string) func(string) string {
 	return func(variable string) string { return variables[variable] }
 }
 
-// parse decodes the text of a file, as Load does once it has read one.
+// parse decodes the text of a file in the same way as Load.
 func parse(text []byte, getenv func(string) string) (*Node, error) {
 	parsed, err := parseFile(text)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return decodeNode(parsed, getenv)
 }
 
-// mustParse decodes the text of a file that a node can start with.
+// mustParse decodes the text of a file and fails the test on an error.
 func mustParse(t *testing.T, text string) *Node {
 	t.Helper()
 	node, err := parse([]byte(text), noEnvironment)
@@ -56,16 +56,17 @@
 	return node
 }
 
-// checkEqual fails the test unless a value is the wanted one.
+// checkEqual fails the test unless got equals want.
 func checkEqual[T comparable](t *testing.T, what string, got, want T) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s is %v, want %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
-func TestWholeConfiguration(t *testing.T) {
-	node := mustParse(t, wholeFile)
+// TestCompleteConfiguration checks the decoded values of a file that has a value of each kind.
+func TestCompleteConfiguration(t *testing.T) {
+	node := mustParse(t, completeFile)
 	checkEqual(t, "name", node.Name, "n1")
 	checkEqual(t, "seed", node.Seed, 0x8c1f)
 	checkEqual(t, "cores", node.Cores, 0.5)
@@ -90,22 +91,24 @@
 	checkEqual(t, "machine type", pay.MachineType, 1)
 	checkEqual(t, "objective per work", pay.ObjectivePerWork, 2)
 	checkEqual(t, "tick", node.Settings.Tick, 5e6)
-	checkEqual(t, "cancelling", node.Settings.AllowCancel, true)
-	checkEqual(t, "hedging", node.Settings.AllowHedging, false)
+	checkEqual(t, "cancellation allowed", node.Settings.AllowCancel, true)
+	checkEqual(t, "hedging allowed", node.Settings.AllowHedging, false)
 	checkEqual(t, "tenant's quota", node.Settings.Tenants[0].Quota, 0.25)
 }
 
-// TestEnvironmentGoesBeforeTheFile: variables that are set take the place of the file's values, the others leave
-// them.
-func TestEnvironmentGoesBeforeTheFile(t *testing.T) {
-	n, err := parse([]byte(wholeFile), environment(map[string]string{"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.9:1"}))
+// TestEnvironmentOverridesFile checks that a variable that is set takes precedence over the file, and that
+// the file's value applies if the variable is not set.
+func TestEnvironmentOverridesFile(t *testing.T) {
+	n, err := parse([]byte(completeFile),
+		environment(map[string]string{"EDGE_NAME": "n9", "EDGE_LISTEN": "127.0.0.9:1"}))
 	if err != nil || n.Name != "n9" || n.Listen != "127.0.0.9:1" || n.Discovery != "127.0.0.2:85" {
-		t.Fatalf("%+v %v", n, err)
+		t.Fatalf("got %+v, error %v; want name n9, client address 127.0.0.9:1, discovery 127.0.0.2:85",
+			n, err)
 	}
 }
 
-// TestFaultsNameTheKey: each value that a node cannot start with is named by its key.
-func TestFaultsNameTheKey(t *testing.T) {
+// TestErrorsNameTheKey checks that the error for each invalid value begins with the key of that value.
+func TestErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`{"name"`, `["name"`, "configuration: "},
 		{`"settings"`, `"setting"`, "settings: missing"},
@@ -129,41 +132,43 @@
 		{`"sockets":1024`, `"sockets":1024,"probe_ms":0`, "limits.probe_ms: "},
 		{`"state":"Ready"`, `"state":"Odd"`, "known: servers.0: unknown state"},
 	} {
-		text := strings.Replace(wholeFile, c.from, c.to, 1)
-		if text == wholeFile {
-			t.Fatalf("%s is not in the text", c.from)
+		text := strings.Replace(completeFile, c.from, c.to, 1)
+		if text == completeFile {
+			t.Fatalf("the configuration does not contain %s", c.from)
 		}
 		_, err := parse([]byte(text), noEnvironment)
 		checkKeyError(t, c.to, err, c.want)
 	}
-	_, err := parse([]byte(wholeFile), environment(map[string]string{"EDGE_LOG": "loud"}))
-	checkKeyError(t, "a level that is none", err, "EDGE_LOG: ")
+	_, err := parse([]byte(completeFile), environment(map[string]string{"EDGE_LOG": "loud"}))
+	checkKeyError(t, "an unknown log level", err, "EDGE_LOG: ")
 	_, err = Load(noEnvironment)
-	checkKeyError(t, "no file", err, "EDGE_CONFIG: ")
+	checkKeyError(t, "EDGE_CONFIG not set", err, "EDGE_CONFIG: ")
 	_, err = Load(func(string) string { return filepath.Join(t.TempDir(), "absent") })
 	checkKeyError(t, "an absent file", err, "EDGE_CONFIG: ")
 	if !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("an absent file: %v", err)
+		t.Errorf("an absent file: got error %v, want one that wraps fs.ErrNotExist", err)
 	}
 }
 
-// checkKeyError fails the test unless err is a KeyError, whose text begins with its key and with want.
+// checkKeyError fails the test unless err is a KeyError whose text begins with both its key and want.
 func checkKeyError(t *testing.T, what string, err error, want string) {
 	t.Helper()
 	var keyError *KeyError
 	if !errors.As(err, &keyError) {
-		t.Errorf("%s: %v is no KeyError, want %q", what, err, want)
+		t.Errorf("%s: got error %v, want a KeyError that begins with %q", what, err, want)
 		return
 	}
 	text := err.Error()
 	if !strings.HasPrefix(text, keyError.Key+": ") || !strings.HasPrefix(text, want) {
-		t.Errorf("%s: %q about the key %q, want %q", what, text, keyError.Key, want)
+		t.Errorf("%s: got error %q with key %q, want one that begins with its key and with %q",
+			what, text, keyError.Key, want)
 	}
 }
 
-// TestAdminAddress: there is none unless one is given; it is host:port, and not the clients' own.
+// TestAdminAddress checks that the admin address is optional, that the variable takes precedence over the
+// file, and that it must be host:port and differ from the client address.
 func TestAdminAddress(t *testing.T) {
-	for _, c := range []struct{ file, variable, want, fault string }{
+	for _, c := range []struct{ file, variable, want, wantError string }{
 		{"", "", "", ""},
 		{`"admin_addr":"127.0.0.1:15000",`, "", "127.0.0.1:15000", ""},
 		{`"admin_addr":"127.0.0.1:15000",`, "127.0.0.1:15001", "127.0.0.1:15001", ""},
@@ -173,16 +178,16 @@
 		{"", "10.0.0.4:7070", "", "admin_addr: "},
 	} {
 		getenv := environment(map[string]string{"EDGE_ADMIN_ADDR": c.variable, "EDGE_LISTEN": "10.0.0.4:7070"})
-		n, err := parse([]byte("{"+c.file+wholeFile[1:]), getenv)
-		if c.fault != "" {
-			checkKeyError(t, c.file+c.variable, err, c.fault)
+		n, err := parse([]byte("{"+c.file+completeFile[1:]), getenv)
+		if c.wantError != "" {
+			checkKeyError(t, c.file+c.variable, err, c.wantError)
 		} else if err != nil || n.AdminAddress != c.want {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("%+v: got error %v or another address", c, err)
 		}
 	}
 }
 
-// TestInheritedListener: EDGE_LISTEN_FD is the number of a descriptor, of a socket that listens.
+// TestInheritedListener checks that EDGE_LISTEN_FD accepts only the descriptor number of a listening socket.
 func TestInheritedListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -200,7 +205,7 @@
 	}
 	defer other.Close()
 	read := func(fd string) (*Node, error) {
-		return parse([]byte(wholeFile), environment(map[string]string{"EDGE_LISTEN_FD": fd}))
+		return parse([]byte(completeFile), environment(map[string]string{"EDGE_LISTEN_FD": fd}))
 	}
 	if n, err := read(fmt.Sprint(listener.Fd())); err != nil || n.ListenFD != int(listener.Fd()) {
 		t.Error(err)
@@ -214,9 +219,9 @@
 	}
 }
 
-// TestReloadLooksAtNoServers: a node that reads its file again takes the new address of discovery from it, and
-// decodes no server: a list of thousands would hold up a node with a small share of a core.
-func TestReloadLooksAtNoServers(t *testing.T) {
+// TestReloadSkipsServerList checks that a reload decodes the new discovery address and skips the server list.
+// Decoding thousands of servers would stall a node that has a small fraction of a core.
+func TestReloadSkipsServerList(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := environment(map[string]string{"EDGE_CONFIG": path})
 	write := func(text string) {
@@ -225,21 +230,21 @@
 			t.Fatal(err)
 		}
 	}
-	write(wholeFile)
+	write(completeFile)
 	node, err := Load(getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := strings.NewReplacer("127.0.0.2:85", "127.0.0.3:85", `"addr":"10.0.0.1:7"`, `"addr":"nowhere"`)
-	write(moved.Replace(wholeFile))
+	changed := strings.NewReplacer("127.0.0.2:85", "127.0.0.3:85", `"addr":"10.0.0.1:7"`, `"addr":"nowhere"`)
+	write(changed.Replace(completeFile))
 	reloaded, restartKeys, err := node.Reload(getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkEqual(t, "keys for a restart", len(restartKeys), 0)
+	checkEqual(t, "number of keys that need a restart", len(restartKeys), 0)
 	checkEqual(t, "discovery", reloaded.Discovery, "127.0.0.3:85")
-	checkEqual(t, "servers", len(reloaded.InitialEndpoints.Endpoints), 0)
+	checkEqual(t, "number of servers", len(reloaded.InitialEndpoints.Endpoints), 0)
 	if _, err := Load(getenv); err == nil {
-		t.Error("a start took a server with no address")
+		t.Error("Load accepted a server with an invalid address")
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -11,15 +11,15 @@
 	"strings"
 )
 
-// file is a configuration file whose values have been found but not yet converted.
+// file is a parsed configuration file whose values have not been converted yet.
 type file struct {
 	settings     map[string]string // the settings section, by dotted name below it
 	values       map[string]string // the other sections, by dotted name
-	knownServers json.RawMessage   // the list of servers, as text; nil: there is none
+	knownServers json.RawMessage   // the undecoded server list; nil: none
 }
 
-// parseFile takes a file's text apart. The list of servers stays text: it can name thousands, and a node that starts
-// on a small share of a core decodes it once.
+// parseFile splits a file into sections and values. It leaves the server list undecoded: the list can contain
+// thousands of servers, and a node that starts on a small fraction of a core should decode it only once.
 func parseFile(text []byte) (*file, error) {
 	var sections map[string]json.RawMessage
 	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&sections); err != nil {
@@ -47,7 +47,7 @@
 	return parsed, nil
 }
 
-// decodeSection decodes a section and keeps its numbers as they are written, so that none loses digits.
+// decodeSection decodes a section. Numbers stay in their written form, so that none loses digits.
 func decodeSection(section json.RawMessage) (value any, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(section))
 	decoder.UseNumber()
@@ -55,7 +55,7 @@
 	return value, err
 }
 
-// flattenObject gives each value of an object its dotted name.
+// flattenObject returns the values of an object by dotted name.
 func flattenObject(object map[string]any) map[string]string {
 	values := map[string]string{}
 	for key, value := range object {
@@ -64,9 +64,9 @@
 	return values
 }
 
-// flatten gives each value its dotted name, as the simulator's wire does: a list has its length under NAME.count, and
-// either its elements under NAME.0, NAME.1 and so on or, where all are plain values, all of them under NAME, with
-// commas between them.
+// flatten adds a value to values under its dotted name, in the format of the simulator's wire protocol. The
+// length of a list is stored under NAME.count. Nested elements are stored under NAME.0, NAME.1 and so on; if
+// all elements are scalars, they are stored under NAME, separated by commas.
 func flatten(values map[string]string, key string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -83,22 +83,22 @@
 
 func flattenList(values map[string]string, key string, list []any) {
 	values[key+".count"] = strconv.Itoa(len(list))
-	var plain []string
+	var scalars []string
 	for i, element := range list {
 		switch element.(type) {
 		case map[string]any, []any:
 			flatten(values, key+"."+strconv.Itoa(i), element)
 		default:
-			plain = append(plain, fmt.Sprint(element))
+			scalars = append(scalars, fmt.Sprint(element))
 		}
 	}
-	if len(plain) == len(list) {
-		values[key] = strings.Join(plain, ",")
+	if len(scalars) == len(list) {
+		values[key] = strings.Join(scalars, ",")
 	}
 }
 
-// restartValues returns the values that take effect at a start alone. The address of discovery can change while the
-// node runs, and the seed counts for nothing once the node has begun.
+// restartValues returns the values that take effect only at a start. The discovery address can change while
+// the node runs, and the seed is not used again after the start.
 func (f *file) restartValues() map[string]string {
 	values := map[string]string{}
 	for key, value := range f.values {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,37 +13,37 @@
 	"fernrail/internal/fleet/subset"
 )
 
-// Voter is a node that votes on who holds how much of each budget.
+// Voter is a node that votes on the division of the budgets among nodes.
 type Voter struct{ Name, Address string }
 
-// Fleet is how a node holds budgets together with others.
+// Fleet configures the budgets that a node shares with other nodes.
 type Fleet struct {
-	Listen          string // where a voter is called
-	Secret          string // known to all nodes of a fleet, which authenticate each other by it
-	DataDir         string // where a voter keeps its log and snapshots; empty: in memory alone
+	Listen          string // listener of a voter, host:port
+	Secret          string // shared by all nodes of a fleet, which authenticate each other with it
+	DataDir         string // for the log and snapshots of a voter; empty: in memory only
 	Voters          []Voter
-	ElectionTimeout time.Duration // after which a voter that hears no leader stands for election
+	ElectionTimeout time.Duration // without a leader's messages, until a voter starts an election
 	Agreement       budget.Agreement
-	Gossip          string            // where this node exchanges gossip; empty: it takes no part
-	Join            []string          // where some of the others do
-	Routes          map[string]string // addresses that this node reaches by another one
+	Gossip          string            // gossip address of this node; empty: gossip is off
+	Join            []string          // gossip addresses of some other nodes
+	Routes          map[string]string // addresses that this node replaces by others when it connects
 	Subset          *subset.Settings  // nil: each node uses all servers
-	WitnessQuorum   int               // nodes that have to call a server an outlier; 0: nodes exchange no outlier scores
-	Zone            string            // of this node; empty: the settings name none
+	WitnessQuorum   int               // nodes that must agree on an outlier; 0: no scores are exchanged
+	Zone            string            // of this node; empty: not set
 }
 
 const (
-	defaultElectionTimeout = 300 * time.Millisecond // a loaded machine pauses for 100 ms
+	defaultElectionTimeout = 300 * time.Millisecond // well above the 100 ms pauses of a loaded machine
 	minElectionTimeout     = 20 * time.Millisecond
 	defaultLease           = 3 * time.Second
-	defaultClockMargin     = 0.05 // share by which the rates of two clocks may differ
+	defaultClockMargin     = 0.05 // largest relative difference of two clock rates
 	defaultRoundTrip       = 50 * time.Millisecond
-	minLeaseRoundTrips     = 3 // a lease has to allow for a renewal and its retry
+	minLeaseRoundTrips     = 3 // a renewal and its retry must fit into a lease
 	minSecretBytes         = 8
 	maxNodes               = 4096
 )
 
-// Voter returns the voter with that name; nil: that node is none.
+// Voter returns the voter with the given name, or nil if that node is not a voter.
 func (f *Fleet) Voter(name string) *Voter {
 	i := slices.IndexFunc(f.Voters, func(v Voter) bool { return v.Name == name })
 	if i < 0 {
@@ -59,10 +59,10 @@
 	values map[string]string // the file's values by dotted name
 	fleet  *Fleet
 
-	roundTrip time.Duration // of a call between voters, at the most
+	roundTrip time.Duration // longest round trip of a call between voters
 }
 
-// decodeFleet reads the fleet section; nil: there is none.
+// decodeFleet decodes the fleet section. It returns nil if there is none.
 func decodeFleet(node *Node, values map[string]string) (*Fleet, error) {
 	if !hasPrefix(values, "fleet.") {
 		return nil, nil
@@ -101,7 +101,7 @@
 	return false
 }
 
-// zone returns the name of this node's zone; empty: the settings name none.
+// zone returns the name of this node's zone, or "" if the settings do not name one.
 func (n *Node) zone() string {
 	if n.Settings.Zone < 0 || n.Settings.Zone >= len(n.Names.Zones) {
 		return ""
@@ -109,7 +109,7 @@
 	return n.Names.Zones[n.Settings.Zone]
 }
 
-// decodeBasics reads what stands directly in the section.
+// decodeBasics decodes the scalar values at the top level of the section.
 func (d *fleetDecoder) decodeBasics() error {
 	d.fleet.Listen = d.text("fleet.listen")
 	d.fleet.Secret = d.text("fleet.secret")
@@ -125,14 +125,15 @@
 	return nil
 }
 
-// decodeVoters reads the voters. Each has a name and an address of its own.
+// decodeVoters decodes the voters. Names and addresses must be unique.
 func (d *fleetDecoder) decodeVoters() error {
 	count := int(d.integer("fleet.seats.count", 0, 0))
 	for i := range count {
 		key := voterKey(i)
 		voter := Voter{Name: d.text(key + ".name"), Address: d.text(key + ".address")}
 		if voter.Name == "" || strings.ContainsAny(voter.Name, "/ ") {
-			return keyErrorf(key+".name", "%q is no name of a node", voter.Name)
+			return keyErrorf(key+".name",
+				"invalid node name %q: it must not be empty or contain a slash or a space", voter.Name)
 		}
 		if _, _, err := net.SplitHostPort(voter.Address); err != nil {
 			return keyErrorf(key+".address", "%q is not host:port", voter.Address)
@@ -148,33 +149,36 @@
 // voterKey returns the key of a voter's object.
 func voterKey(index int) string { return "fleet.seats." + strconv.Itoa(index) }
 
-// checkUniqueVoter compares a voter with those before it.
+// checkUniqueVoter returns an error if an earlier voter has the same name or address.
 func (d *fleetDecoder) checkUniqueVoter(key string, voter Voter) error {
 	for i, other := range d.fleet.Voters {
 		if other.Name == voter.Name {
-			return keyErrorf(key+".name", "%q is the name of voter %d as well", voter.Name, i)
+			return keyErrorf(key+".name", "%q is already the name of voter %d", voter.Name, i)
 		}
 		if other.Address == voter.Address {
-			return keyErrorf(key+".address", "%q is the address of voter %d as well", voter.Address, i)
+			return keyErrorf(key+".address", "%q is already the address of voter %d", voter.Address, i)
 		}
 	}
 	return nil
 }
 
-// checkSection checks what concerns several parts of the section, once all of them have been read.
+// checkSection checks constraints across several keys, after all of them have been decoded.
 func (d *fleetDecoder) checkSection() error {
 	voters, agreement := len(d.fleet.Voters), &d.fleet.Agreement
 	switch {
 	case d.err != nil:
 		return d.err
 	case voters%2 == 0:
-		return keyErrorf("fleet.seats", "%d seats; an odd number is needed, best three or five", voters)
+		return keyErrorf("fleet.seats", "%d seats, but the number must be odd; 3 or 5 are recommended",
+			voters)
 	case len(d.fleet.Secret) < minSecretBytes:
-		return keyErrorf("fleet.secret", "%d bytes; at least %d are needed", len(d.fleet.Secret), minSecretBytes)
+		return keyErrorf("fleet.secret", "%d bytes long; the minimum is %d",
+			len(d.fleet.Secret), minSecretBytes)
 	case agreement.MaxNodes < int64(voters) || agreement.MaxNodes > maxNodes:
-		return keyErrorf("fleet.most", "%d is not between the %d voters and %d", agreement.MaxNodes, voters, maxNodes)
+		return keyErrorf("fleet.most", "%d nodes; want at least the %d voters and at most %d",
+			agreement.MaxNodes, voters, maxNodes)
 	case time.Duration(agreement.Lease) < minLeaseRoundTrips*d.roundTrip:
-		return keyErrorf("fleet.lease_ms", "%d is shorter than %d round trips of %v",
+		return keyErrorf("fleet.lease_ms", "%d ms is shorter than %d round trips of %v",
 			time.Duration(agreement.Lease).Milliseconds(), minLeaseRoundTrips, d.roundTrip)
 	}
 	if err := checkBudgets(agreement.Budgets); err != nil {
@@ -186,13 +190,13 @@
 	return nil
 }
 
-// agreementError names the key within the file: Validate begins its text with the key below the fleet section.
+// agreementError converts an error of Validate, whose text begins with the key relative to the fleet section.
 func agreementError(err error) error {
 	key, reason, _ := strings.Cut(err.Error(), ": ")
 	return keyErrorf("fleet."+key, "%s", reason)
 }
 
-// decodeListen finds out where a voter is called: at its address among the voters, unless it listens at another one.
+// decodeListen sets the address that a voter listens on. The default is the voter's entry in fleet.seats.
 func (d *fleetDecoder) decodeListen() error {
 	voter := d.fleet.Voter(d.node.Name)
 	if voter == nil {
@@ -206,7 +210,7 @@
 		return keyErrorf("fleet.listen", "%q is not host:port", listen)
 	}
 	if listen == d.node.Listen || listen == d.node.AdminAddress {
-		return keyErrorf("fleet.listen", "%q is where clients or operators connect", listen)
+		return keyErrorf("fleet.listen", "%q is already the address for clients or operators", listen)
 	}
 	return nil
 }
--- a/internal/config/fleet_budgets.go
+++ b/internal/config/fleet_budgets.go
@@ -11,19 +11,19 @@
 	"fernrail/internal/fleet/budget"
 )
 
-// Budgets that nodes can hold together, by their names in the file.
+// Names in the file of the budgets that nodes can share.
 const (
-	BudgetRetries        = "again"   // attempts after the first one, of all requests at all nodes
+	BudgetRetries        = "again"   // retries of all requests at all nodes
 	BudgetConnections    = "connect" // new connections to one server
-	BudgetSlowStart      = "cold"    // work sent to a server that is warming up
-	BudgetTenantAttempts = "jobs"    // attempts of one tenant in flight; the window bounds how long one may give no news
+	BudgetSlowStart      = "cold"    // work sent to a server in slow start
+	BudgetTenantAttempts = "jobs"    // attempts of one tenant in flight; the window bounds the time without updates
 	BudgetPolls          = "calls"   // polls of the endpoint list
 )
 
-// defaultBudgetWindow holds for budgets that neither the settings nor a class's deadline give a window.
+// defaultBudgetWindow applies to budgets whose window does not derive from the settings or from a deadline.
 const defaultBudgetWindow = time.Second
 
-// budgetNames are the budgets that the file may name, in the order in which errors list them.
+// budgetNames lists the budgets that the file may contain, in the order of error messages.
 var budgetNames = []string{
 	BudgetRetries,
 	BudgetConnections,
@@ -32,10 +32,10 @@
 	BudgetPolls,
 }
 
-// budgetKey returns the key of a value of one budget.
+// budgetKey returns the full key of a value in the section of one budget.
 func budgetKey(budgetName, name string) string { return "fleet.budgets." + budgetName + "." + name }
 
-// decodeBudgets reads the budgets that the section names.
+// decodeBudgets decodes the limits of each budget in the section.
 func (d *fleetDecoder) decodeBudgets() error {
 	named := map[string]bool{}
 	for key := range d.values {
@@ -48,7 +48,8 @@
 		if !slices.Contains(budgetNames, name) {
 			known := strings.Join(budgetNames[:len(budgetNames)-1], ", ")
 			last := budgetNames[len(budgetNames)-1]
-			return keyErrorf("fleet.budgets."+name, "no such budget; there are %s and %s", known, last)
+			return keyErrorf("fleet.budgets."+name, "unknown budget; the known ones are %s and %s",
+				known, last)
 		}
 		limits := d.decodeLimits(name)
 		if err := d.checkWindow(name, limits); err != nil {
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// decodeLimits reads the limits of one budget.
+// decodeLimits decodes the limits of one budget.
 func (d *fleetDecoder) decodeLimits(name string) budget.Limits {
 	return budget.Limits{
 		Total:             d.integer(budgetKey(name, "whole"), 0, 1),
@@ -84,19 +85,20 @@
 	return defaultBudgetWindow
 }
 
-// checkWindow compares a budget's window with the times that the settings give.
+// checkWindow checks that a budget's window is long enough for the settings.
 func (d *fleetDecoder) checkWindow(name string, limits budget.Limits) error {
 	window := time.Duration(limits.Window)
 	switch name {
 	case BudgetSlowStart:
 		if limits.Window < d.node.Settings.OverloadWindow {
 			return keyErrorf(budgetKey(name, "window_ms"),
-				"%d is under the window in which a cold executor falls over, settings.Rules.Fall", window.Milliseconds())
+				"%d ms is shorter than the overload window of a cold executor, settings.Rules.Fall",
+				window.Milliseconds())
 		}
 	case BudgetTenantAttempts:
 		if window < d.node.MaxDeadline {
 			return keyErrorf(budgetKey(name, "window_ms"),
-				"%d is under the longest expiry of a scheme, %d, for which a job may run that nothing is heard of",
+				"%d ms is under the longest expiry of a scheme, %d ms, which a job may run without updates",
 				window.Milliseconds(), d.node.MaxDeadline.Milliseconds())
 		}
 	case BudgetPolls:
@@ -105,8 +107,8 @@
 	return nil
 }
 
-// checkPollFloor makes sure that a node may poll as often as the settings demand while it holds no lease. Its floor
-// is so many polls in a window, so that the window is the longest that it waits, by a clock that may run slow.
+// checkPollFloor checks that a node without a lease may poll as often as the settings require. The floor is a
+// number of polls per window, so a node waits for up to one window, measured on a clock that may run slow.
 func (d *fleetDecoder) checkPollFloor(limits budget.Limits) error {
 	maxWait := d.node.Settings.MaxPollWait()
 	longest := float64(limits.Window) * (1 + d.fleet.Agreement.ClockMargin)
@@ -114,27 +116,29 @@
 		return nil
 	}
 	return keyErrorf(budgetKey(BudgetPolls, "floor"),
-		"%d in a window of %d ms; each node needs one in less than %d, by settings.Rules",
+		"%d polls per window of %d ms, but each node needs one in less than %d ms by settings.Rules",
 		limits.Floor, time.Duration(limits.Window).Milliseconds(), time.Duration(maxWait).Milliseconds())
 }
 
-// checkBudgets checks which budgets there are, and what each may be divided by.
+// checkBudgets checks that the slow-start budget exists and that each budget uses only keys that apply to it.
 func checkBudgets(budgets map[string]budget.Limits) error {
 	if _, found := budgets[BudgetSlowStart]; !found {
 		return keyErrorf("fleet.budgets.cold",
-			"missing; nodes that hold budgets together take no turns at cold executors")
+			"missing; nodes that share budgets need it to limit the work sent to cold executors")
 	}
 	for _, name := range budgetNames {
 		if name != BudgetRetries && budgets[name].FirstAttemptRatio != 0 {
-			return keyErrorf("fleet.budgets", "share is for again alone, as a ratio of first attempts")
+			return keyErrorf("fleet.budgets",
+				"share is for the budget again only, as a ratio of first attempts")
 		}
 	}
 	if parts := budgets[BudgetRetries].Partitions; parts > 1 {
 		return keyErrorf(budgetKey(BudgetRetries, "parts"),
-			"%d; retries are counted for all executors together", parts)
+			"%d parts; this budget cannot be partitioned: it counts the retries of all executors", parts)
 	}
 	if parts := budgets[BudgetPolls].Partitions; parts > 1 {
-		return keyErrorf(budgetKey(BudgetPolls, "parts"), "%d; there is one list", parts)
+		return keyErrorf(budgetKey(BudgetPolls, "parts"),
+			"%d parts; this budget cannot be partitioned: there is one endpoint list", parts)
 	}
 	return nil
 }
--- a/internal/config/fleet_gossip.go
+++ b/internal/config/fleet_gossip.go
@@ -10,31 +10,32 @@
 	"fernrail/internal/fleet/subset"
 )
 
-// defaultMinNodesPerServer is how many nodes use a server at least: two of them may be wrong about which nodes there
-// are.
+// defaultMinNodesPerServer is the least number of nodes that use a server. Two of them may have an outdated
+// membership list.
 const defaultMinNodesPerServer = 3
 
-// minWitnesses is the least number of nodes by whose word a server is an outlier; one alone may have a fault of its
-// own.
+// minWitnesses is the least number of nodes that must report a server as an outlier, because a single node
+// may be faulty itself.
 const minWitnesses = 2
 
-// decodeGossip reads where nodes exchange gossip, and the addresses that are reached by others.
+// decodeGossip decodes the gossip addresses and the routes.
 func (d *fleetDecoder) decodeGossip() error {
 	d.fleet.Gossip = d.text("fleet.gossip")
 	d.fleet.Join = d.list("fleet.join")
 	d.fleet.Routes = map[string]string{}
-	for key, to := range d.values {
-		if from, isRoute := strings.CutPrefix(key, "fleet.routes."); isRoute {
-			d.fleet.Routes[from] = to
+	for key, target := range d.values {
+		if address, isRoute := strings.CutPrefix(key, "fleet.routes."); isRoute {
+			d.fleet.Routes[address] = target
 		}
 	}
 	for _, address := range append(slices.Clone(d.fleet.Join), d.fleet.Gossip) {
 		if address != "" && !isIPAndPort(address) {
-			return keyErrorf("fleet.gossip, fleet.join", "%q is not IP:port; no names are looked up", address)
+			return keyErrorf("fleet.gossip, fleet.join", "%q is not IP:port; host names are not resolved",
+				address)
 		}
 	}
 	if d.fleet.Gossip == "" && len(d.fleet.Join) > 0 {
-		return keyErrorf("fleet.join", "nothing to join by without fleet.gossip")
+		return keyErrorf("fleet.join", "requires fleet.gossip, which is not set")
 	}
 	return nil
 }
@@ -44,7 +45,7 @@
 	return err == nil && net.ParseIP(host) != nil
 }
 
-// decodeSubset reads how servers are divided among the nodes.
+// decodeSubset decodes the subset settings, by which servers are divided among the nodes.
 func (d *fleetDecoder) decodeSubset() error {
 	if !hasPrefix(d.values, "fleet.subset.") {
 		return nil
@@ -54,23 +55,25 @@
 		MinNodesPerServer: int(d.integer("fleet.subset.cover", defaultMinNodesPerServer, 1)),
 	}
 	size := d.fleet.Subset.Size
-	// A smaller subset would leave a zone or a machine type that the node cannot reach.
+	// A smaller subset would lack servers of some zone or machine type.
 	minSize := max(len(d.node.Names.Zones), len(d.node.Names.MachineTypes))
 	known := len(d.node.InitialEndpoints.Endpoints)
 	switch {
 	case d.err != nil:
 		return d.err
 	case size < minSize:
-		return keyErrorf("fleet.subset.size", "%d is under the %d zones or kinds of which each node needs one", size, minSize)
+		return keyErrorf("fleet.subset.size",
+			"%d is below the minimum of %d, one executor for each zone or kind",
+			size, minSize)
 	case known > 0 && size > known:
-		return keyErrorf("fleet.subset.size", "%d is more than the %d executors that are known", size, known)
+		return keyErrorf("fleet.subset.size", "%d is more than the %d known executors", size, known)
 	case d.fleet.Gossip == "":
-		return keyErrorf("fleet.subset", "without fleet.gossip no node knows of others")
+		return keyErrorf("fleet.subset", "requires fleet.gossip, which is not set")
 	}
 	return nil
 }
 
-// decodeOutlierSignals reads whether nodes exchange outlier scores of servers.
+// decodeOutlierSignals decodes the quorum for exchanged outlier scores.
 func (d *fleetDecoder) decodeOutlierSignals() error {
 	if _, found := d.lookup("fleet.signals.quorum"); !found {
 		return nil
@@ -80,11 +83,13 @@
 	case d.err != nil:
 		return d.err
 	case d.fleet.Gossip == "":
-		return keyErrorf("fleet.signals", "without fleet.gossip nodes hear nothing of each other")
+		return keyErrorf("fleet.signals", "requires fleet.gossip, which is not set")
 	case d.fleet.Zone == "":
-		return keyErrorf("fleet.signals", "settings.MyZone and settings.Dcs name no zone, so that this node is no witness")
+		return keyErrorf("fleet.signals",
+			"settings.MyZone and settings.Dcs give this node no zone, which signals require")
 	case int64(d.fleet.WitnessQuorum) > d.fleet.Agreement.MaxNodes:
-		return keyErrorf("fleet.signals.quorum", "%d is more than all nodes, fleet.most", d.fleet.WitnessQuorum)
+		return keyErrorf("fleet.signals.quorum", "%d is more than the maximum number of nodes, fleet.most",
+			d.fleet.WitnessQuorum)
 	}
 	return nil
 }
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -18,22 +18,22 @@
 	defaultMemoryMB = 192
 	minMemoryMB     = 8 // the Go runtime alone does not fit into less
 	defaultSockets  = 1024
-	minSockets      = 16 // fewer leave no connections beside the standard files and the poller
+	minSockets      = 16 // fewer leave no connections after the standard files and the poller
 
-	// A deep probe queues like a request: one that is not answered for so long shows that there is no capacity.
+	// A deep probe queues like a request, so one that times out shows that the server has no capacity.
 	defaultProbeTimeout = 500 * time.Millisecond
 
 	firstInheritedFD = 3 // after the standard files
 )
 
-// Defaults of settings that the node reads beside the dispatcher, and their least values, in nanoseconds.
+// Defaults of the settings that the node uses itself, which the dispatcher does not decode.
 const (
 	defaultDialTimeout = time.Second
 	defaultIdleTimeout = 10 * time.Second
 	defaultMaxDeadline = 60 * time.Second
 )
 
-// decodeNode converts and checks all values of a file. The first one that is at fault is the error.
+// decodeNode converts and checks all values of a file. It returns an error for the first invalid one.
 func decodeNode(f *file, getenv func(variable string) string) (*Node, error) {
 	node := &Node{values: f.restartValues()}
 	if err := node.decodeSettings(f); err != nil {
@@ -49,14 +49,14 @@
 	if node.Fleet, err = decodeFleet(node, f.values); err != nil {
 		return nil, err
 	}
-	// A fleet section that was meant for another site does not make nodes talk where the settings forbid it.
+	// A fleet section meant for another site must not start messages between nodes that the settings forbid.
 	if node.Fleet != nil && !node.PeerMessagesUnsupported {
 		node.Fleet, node.FleetDisabled = nil, true
 	}
 	return node, nil
 }
 
-// decodeSettings reads the settings section: what the dispatcher needs of it, then what the node itself needs.
+// decodeSettings decodes the settings section: first the settings of the dispatcher, then those of the node.
 func (n *Node) decodeSettings(f *file) error {
 	lookup := lookupIn(f.settings)
 	var err error
@@ -64,7 +64,7 @@
 		return err
 	}
 	r := &valueReader{lookup: lookup, keyPrefix: "settings."}
-	// A timer of no length would be due again at once, and take the whole core.
+	// A timer with period 0 would fire continuously and use up the core.
 	r.integer("Tick", defaultTick, 1)
 	n.LoadReportKeys = DecodeLoadReportKeys(lookup)
 	n.DialTimeout = time.Duration(r.integer("Limits.DialTimeout", int64(defaultDialTimeout), 1))
@@ -74,7 +74,7 @@
 	return r.err
 }
 
-// decodeNames reads the names that requests and endpoint lists use, and the longest deadline of a class.
+// decodeNames decodes the names used by requests and endpoint lists, and the longest deadline of any class.
 func (n *Node) decodeNames(r *valueReader) {
 	n.Names = &protocol.Names{Zones: r.list("Dcs"), MachineTypes: r.list("Skus")}
 	for i := range n.Settings.Classes {
@@ -87,27 +87,29 @@
 	}
 }
 
-// adaptSettings changes what is different on sockets from what the settings say for the simulator.
+// adaptSettings changes the settings, which describe the simulator, where a node on sockets differs from it.
 func (n *Node) adaptSettings() {
-	// Sockets have no protocol for messages between nodes, so the dispatcher is told that there are none.
+	// There is no protocol on sockets for messages of the dispatcher to other nodes, so they are switched
+	// off.
 	n.PeerMessagesUnsupported, n.Settings.PeerMessages = n.Settings.PeerMessages, false
-	// What the discovery agent on this machine has counts as known a while after it can be asked, whatever failed
-	// before.
+	// The dispatcher must know of a change one poll interval after the discovery agent on this machine can be
+	// polled, even if earlier polls failed.
 	n.Settings.MaxPollInterval = int64(protocol.PollRetryInterval)
 	n.Settings.UnpolledEventAge = min(n.Settings.UnpolledEventAge, n.Settings.MaxPollInterval)
 	grace := n.Settings.DrainGrace
 	if grace <= 0 {
 		return
 	}
-	// Where the settings have a grace for drains, it counts as known at once, asked for or not.
+	// With a drain grace, the dispatcher must know of a change as soon as the agent has it, polled or not.
 	n.Settings.UnpolledEventAge = 0
-	// An attempt may be waiting for its connection when its server begins to drain. Its connection has to come up within
-	// the grace, and the dispatcher may start attempts only as long as there is time for that.
+	// An attempt may be waiting for its connection when its server begins to drain. The dial has to finish
+	// within the grace, so the dispatcher may start attempts only while the remaining grace is at least the
+	// dial timeout.
 	n.DialTimeout = min(n.DialTimeout, max(time.Duration(grace)/2, 1))
 	n.Settings.DrainGrace = min(grace-int64(n.DialTimeout), 2*n.Settings.MaxPollInterval)
 }
 
-// decodeOwnSections reads what stands beside the settings, but for the servers and the fleet.
+// decodeOwnSections decodes all sections except settings, servers and fleet.
 func (n *Node) decodeOwnSections(f *file, getenv func(variable string) string) error {
 	r := &valueReader{lookup: lookupIn(f.values)}
 	var err error
@@ -129,19 +131,20 @@
 	return err
 }
 
-// decodeLogLevel reads the value of EDGE_LOG.
+// decodeLogLevel parses the value of EDGE_LOG.
 func decodeLogLevel(name string) (zerolog.Level, error) {
 	if name == "" {
 		return zerolog.DebugLevel, nil
 	}
 	level, err := zerolog.ParseLevel(name)
 	if err != nil {
-		return level, keyErrorf("EDGE_LOG", "%q is not a level, such as trace, debug, info or warn", name)
+		return level, keyErrorf("EDGE_LOG",
+			"invalid log level %q; want a level such as trace, debug, info or warn", name)
 	}
 	return level, nil
 }
 
-// decodeAddresses reads where clients and operators connect, and where discovery is.
+// decodeAddresses decodes the addresses of the client listener, the admin listener and discovery.
 func (n *Node) decodeAddresses(r *valueReader, getenv func(variable string) string) {
 	n.Listen = r.address("listen", "EDGE_LISTEN", getenv)
 	n.Discovery = r.address("discovery", "EDGE_DISCOVERY", getenv)
@@ -149,20 +152,21 @@
 		return
 	}
 	n.AdminAddress = r.address("admin_addr", "EDGE_ADMIN_ADDR", getenv)
-	// One of the two listeners would not come up, or would be sent the other's calls.
+	// With one address for both, one listener would fail, or would receive the other's connections.
 	if n.AdminAddress == n.Listen && r.err == nil {
-		r.err = keyErrorf("admin_addr", "%q is where clients connect", n.AdminAddress)
+		r.err = keyErrorf("admin_addr", "%q is already the address for clients", n.AdminAddress)
 	}
 }
 
-// decodeListenFD reads the value of EDGE_LISTEN_FD: the number of a descriptor, which has to be a listening socket.
+// decodeListenFD parses the value of EDGE_LISTEN_FD, the number of a descriptor that must be a listening
+// socket.
 func decodeListenFD(number string) (int, error) {
 	if number == "" {
 		return 0, nil
 	}
 	fd, err := strconv.Atoi(number)
 	if err != nil || fd < firstInheritedFD {
-		return 0, keyErrorf("EDGE_LISTEN_FD", "%q is not the number of an inherited descriptor", number)
+		return 0, keyErrorf("EDGE_LISTEN_FD", "%q is not a descriptor number of at least 3", number)
 	}
 	listening, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil || listening == 0 {
@@ -171,7 +175,7 @@
 	return fd, nil
 }
 
-// decodeLimits reads how much of the machine the node may use.
+// decodeLimits decodes the limits on cores, memory and file descriptors.
 func (n *Node) decodeLimits(r *valueReader) {
 	n.Cores = r.float("limits.cores", defaultCores)
 	n.Memory = r.integer("limits.memory_mb", defaultMemoryMB, minMemoryMB) << 20
@@ -182,12 +186,12 @@
 func decodeSeed(text string) (uint64, error) {
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return 0, keyErrorf("seed", "%q is not a hexadecimal number of 64 bits", text)
+		return 0, keyErrorf("seed", "%q is not a hexadecimal number of at most 64 bits", text)
 	}
 	return seed, nil
 }
 
-// decodeInitialEndpoints decodes the servers that the node knows before discovery answers.
+// decodeInitialEndpoints decodes the servers that the node uses until discovery answers.
 func decodeInitialEndpoints(servers json.RawMessage, names *protocol.Names) (*protocol.EndpointList, error) {
 	if servers == nil {
 		return &protocol.EndpointList{}, nil
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// maxFloat bounds the numbers that are accepted. Below it a time in nanoseconds still fits an int64.
+// maxFloat bounds the accepted numbers: a time in nanoseconds below it fits an int64.
 const maxFloat = 1e18
 
 // Lookup looks up a value by its dotted name, such as Limits.IdleClose or Schemes.0.SlaTime.
@@ -27,28 +27,28 @@
 	}
 }
 
-// valueReader reads values by key and converts them. It keeps the first error; from then on its results count for
-// nothing, so that a caller may read many values and check err once.
+// valueReader reads values by key and converts them. It keeps the first error, so that a caller may read many
+// values and check err once; the results must not be used if err is set.
 type valueReader struct {
 	lookup    Lookup
-	keyPrefix string // before each key in errors, such as "settings."
+	keyPrefix string // prepended to each key in errors, such as "settings."
 	err       error
 }
 
-// fail records that the value of a key is not of the wanted form.
+// fail records that the value of a key does not have the required form.
 func (r *valueReader) fail(key, value, want string) {
 	if r.err == nil {
 		r.err = keyErrorf(r.keyPrefix+key, "%q is not %s", value, want)
 	}
 }
 
-// text returns a value as it stands, or "" where it is absent.
+// text returns a value unconverted, or "" if it is absent.
 func (r *valueReader) text(key string) string {
 	value, _ := r.lookup(key)
 	return value
 }
 
-// boolean reads true, false, 1 or 0; absent is false.
+// boolean parses true, false, 1 or 0. An absent value is false.
 func (r *valueReader) boolean(key string) bool {
 	switch value := r.text(key); value {
 	case "true", "1":
@@ -60,7 +60,7 @@
 	return false
 }
 
-// choice reads one of a few words; the first one is the default.
+// choice returns a value that must be one of the words. The first word is the default.
 func (r *valueReader) choice(key string, words ...string) string {
 	value := r.text(key)
 	if value != "" && !slices.Contains(words, value) {
@@ -69,12 +69,12 @@
 	return cmp.Or(value, words[0])
 }
 
-// float reads a number.
+// float parses a number.
 func (r *valueReader) float(key string, absent float64) float64 {
 	return r.parseFloat(key, r.text(key), absent)
 }
 
-// parseFloat converts a value that was read already, such as one of a list.
+// parseFloat converts a value that was already read, such as a list element.
 func (r *valueReader) parseFloat(key, value string, absent float64) float64 {
 	if value == "" {
 		return absent
@@ -87,7 +87,7 @@
 	return number
 }
 
-// integer reads a whole number of at least the minimum.
+// integer parses an integer of at least the minimum.
 func (r *valueReader) integer(key string, absent, minimum int64) int64 {
 	value := r.text(key)
 	if value == "" {
@@ -95,18 +95,18 @@
 	}
 	number, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || number < minimum {
-		r.fail(key, value, fmt.Sprintf("a whole number of at least %d", minimum))
+		r.fail(key, value, fmt.Sprintf("an integer of at least %d", minimum))
 		return absent
 	}
 	return number
 }
 
-// milliseconds reads a time that the file gives as a whole number of milliseconds.
+// milliseconds parses a duration given as an integer number of milliseconds.
 func (r *valueReader) milliseconds(key string, absent, minimum time.Duration) time.Duration {
 	return time.Duration(r.integer(key, absent.Milliseconds(), minimum.Milliseconds())) * time.Millisecond
 }
 
-// list reads a list of plain values; nil where it is absent or empty.
+// list returns a list of scalars, or nil if it is absent or empty.
 func (r *valueReader) list(key string) []string {
 	value := r.text(key)
 	if value == "" {
@@ -115,7 +115,7 @@
 	return strings.Split(value, ",")
 }
 
-// listElement converts one element of a list; absent stands for those that a shorter list lacks.
+// listElement converts one element of a list. It returns absent if the list is too short.
 func (r *valueReader) listElement(key string, values []string, index int, absent float64) float64 {
 	if index >= len(values) {
 		return absent
@@ -123,7 +123,7 @@
 	return r.parseFloat(key, values[index], absent)
 }
 
-// address reads host:port from an environment variable or, where that is not set, from the key.
+// address reads host:port from an environment variable or, if that is not set, from the key.
 func (r *valueReader) address(key, variable string, getenv func(string) string) string {
 	source, address := variable, getenv(variable)
 	if address == "" {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package config reads, checks and completes the configuration of a node. It is the one place that knows the names of
-// the settings and of the file's keys: the node decodes its file here, and the simulator's adapter decodes the same
-// settings from its wire.
+// Package config reads, checks and completes the configuration of a node. It is the one place that knows the
+// names of the settings and of the file's keys: the node decodes its file here, and the simulator's adapter
+// decodes the same settings from its wire.
 package config
 
 import (
@@ -14,14 +14,14 @@
 	"fernrail/internal/protocol"
 )
 
-// Divisors that a file may not bring down to zero.
+// Lower bounds of divisors, so that a file cannot make them zero.
 const (
 	minTotalScoreWeight  = 0.01
 	minTolerableMissRate = 0.001
 )
 
-// missedObjectiveSpan is over how many times the tolerated rate of missed objectives the points for punctuality
-// shrink to zero, by the page on the settings.
+// missedObjectiveSpan is a multiple of the tolerated rate of missed objectives. The score for punctuality
+// falls linearly to zero at that multiple, as the documentation of the settings defines it.
 const missedObjectiveSpan = 4
 
 const (
@@ -29,8 +29,8 @@
 	defaultUnpolledEventAge = 1_000_000_000 // ns
 )
 
-// DecodeSettings reads the settings that the dispatcher uses. Unknown ones are skipped, and an absent one gets the
-// value that permits least. An error is a KeyError.
+// DecodeSettings decodes the settings of the dispatcher. Unknown settings are ignored, and an absent one gets
+// the most restrictive value. Any error is a KeyError.
 func DecodeSettings(lookup Lookup) (*dispatch.Settings, error) {
 	r := &valueReader{lookup: lookup, keyPrefix: "settings."}
 	settings := decodeSite(r)
@@ -42,7 +42,7 @@
 	return settings, nil
 }
 
-// decodeSite reads the settings that hold for the site as a whole.
+// decodeSite decodes the settings that apply to the site, not to one class or tenant.
 func decodeSite(r *valueReader) *dispatch.Settings {
 	totalWeight := max(r.float("ScoreParts.Whole", 1), minTotalScoreWeight)
 	settings := &dispatch.Settings{
@@ -84,24 +84,26 @@
 	return settings
 }
 
-// decodeCapacityProbes reports whether a server's free slots can be asked for by a probe.
+// decodeCapacityProbes reports whether probes can request the free slots of a server.
 func decodeCapacityProbes(r *valueReader) bool {
 	return r.boolean("Limits.MayProbe") &&
 		r.text("Report.Source") == "pull" &&
 		DecodeLoadReportKeys(r.lookup).FreeSlots != ""
 }
 
-// decodeMissedObjectiveCost returns what a missed latency objective costs besides its class's weight.
+// decodeMissedObjectiveCost returns the cost of a missed latency objective in addition to the weight of its
+// class.
 func decodeMissedObjectiveCost(r *valueReader) float64 {
 	weight := r.float("ScoreParts.Punctual", 0)
 	missRate := max(r.float("ScoreParts.MissAllowed", 1), minTolerableMissRate)
 	return weight / (missedObjectiveSpan * missRate)
 }
 
-// classLists are settings that stand apart from the classes, in lists with an element for each class.
+// classLists are the settings of classes that the file stores in separate lists, with one element for each
+// class.
 type classLists struct{ machineTypes, stretches []string }
 
-// decodeClasses reads the request classes.
+// decodeClasses decodes the request classes.
 func decodeClasses(r *valueReader) []*dispatch.Class {
 	lists := classLists{
 		machineTypes: r.list("Extra.ClassKind"),
@@ -118,13 +120,13 @@
 	return classes
 }
 
-// classKey returns the name of a setting of one class.
+// classKey returns the key of a setting of one class.
 func classKey(class int, name string) string { return "Schemes." + strconv.Itoa(class) + "." + name }
 
-// tenantKey returns the name of a setting of one tenant.
+// tenantKey returns the key of a setting of one tenant.
 func tenantKey(tenant int, name string) string { return "Tenants." + strconv.Itoa(tenant) + "." + name }
 
-// decodeClass reads the settings of one class.
+// decodeClass decodes the settings of one class.
 func decodeClass(r *valueReader, index int, lists classLists) *dispatch.Class {
 	class := &dispatch.Class{
 		Index:            index,
@@ -140,13 +142,13 @@
 	class.ObjectivePerWork = r.float(classKey(index, "AimStretch"), stretch)
 	if class.LatencyObjective < 0 {
 		key := classKey(index, "SlaTime")
-		r.fail(key, r.text(key), "a time")
+		r.fail(key, r.text(key), "a time of at least 0 ns")
 	}
 	class.Idempotency = decodeIdempotency(r, index)
 	return class
 }
 
-// decodeIdempotency reads whether, and where, a request of the class may run again.
+// decodeIdempotency decodes whether a request of the class may run more than once, and on which servers.
 func decodeIdempotency(r *valueReader, class int) dispatch.Idempotency {
 	key := classKey(class, "Idempotency")
 	switch value := r.text(key); value {
@@ -156,12 +158,12 @@
 	case "at_most_once":
 		return dispatch.NonIdempotent
 	default:
-		r.fail(key, value, "a known kind of scheme")
+		r.fail(key, value, "idempotent, deduplicated or at_most_once")
 	}
 	return dispatch.Idempotent
 }
 
-// decodeDedupScope reads which servers discard repeats of a request together.
+// decodeDedupScope decodes the group of servers that deduplicates requests together.
 func decodeDedupScope(r *valueReader, class int) dispatch.DedupScope {
 	switch r.text(classKey(class, "Group")) {
 	case "zone":
@@ -172,7 +174,7 @@
 	return dispatch.DedupAll
 }
 
-// decodeTenants reads the tenants; some sites have none.
+// decodeTenants decodes the tenants. A site may have none.
 func decodeTenants(r *valueReader) []*dispatch.Tenant {
 	count := int(r.integer("Tenants.count", 0, 0))
 	var tenants []*dispatch.Tenant
@@ -185,18 +187,18 @@
 	return tenants
 }
 
-// DecodeLoadReportKeys finds out which values of a load report give free slots and, where requests count memory, free
-// memory.
+// DecodeLoadReportKeys returns the keys of a load report that hold the free slots and, if requests use
+// memory, the free memory.
 func DecodeLoadReportKeys(lookup Lookup) (keys protocol.LoadReportKeys) {
 	fields, _ := lookup("Report.Fields")
-	_, memoryCounts := lookup("Extra.MemoryUnit")
+	_, usesMemory := lookup("Extra.MemoryUnit")
 	for _, name := range strings.Split(cmp.Or(fields, "x0,x1"), ",") {
 		meaning, _ := lookup("Extra.Report" + strings.ToUpper(name))
 		switch strings.ReplaceAll(meaning, "_", " ") {
 		case "free slots":
 			keys.FreeSlots = name
 		case "free memory":
-			if memoryCounts {
+			if usesMemory {
 				keys.FreeMemory = name
 			}
 		}
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -21,7 +21,8 @@
 	"fernrail/internal/protocol"
 )
 
-// storedNode is what the release that wrote testdata/node.json, be9205f, read from it.
+// storedNode returns the configuration that release be9205f decoded from testdata/node.json, which was
+// written for it.
 func storedNode() *Node {
 	return &Node{
 		Name:         "n1",
@@ -129,7 +130,7 @@
 	}
 }
 
-// readStored reads the stored file, with one part of its text replaced.
+// readStored decodes the stored file after one replacement in its text.
 func readStored(t *testing.T, from, to string) (*Node, error) {
 	t.Helper()
 	text, err := os.ReadFile("testdata/node.json")
@@ -138,7 +139,7 @@
 	}
 	changed := strings.Replace(string(text), from, to, 1)
 	if from != "" && changed == string(text) {
-		t.Fatalf("%s is not in the file", from)
+		t.Fatalf("testdata/node.json does not contain %s", from)
 	}
 	node, err := parse([]byte(changed), noEnvironment)
 	if err != nil {
@@ -148,15 +149,15 @@
 	return node, nil
 }
 
-// TestStoredNode reads a file with every key of a node, written for an earlier release, and compares what comes out
-// with what that release read.
+// TestStoredNode decodes a file that has every key of a node and was written for an earlier release. The
+// result must equal what that release decoded.
 func TestStoredNode(t *testing.T) {
 	node, err := readStored(t, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := storedNode(); !reflect.DeepEqual(node, want) {
-		t.Errorf("read %+v\nsettings %+v\nfleet %+v\nwant %+v\nsettings %+v\nfleet %+v",
+		t.Errorf("got %+v\nsettings %+v\nfleet %+v\nwant %+v\nsettings %+v\nfleet %+v",
 			node, node.Settings, node.Fleet, want, want.Settings, want.Fleet)
 	}
 	node, err = readStored(t, `"DrainGrace": 2000000000`, `"DrainGrace": 0`)
@@ -164,19 +165,21 @@
 		t.Fatal(err)
 	}
 	if node.Settings.UnpolledEventAge != 3e9 {
-		t.Errorf("Rules.AskWithin was read as %d ns without Rules.DrainGrace", node.Settings.UnpolledEventAge)
+		t.Errorf("Rules.AskWithin without Rules.DrainGrace: got %d ns, want 3e9 ns",
+			node.Settings.UnpolledEventAge)
 	}
 	_, err = readStored(t, `"round_trip_ms": 60`, `"round_trip_ms": 900`)
 	if err == nil || !strings.HasPrefix(err.Error(), "fleet.lease_ms: ") {
-		t.Errorf("a lease of 2500 ms with round trips of 900 ms: %v", err)
+		t.Errorf("a lease of 2500 ms with round trips of 900 ms: got error %v, want one for fleet.lease_ms",
+			err)
 	}
 }
 
-// TestStoredNodeKeys renames each key of the stored file in turn. What is read has to differ, so that no key can
-// change its name, or be left unread, without a test that fails.
+// TestStoredNodeKeys renames each key of the stored file in turn and checks that the decoded configuration
+// differs. The test fails if a release renames a key or no longer reads it.
 func TestStoredNodeKeys(t *testing.T) {
 	withoutEffect := map[string]string{
-		"settings.Rules.AskWithin": "Rules.DrainGrace goes before it",
+		"settings.Rules.AskWithin": "Rules.DrainGrace takes precedence",
 		"settings.Report.Fields":   "its default names the same two values",
 		"fleet.round_trip_ms":      "it only bounds fleet.lease_ms",
 	}
@@ -202,27 +205,28 @@
 		node.values = nil
 		same := reflect.DeepEqual(node, storedNode())
 		if _, skip := withoutEffect[path]; same != skip {
-			t.Errorf("%s renamed: the same configuration is %t, want %t", path, same, skip)
+			t.Errorf("%s renamed: unchanged configuration: got %t, want %t", path, same, skip)
 		}
 	})
 	if keys < 100 {
-		t.Errorf("only %d keys were renamed", keys)
+		t.Errorf("%d keys were renamed, want at least 100", keys)
 	}
 }
 
-// renameEachKey renames every key of an object and of all that it holds, one at a time, and calls check meanwhile.
+// renameEachKey renames the keys of an object and of all nested objects one at a time, and calls check for
+// each.
 func renameEachKey(value any, path string, check func(path string)) {
 	switch v := value.(type) {
 	case map[string]any:
 		for _, key := range slices.Sorted(maps.Keys(v)) {
 			inner := v[key]
-			at := strings.TrimPrefix(path+"."+key, ".")
+			innerPath := strings.TrimPrefix(path+"."+key, ".")
 			delete(v, key)
 			v[key+"_renamed"] = inner
-			check(at)
+			check(innerPath)
 			delete(v, key+"_renamed")
 			v[key] = inner
-			renameEachKey(inner, at, check)
+			renameEachKey(inner, innerPath, check)
 		}
 	case []any:
 		for i, inner := range v {
