--- a/internal/admin/commands.go
+++ b/internal/admin/commands.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Handler carries out the commands of operators. Each method returns at once; its error is the reply.
+// Handler executes operators' commands. Methods must not block. The text of an error is sent as the reply.
 type Handler interface {
 	// Ready reports whether this process serves clients.
 	Ready() bool
-	// Metrics returns the figures of this process as one line of JSON, without its end.
+	// Metrics returns the metrics of this process as one line of JSON without a newline.
 	Metrics() (line []byte, err error)
-	// Exclude keeps new requests from a server, whatever discovery says of it.
+	// Exclude stops new requests to a server, whatever state discovery reports for it.
 	Exclude(id string) error
 	// Include ends an exclusion.
 	Include(id string) error
@@ -22,25 +22,25 @@
 	Evacuate() error
 	// Activate ends a drain.
 	Activate() error
-	// FleetStatus returns what nodes hold together as one line of JSON, without its end.
+	// FleetStatus returns the state of the budgets and nodes as one line of JSON without a newline.
 	FleetStatus() (line []byte, err error)
-	// SetTotal changes what all nodes have of a budget together.
+	// SetTotal changes the total of a budget, which all nodes share.
 	SetTotal(budget, units string) error
 }
 
 // errNotReady is the reply to readyz while the process serves no clients.
-var errNotReady = errors.New("this process takes no clients")
+var errNotReady = errors.New("this process does not serve clients")
 
-// command is one that operators may send, with a number of arguments.
+// command is an operators' command.
 type command struct {
-	arguments int
-	needs     string // what the arguments are, for a reply to a line that lacks them
-	changes   bool   // it changes something, and is logged
-	// run returns the body of the reply; nil: OK is the reply.
+	arguments int    // required number
+	needs     string // the arguments, for the error reply to a line without them
+	changes   bool   // the command changes state, and is logged
+	// run returns the body of the reply. The reply is OK if the body is nil.
 	run func(h Handler, arguments []string) (body []byte, err error)
 }
 
-// commandNames lists the commands as they are written, for the reply to a line that is none.
+// commandNames lists the commands and their arguments for the error reply to an unknown command.
 const commandNames = "readyz, telemetry, exclude ID, include ID, evacuate, activate, fleet, whole BUDGET UNITS"
 
 var commands = map[string]command{
@@ -88,17 +88,17 @@
 	},
 }
 
-// jsonBody puts the mark of its end after a line of JSON.
+// jsonBody appends the end marker to a line of JSON.
 func jsonBody(line []byte, err error) ([]byte, error) {
 	return append(line, "\nEND\n"...), err
 }
 
-// reply carries out a line and returns the reply to it. A panic of the handler fails this one command.
+// reply executes a line and returns the reply. A panic of the handler fails only this command.
 func (s *Server) reply(line string) (text []byte) {
 	defer func() {
 		if r := recover(); r != nil {
-			s.log.Error().Interface("panic", r).Msg("admin command failed")
-			text = []byte("ERR the call failed in the node; its log says why\n")
+			s.log.Error().Interface("panic", r).Msg("admin command panicked")
+			text = []byte("ERR internal error; the node has logged the reason\n")
 		}
 	}()
 	words := strings.Fields(line)
@@ -109,11 +109,12 @@
 	command, found := commands[name]
 	switch {
 	case !found:
-		return fmt.Appendf(nil, "ERR %.40q is no call: %s\n", name, commandNames)
+		return fmt.Appendf(nil, "ERR unknown command %.40q; the commands are %s\n", name, commandNames)
 	case len(arguments) < command.arguments:
-		return fmt.Appendf(nil, "ERR %s needs %s\n", name, command.needs)
+		return fmt.Appendf(nil, "ERR %s requires %s\n", name, command.needs)
 	case len(arguments) > command.arguments:
-		return fmt.Appendf(nil, "ERR %s takes %d words after it, not %d\n", name, command.arguments, len(arguments))
+		return fmt.Appendf(nil, "ERR %s takes %d arguments, got %d\n",
+			name, command.arguments, len(arguments))
 	}
 	body, err := command.run(s.handler, arguments)
 	if command.changes {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package admin serves the operators' line protocol: one line to a connection and one reply, which begins with OK,
-// ERR or the JSON that was asked for.
+// Package admin serves the operators' line protocol. Each connection carries one command line and one reply,
+// which begins with OK, with ERR or with the requested JSON.
 package admin
 
 import (
@@ -20,22 +20,22 @@
 )
 
 const (
-	maxLineBytes  = 512              // ids have some tens
-	lineTimeout   = 20 * time.Second // a person at a terminal types the line
-	replyTimeout  = time.Second      // the reply fits into the socket's buffer
-	closeTimeout  = time.Second      // for the caller to close after the reply
-	minIdleAge    = 50 * time.Millisecond
-	maxDrainBytes = 64 * maxLineBytes // of what a caller sends after its line
-
-	// A command costs some tens of microseconds of the core that clients are served on.
-	maxCallsPerSecond = 1000
-	maxCallBurst      = 100
-
-	// acceptRetryDelay follows an error of the listener, such as a lack of descriptors.
+	maxLineBytes  = 512                   // ids have some tens of bytes
+	lineTimeout   = 20 * time.Second      // long enough for a person to type a command
+	replyTimeout  = time.Second           // the reply fits into the socket's buffer
+	closeTimeout  = time.Second           // for the client to close the connection after the reply
+	minIdleAge    = 50 * time.Millisecond // before eviction; a line that is sent at once arrives in less
+	maxDrainBytes = 64 * maxLineBytes     // limit on data after the command line
+
+	// A command takes some tens of microseconds of the core that also serves clients.
+	maxConnectionRate  = 1000 // per second
+	maxConnectionBurst = 100
+
+	// acceptRetryDelay is the pause after an accept error, such as a lack of file descriptors.
 	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Server serves operators. It holds a fixed number of connections beside those of clients.
+// Server serves operators. It limits the number of its connections, which are separate from those of clients.
 type Server struct {
 	handler        Handler
 	maxConnections int
@@ -43,31 +43,33 @@
 	limiter        *rate.Limiter
 
 	mu          sync.Mutex // guards what follows
-	changed     sync.Cond  // a connection was closed, or became evictable
+	changed     sync.Cond  // signals that a connection was closed or became evictable
 	connections int
-	evictable   list.List // of *connection that sent no whole line yet or have their reply; the first one goes first
+	// evictable holds each *connection that has not sent a complete line or that has its reply, in the order
+	// of eviction.
+	evictable list.List
 }
 
-// connection is one operator's connection.
+// connection is a connection of an operator.
 type connection struct {
 	net.Conn
 	idleSince time.Time
-	element   *list.Element // in evictable; nil: it is being replied to, or was evicted
+	element   *list.Element // in evictable; nil: a reply is in progress, or the connection was evicted
 }
 
-// New returns a server that holds at most so many connections.
+// New returns a server with at most maxConnections connections.
 func New(handler Handler, maxConnections int, log zerolog.Logger) *Server {
 	s := &Server{
 		handler:        handler,
 		maxConnections: maxConnections,
 		log:            log,
-		limiter:        rate.NewLimiter(maxCallsPerSecond, maxCallBurst),
+		limiter:        rate.NewLimiter(maxConnectionRate, maxConnectionBurst),
 	}
 	s.changed.L = &s.mu
 	return s
 }
 
-// Serve serves all who connect. It returns once the listener is closed and no connection is left.
+// Serve accepts and serves connections. It returns after the listener and all connections are closed.
 func (s *Server) Serve(l net.Listener) {
 	var serving sync.WaitGroup
 	defer serving.Wait()
@@ -77,19 +79,19 @@
 			return
 		}
 		if err != nil {
-			s.log.Warn().Err(err).Msg("accepting an admin connection failed; trying again")
+			s.log.Warn().Err(err).Msg("accepting an admin connection failed; retrying")
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		// Connections beyond the limit wait with the kernel. This fails only when its context ends.
+		// Connections beyond the rate wait in the kernel's queue. Wait fails only when its context ends.
 		_ = s.limiter.Wait(context.Background())
 		c := s.admit(accepted)
 		serving.Go(func() { s.serveConnection(c) })
 	}
 }
 
-// admit counts a connection in, and first makes room for it where there is none: connections that never send their
-// line do not keep operators out.
+// admit adds a connection. If the limit is reached, it first evicts one, so that connections that never send
+// a line cannot lock operators out.
 func (s *Server) admit(accepted net.Conn) *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,8 +104,9 @@
 	return c
 }
 
-// makeRoom evicts the connection that has gone longest without a whole line, or waits where none can be evicted yet:
-// a line that was sent at once is read within minIdleAge. The caller holds mu, which is released during a wait.
+// makeRoom evicts the connection that has been without a complete line for longest. If none may be evicted
+// yet, it waits instead: a line that is sent at once is read within minIdleAge. The caller holds mu, which is
+// released during the wait.
 func (s *Server) makeRoom() {
 	first := s.evictable.Front()
 	if first == nil {
@@ -123,7 +126,7 @@
 	oldest.Close()
 }
 
-// beginReply keeps a connection from being evicted. It reports whether the connection is still there.
+// beginReply protects a connection from eviction. It returns false if the connection was already evicted.
 func (s *Server) beginReply(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +138,7 @@
 	return true
 }
 
-// endReply makes a connection that has its reply the next one to be evicted.
+// endReply puts a connection that has its reply first in the order of eviction.
 func (s *Server) endReply(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +147,7 @@
 	s.changed.Broadcast()
 }
 
-// release closes a connection and counts it out, unless it was evicted.
+// release closes a connection and removes it, unless it was already evicted.
 func (s *Server) release(c *connection) {
 	c.Close()
 	s.mu.Lock()
@@ -168,31 +171,31 @@
 	}
 	defer s.endReply(c)
 	c.SetWriteDeadline(time.Now().Add(replyTimeout))
-	// A caller that is gone has no use for the error of the write.
+	// If the write fails, the client has disconnected, and there is nobody to report the error to.
 	_, _ = c.Write(s.replyToLine(line, err))
 	drain(c)
 }
 
-// replyToLine returns the reply to what was read. A line that broke off is not carried out: it may name another
-// server than the operator meant.
+// replyToLine returns the reply to the received data. An incomplete line is not executed: its last word may
+// be the id of another server, cut short.
 func (s *Server) replyToLine(line []byte, err error) []byte {
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		return fmt.Appendf(nil, "ERR the line is over %d bytes\n", maxLineBytes)
+		return fmt.Appendf(nil, "ERR the line is longer than %d bytes\n", maxLineBytes)
 	case err != nil:
-		return []byte("ERR no whole line came\n")
+		return []byte("ERR the line is incomplete\n")
 	}
 	return s.reply(string(line))
 }
 
-// drain ends the sending side and reads what the caller still sends: the kernel would reset a connection that is
-// closed with unread data, and the reply would be lost with it.
+// drain closes the sending side and discards what the client still sends. The kernel would reset a connection
+// that is closed with unread data, and the reply could be lost.
 func drain(c *connection) {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
 	c.SetReadDeadline(time.Now().Add(closeTimeout))
-	// It ends with the caller's close, the deadline or the limit; each of them is fine.
+	// The copy ends when the client closes, at the deadline or at the limit. None of these is an error here.
 	_, _ = io.CopyN(io.Discard, c, maxDrainBytes)
 }
