--- a/internal/hotrestart/exclusions.go
+++ b/internal/hotrestart/exclusions.go
@@ -14,13 +14,15 @@
 // fileVersion is the version of the exclusion file that this release reads and writes.
 const fileVersion = 1
 
-// maxListed is how many servers that were ever listed are remembered, the latest ones.
+// maxListed is the number of server ids in the record of servers that were ever listed. The oldest are
+// dropped.
 const maxListed = 2000
 
-// ErrUnknownVersion is wrapped by the error about an exclusion file of a version that this release does not know.
+// ErrUnknownVersion is wrapped by the error for an exclusion file whose version this release does not
+// support.
 var ErrUnknownVersion = errors.New("unknown version")
 
-// FileError reports a shared file that cannot be used, and names it.
+// FileError reports a shared file that cannot be used.
 type FileError struct {
 	Path string
 	Err  error
@@ -30,23 +32,23 @@
 
 func (e *FileError) Unwrap() error { return e.Err }
 
-// exclusionFile is the content of the file that processes of one node share.
+// exclusionFile is the content of the exclusion file, which the processes of one node share.
 type exclusionFile struct {
 	Version  int      `json:"version"`
 	Excluded []string `json:"bans"`
 	Listed   []string `json:"listed"`
 }
 
-// exclusions is what the exclusion file held when it was last read or written. Guarded by Process.mu.
+// exclusions is the content of the exclusion file at the last read or write. Guarded by Process.mu.
 type exclusions struct {
-	openFile *os.File    // the file that was read, kept open so that no newer one can have the same inode
-	fileInfo os.FileInfo // of openFile; nil: nothing was read from it
-	excluded []string    // ids of servers, sorted
-	listed   []string    // ids of servers that were ever listed, in that order
+	openFile *os.File    // kept open so that no newer file can get the same inode
+	fileInfo os.FileInfo // of openFile; nil: its content was not read
+	excluded []string    // sorted server ids
+	listed   []string    // ids of servers that were ever listed, oldest first
 }
 
-// Exclusions returns the ids of the servers that are excluded by hand, sorted. Beside an error they are the ones that
-// were last known.
+// Exclusions returns the sorted ids of the servers that operators have excluded. With an error, it returns
+// the last known ids.
 func (p *Process) Exclusions() ([]string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,32 +56,33 @@
 	return slices.Clone(p.excluded), err
 }
 
-// Exclude excludes a server in all processes of the node, and in those to come. With an error nothing has changed: an
-// exclusion that is not stored would end with this process, while somebody works on the machine.
+// Exclude excludes a server in all current and future processes of the node. With an error, nothing has
+// changed: an exclusion that is not stored would end with this process, possibly while an operator works on
+// the server.
 func (p *Process) Exclude(id string) error {
 	return p.update(func() bool {
-		at, found := slices.BinarySearch(p.excluded, id)
+		index, found := slices.BinarySearch(p.excluded, id)
 		if found {
 			return false
 		}
-		p.excluded = slices.Insert(slices.Clone(p.excluded), at, id)
+		p.excluded = slices.Insert(slices.Clone(p.excluded), index, id)
 		return true
 	})
 }
 
-// Include ends the exclusion of a server. With an error nothing has changed.
+// Include ends the exclusion of a server. With an error, nothing has changed.
 func (p *Process) Include(id string) error {
 	return p.update(func() bool {
-		at, found := slices.BinarySearch(p.excluded, id)
+		index, found := slices.BinarySearch(p.excluded, id)
 		if !found {
 			return false
 		}
-		p.excluded = slices.Delete(slices.Clone(p.excluded), at, at+1)
+		p.excluded = slices.Delete(slices.Clone(p.excluded), index, index+1)
 		return true
 	})
 }
 
-// RecordListed remembers servers that were listed, for processes that start once discovery lists them no longer.
+// RecordListed stores ids of listed servers for processes that start after discovery has removed them.
 func (p *Process) RecordListed(ids []string) error {
 	return p.update(func() bool {
 		known := make(map[string]bool, len(p.listed)+len(ids))
@@ -103,12 +106,12 @@
 func (p *Process) WasListed(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.refresh() // where the file cannot be read, what was last known counts
+	_ = p.refresh() // if the file cannot be read, the last known content applies
 	return slices.Contains(p.listed, id)
 }
 
-// update applies a change to what the file holds now, and writes the file if change reports that anything is
-// different. A lock keeps two processes from writing over each other's changes.
+// update applies a change to the current content of the file, and writes the file if change returns true. A
+// lock prevents processes from overwriting each other's changes.
 func (p *Process) update(change func() bool) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,8 +137,8 @@
 	return nil
 }
 
-// refresh reads the file if it has changed. One that does not exist leaves what is known as it is. The caller holds
-// mu.
+// refresh reads the file if it has changed. If the file does not exist, the known content stays. The caller
+// holds mu.
 func (p *Process) refresh() error {
 	if p.path == "" || p.isCurrent() {
 		return nil
@@ -161,9 +164,9 @@
 	return nil
 }
 
-// isCurrent reports whether the file is the one that was read last. The file is looked at several times a second and
-// can name thousands of servers, so that it is decoded only when it is another one: each change writes a new file.
-// The caller holds mu.
+// isCurrent reports whether the file is the one that was read last. The file is checked several times a
+// second and can contain thousands of ids, so it is decoded only if it was replaced; each change writes a new
+// file. The caller holds mu.
 func (p *Process) isCurrent() bool {
 	if p.fileInfo == nil {
 		return false
@@ -175,7 +178,7 @@
 		info.ModTime().Equal(p.fileInfo.ModTime())
 }
 
-// decodeExclusions reads the content of an exclusion file.
+// decodeExclusions reads and checks the content of an exclusion file.
 func decodeExclusions(file io.Reader) (*exclusionFile, error) {
 	text, err := io.ReadAll(file)
 	if err != nil {
@@ -186,12 +189,13 @@
 		return nil, err
 	}
 	if content.Version != fileVersion {
-		return nil, fmt.Errorf("%w %d, this program knows %d", ErrUnknownVersion, content.Version, fileVersion)
+		return nil, fmt.Errorf("%w %d; this release supports version %d",
+			ErrUnknownVersion, content.Version, fileVersion)
 	}
 	return &content, nil
 }
 
-// closeFile forgets which file was read last. The caller holds mu.
+// closeFile closes the file that was read last, so that the next refresh reads again. The caller holds mu.
 func (p *Process) closeFile() {
 	if p.openFile != nil {
 		p.openFile.Close()
@@ -199,8 +203,8 @@
 	p.openFile, p.fileInfo = nil, nil
 }
 
-// write replaces the file by a new one, so that no process ever reads half of it. The caller holds mu and the write
-// lock.
+// write replaces the file atomically, so that no process reads a partial one. The caller holds mu and the
+// write lock.
 func (p *Process) write() error {
 	text, err := json.Marshal(exclusionFile{Version: fileVersion, Excluded: p.excluded, Listed: p.listed})
 	if err != nil {
@@ -211,7 +215,7 @@
 		err = os.Rename(temporary, p.path)
 	}
 	if err != nil {
-		_ = os.Remove(temporary) // it may not even exist, and the first error is the one that matters
+		_ = os.Remove(temporary) // it may not exist; the first error is the one to return
 	}
 	return err
 }
--- a/internal/hotrestart/exclusions_test.go
+++ b/internal/hotrestart/exclusions_test.go
@@ -14,13 +14,14 @@
 	"testing"
 )
 
-// TestExclusions: what one process excludes holds for the other and for the next one; changes at once are all kept.
+// TestExclusions checks that an exclusion applies in the other process and in the next one, and that
+// concurrent changes of two processes are all stored.
 func TestExclusions(t *testing.T) {
 	dir := t.TempDir()
 	a, b := join(t, dir), join(t, dir)
-	var both sync.WaitGroup
+	var writers sync.WaitGroup
 	for i, s := range []*Process{a, b} {
-		both.Go(func() {
+		writers.Go(func() {
 			for n := range 50 {
 				id := fmt.Sprintf("%c-%02d", 'a'+i, n)
 				if err := s.Exclude(id); err != nil {
@@ -34,11 +35,11 @@
 			}
 		})
 	}
-	both.Wait()
-	seenA, _ := a.Exclusions()
-	seenB, err := b.Exclusions()
-	if len(seenA) != 50 || !slices.Equal(seenA, seenB) || err != nil {
-		t.Errorf("%q, %q, %v", seenA, seenB, err)
+	writers.Wait()
+	excludedA, _ := a.Exclusions()
+	excludedB, err := b.Exclusions()
+	if len(excludedA) != 50 || !slices.Equal(excludedA, excludedB) || err != nil {
+		t.Errorf("got %q and %q, error %v; want the same 50 ids in both processes", excludedA, excludedB, err)
 	}
 	for range 2 {
 		if err := a.Exclude("a-01"); err != nil {
@@ -47,31 +48,32 @@
 	}
 	a.Leave()
 	b.Leave()
-	if kept, err := join(t, dir).Exclusions(); !slices.Equal(kept, seenA) || err != nil {
-		t.Errorf("%q, %v", kept, err)
+	if stored, err := join(t, dir).Exclusions(); !slices.Equal(stored, excludedA) || err != nil {
+		t.Errorf("next process: got %q, error %v; want the ids of the earlier processes", stored, err)
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*"))
 	if len(files) != 2 {
-		t.Errorf("left behind: %q", files)
+		t.Errorf("got files %q, want 2: the locks and the exclusions", files)
 	}
 }
 
-// TestFaultyFile: a file that is torn, foreign or of another version changes no exclusion, and none is accepted that it
-// could not store; a file that is gone leaves what is known.
-func TestFaultyFile(t *testing.T) {
+// TestInvalidFile checks that a truncated or foreign file, or one of another version, changes no exclusion
+// and is not overwritten: Exclude fails, because it could not store the exclusion. If the file is missing,
+// the known exclusions stay.
+func TestInvalidFile(t *testing.T) {
 	isSyntaxError := func(err error) bool {
 		var syntaxError *json.SyntaxError
 		return errors.As(err, &syntaxError)
 	}
 	isUnknownVersion := func(err error) bool { return errors.Is(err, ErrUnknownVersion) }
 	for name, c := range map[string]struct {
-		text     string
-		expected func(error) bool
+		text      string
+		wantError func(error) bool
 	}{
-		"torn":    {`{"version":1,"ba`, isSyntaxError},
-		"foreign": {"hello", isSyntaxError},
-		"newer":   {`{"version":2,"bans":[]}`, isUnknownVersion},
-		"empty":   {"", isSyntaxError},
+		"truncated": {`{"version":1,"ba`, isSyntaxError},
+		"foreign":   {"hello", isSyntaxError},
+		"newer":     {`{"version":2,"bans":[]}`, isUnknownVersion},
+		"empty":     {"", isSyntaxError},
 	} {
 		s := join(t, t.TempDir())
 		if err := s.Exclude("s-1"); err != nil {
@@ -82,16 +84,16 @@
 		}
 		excluded, err := s.Exclusions()
 		if !slices.Equal(excluded, []string{"s-1"}) {
-			t.Errorf("%s: %q", name, excluded)
+			t.Errorf("%s: got exclusions %q, want s-1", name, excluded)
 		}
 		checkFileError(t, name, err, s.path)
 		err = s.Exclude("s-2")
 		checkFileError(t, name, err, s.path)
-		if !c.expected(err) {
-			t.Errorf("%s: %v is of another kind", name, err)
+		if !c.wantError(err) {
+			t.Errorf("%s: got error %v of the wrong kind", name, err)
 		}
 		if after, _ := os.ReadFile(s.path); string(after) != c.text {
-			t.Errorf("%s: was written over by %q", name, after)
+			t.Errorf("%s: the file was overwritten with %q, want it unchanged", name, after)
 		}
 		if err := os.Remove(s.path); err != nil {
 			t.Fatal(err)
@@ -100,28 +102,28 @@
 			t.Error(err)
 		}
 		if excluded, err := s.Exclusions(); !slices.Equal(excluded, []string{"s-1", "s-2"}) || err != nil {
-			t.Errorf("%s: %q, %v", name, excluded, err)
+			t.Errorf("%s: got exclusions %q, error %v; want s-1 and s-2", name, excluded, err)
 		}
 	}
 }
 
-// checkFileError fails the test unless err is a FileError about the file, which its text names.
+// checkFileError fails the test unless err is a FileError for the file and its text contains the path.
 func checkFileError(t *testing.T, what string, err error, path string) {
 	t.Helper()
 	var fileError *FileError
 	if !errors.As(err, &fileError) || fileError.Path != path || !strings.Contains(err.Error(), path) {
-		t.Errorf("%s: %v is no error about %s", what, err, path)
+		t.Errorf("%s: got error %v, want a FileError for %s", what, err, path)
 	}
 }
 
-// TestListed: servers that were listed at one process are known at the other and at the next one, the latest of very
-// many; exclusions that are changed meanwhile stay.
+// TestListed checks that listed servers recorded by one process are known to the other and to the next one,
+// that only the latest maxListed are stored, and that concurrent changes of exclusions are not lost.
 func TestListed(t *testing.T) {
 	dir := t.TempDir()
 	a, b := join(t, dir), join(t, dir)
-	var both sync.WaitGroup
+	var writers sync.WaitGroup
 	for i, s := range []*Process{a, b} {
-		both.Go(func() {
+		writers.Go(func() {
 			for n := range 30 {
 				if err := s.RecordListed([]string{fmt.Sprint("s-", n), fmt.Sprint("s-", i, "-", n)}); err != nil {
 					t.Error(err)
@@ -132,54 +134,56 @@
 			}
 		})
 	}
-	both.Wait()
+	writers.Wait()
 	a.Leave()
 	b.Leave()
 	c := join(t, dir)
 	if excluded, _ := c.Exclusions(); len(excluded) != 60 || len(c.listed) != 90 {
-		t.Errorf("%d excluded, %d listed", len(excluded), len(c.listed))
+		t.Errorf("got %d excluded and %d listed servers, want 60 and 90", len(excluded), len(c.listed))
 	}
 	if !c.WasListed("s-0") || !c.WasListed("s-1-29") || c.WasListed("never") {
-		t.Error("who was listed")
+		t.Error("WasListed: want true for s-0 and s-1-29, and false for never")
 	}
-	var many []string
+	var ids []string
 	for n := range maxListed {
-		many = append(many, fmt.Sprint("m-", n))
+		ids = append(ids, fmt.Sprint("m-", n))
 	}
-	if err := c.RecordListed(many); err != nil || len(c.listed) != maxListed || c.WasListed("s-0") || !c.WasListed("m-0") {
-		t.Errorf("%v, %d listed", err, len(c.listed))
+	if err := c.RecordListed(ids); err != nil || len(c.listed) != maxListed ||
+		c.WasListed("s-0") || !c.WasListed("m-0") {
+		t.Errorf("got error %v, %d listed servers; want the latest 2000, without s-0", err, len(c.listed))
 	}
 }
 
-// TestSameFileIsNotReadAgain: a look at a file of thousands of names decodes nothing while the file is the same, and
-// each change is seen at the next look, however soon it comes. A node with a small share of a core looks ten times a
-// second.
-func TestSameFileIsNotReadAgain(t *testing.T) {
+// TestUnchangedFileIsNotDecoded checks that a file is decoded only after a change, and that each change is
+// seen by the next call, however soon it comes. A node that has a small fraction of a core checks the file
+// ten times a second, and it can contain thousands of ids.
+func TestUnchangedFileIsNotDecoded(t *testing.T) {
 	dir := t.TempDir()
-	one, two := join(t, dir), join(t, dir)
+	writer, reader := join(t, dir), join(t, dir)
 	var names []string
 	for i := range maxListed {
 		names = append(names, fmt.Sprint("s-", i))
 	}
-	if err := one.RecordListed(names); err != nil {
+	if err := writer.RecordListed(names); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := two.Exclusions(); err != nil {
+	if _, err := reader.Exclusions(); err != nil {
 		t.Fatal(err)
 	}
-	if allocations := testing.AllocsPerRun(10, func() { two.Exclusions() }); allocations > 20 {
-		t.Errorf("%v allocations a look", allocations)
+	if allocations := testing.AllocsPerRun(10, func() { reader.Exclusions() }); allocations > 20 {
+		t.Errorf("got %v allocations per call on an unchanged file, want at most 20", allocations)
 	}
 	for i := range 100 {
-		change := one.Include
+		change := writer.Include
 		if i%2 == 0 {
-			change = one.Exclude
+			change = writer.Exclude
 		}
 		if err := change("s-1"); err != nil {
 			t.Error(err)
 		}
-		if excluded, err := two.Exclusions(); err != nil || (len(excluded) == 1) != (i%2 == 0) {
-			t.Fatalf("change %d: %v, %v", i, excluded, err)
+		if excluded, err := reader.Exclusions(); err != nil || (len(excluded) == 1) != (i%2 == 0) {
+			t.Fatalf("change %d: got exclusions %v, error %v; want s-1 after even changes only",
+				i, excluded, err)
 		}
 	}
 }
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package hotrestart coordinates the processes of one node while one takes over from another. In a directory they
-// share which of them live and which serve clients, who owns what one process of a node may hold alone, and the
-// servers that operators have excluded.
+// Package hotrestart coordinates the processes of one node while one takes over from another. Through files
+// in a shared directory, each process sees which others run and which serve clients, which one owns what only
+// one process of the node may use, and which servers operators have excluded.
 //
-// All but the exclusions are locks on bytes of one file. The kernel releases them when their process ends, however it
-// ends, so that a dead process never counts as living, and no state that could be torn has to be read.
+// All of this state except the exclusions consists of locks on bytes of one file. The kernel releases the
+// locks of a process when it exits for any reason, so a dead process never counts as running, and there is no
+// state that could be read half written.
 package hotrestart
 
 import (
@@ -15,24 +16,25 @@
 	"sync"
 )
 
-// startingWeight is the part of a node's limits that a process holds before it serves clients, as a multiple of what
-// one holds that does: it has open files, discovery and operators, and no clients yet.
+// startingWeight is the weight of a starting process in the division of the node's limits; a serving process
+// has weight 1. A starting process needs descriptors for files, discovery and operators, but has no clients
+// yet.
 const startingWeight = 0.25
 
-// Process is this process among those of its node. Its methods are safe for concurrent use.
+// Process is the membership of this process in its node. Its methods are safe for concurrent use.
 type Process struct {
-	number int64 // among the processes of the node, from 0
+	number int64 // of this process within the node, from 0
 
 	mu       sync.Mutex // guards what follows
-	starting bool       // has not served clients yet
-	locks    *os.File   // nil: nothing is shared
-	path     string     // of the exclusion file; empty: nothing is shared
+	starting bool       // this process has not served clients yet
+	locks    *os.File   // nil: no shared directory
+	path     string     // of the exclusion file; empty: no shared directory
 	exclusions
 }
 
-// Join enters this process among those of the node with that name, which share the directory. With no directory, or
-// one that cannot be used, the process stands alone: the error says why, and the Process that is returned can be
-// used.
+// Join adds this process to the processes of the named node that share the directory. If dir is empty or
+// cannot be used, the process runs uncoordinated. In the latter case Join returns an error together with a
+// usable Process.
 func Join(dir, name string) (*Process, error) {
 	p := &Process{starting: true}
 	if dir == "" {
@@ -53,7 +55,7 @@
 	return p, err
 }
 
-// Leave ends this process's part; the kernel would do as much when the process ends.
+// Leave releases the locks of this process, as the kernel does when the process exits.
 func (p *Process) Leave() {
 	p.withLocks(func(locks *os.File) {
 		locks.Close()
@@ -62,20 +64,21 @@
 	})
 }
 
-// Coordinated reports whether other processes of this node could be seen.
+// Coordinated reports whether this process shares a directory with other processes of the node.
 func (p *Process) Coordinated() (coordinated bool) {
 	p.withLocks(func(*os.File) { coordinated = true })
 	return coordinated
 }
 
-// OtherProcesses returns how many other processes of this node live.
-func (p *Process) OtherProcesses() int { return p.lockHolders(livingOffset) }
+// OtherProcesses returns the number of other running processes of this node.
+func (p *Process) OtherProcesses() int { return p.lockHolders(runningOffset) }
 
 // HasSuccessor reports whether another process of this node serves clients.
 func (p *Process) HasSuccessor() bool { return p.lockHolders(servingOffset) > 0 }
 
-// LimitShare returns this process's share of the node's limits. A process that does not serve yet leaves most of them
-// to the others, which would otherwise reject clients that it does not accept yet.
+// LimitShare returns the fraction of the node's limits that this process may use. A process that does not
+// serve yet leaves most of them to the others, which would otherwise reject clients while this one accepts
+// none.
 func (p *Process) LimitShare() float64 {
 	starting := p.lockHolders(startingOffset)
 	serving := p.OtherProcesses() - starting
@@ -89,7 +92,7 @@
 	return own / (own + others)
 }
 
-// StartServing tells the other processes that this one serves clients.
+// StartServing announces to the other processes that this one serves clients.
 func (p *Process) StartServing() {
 	p.withLocks(func(locks *os.File) {
 		p.starting = false
@@ -99,7 +102,7 @@
 	})
 }
 
-// StopServing tells the other processes that this one serves clients no longer.
+// StopServing announces to the other processes that this one no longer serves clients.
 func (p *Process) StopServing() {
 	p.withLocks(func(locks *os.File) {
 		p.starting = false
@@ -108,15 +111,15 @@
 	})
 }
 
-// AcquireOwnership tries to become the one process that uses the node's part of what it may hold alone. It reports
-// whether this process is the owner now.
+// AcquireOwnership tries to become the one process that uses what only one process of the node may use, such
+// as its floors of the budgets. It reports whether this process is the owner now.
 func (p *Process) AcquireOwnership() bool {
 	owner := true
 	p.withLocks(func(locks *os.File) { owner = lockByte(locks, ownershipOffset) == nil })
 	return owner
 }
 
-// ReleaseOwnership leaves the ownership to another process.
+// ReleaseOwnership lets another process become the owner.
 func (p *Process) ReleaseOwnership() {
 	p.withLocks(func(locks *os.File) { unlockByte(locks, ownershipOffset) })
 }
--- a/internal/hotrestart/process_test.go
+++ b/internal/hotrestart/process_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// join enters a process of the node n/1, which leaves when the test ends. Several in one test are different ones to
-// the kernel, which tells locks apart by open file.
+// join adds a process to the node n/1, which leaves when the test ends. Several calls in one test act as
+// several processes, because the kernel assigns the locks to open files.
 func join(t *testing.T, dir string) *Process {
 	t.Helper()
 	s, err := Join(dir, "n/1")
@@ -25,45 +25,48 @@
 	return s
 }
 
-// TestTwoProcesses: each sees that the other lives and serves; one of them owns the budgets, until it releases them.
+// TestTwoProcesses checks that each process sees whether the other runs and serves, and that only one of them
+// is the owner until it releases the ownership.
 func TestTwoProcesses(t *testing.T) {
 	dir := t.TempDir()
 	old := join(t, dir)
 	if old.OtherProcesses() != 0 || old.HasSuccessor() || !old.AcquireOwnership() || old.LimitShare() != 1 {
-		t.Error("alone")
+		t.Error("a single process must be the owner, see no others and have all of the limits")
 	}
 	old.StartServing()
 	fresh := join(t, dir)
-	if old.OtherProcesses() != 1 || fresh.OtherProcesses() != 1 || old.HasSuccessor() || !fresh.HasSuccessor() {
-		t.Error("the other was not seen")
+	if old.OtherProcesses() != 1 || fresh.OtherProcesses() != 1 ||
+		old.HasSuccessor() || !fresh.HasSuccessor() {
+		t.Error("each process must see the other, and only the old one must count as serving")
 	}
 	if old.LimitShare() != 0.8 || fresh.LimitShare() != 0.2 {
-		t.Error("shares of the limits:", old.LimitShare(), fresh.LimitShare())
+		t.Error("want limit shares 0.8 and 0.2, got", old.LimitShare(), fresh.LimitShare())
 	}
 	if fresh.AcquireOwnership() || !old.AcquireOwnership() {
-		t.Error("two own one budget")
+		t.Error("the old process must stay the only owner")
 	}
 	fresh.StartServing()
 	old.StopServing()
 	if !old.HasSuccessor() || fresh.HasSuccessor() {
-		t.Error("who serves was not seen")
+		t.Error("only the fresh process must count as serving")
 	}
 	if old.ReleaseOwnership(); !fresh.AcquireOwnership() || old.AcquireOwnership() {
-		t.Error("the budget was not handed over")
+		t.Error("the fresh process must become the only owner after the old one released the ownership")
 	}
 	if old.LimitShare() != 0.5 || fresh.LimitShare() != 0.5 {
-		t.Error("shares of the limits:", old.LimitShare(), fresh.LimitShare())
+		t.Error("want limit shares 0.5 and 0.5, got", old.LimitShare(), fresh.LimitShare())
 	}
 	fresh.Leave()
 	if old.LimitShare() != 1 {
-		t.Error("the limits are not its own again")
+		t.Error("the remaining process must have all of the limits")
 	}
 	if old.OtherProcesses() != 0 || old.HasSuccessor() || !old.AcquireOwnership() {
-		t.Error("one that has ended is taken for living")
+		t.Error("a process that has left still counts as running, serving or owner")
 	}
 }
 
-// TestNoDirectory: a missing directory is named, and the process stands alone.
+// TestNoDirectory checks that the error for a missing directory contains its path, and that the process runs
+// uncoordinated.
 func TestNoDirectory(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "absent")
 	s, err := Join(dir, "n")
@@ -71,7 +74,7 @@
 		t.Error(err)
 	}
 	if s.OtherProcesses() != 0 || s.HasSuccessor() || !s.AcquireOwnership() || s.Exclude("s-1") != nil {
-		t.Error("a process that stands alone")
+		t.Error("an uncoordinated process must see no others, be the owner and accept exclusions")
 	}
 	s.StartServing()
 	s.ReleaseOwnership()
@@ -81,7 +84,7 @@
 	}
 }
 
-// TestKilled: the kernel releases what a process held that was killed.
+// TestKilled checks that a killed process no longer counts as running, serving or owner.
 func TestKilled(t *testing.T) {
 	if dir := os.Getenv("HOTRESTART_TEST_DIR"); dir != "" {
 		s, err := Join(dir, "n/1")
@@ -107,11 +110,11 @@
 	}
 	s := join(t, dir)
 	if s.OtherProcesses() != 1 || !s.HasSuccessor() || s.AcquireOwnership() {
-		t.Error("a living process was not seen")
+		t.Error("a running process must count as running, serving and owner")
 	}
 	other.Process.Kill()
 	other.Wait()
 	if s.OtherProcesses() != 0 || s.HasSuccessor() || !s.AcquireOwnership() {
-		t.Error("a dead process is taken for living")
+		t.Error("a killed process still counts as running, serving or owner")
 	}
 }
