--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -32,9 +32,8 @@
 	exclusions
 }
 
-// Join adds this process to the processes of the named node that share the directory. If dir is empty or
-// cannot be used, the process runs uncoordinated. In the latter case Join returns an error together with a
-// usable Process.
+// Join adds this process to the processes of the named node that share the directory. If dir is empty or cannot
+// be used, the process runs uncoordinated. The returned Process can be used even if the error is not nil.
 func Join(dir, name string) (*Process, error) {
 	p := &Process{starting: true}
 	if dir == "" {
