--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command simhost plays the decision module on the bench's wire: batches in on standard input, replies out.
+// Command simhost serves the simulator's wire protocol: it reads batches of events from standard input and
+// writes the dispatcher's decisions to standard output.
 package main
 
 import (
