--- a/cmd/fernrail/commands.go
+++ b/cmd/fernrail/commands.go
@@ -18,10 +18,10 @@
 
 // commandLine lists the commands of the program. Without arguments, the program serves.
 type commandLine struct {
-	Serve   serveCommand   `name:"serve" cmd:"" help:"Serve clients, as a bare start does. The configuration is the file that EDGE_CONFIG names."`
-	Config  configCommand  `name:"config" cmd:"" help:"Look at a configuration without starting a node."`
-	Fleet   fleetCommand   `name:"fleet" cmd:"" help:"Ask a node what it holds together with others: seats, epochs and each budget."`
-	Version versionCommand `name:"version" cmd:"" help:"Say which build this is."`
+	Serve   serveCommand   `name:"serve" cmd:"" help:"Serve clients. This is the default. EDGE_CONFIG names the configuration file."`
+	Config  configCommand  `name:"config" cmd:"" help:"Work with a configuration file without starting a node."`
+	Fleet   fleetCommand   `name:"fleet" cmd:"" help:"Print a node's view of the fleet: epoch, budgets, members and seats."`
+	Version versionCommand `name:"version" cmd:"" help:"Print the build revision and the Go version."`
 }
 
 // runCommand runs the command that the arguments name.
@@ -44,11 +44,11 @@
 type serveCommand struct{}
 
 type configCommand struct {
-	Check checkCommand `name:"check" cmd:"" help:"Read a file as a start would, and name the key that is at fault."`
+	Check checkCommand `name:"check" cmd:"" help:"Check a file in the same way as a start, and report the first invalid key."`
 }
 
 type checkCommand struct {
-	File string `name:"file" arg:"" help:"The configuration, JSON." type:"existingfile"`
+	File string `name:"file" arg:"" help:"The configuration file (JSON)." type:"existingfile"`
 }
 
 // Run loads a configuration in the same way as a start, and prints a summary of the node.
--- a/cmd/fernrail/fleet_command.go
+++ b/cmd/fernrail/fleet_command.go
@@ -23,8 +23,8 @@
 )
 
 type fleetCommand struct {
-	Admin string `name:"admin" default:"127.0.0.1:7071" env:"EDGE_ADMIN_ADDR" help:"The node's operators' address (${default})."`
-	JSON  bool   `name:"json" help:"Print the node's own line instead of a table."`
+	Admin string `name:"admin" default:"127.0.0.1:7071" env:"EDGE_ADMIN_ADDR" help:"The admin address of the node (${default})."`
+	JSON  bool   `name:"json" help:"Print the reply of the node as JSON instead of a table."`
 }
 
 // Run requests the fleet status of a node and prints it.
