--- a/cmd/fernrail/end_test.go
+++ b/cmd/fernrail/end_test.go
@@ -104,7 +104,8 @@
 				return
 			}
 		}
-		t.Errorf("%s: got status %s with %d bytes, error %v", what, response.Status, len(responseBody), err)
+		t.Errorf("%s: got status %s with %d bytes, error %v; want a complete answer with one of the statuses %v",
+			what, response.Status, len(responseBody), err, want)
 	}
 	expectClose := func(what string, c net.Conn) {
 		t.Helper()
--- a/cmd/fernrail/figures_test.go
+++ b/cmd/fernrail/figures_test.go
@@ -38,7 +38,7 @@
 			err = json.Unmarshal(line, &f)
 		}
 		if err != nil {
-			t.Error(err)
+			t.Errorf("reading the metrics failed: %v", err)
 		}
 		return f
 	}
@@ -54,7 +54,7 @@
 				text := requestText(class, fmt.Sprintf("%d-%d", c, i), budget, "body")
 				conn, err := net.Dial("tcp", address)
 				if err != nil {
-					t.Error(err)
+					t.Errorf("connecting to the node failed: %v", err)
 					return
 				}
 				behavior := random.IntN(5)
--- a/cmd/fernrail/idle_clients_test.go
+++ b/cmd/fernrail/idle_clients_test.go
@@ -184,6 +184,6 @@
 		t.Errorf("got %d lost requests of idle clients, want 0", lost)
 	}
 	if used := node.descriptors(); used > limit {
-		t.Errorf("got %d descriptors, want at most the limit", used)
+		t.Errorf("got %d descriptors, want at most %d", used, limit)
 	}
 }
--- a/cmd/fernrail/mixed_sites_test.go
+++ b/cmd/fernrail/mixed_sites_test.go
@@ -67,7 +67,7 @@
 				url := fmt.Sprintf("http://%s/%s?obj=%d", nodes[c%4], class, i%7)
 				request, err := http.NewRequest("POST", url, strings.NewReader("b"))
 				if err != nil {
-					t.Error(err)
+					t.Errorf("creating request %s failed: %v", id, err)
 					return
 				}
 				request.Header = http.Header{
--- a/cmd/fernrail/run_test.go
+++ b/cmd/fernrail/run_test.go
@@ -72,7 +72,7 @@
 	log.until("node serves")
 	<-firstQueries
 	if watch := <-firstQueries; !strings.HasPrefix(watch, "since=9") {
-		t.Error(watch)
+		t.Errorf("second query at the first discovery: got %q, want a watch since version 9", watch)
 	}
 	writeFile(fmt.Sprintf(nodeFile, first, int(5e6))[:80])
 	hangup()
@@ -80,22 +80,22 @@
 	writeFile(fmt.Sprintf(nodeFile, first, -1))
 	hangup()
 	if line := log.until("configuration reload failed"); !strings.Contains(line, "Tick") {
-		t.Error(line)
+		t.Errorf("got log line %s, want it to name the key Tick", line)
 	}
 	writeFile(fmt.Sprintf(nodeFile, second, int(6e6)))
 	hangup()
 	hangup()
 	if line := log.until("take effect at the next restart"); !strings.Contains(line, `["settings.Tick"]`) {
-		t.Error(line)
+		t.Errorf("got log line %s, want only the key settings.Tick", line)
 	}
 	if query := <-secondQueries; query != "" {
-		t.Error(query)
+		t.Errorf("first query at the second discovery: got %q, want a poll for the complete list", query)
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
 	log.until("node stops")
 	hangup()
 	if err := <-result; err != nil {
-		t.Error(err)
+		t.Errorf("run after SIGTERM: got error %v, want none", err)
 	}
 }
 
--- a/cmd/fernrail/size_test.go
+++ b/cmd/fernrail/size_test.go
@@ -117,8 +117,9 @@
 			baselineIdle, baselineBusy = idle, busy
 		}
 		if served < 600 || idle > baselineIdle*5/2 || busy > baselineBusy*5/2 || busyThreads > 64 {
-			t.Errorf("%d servers: got %d of 640 served, or memory or threads over their bounds",
-				listSize, served)
+			t.Errorf("%d servers: got %d of 640 served, %d KB idle, %d KB busy, %d threads; "+
+				"want at least 600, at most 2.5 times %d KB, at most 2.5 times %d KB, at most 64",
+				listSize, served, idle, busy, busyThreads, baselineIdle, baselineBusy)
 		}
 		client.CloseIdleConnections()
 		node.Process.Kill()
--- a/cmd/fernrail/starvation_test.go
+++ b/cmd/fernrail/starvation_test.go
@@ -22,7 +22,7 @@
 		for range 300 {
 			c, err := net.Dial("tcp", address)
 			if err != nil {
-				t.Error(err)
+				t.Errorf("connecting to %s failed: %v", address, err)
 				return
 			}
 			t.Cleanup(func() { c.Close() })
@@ -57,7 +57,7 @@
 		t.Errorf("got %d requests answered and %d refused, want at least 100 and 0", answered, refused)
 	}
 	if descriptors := node.descriptors(); descriptors > nodeSockets {
-		t.Errorf("got %d descriptors, want at most 200", descriptors)
+		t.Errorf("got %d descriptors, want at most %d", descriptors, nodeSockets)
 	}
 	node.Process.Kill()
 }
--- a/cmd/fernrail/upgrade_test.go
+++ b/cmd/fernrail/upgrade_test.go
@@ -51,7 +51,7 @@
 			t.Errorf("new process: got metrics %+v, want 2 excluded and 8 known servers", got)
 		}
 		if both := old.descriptors() + fresh.descriptors(); both > nodeSockets {
-			t.Errorf("got %d descriptors in both processes, want at most 200", both)
+			t.Errorf("got %d descriptors in both processes, want at most %d", both, nodeSockets)
 		}
 		old.Process.Signal(syscall.SIGTERM)
 		old.expectExit()
@@ -82,8 +82,8 @@
 	answered, refused := stopLoad()
 	t.Logf("%d requests answered, %d refused", answered, refused)
 	if refused > 2*upgrades || answered < 100 {
-		t.Errorf("got %d requests refused and %d answered, want at most 6 and at least 100",
-			refused, answered)
+		t.Errorf("got %d requests refused and %d answered, want at most %d and at least 100",
+			refused, answered, 2*upgrades)
 	}
 	s.mu.Lock()
 	for id, n := range s.effects {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -126,7 +126,7 @@
 	defer l.Close()
 	go New(&recordingHandler{}, 4, zerolog.Nop()).Serve(l)
 	if reply := l.send("readyz\n"); !strings.HasPrefix(reply, "ERR") {
-		t.Error(reply)
+		t.Errorf("readyz before the process is ready: got reply %q, want ERR and a reason", reply)
 	}
 }
 
@@ -170,7 +170,7 @@
 			}
 			start := time.Now()
 			if reply := l.send("readyz\n"); reply != "OK\n" {
-				t.Error(reply)
+				t.Errorf("readyz: got reply %q, want OK", reply)
 			}
 			if took := time.Since(start); took > time.Second {
 				t.Errorf("reply took %v, want at most 1s", took)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -182,7 +182,7 @@
 		if c.wantError != "" {
 			checkKeyError(t, c.file+c.variable, err, c.wantError)
 		} else if err != nil || n.AdminAddress != c.want {
-			t.Errorf("%+v: got error %v or another address", c, err)
+			t.Errorf("%+v: got node %+v, error %v", c, n, err)
 		}
 	}
 }
@@ -208,14 +208,15 @@
 		return parse([]byte(completeFile), environment(map[string]string{"EDGE_LISTEN_FD": fd}))
 	}
 	if n, err := read(fmt.Sprint(listener.Fd())); err != nil || n.ListenFD != int(listener.Fd()) {
-		t.Error(err)
+		t.Errorf("descriptor of a listening socket: got node %+v, error %v; want ListenFD %d",
+			n, err, listener.Fd())
 	}
 	for _, fd := range []string{"five", "-1", "0", "1", "99999", fmt.Sprint(other.Fd())} {
 		_, err := read(fd)
 		checkKeyError(t, fd, err, "EDGE_LISTEN_FD: ")
 	}
 	if n, err := read(""); err != nil || n.ListenFD != 0 {
-		t.Error(err)
+		t.Errorf("EDGE_LISTEN_FD not set: got node %+v, error %v; want ListenFD 0", n, err)
 	}
 }
 
--- a/internal/hotrestart/exclusions_test.go
+++ b/internal/hotrestart/exclusions_test.go
@@ -25,11 +25,11 @@
 			for n := range 50 {
 				id := fmt.Sprintf("%c-%02d", 'a'+i, n)
 				if err := s.Exclude(id); err != nil {
-					t.Error(err)
+					t.Errorf("Exclude(%q): %v", id, err)
 				}
 				if n%2 == 0 {
 					if err := s.Include(id); err != nil {
-						t.Error(err)
+						t.Errorf("Include(%q): %v", id, err)
 					}
 				}
 			}
@@ -43,7 +43,7 @@
 	}
 	for range 2 {
 		if err := a.Exclude("a-01"); err != nil {
-			t.Error(err)
+			t.Errorf("Exclude(a-01), which is already excluded: %v", err)
 		}
 	}
 	a.Leave()
@@ -99,7 +99,7 @@
 			t.Fatal(err)
 		}
 		if err := s.Exclude("s-2"); err != nil {
-			t.Error(err)
+			t.Errorf("%s: Exclude(s-2) after the file was removed: %v", name, err)
 		}
 		if excluded, err := s.Exclusions(); !slices.Equal(excluded, []string{"s-1", "s-2"}) || err != nil {
 			t.Errorf("%s: got exclusions %q, error %v; want s-1 and s-2", name, excluded, err)
@@ -126,10 +126,10 @@
 		writers.Go(func() {
 			for n := range 30 {
 				if err := s.RecordListed([]string{fmt.Sprint("s-", n), fmt.Sprint("s-", i, "-", n)}); err != nil {
-					t.Error(err)
+					t.Errorf("RecordListed in round %d of process %d: %v", n, i, err)
 				}
 				if err := s.Exclude(fmt.Sprint("b-", i, "-", n)); err != nil {
-					t.Error(err)
+					t.Errorf("Exclude in round %d of process %d: %v", n, i, err)
 				}
 			}
 		})
@@ -150,7 +150,8 @@
 	}
 	if err := c.RecordListed(ids); err != nil || len(c.listed) != maxListed ||
 		c.WasListed("s-0") || !c.WasListed("m-0") {
-		t.Errorf("got error %v, %d listed servers; want the latest 2000, without s-0", err, len(c.listed))
+		t.Errorf("got error %v, %d listed servers; want the latest %d, without s-0",
+			err, len(c.listed), maxListed)
 	}
 }
 
@@ -179,7 +180,7 @@
 			change = writer.Exclude
 		}
 		if err := change("s-1"); err != nil {
-			t.Error(err)
+			t.Errorf("change %d: %v", i, err)
 		}
 		if excluded, err := reader.Exclusions(); err != nil || (len(excluded) == 1) != (i%2 == 0) {
 			t.Fatalf("change %d: got exclusions %v, error %v; want s-1 after even changes only",
--- a/internal/hotrestart/process_test.go
+++ b/internal/hotrestart/process_test.go
@@ -31,13 +31,15 @@
 	dir := t.TempDir()
 	old := join(t, dir)
 	if old.OtherProcesses() != 0 || old.HasSuccessor() || !old.AcquireOwnership() || old.LimitShare() != 1 {
-		t.Error("a single process must be the owner, see no others and have all of the limits")
+		t.Errorf("single process: got %d others, successor %t, limit share %v; want 0, false, 1 and the ownership",
+			old.OtherProcesses(), old.HasSuccessor(), old.LimitShare())
 	}
 	old.StartServing()
 	fresh := join(t, dir)
 	if old.OtherProcesses() != 1 || fresh.OtherProcesses() != 1 ||
 		old.HasSuccessor() || !fresh.HasSuccessor() {
-		t.Error("each process must see the other, and only the old one must count as serving")
+		t.Errorf("two processes: got %d and %d others, successors %t and %t; want 1, 1, false, true",
+			old.OtherProcesses(), fresh.OtherProcesses(), old.HasSuccessor(), fresh.HasSuccessor())
 	}
 	if old.LimitShare() != 0.8 || fresh.LimitShare() != 0.2 {
 		t.Error("want limit shares 0.8 and 0.2, got", old.LimitShare(), fresh.LimitShare())
@@ -48,7 +50,8 @@
 	fresh.StartServing()
 	old.StopServing()
 	if !old.HasSuccessor() || fresh.HasSuccessor() {
-		t.Error("only the fresh process must count as serving")
+		t.Errorf("only the fresh process must count as serving: got successors %t and %t, want true and false",
+			old.HasSuccessor(), fresh.HasSuccessor())
 	}
 	if old.ReleaseOwnership(); !fresh.AcquireOwnership() || old.AcquireOwnership() {
 		t.Error("the fresh process must become the only owner after the old one released the ownership")
@@ -58,10 +61,11 @@
 	}
 	fresh.Leave()
 	if old.LimitShare() != 1 {
-		t.Error("the remaining process must have all of the limits")
+		t.Errorf("limit share of the remaining process: got %v, want 1", old.LimitShare())
 	}
 	if old.OtherProcesses() != 0 || old.HasSuccessor() || !old.AcquireOwnership() {
-		t.Error("a process that has left still counts as running, serving or owner")
+		t.Errorf("after the other has left: got %d others, successor %t; want 0, false and the ownership",
+			old.OtherProcesses(), old.HasSuccessor())
 	}
 }
 
@@ -71,7 +75,7 @@
 	dir := filepath.Join(t.TempDir(), "absent")
 	s, err := Join(dir, "n")
 	if !errors.Is(err, fs.ErrNotExist) || !strings.Contains(err.Error(), dir) {
-		t.Error(err)
+		t.Errorf("got error %v, want one that wraps fs.ErrNotExist and contains %s", err, dir)
 	}
 	if s.OtherProcesses() != 0 || s.HasSuccessor() || !s.AcquireOwnership() || s.Exclude("s-1") != nil {
 		t.Error("an uncoordinated process must see no others, be the owner and accept exclusions")
@@ -80,7 +84,7 @@
 	s.ReleaseOwnership()
 	s.Leave()
 	if s, err := Join("", "n"); s == nil || err != nil {
-		t.Error(err)
+		t.Errorf("Join without a directory: got %v, error %v; want a process and no error", s, err)
 	}
 }
 
@@ -110,11 +114,13 @@
 	}
 	s := join(t, dir)
 	if s.OtherProcesses() != 1 || !s.HasSuccessor() || s.AcquireOwnership() {
-		t.Error("a running process must count as running, serving and owner")
+		t.Errorf("beside a running owner: got %d others, successor %t; want 1, true and no ownership",
+			s.OtherProcesses(), s.HasSuccessor())
 	}
 	other.Process.Kill()
 	other.Wait()
 	if s.OtherProcesses() != 0 || s.HasSuccessor() || !s.AcquireOwnership() {
-		t.Error("a killed process still counts as running, serving or owner")
+		t.Errorf("after the other was killed: got %d others, successor %t; want 0, false and the ownership",
+			s.OtherProcesses(), s.HasSuccessor())
 	}
 }
--- a/internal/hotrestart/stored_test.go
+++ b/internal/hotrestart/stored_test.go
@@ -84,7 +84,7 @@
 		return false
 	})
 	if err != nil {
-		t.Error(err)
+		t.Errorf("update: %v", err)
 	}
 	processes[0].Leave()
 	check("the first process has left", 1, 9)
