--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command fernrail is one node of the dispatcher: it takes requests from clients and forwards them to
-// servers.
+// Command fernrail is one node of the dispatcher: it forwards requests from clients to servers.
 package main
 
 import (
--- a/cmd/fernrail/process_coordinator.go
+++ b/cmd/fernrail/process_coordinator.go
@@ -24,7 +24,7 @@
 const processSyncInterval = 100 * time.Millisecond
 
 // heapFraction is the fraction of the process's memory limit that is set as the limit of the Go runtime. The
-// rest is for kernel memory and the program text.
+// rest is for kernel memory and the program itself.
 const heapFraction = 0.75
 
 // processCoordinator coordinates this process with the other processes of its node: the division of the
--- a/cmd/fernrail/run_test.go
+++ b/cmd/fernrail/run_test.go
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 )
 
-// nodeFile is a format string for a configuration. Its arguments are the discovery address and the tick in
+// nodeFile is a format string for a configuration. Its arguments are the discovery address and the tick, in
 // ns.
 const nodeFile = `{"name":"n1","listen":"127.0.0.1:0","discovery":"%s","seed":"1",
 "limits":{"sockets":64},"settings":{"Tick":%d,"Rules":{"AskWithin":80000000},
--- a/cmd/fernrail/size_test.go
+++ b/cmd/fernrail/size_test.go
@@ -19,8 +19,8 @@
 )
 
 // TestListSize checks one of 1,024 nodes with a list of 10 to 2,000 servers, indented, in its file and from
-// discovery. The time until it is ready must stay bounded, and memory and threads must grow only by the size
-// of the list.
+// discovery. The node is ready within a second or two with any of these lists; the test fails after 20 s.
+// Memory and threads must grow only by the size of the list.
 func TestListSize(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
--- a/internal/config/fleet_budgets.go
+++ b/internal/config/fleet_budgets.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// defaultWindow returns the window of a budget that names none.
+// defaultWindow returns the window of a budget whose section has no window_ms.
 func (d *fleetDecoder) defaultWindow(name string) time.Duration {
 	overload := time.Duration(d.node.Settings.OverloadWindow)
 	switch {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -109,7 +109,7 @@
 		}
 		checkKeyError(t, want, err, "fleet.")
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got error %[2]v, want one that contains %[1]q", want, err)
+			t.Errorf("got error %v, want one that contains %q", err, want)
 		}
 	}
 }
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -89,10 +89,9 @@
 
 // adaptSettings changes the settings, which describe the simulator, where a node on sockets differs from it.
 func (n *Node) adaptSettings() {
-	// There is no protocol on sockets for messages of the dispatcher to other nodes, so they are switched
-	// off.
+	// The dispatcher has no protocol on sockets for messages to other nodes, so they are switched off.
 	n.PeerMessagesUnsupported, n.Settings.PeerMessages = n.Settings.PeerMessages, false
-	// The dispatcher must know of a change one poll interval after the discovery agent on this machine can be
+	// A change is regarded as known one poll interval after the discovery agent on this machine can be
 	// polled, even if earlier polls failed.
 	n.Settings.MaxPollInterval = int64(protocol.PollRetryInterval)
 	n.Settings.UnpolledEventAge = min(n.Settings.UnpolledEventAge, n.Settings.MaxPollInterval)
@@ -100,7 +99,7 @@
 	if grace <= 0 {
 		return
 	}
-	// With a drain grace, the dispatcher must know of a change as soon as the agent has it, polled or not.
+	// With a drain grace, a change is regarded as known as soon as the agent has it, polled or not.
 	n.Settings.UnpolledEventAge = 0
 	// An attempt may be waiting for its connection when its server begins to drain. The dial has to finish
 	// within the grace, so the dispatcher may start attempts only while the remaining grace is at least the
