--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -100,16 +100,16 @@
 
 // end logs the attempt, gives back what it reserved and tells the module of its outcome.
 func (a *attemptRun) end(result protocol.AttemptResult) {
-	a.trace(result.Outcome)
+	a.logTrace(result.Outcome)
 	if a.reservation != nil {
 		a.reservation.Release(serverFinished(result.Outcome))
 	}
 	a.router.attemptEnded(a.attempt, result, a.decidedAt)
 }
 
-// trace writes the line that fleetsim count reads: its text and keys are fixed. Times are Unix time
+// logTrace writes the line that fleetsim count reads: its text and keys are fixed. Times are Unix time
 // in us.
-func (a *attemptRun) trace(outcome dispatch.Outcome) {
+func (a *attemptRun) logTrace(outcome dispatch.Outcome) {
 	a.router.log.Trace().
 		Str("id", a.attempt.Request.Tag).
 		Int("number", a.attempt.Number).
--- a/internal/routing/endpoint_watcher.go
+++ b/internal/routing/endpoint_watcher.go
@@ -41,7 +41,7 @@
 
 // watchState is what the watch of the endpoint list does next.
 type watchState struct {
-	polling      bool  // the next poll is sent at once; otherwise the module says when
+	pollNow      bool  // the next poll is sent at once; otherwise the module says when
 	needComplete bool  // it asks for the complete list
 	version      int64 // of the list that the module has
 }
@@ -83,7 +83,7 @@
 	var results chan watchResult // of the poll that is out; nil: none is
 	cancel := func() {}
 	for {
-		if state.polling && results == nil {
+		if state.pollNow && results == nil {
 			results = make(chan watchResult, 1)
 			var pollContext context.Context
 			pollContext, cancel = context.WithCancel(ctx)
@@ -93,13 +93,13 @@
 		case <-ctx.Done():
 			cancel()
 			return
-		case state.polling = <-r.pollRequested:
+		case state.pollNow = <-r.pollRequested:
 		case r.endpointSource = <-r.nextEndpointSource:
 			// A poll that waits at the old source would bring nothing more. Versions of one source
 			// say nothing about the list of another, so the complete one is fetched.
 			cancel()
 			results = nil
-			state = watchState{polling: true, needComplete: true}
+			state = watchState{pollNow: true, needComplete: true}
 		case result := <-results:
 			cancel()
 			results = nil
@@ -111,7 +111,7 @@
 // poll polls discovery once. Its result is sent to a channel with room for it, so that poll ends
 // also when nobody waits for it.
 func (r *Router) poll(ctx context.Context, source EndpointSource, state watchState, results chan<- watchResult) {
-	if !r.mayPoll() {
+	if !r.takePollQuota() {
 		results <- watchResult{err: errNoPollQuota}
 		return
 	}
@@ -127,7 +127,7 @@
 	result.duration = time.Since(start)
 	// A source that answers each poll at once, with an error or nothing new, would otherwise be
 	// polled without a pause.
-	if result.err != nil || !state.isNews(result.list) {
+	if result.err != nil || !state.isUpdate(result.list) {
 		select {
 		case <-time.After(minPollInterval - time.Since(start)):
 		case <-ctx.Done():
@@ -136,8 +136,8 @@
 	results <- result
 }
 
-// isNews says whether a list tells anything beyond what the module has.
-func (s watchState) isNews(list *protocol.EndpointList) bool {
+// isUpdate says whether a list tells anything beyond what the module has.
+func (s watchState) isUpdate(list *protocol.EndpointList) bool {
 	return len(list.Endpoints) > 0 && (s.needComplete || list.Version > s.version)
 }
 
@@ -159,7 +159,7 @@
 	if errors.Is(result.err, errNoPollQuota) {
 		// The quota ran out between the decision and the poll, so the module decides anew.
 		r.event(r.module.PollEndpoints)
-		state.polling = false
+		state.pollNow = false
 		return state
 	}
 	err := result.err
@@ -170,7 +170,7 @@
 		return r.pollFailed(err, result.duration, state)
 	}
 	r.applyPolledList(result.list)
-	return watchState{polling: r.pollAgain(), version: result.list.Version}
+	return watchState{pollNow: r.pollSucceeded(), version: result.list.Version}
 }
 
 // pollFailed tells the module of a poll that brought no usable list. The current list stays.
@@ -190,7 +190,7 @@
 	err = r.tryEvent(func() { r.module.PollFailed(int64(duration), int64(discoveryTime)) })
 	// If the module panicked it has set no timer for the next poll, and without a poll now there
 	// would never be one.
-	state.polling = err != nil
+	state.pollNow = err != nil
 	return state
 }
 
@@ -211,9 +211,9 @@
 	r.firstUpdateOnce.Do(func() { close(r.firstUpdate) })
 }
 
-// pollAgain says whether the next poll is sent at once. Where nodes share a budget of polls the
+// pollSucceeded says whether the next poll is sent at once. Where nodes share a budget of polls the
 // module says when.
-func (r *Router) pollAgain() bool {
+func (r *Router) pollSucceeded() bool {
 	if r.quotaSource == nil {
 		return true
 	}
@@ -221,8 +221,8 @@
 	return false
 }
 
-// mayPoll says whether the node's quota allows a poll now, and takes it.
-func (r *Router) mayPoll() bool {
+// takePollQuota says whether the node's quota allows a poll now, and takes it.
+func (r *Router) takePollQuota() bool {
 	if r.quotaSource == nil {
 		return true
 	}
--- a/internal/routing/exclusions.go
+++ b/internal/routing/exclusions.go
@@ -13,12 +13,12 @@
 // not listed take effect once they are.
 func (r *Router) SetExcluded(ids []string) {
 	r.event(func() {
-		before := r.excluded
+		previous := r.excluded
 		r.excluded = map[string]bool{}
 		for _, id := range ids {
 			r.excluded[id] = true
 		}
-		if changes := r.exclusionChanges(before); len(changes) > 0 {
+		if changes := r.exclusionChanges(previous); len(changes) > 0 {
 			r.module.UpdateEndpoints(false, changes)
 		}
 	})
@@ -26,9 +26,9 @@
 
 // exclusionChanges gives the listed servers whose exclusion differs from before, in the order of
 // their ids.
-func (r *Router) exclusionChanges(before map[string]bool) (changes []dispatch.Endpoint) {
+func (r *Router) exclusionChanges(previous map[string]bool) (changes []dispatch.Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-		if before[id] != r.excluded[id] {
+		if previous[id] != r.excluded[id] {
 			changes = append(changes, r.moduleEndpoint(r.endpoints[id]))
 		}
 	}
