--- a/internal/routing/attempts.go
+++ b/internal/routing/attempts.go
@@ -36,8 +36,8 @@
 	go run.forward(ctx, cancel)
 }
 
-// attemptDeadline is when an attempt times out: with its request, or after its own timeout if that
-// is earlier.
+// attemptDeadline returns the time at which an attempt times out: the deadline of its request, or the
+// end of the attempt's own timeout if that is earlier.
 func (r *Router) attemptDeadline(attempt *dispatch.Attempt) time.Time {
 	deadline := attempt.Request.Deadline
 	if attempt.Timeout > 0 {
@@ -46,26 +46,26 @@
 	return time.Now().Add(time.Duration(deadline - r.clock()))
 }
 
-// CancelAttempt implements dispatch.Actions. The outcome of the attempt still follows.
+// CancelAttempt implements dispatch.Actions. The outcome of the attempt is still reported afterwards.
 func (r *Router) CancelAttempt(attempt *dispatch.Attempt) {
 	if cancel := r.cancelFuncs[attempt]; cancel != nil {
 		cancel()
 	}
 }
 
-// attemptRun takes one attempt to its server and reports its one outcome. It runs on a goroutine of
-// its own, which ends with the attempt's context at the latest.
+// attemptRun forwards one attempt to its server and reports its outcome exactly once. It runs on its
+// own goroutine, which ends at the latest when the attempt's context ends.
 type attemptRun struct {
 	router      *Router
 	attempt     *dispatch.Attempt
 	outgoing    *protocol.Attempt
-	reservation Reservation // nil: the attempt reserves nothing
+	reservation Reservation // nil: the node uses no quotas
 	gate        *sendGate
-	decidedAt   int64 // by the node's clock, ns
-	startedAt   int64 // when the server reported the start, by the node's clock, ns; 0: it did not
+	decidedAt   int64 // when the attempt was decided, by the node's clock, ns
+	startedAt   int64 // when the server reported the start, by the node's clock, ns; 0: not reported
 }
 
-// forward runs the attempt until its outcome.
+// forward sends the attempt and waits for its outcome.
 func (a *attemptRun) forward(ctx context.Context, cancel context.CancelFunc) {
 	defer cancel()
 	a.decidedAt = a.router.clock()
@@ -80,13 +80,13 @@
 	err := a.router.recoverPanic(func() {
 		a.router.forwarder.Forward(ctx, a.outgoing, a.update, a.end)
 	})
-	// After a panic on the way nobody knows whether the attempt has run.
+	// After a panic it is unknown whether the job has run, so the attempt counts as a lost connection.
 	if err != nil {
 		a.end(protocol.AttemptResult{Outcome: dispatch.ConnectionLost, Cause: err})
 	}
 }
 
-// update tells the module what the server reported of the running job.
+// update reports to the module that the job has started or made progress.
 func (a *attemptRun) update(update protocol.JobUpdate) {
 	a.router.event(func() {
 		if update.State != protocol.Started {
@@ -98,7 +98,7 @@
 	})
 }
 
-// end logs the attempt, gives back what it reserved and tells the module of its outcome.
+// end logs the attempt, releases its reservation and reports its outcome to the module.
 func (a *attemptRun) end(result protocol.AttemptResult) {
 	a.logTrace(result.Outcome)
 	if a.reservation != nil {
@@ -107,8 +107,8 @@
 	a.router.attemptEnded(a.attempt, result, a.decidedAt)
 }
 
-// logTrace writes the line that fleetsim count reads: its text and keys are fixed. Times are Unix time
-// in us.
+// logTrace writes the log line that "fleetsim count" reads; its message and keys must not change. Times
+// are Unix times in microseconds.
 func (a *attemptRun) logTrace(outcome dispatch.Outcome) {
 	a.router.log.Trace().
 		Str("id", a.attempt.Request.Tag).
@@ -122,13 +122,13 @@
 		Msg("posting")
 }
 
-// serverFinished says whether an outcome came from the server, so that nothing of the attempt runs
-// there any more.
+// serverFinished reports whether an outcome came from the server itself, which means that the attempt
+// no longer runs there.
 func serverFinished(outcome dispatch.Outcome) bool {
 	return outcome == dispatch.Succeeded || outcome == dispatch.Failed || outcome == dispatch.Rejected
 }
 
-// attemptEnded hands on the one outcome of an attempt.
+// attemptEnded reports the outcome of an attempt to the module and to the OnOutcome callback.
 func (r *Router) attemptEnded(attempt *dispatch.Attempt, result protocol.AttemptResult, decidedAt int64) {
 	r.event(func() { r.applyResult(attempt, result, decidedAt) })
 	r.reportOutcome(attempt.Server.Tag, result.Outcome)
@@ -145,8 +145,9 @@
 		Msg("attempt failed")
 }
 
-// applyResult answers the request if the attempt succeeded, and tells the module. A second result
-// of one attempt, as after a panic that followed the first, is dropped. Under mu.
+// applyResult responds to the request if the attempt succeeded, and reports the outcome to the module.
+// A second result of an attempt, which a panic after the first one can cause, is dropped. The caller
+// must hold r.mu.
 func (r *Router) applyResult(attempt *dispatch.Attempt, result protocol.AttemptResult, decidedAt int64) {
 	if r.cancelFuncs[attempt] == nil {
 		return
@@ -160,8 +161,8 @@
 	r.module.AttemptEnded(attempt, result.Outcome, r.clock()-decidedAt, answered)
 }
 
-// reportOutcome tells whoever registered by OnOutcome how a server did. Outcomes that say nothing
-// of the server are left out.
+// reportOutcome reports to the OnOutcome callback whether an attempt failed at its server. Outcomes
+// that are no evidence of the server's health are not reported.
 func (r *Router) reportOutcome(serverID string, outcome dispatch.Outcome) {
 	if r.onOutcome == nil {
 		return
--- a/internal/routing/endpoint_watcher.go
+++ b/internal/routing/endpoint_watcher.go
@@ -11,43 +11,43 @@
 	"fernrail/internal/protocol"
 )
 
-// minPollInterval is the least time between two polls that bring nothing. It is well within the 200
-// ms after which a watch has ended.
+// minPollInterval is the minimum time from the start of a poll that failed or brought no update to the
+// next poll. It is well below the 200 ms after which a watch has ended.
 const minPollInterval = 50 * time.Millisecond
 
 var (
-	// errNoPollQuota says that a poll was not sent, since the node's quota of polls was used up.
-	errNoPollQuota = errors.New("no quota for a poll of discovery")
-	// errListIncomplete says that the complete endpoint list was asked for and changes came.
-	errListIncomplete = errors.New("asked for the complete endpoint list, got changes")
+	// errNoPollQuota means that a poll was not sent because the node's poll quota was used up.
+	errNoPollQuota = errors.New("poll quota of this node is used up")
+	// errListIncomplete means that discovery sent changes in response to a poll for the complete list.
+	errListIncomplete = errors.New("discovery sent changes; requested the complete endpoint list")
 )
 
-// versionRegressionError says that discovery sent an older endpoint list than the one that this
-// node has.
+// versionRegressionError means that discovery sent an endpoint list with a lower version than that of
+// the node's current list.
 type versionRegressionError struct {
 	have, got int64
 }
 
 func (e *versionRegressionError) Error() string {
-	return fmt.Sprintf("the endpoint list went back from version %d to %d", e.have, e.got)
+	return fmt.Sprintf("endpoint list version went back from %d to %d", e.have, e.got)
 }
 
-// watchResult is what a poll of discovery brought.
+// watchResult is the result of one poll of discovery.
 type watchResult struct {
-	list     *protocol.EndpointList // nil with an error
+	list     *protocol.EndpointList // nil if err is set
 	err      error
 	duration time.Duration
 }
 
-// watchState is what the watch of the endpoint list does next.
+// watchState determines the next poll of discovery.
 type watchState struct {
-	pollNow      bool  // the next poll is sent at once; otherwise the module says when
-	needComplete bool  // it asks for the complete list
-	version      int64 // of the list that the module has
+	pollNow      bool  // send the next poll immediately; otherwise the module decides when
+	needComplete bool  // request the complete list
+	version      int64 // of the module's current list
 }
 
-// SetEndpointSource has the endpoint list fetched from another source from now on. Of several
-// sources set in a row the last counts.
+// SetEndpointSource replaces the source of the endpoint list. If several sources are set in a row, the
+// last one is used.
 func (r *Router) SetEndpointSource(source EndpointSource) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,8 +58,8 @@
 	r.nextEndpointSource <- source
 }
 
-// PollEndpoints implements dispatch.Actions: the module wants the endpoint list polled, or no
-// longer. The latest word counts.
+// PollEndpoints implements dispatch.Actions: it starts or stops polling of the endpoint list. A later
+// call overrides an earlier one that has not taken effect.
 func (r *Router) PollEndpoints(on bool) {
 	select {
 	case <-r.pollRequested:
@@ -68,19 +68,19 @@
 	r.pollRequested <- on
 }
 
-// FirstUpdate is closed when discovery has answered a poll for the first time.
+// FirstUpdate returns a channel that is closed after the first successful poll of discovery.
 func (r *Router) FirstUpdate() <-chan struct{} { return r.firstUpdate }
 
-// WatchEndpoints keeps the endpoint list up to date while the module wants that, until the context
-// ends. A poll that fails ends the watch, and the module says when to poll again. The scheduling
-// delay is measured for as long.
+// WatchEndpoints polls discovery for the endpoint list whenever the module requests it, until the
+// context ends. After a failed poll it waits until the module requests the next one. It also runs the
+// measurement of the scheduling delay.
 func (r *Router) WatchEndpoints(ctx context.Context) {
 	go r.delay.run(ctx, r.log)
-	// The configured list is one like any other, and changes to it cost little. If all nodes of a
-	// fleet that starts together fetched complete lists instead, discovery would be too slow for
+	// The first poll requests only the changes to the configured list, which costs little. If all
+	// nodes of a fleet that starts together fetched complete lists, discovery would be too slow for
 	// any of them.
 	state := watchState{needComplete: !r.initialEndpoints.Complete, version: r.initialEndpoints.Version}
-	var results chan watchResult // of the poll that is out; nil: none is
+	var results chan watchResult // of the poll in flight; nil: none is in flight
 	cancel := func() {}
 	for {
 		if state.pollNow && results == nil {
@@ -95,8 +95,8 @@
 			return
 		case state.pollNow = <-r.pollRequested:
 		case r.endpointSource = <-r.nextEndpointSource:
-			// A poll that waits at the old source would bring nothing more. Versions of one source
-			// say nothing about the list of another, so the complete one is fetched.
+			// The result of a poll in flight at the old source is no longer used. Versions of different
+			// sources can't be compared, so the complete list is fetched.
 			cancel()
 			results = nil
 			state = watchState{pollNow: true, needComplete: true}
@@ -108,9 +108,10 @@
 	}
 }
 
-// poll polls discovery once. Its result is sent to a channel with room for it, so that poll ends
-// also when nobody waits for it.
-func (r *Router) poll(ctx context.Context, source EndpointSource, state watchState, results chan<- watchResult) {
+// poll polls discovery once and sends its result to results. The channel must have a free buffer slot,
+// so that poll also returns if the result is no longer received.
+func (r *Router) poll(ctx context.Context, source EndpointSource, state watchState,
+	results chan<- watchResult) {
 	if !r.takePollQuota() {
 		results <- watchResult{err: errNoPollQuota}
 		return
@@ -125,8 +126,8 @@
 		result.err = panicked
 	}
 	result.duration = time.Since(start)
-	// A source that answers each poll at once, with an error or nothing new, would otherwise be
-	// polled without a pause.
+	// Without this pause, a source that responds immediately with an error or without an update would
+	// be polled in a tight loop.
 	if result.err != nil || !state.isUpdate(result.list) {
 		select {
 		case <-time.After(minPollInterval - time.Since(start)):
@@ -136,28 +137,28 @@
 	results <- result
 }
 
-// isUpdate says whether a list tells anything beyond what the module has.
+// isUpdate reports whether a list differs from the module's current list.
 func (s watchState) isUpdate(list *protocol.EndpointList) bool {
 	return len(list.Endpoints) > 0 && (s.needComplete || list.Version > s.version)
 }
 
-// check says why a list cannot be applied; nil: it can.
+// check returns an error if a list must not be applied.
 func (s watchState) check(list *protocol.EndpointList) error {
 	if s.needComplete && !list.Complete {
 		return errListIncomplete
 	}
-	// A source that lost its state lists servers as they once were. A complete list that was asked
-	// for counts all the same.
+	// A source that lost its state sends an outdated list. A complete list is accepted with any
+	// version if it was requested.
 	if !s.needComplete && list.Version < s.version {
 		return &versionRegressionError{have: s.version, got: list.Version}
 	}
 	return nil
 }
 
-// handlePollResult applies what a poll brought and says how the watch goes on.
+// handlePollResult applies the result of a poll and returns the next state of the watch.
 func (r *Router) handlePollResult(result watchResult, state watchState) watchState {
 	if errors.Is(result.err, errNoPollQuota) {
-		// The quota ran out between the decision and the poll, so the module decides anew.
+		// The quota was used up between the module's decision and the poll, so the module decides again.
 		r.event(r.module.PollEndpoints)
 		state.pollNow = false
 		return state
@@ -173,7 +174,8 @@
 	return watchState{pollNow: r.pollSucceeded(), version: result.list.Version}
 }
 
-// pollFailed tells the module of a poll that brought no usable list. The current list stays.
+// pollFailed reports to the module a poll that returned no usable list, and returns the next state of
+// the watch. The current list stays in use.
 func (r *Router) pollFailed(err error, duration time.Duration, state watchState) watchState {
 	r.log.Warn().
 		Err(err).
@@ -183,19 +185,19 @@
 	if errors.As(err, &regression) {
 		state.needComplete = true
 	}
-	discoveryTime := time.Duration(0) // for which discovery worked on the poll
+	discoveryTime := time.Duration(0) // how long discovery worked on the poll
 	if errors.Is(err, protocol.ErrNoNews) {
 		discoveryTime = duration
 	}
 	err = r.tryEvent(func() { r.module.PollFailed(int64(duration), int64(discoveryTime)) })
-	// If the module panicked it has set no timer for the next poll, and without a poll now there
-	// would never be one.
+	// A module that panicked has set no timer for the next poll. The next poll is sent immediately,
+	// because polling would otherwise stop forever.
 	state.pollNow = err != nil
 	return state
 }
 
-// applyPolledList hands a list to the module. The line "list" is read by fleetsim count: its text
-// and keys are fixed.
+// applyPolledList passes a list to the module. The log line "list" is read by "fleetsim count"; its
+// message and keys must not change.
 func (r *Router) applyPolledList(list *protocol.EndpointList) {
 	start := time.Now()
 	r.event(func() { r.applyEndpoints(list) })
@@ -211,8 +213,8 @@
 	r.firstUpdateOnce.Do(func() { close(r.firstUpdate) })
 }
 
-// pollSucceeded says whether the next poll is sent at once. Where nodes share a budget of polls the
-// module says when.
+// pollSucceeded reports whether the next poll is sent immediately. If the nodes share a budget of polls,
+// it reports the success to the module, which decides when to poll next.
 func (r *Router) pollSucceeded() bool {
 	if r.quotaSource == nil {
 		return true
@@ -221,7 +223,7 @@
 	return false
 }
 
-// takePollQuota says whether the node's quota allows a poll now, and takes it.
+// takePollQuota takes one poll from the node's quota. It reports whether the poll may be sent now.
 func (r *Router) takePollQuota() bool {
 	if r.quotaSource == nil {
 		return true
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -3,21 +3,22 @@
 package routing
 
 import (
-	"fernrail/dispatch"
-	"fernrail/internal/protocol"
 	"maps"
 	"slices"
+
+	"fernrail/dispatch"
+	"fernrail/internal/protocol"
 )
 
-// endpoint is a server of the endpoint list with its present address.
+// endpoint is a server of the endpoint list with its current address.
 type endpoint struct {
 	server  *dispatch.Server
-	listed  protocol.Endpoint // the latest entry of discovery
+	listed  protocol.Endpoint // the latest entry from discovery
 	address string
 }
 
-// address is a server's present address. It is asked again when a connection is up, as the server
-// may have moved meanwhile. Under mu.
+// address returns the current address of a server. It is checked again once a connection has been
+// established, because the address may have changed in the meantime. The caller must hold r.mu.
 func (r *Router) address(server *dispatch.Server) string {
 	if e := r.endpoints[server.Tag]; e != nil {
 		return e.address
@@ -25,14 +26,14 @@
 	return ""
 }
 
-// applyEndpoints hands a list to the module and keeps the addresses. Under mu.
+// applyEndpoints passes a list to the module and updates the addresses. The caller must hold r.mu.
 func (r *Router) applyEndpoints(list *protocol.EndpointList) {
 	var updates []dispatch.Endpoint
 	for _, listed := range list.Endpoints {
 		updates = append(updates, r.updateEndpoint(listed))
 	}
 	r.module.UpdateEndpoints(list.Complete, updates)
-	// A change of one server must not cost a walk through thousands.
+	// A change of one server must not require a scan of thousands.
 	if !list.Complete {
 		for _, listed := range list.Endpoints {
 			r.dropIfRemoved(listed.ID)
@@ -44,7 +45,7 @@
 	}
 }
 
-// updateEndpoint keeps what discovery says of a server, and gives the module's form of it.
+// updateEndpoint stores an entry from discovery and returns it in the form of the module.
 func (r *Router) updateEndpoint(listed protocol.Endpoint) dispatch.Endpoint {
 	e := r.endpoints[listed.ID]
 	if e == nil {
@@ -52,7 +53,8 @@
 		r.endpoints[listed.ID] = e
 		r.notifyEndpointsChanged()
 	}
-	// A removed server is listed without an address, and attempts that are out still compare theirs.
+	// A removed server is listed without an address. Attempts in flight still compare their address
+	// with the last known one.
 	if listed.Address != "" {
 		e.address = listed.Address
 	}
@@ -73,8 +75,8 @@
 	}
 }
 
-// moduleEndpoint is an endpoint as the module is told of it: an excluded server drains, whatever
-// discovery says.
+// moduleEndpoint returns an endpoint in the form of the module. An excluded server that discovery lists
+// as up is draining for the module.
 func (r *Router) moduleEndpoint(e *endpoint) dispatch.Endpoint {
 	state := e.listed.State
 	if state == dispatch.Up && r.excluded[e.listed.ID] {
@@ -91,7 +93,7 @@
 	}
 }
 
-// dropIfRemoved drops a server that the module has marked as removed.
+// dropIfRemoved deletes a server that the module has marked as removed.
 func (r *Router) dropIfRemoved(id string) {
 	if e := r.endpoints[id]; e != nil && e.server.State == dispatch.Removed {
 		delete(r.endpoints, id)
@@ -99,7 +101,8 @@
 	}
 }
 
-// notifyEndpointsChanged never blocks: one pending notice stands for all changes until it is received.
+// notifyEndpointsChanged sends a notification to EndpointsChanged. It never blocks: one pending
+// notification covers all changes until it is received.
 func (r *Router) notifyEndpointsChanged() {
 	select {
 	case r.endpointsChanged <- struct{}{}:
@@ -107,10 +110,11 @@
 	}
 }
 
-// EndpointsChanged delivers a notice when servers were added to the list or removed since the last one.
+// EndpointsChanged returns a channel that delivers a notification after servers were added to the list
+// or removed from it.
 func (r *Router) EndpointsChanged() <-chan struct{} { return r.endpointsChanged }
 
-// Endpoints gives the listed servers in the order of their ids, as discovery described them last.
+// Endpoints returns the latest discovery entries of the listed servers in the order of their ids.
 func (r *Router) Endpoints() (entries []protocol.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,22 +124,22 @@
 	return entries
 }
 
-// IsListed says whether a server is in the list now.
+// IsListed reports whether a server is in the current list.
 func (r *Router) IsListed(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endpoints[id] != nil
 }
 
-// WasListed says whether a server is in the list or ever was.
+// WasListed reports whether a server is or ever was in the list.
 func (r *Router) WasListed(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.listedIDs[id]
 }
 
-// EverListed gives the ids that were ever listed, in the order in which they first were, without
-// the first skip of them.
+// EverListed returns the ids that were ever listed, in the order of their first listing and without the
+// first skip ids.
 func (r *Router) EverListed(skip int) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/exclusions.go
+++ b/internal/routing/exclusions.go
@@ -9,8 +9,9 @@
 	"fernrail/dispatch"
 )
 
-// SetExcluded has exactly these servers drain, besides those that discovery drains. Ids that are
-// not listed take effect once they are.
+// SetExcluded replaces the set of excluded servers. The module treats them as draining, in addition to
+// those that discovery lists as draining. The exclusion of an id that is not listed takes effect once
+// the id is listed.
 func (r *Router) SetExcluded(ids []string) {
 	r.event(func() {
 		previous := r.excluded
@@ -24,8 +25,8 @@
 	})
 }
 
-// exclusionChanges gives the listed servers whose exclusion differs from before, in the order of
-// their ids.
+// exclusionChanges returns the listed servers whose exclusion differs from the given previous one, in the
+// order of their ids.
 func (r *Router) exclusionChanges(previous map[string]bool) (changes []dispatch.Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
 		if previous[id] != r.excluded[id] {
--- a/internal/routing/interfaces.go
+++ b/internal/routing/interfaces.go
@@ -9,10 +9,10 @@
 	"fernrail/internal/protocol"
 )
 
-// Forwarder takes requests to servers.
+// Forwarder sends attempts and probes to servers.
 type Forwarder interface {
-	// Forward sends an attempt. It calls update for what the server reports of the running job, and
-	// end exactly once.
+	// Forward sends an attempt. It calls update for each update of the job that the server reports, and
+	// end exactly once with the result.
 	Forward(
 		ctx context.Context,
 		attempt *protocol.Attempt,
@@ -23,33 +23,34 @@
 	Probe(ctx context.Context, address string) (protocol.LoadReport, error)
 }
 
-// EndpointSource is service discovery.
+// EndpointSource is a source of endpoint lists, such as service discovery.
 type EndpointSource interface {
-	// Poll gives the complete endpoint list, or waits for its changes since a version.
+	// Poll returns the complete endpoint list, or waits for changes to it since a version.
 	Poll(ctx context.Context, since int64, complete bool) (*protocol.EndpointList, error)
 }
 
-// QuotaSource holds this node's quotas of the budgets that all nodes use together. It is called
-// under the router's lock and must not call back.
+// QuotaSource provides this node's quotas of the budgets that all nodes share. Its methods are called
+// with the router's lock held and must not call the Router.
 type QuotaSource interface {
-	// Allow says whether so many units more may be used now. key is a server's address for
-	// connections, a tenant's name for its attempts and empty for budgets that exist once; for the
-	// rest it is a server's id.
+	// Allow reports whether the given number of additional units may be used now. key is the address
+	// of a server for the connection budget, the name of a tenant for the budget of its attempts, empty
+	// for a budget that exists once, and the id of a server for every other budget.
 	Allow(budget dispatch.Budget, key string, units float64) bool
-	// Quota is this node's part of the whole budget, by the same key.
+	// Quota returns this node's quota of a budget, in units. key is that of Allow.
 	Quota(budget dispatch.Budget, key string) float64
-	// Reserve reserves what one attempt uses; nil: there is not enough, and it may not be sent.
-	// slowStartShare is the part of the server's slow-start budget that it takes.
+	// Reserve reserves the units that one attempt uses. It returns nil if the quota is not sufficient;
+	// the attempt must not be sent then. slowStartShare is the fraction of the server's slow-start
+	// budget that the attempt uses.
 	Reserve(serverID, tenant string, isRetry bool, slowStartShare float64) Reservation
-	// AllowPoll takes one poll of discovery out of its budget, at the moment of sending. An overdue
-	// poll is always allowed.
+	// AllowPoll takes one poll of discovery from its budget, immediately before the poll is sent, and
+	// reports whether it may be sent. An overdue poll is always allowed.
 	AllowPoll(overdue bool) bool
 }
 
-// Reservation is what one attempt uses of the budgets.
+// Reservation holds the budget units that one attempt uses.
 type Reservation interface {
 	protocol.SendGate
-	// Release returns all of it if the attempt was never sent. serverFinished says that nothing of
-	// it runs any more, which also returns what is held only while a job may run.
+	// Release returns all units if the attempt was never sent. serverFinished means that the attempt no
+	// longer runs at its server; the units that are reserved while a job may run are returned as well.
 	Release(serverFinished bool)
 }
--- a/internal/routing/probes.go
+++ b/internal/routing/probes.go
@@ -9,9 +9,9 @@
 	"fernrail/internal/protocol"
 )
 
-// ProbeCapacity implements dispatch.Actions: it asks a server for its free capacity. A probe
-// without an answer within the probe timeout counts as none. The probe runs on a goroutine of its
-// own, which that timeout ends.
+// ProbeCapacity implements dispatch.Actions: it requests the free capacity of a server. A probe without
+// a response within the probe timeout is reported as failed. The probe runs on its own goroutine, which
+// the timeout ends.
 func (r *Router) ProbeCapacity(server *dispatch.Server) {
 	address := r.address(server)
 	go func() {
@@ -30,6 +30,6 @@
 	return report, err
 }
 
-// NotifyPeers implements dispatch.Actions. The protocol has no messages between nodes, and the
-// settings tell the module so.
+// NotifyPeers implements dispatch.Actions. It does nothing: the protocol has no messages between nodes,
+// and the settings do not allow the module to send any.
 func (r *Router) NotifyPeers(*dispatch.Server, float64) {}
--- a/internal/routing/quota.go
+++ b/internal/routing/quota.go
@@ -6,8 +6,8 @@
 	"fernrail/dispatch"
 )
 
-// The router is the dispatch.QuotaSource of its module: it gives servers and tenants the names
-// under which its own QuotaSource knows them. The methods are called under mu.
+// Router implements dispatch.QuotaSource for its module: it translates servers and tenants to the keys
+// of its own QuotaSource. The module calls these methods with mu held.
 
 // Allow implements dispatch.QuotaSource.
 func (r *Router) Allow(
@@ -27,14 +27,14 @@
 	return r.quotaSource.Quota(budget, r.quotaKey(budget, server))
 }
 
-// reserve reserves what an attempt uses; nil: there is not enough of it.
+// reserve reserves the budget units that an attempt uses. It returns nil if the quota is not sufficient.
 func (r *Router) reserve(attempt *dispatch.Attempt) Reservation {
 	isRetry := attempt.Number > 0
 	tenant := r.tenantName(attempt.Request)
 	return r.quotaSource.Reserve(attempt.Server.Tag, tenant, isRetry, attempt.SlowStartShare)
 }
 
-// tenantName is the name of a request's tenant; empty where the node has no tenants.
+// tenantName returns the name of a request's tenant, or an empty string if the node has no tenants.
 func (r *Router) tenantName(request *dispatch.Request) string {
 	if request.Tenant >= len(r.settings.Tenants) {
 		return ""
@@ -42,7 +42,7 @@
 	return r.settings.Tenants[request.Tenant].Tag
 }
 
-// quotaKey is the address of a server for connections and its id for all else.
+// quotaKey returns the address of a server for the connection budget and its id for every other budget.
 func (r *Router) quotaKey(budget dispatch.Budget, server *dispatch.Server) string {
 	if budget != dispatch.BudgetConnections {
 		return server.Tag
--- a/internal/routing/request_ids.go
+++ b/internal/routing/request_ids.go
@@ -11,26 +11,26 @@
 	"fernrail/dispatch"
 )
 
-// defaultIDWindow is how long the id of a finished request stays reserved where its class sets no
-// deduplication window. Clients use an id once; one that repeats another client's id may go on for
-// a while after that one has its response.
+// defaultIDWindow is how long the id of a finished request stays reserved if its class sets no
+// deduplication window. Clients must use each id once. A client that reuses the id of another client may
+// continue to send it for some time after that client got its response.
 const defaultIDWindow = 10 * time.Second
 
-// idWindow is how long the id of a finished request of that class stays reserved, in ns.
+// idWindow returns how long the id of a finished request of a class stays reserved, in ns.
 func idWindow(class *dispatch.Class) int64 {
 	return cmp.Or(class.DedupWindow, int64(defaultIDWindow))
 }
 
-// requestIDs holds the ids that are reserved. Two requests under one id could get each other's
-// response, and a repeat within its class's deduplication window could run twice.
+// requestIDs holds the reserved ids. Without the reservation, two requests with one id could get each
+// other's response, and a repeat within the deduplication window of its class could run twice.
 //
-// Entries are dropped by generation: after each rotationInterval the older of two maps goes. Times
-// are by the node's clock, in ns.
+// Entries expire by generation: after each rotationInterval the older of two maps is deleted. Times are
+// by the node's clock, in ns.
 type requestIDs struct {
 	rotationInterval int64 // the longest window of any class
 	rotatedAt        int64
-	current          map[string]int64 // until when an id is reserved; math.MaxInt64 while its request is open
-	previous         map[string]int64 // the same, from before rotatedAt
+	current          map[string]int64 // end of the reservation by id; math.MaxInt64 while the request is open
+	previous         map[string]int64 // the generation before rotatedAt
 }
 
 func newRequestIDs(classes []*dispatch.Class) *requestIDs {
@@ -41,8 +41,8 @@
 	return ids
 }
 
-// reserve reserves an id for an open request; false: it is reserved already. open gives the ids of
-// the open requests, which are kept for as long as it takes.
+// reserve reserves an id for an open request. It reports false if the id is already reserved. open
+// iterates over the ids of the open requests, whose reservations never expire while they are open.
 func (ids *requestIDs) reserve(id string, now int64, open iter.Seq[string]) bool {
 	if now-ids.rotatedAt >= ids.rotationInterval {
 		ids.rotate(now, open)
@@ -63,7 +63,7 @@
 	}
 }
 
-// releaseAt keeps the id of a finished request reserved until a time.
+// releaseAt sets the end of the reservation of a finished request's id.
 func (ids *requestIDs) releaseAt(id string, until int64) {
 	ids.current[id] = until
 	delete(ids.previous, id)
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -14,20 +14,21 @@
 	"fernrail/internal/protocol"
 )
 
-// requestState is an open request: one that has no final response yet.
+// requestState is the state of an open request, one without a final response.
 type requestState struct {
-	sequence     int // in the order of arrival
+	sequence     int // number of the request in the order of arrival, from 1
 	received     *protocol.Request
 	arrivedAt    int64 // by the node's clock, ns
 	clientClosed bool
-	response     chan *protocol.Response // holds the one final response; nil: the module failed and none is known
+	// response buffers the final response; nil: the module failed and the outcome is unknown.
+	response chan *protocol.Response
 }
 
-// Serve takes a request, read completely, to its one final response. nil: the module failed, and
-// none is known.
+// Serve processes a completely read request and returns its final response. It returns nil if the
+// decision module failed and the outcome is unknown.
 func (r *Router) Serve(ctx context.Context, received *protocol.Request) *protocol.Response {
-	// A client may have closed while its request waited in the socket. Without this an overloaded
-	// node would work for nobody.
+	// The client may have closed while its request waited in the socket. An overloaded node must not
+	// spend time on such requests.
 	if ctx.Err() != nil || received.ClientGone() {
 		return &protocol.Response{Status: http.StatusServiceUnavailable, ClientClosed: true}
 	}
@@ -37,7 +38,7 @@
 	request := r.newRequest(received)
 	state := &requestState{received: received, response: make(chan *protocol.Response, 1)}
 	if err := r.tryEvent(func() { r.arrive(request, state) }); err != nil {
-		// The module may have lost the request in the panic, so that it would never end it.
+		// The module may have lost track of the request in the panic and would then never end it.
 		r.event(func() { r.abandonRequest(request) })
 		return &protocol.Response{Status: http.StatusInternalServerError}
 	}
@@ -51,7 +52,7 @@
 	}
 }
 
-// newRequest gives the decision module's form of a request.
+// newRequest converts a received request to the form of the decision module.
 func (r *Router) newRequest(received *protocol.Request) *dispatch.Request {
 	return &dispatch.Request{
 		Tag:          received.ID,
@@ -61,13 +62,13 @@
 		Memory:       received.Memory,
 		AffinityKey:  received.AffinityKey,
 		ExpectedWork: received.ExpectedWork,
-		// The client counts its timeout from when it sent. A process that is short of CPU reads
-		// late what has lain in the socket.
+		// The client's timeout starts when it sends the request. A process that is short of CPU time
+		// reads the request from the socket later.
 		UnreadTime: r.delay.Delay(),
 	}
 }
 
-// arrive registers a request and hands it to the module. Under mu.
+// arrive registers a request and passes it to the module. The caller must hold r.mu.
 func (r *Router) arrive(request *dispatch.Request, state *requestState) {
 	now := r.clock()
 	request.Deadline = now + int64(state.received.Timeout)
@@ -76,27 +77,27 @@
 	state.arrivedAt = now
 	r.requests[request] = state
 	r.module.Arrive(request)
-	// Where clocks may differ the module has changed the deadline; a node that shuts down has no
-	// more time for that.
+	// The module extends the deadline if the settings allow for clock differences. A node that is
+	// shutting down must still respond before its shutdown deadline.
 	if !request.Done && request.Deadline > r.shutdownDeadline {
 		r.module.SetDeadline(request, r.shutdownDeadline)
 	}
 }
 
-// endForClosedClient has the module end a request whose client has closed.
+// endForClosedClient makes the module end a request whose client has closed its connection.
 func (r *Router) endForClosedClient(request *dispatch.Request) {
 	r.log.Debug().
 		Str("id", request.Tag).
 		Int64("lag_ms", r.delay.Delay()/1e6).
-		Msg("client closed before its answer")
+		Msg("client closed before the response; ending its request")
 	if r.tryEvent(func() { r.clientClosed(request) }) != nil {
 		r.event(func() { r.abandonRequest(request) })
 	}
 }
 
-// clientClosed tells the module that a client has closed. The request still gets its final
-// response: a client that has only shut its sending side may read it, and would otherwise not learn
-// what became of its request. Under mu.
+// clientClosed reports to the module that a client has closed its connection. The request still gets
+// its final response, because a client that has closed only its sending side may read it and has no
+// other way to learn the outcome. The caller must hold r.mu.
 func (r *Router) clientClosed(request *dispatch.Request) {
 	if state := r.requests[request]; state != nil {
 		state.clientClosed = true
@@ -104,8 +105,8 @@
 	}
 }
 
-// logUnserved logs a request that ends without a result: why, how old it is and how long runnable
-// work waits in this process.
+// logUnserved logs a request that ended without a result, with the reason, the age of the request and
+// the scheduling delay of this process.
 func (r *Router) logUnserved(request *dispatch.Request, state *requestState, response *protocol.Response) {
 	if response == nil || response.Status == http.StatusOK || response.ClientClosed {
 		return
@@ -120,7 +121,8 @@
 		Msg("request not served")
 }
 
-// Shutdown has all requests, open ones and those still to come, answered within a time.
+// Shutdown limits the deadlines of all open and later requests, so that each gets its response within
+// the given time.
 func (r *Router) Shutdown(within time.Duration) {
 	r.event(func() {
 		r.shutdownDeadline = r.clock() + int64(within)
@@ -130,15 +132,15 @@
 	})
 }
 
-// openRequests gives the open requests in the order of their arrival. Under mu.
+// openRequests returns the open requests in the order of arrival. The caller must hold r.mu.
 func (r *Router) openRequests() []*dispatch.Request {
 	return slices.SortedFunc(maps.Keys(r.requests), func(a, b *dispatch.Request) int {
 		return cmp.Compare(r.requests[a].sequence, r.requests[b].sequence)
 	})
 }
 
-// Shed implements dispatch.Actions: the request is rejected as one that has not run. retryAfter, in
-// ns, is advice; 0: none.
+// Shed implements dispatch.Actions: it rejects a request that has not run. retryAfter, in ns, is the
+// delay that the client is advised to wait before a retry; 0: no advice.
 func (r *Router) Shed(request *dispatch.Request, retryAfter int64) {
 	r.respond(request, &protocol.Response{
 		Status:     http.StatusServiceUnavailable,
@@ -146,12 +148,13 @@
 	})
 }
 
-// Compensate implements dispatch.Actions: the request fails, and may have run.
+// Compensate implements dispatch.Actions: it fails a request that may have run.
 func (r *Router) Compensate(request *dispatch.Request) {
 	r.respond(request, &protocol.Response{Status: http.StatusInternalServerError})
 }
 
-// respond gives a request its final response. Later ones for the same request are dropped. Under mu.
+// respond sends the final response of a request. Later responses to the same request are dropped. The
+// caller must hold r.mu.
 func (r *Router) respond(request *dispatch.Request, response *protocol.Response) {
 	if state := r.removeRequest(request); state != nil {
 		response.ClientClosed = state.clientClosed
@@ -159,7 +162,8 @@
 	}
 }
 
-// abandonRequest ends a request that gets no response any more. Under mu.
+// abandonRequest ends a request without a response after the module has failed. The caller must hold
+// r.mu.
 func (r *Router) abandonRequest(request *dispatch.Request) {
 	if state := r.removeRequest(request); state != nil {
 		r.module.Finish(request)
@@ -167,7 +171,8 @@
 	}
 }
 
-// removeRequest removes an open request and gives its state; nil: it is not open. Under mu.
+// removeRequest removes an open request and returns its state, or nil if the request is not open. The
+// caller must hold r.mu.
 func (r *Router) removeRequest(request *dispatch.Request) *requestState {
 	state := r.requests[request]
 	if state == nil {
@@ -178,14 +183,15 @@
 	return state
 }
 
-// reserveID reserves the id of a new request; false: it is in use, or was so until recently.
+// reserveID reserves the id of a new request. It reports false if the id is still reserved by an open
+// or recently finished request.
 func (r *Router) reserveID(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ids.reserve(id, r.clock(), r.openIDs)
 }
 
-// openIDs iterates over the ids of the open requests. Under mu.
+// openIDs iterates over the ids of the open requests. The caller must hold r.mu.
 func (r *Router) openIDs(yield func(id string) bool) {
 	for _, state := range r.requests {
 		if !yield(state.received.ID) {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package routing runs the decision module of one node. Under one lock it tells the module what
-// happens, with a clock and timers, and carries out what the module decides: it sends attempts to
-// servers, answers requests, polls discovery and probes servers. It decides nothing itself.
+// Package routing runs the decision module of one node. Under one lock it passes events to the module,
+// provides its clock and timers, and carries out its decisions: it sends attempts to servers, responds
+// to requests, polls discovery and probes servers. It makes no decisions itself.
 package routing
 
 import (
@@ -17,54 +17,55 @@
 	"fernrail/internal/protocol"
 )
 
-// Router runs the decision module of one node. It implements the module's dispatch.Actions, and its
-// dispatch.QuotaSource where nodes hold budgets together. Those methods are called under mu and
-// never block.
+// Router runs the decision module of one node. It implements dispatch.Actions for the module, and
+// dispatch.QuotaSource if the nodes of the fleet share budgets. The module calls these methods with mu
+// held, and they never block.
 type Router struct {
 	settings           *dispatch.Settings
 	forwarder          Forwarder
 	probeTimeout       time.Duration
-	endpointSource     EndpointSource // used by WatchEndpoints alone
+	endpointSource     EndpointSource // used only by WatchEndpoints
 	initialEndpoints   *protocol.EndpointList
-	firstUpdate        chan struct{} // closed when discovery has answered for the first time
+	firstUpdate        chan struct{} // closed after the first successful poll of discovery
 	firstUpdateOnce    sync.Once
-	nextEndpointSource chan EndpointSource // the source to change to; holds one, the latest
-	pollRequested      chan bool           // whether the module wants the endpoint list polled; holds one, the latest
-	endpointsChanged   chan struct{}       // holds one notice
+	nextEndpointSource chan EndpointSource // buffers the latest replacement of endpointSource
+	pollRequested      chan bool           // buffers the latest decision to start or stop polling
+	endpointsChanged   chan struct{}       // buffers one notification
 	log                zerolog.Logger
 	startTime          time.Time
-	quotaSource        QuotaSource // nil: this node holds no budgets together with others
+	quotaSource        QuotaSource // nil: the node shares no budgets with other nodes
 	delay              *delayMonitor
-	onOutcome          func(serverID string, failed bool) // nil: nobody is told; set before Serve is called
+	onOutcome          func(serverID string, failed bool) // may be nil; set before Serve is called
 
-	mu               sync.Mutex // guards the module and all below; never held over a write, a dial or a log line
+	// mu guards the module and all fields below. It is never held during a write, a dial or a log call.
+	mu               sync.Mutex
 	module           *dispatch.Dispatcher
 	endpoints        map[string]*endpoint // by server id
-	excluded         map[string]bool      // ids of servers that operators have drained
-	listedIDs        map[string]bool      // ids that were ever listed: a removed server is not a misspelled id
-	listedOrder      []string             // the same in the order in which they were first listed
-	outlierScores    map[string]float64   // by server id, as other nodes agree on
-	unplacedDistance int                  // the distance of a server that was just listed
+	excluded         map[string]bool      // ids of servers that operators have excluded
+	listedIDs        map[string]bool      // ids that were ever listed; tells removed servers from misspelled ids
+	listedOrder      []string             // listedIDs in the order of their first listing
+	outlierScores    map[string]float64   // by server id, as agreed by other nodes
+	unplacedDistance int                  // distance of a server until SetDistances places it
 	ids              *requestIDs
-	requests         map[*dispatch.Request]*requestState      // open ones
-	requestCount     int                                      // of all that have arrived
-	cancelFuncs      map[*dispatch.Attempt]context.CancelFunc // of attempts without an outcome
-	shutdownDeadline int64                                    // by the node's clock, ns; far off until Shutdown
+	requests         map[*dispatch.Request]*requestState      // open requests
+	requestCount     int                                      // number of requests that have arrived
+	cancelFuncs      map[*dispatch.Attempt]context.CancelFunc // for attempts without an outcome
+	shutdownDeadline int64                                    // by the node's clock, ns; math.MaxInt64: none
 }
 
-// Config is what New builds a Router from.
+// Config configures a Router.
 type Config struct {
 	Settings         *dispatch.Settings
-	Seed             uint64                 // of the decision module's random numbers
-	InitialEndpoints *protocol.EndpointList // the endpoint list as it was last known
+	Seed             uint64                 // for the random numbers of the decision module
+	InitialEndpoints *protocol.EndpointList // the last known endpoint list
 	Forwarder        Forwarder
-	ProbeTimeout     time.Duration // how long the answer to a capacity probe is waited for
+	ProbeTimeout     time.Duration // limit for the response to a capacity probe
 	EndpointSource   EndpointSource
-	QuotaSource      QuotaSource // nil: this node holds no budgets together with others
+	QuotaSource      QuotaSource // nil: the node shares no budgets with other nodes
 	Log              zerolog.Logger
 }
 
-// New starts the decision module on the endpoint list as it was last known.
+// New creates a Router and starts its decision module with the last known endpoint list.
 func New(c Config) *Router {
 	r := &Router{
 		settings:           c.Settings,
@@ -102,25 +103,25 @@
 	return r
 }
 
-// Ready says whether the node knows any server.
+// Ready reports whether the endpoint list has at least one server.
 func (r *Router) Ready() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.endpoints) > 0
 }
 
-// SchedulingDelay is how long runnable work of this process waits for the processor, in ns.
+// SchedulingDelay returns how long runnable work of this process waits for the processor, in ns.
 func (r *Router) SchedulingDelay() int64 { return r.delay.Delay() }
 
-// ServerCounts counts the listed servers, and those among them that the module does not choose at
-// present.
+// ServerCounts returns the number of listed servers, and the number of those that the module currently
+// does not select.
 func (r *Router) ServerCounts() (known, excluded int) {
 	r.event(func() { known, excluded = r.module.ServerCounts() })
 	return known, excluded
 }
 
-// SetSlowStartOwner says whether this process of the node uses its part of the slow-start budgets.
-// It does from the start.
+// SetSlowStartOwner sets whether this process uses the node's quotas of the slow-start budgets. A new
+// Router uses them.
 func (r *Router) SetSlowStartOwner(owner bool) {
 	r.event(func() { r.module.SetSlowStartOwner(owner) })
 }
--- a/internal/routing/scheduling_delay.go
+++ b/internal/routing/scheduling_delay.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// delaySampleInterval is between two measurements. Each wakes the process once, which costs it
-	// about 10 us.
+	// delaySampleInterval is the time between two measurements. Each measurement wakes the process
+	// once, which takes about 10 us of CPU time.
 	delaySampleInterval = 50 * time.Millisecond
-	// delayLogThreshold is the delay from which it is logged, once a second at most. A process with
-	// a small share of a core is late by some tens of milliseconds whenever two requests meet.
+	// delayLogThreshold is the minimum delay that is logged. In a process that has only a fraction of
+	// a core, two concurrent requests already cause delays of some tens of milliseconds.
 	delayLogThreshold = 100 * time.Millisecond
 )
 
@@ -25,13 +25,12 @@
 // processor. It grows when the process is short of CPU time, or when the process or its host was
 // stopped.
 //
-// A goroutine sleeps for delaySampleInterval and then yields, so that all that is runnable by then
-// runs first; the time beyond the interval is the delay. While it sleeps, the time by which it is
-// overdue counts as well, so that a process that runs again after a stop knows at once how long it
-// lasted.
+// A goroutine sleeps for delaySampleInterval and then yields, so that all goroutines that are runnable
+// by then run first. The time beyond the interval is the delay. A measurement that is overdue counts
+// as well, so that the delay is correct immediately after a stopped process resumes.
 type delayMonitor struct {
-	lastDelay atomic.Int64 // ns; as measured last
-	due       atomic.Int64 // ns since start, when the next measurement should end; far off while none is made
+	lastDelay atomic.Int64 // result of the last measurement, ns
+	due       atomic.Int64 // planned end of the next measurement, ns since start; math.MaxInt64 while none runs
 	now       func() int64 // ns since start, monotonic
 }
 
@@ -42,12 +41,13 @@
 	return d
 }
 
-// Delay is how long work that runs at this moment may have waited, in ns.
+// Delay returns how long work that runs at this moment may have waited, in ns.
 func (d *delayMonitor) Delay() int64 {
 	return max(d.lastDelay.Load(), d.now()-d.due.Load(), 0)
 }
 
-// run measures until the context ends.
+// run measures the delay until the context ends. It logs a delay above the threshold at most once a
+// second.
 func (d *delayMonitor) run(ctx context.Context, log zerolog.Logger) {
 	log = log.Sample(&zerolog.BurstSampler{Burst: 1, Period: time.Second})
 	timer := time.NewTimer(delaySampleInterval)
@@ -63,8 +63,8 @@
 			return
 		case <-timer.C:
 		}
-		// A goroutine that a timer woke runs before those that are runnable already; two yields put
-		// it behind them.
+		// A goroutine that a timer woke runs before those that are already runnable. Yielding twice
+		// moves it behind them.
 		runtime.Gosched()
 		runtime.Gosched()
 		delay := max(d.now()-due, 0)
--- a/internal/routing/send_gate.go
+++ b/internal/routing/send_gate.go
@@ -11,27 +11,28 @@
 	"fernrail/internal/protocol"
 )
 
-// sendGate implements protocol.SendGate: the connection asks it at the first byte of an attempt.
+// sendGate implements protocol.SendGate: it admits the first byte of an attempt.
 //
-// An attempt that was decided may have waited since for a connection, the processor or a
-// descriptor. Its server may be draining or gone by then, or its request answered. As nothing of it
-// has been sent, it certainly has not run and can be dropped.
+// Between the decision for an attempt and its first byte, the attempt may wait for a connection, the
+// processor or a file descriptor. By then its server may be draining or removed, or its request may
+// have its response. As no byte has been sent, the job has certainly not run and the attempt can be
+// dropped.
 type sendGate struct {
 	router      *Router
 	attempt     *dispatch.Attempt
 	outgoing    *protocol.Attempt
-	ctx         context.Context // of the attempt; it ends when the attempt is canceled or timed out
-	reservation Reservation     // nil: the attempt reserves nothing
-	sentAt      atomic.Int64    // when the first byte was admitted, by the node's clock, ns; 0: it was not
+	ctx         context.Context // of the attempt; ends when the attempt is canceled or times out
+	reservation Reservation     // nil: the node uses no quotas
+	sentAt      atomic.Int64    // when the first byte was admitted, by the node's clock, ns; 0: not admitted
 }
 
-// MaySend says whether the first byte may be sent now.
+// MaySend reports whether the first byte may be sent now.
 func (g *sendGate) MaySend() bool {
 	if !g.moduleAllows() || g.ctx.Err() != nil || g.outgoing.TimeoutOverstated(time.Now()) {
 		return false
 	}
-	// At an overloaded node the notice of a closed client waits behind other work, and a server
-	// would work for nobody.
+	// On an overloaded node the notification that the client has closed waits behind other work. The
+	// server must not be given a job without a client.
 	if g.outgoing.Request.ClientGone() {
 		g.router.event(func() { g.router.clientClosed(g.attempt.Request) })
 		return false
@@ -43,8 +44,8 @@
 	return true
 }
 
-// moduleAllows says whether the module still wants the attempt, and its server is still at the
-// address that it goes to.
+// moduleAllows reports whether the module still allows the attempt and the address of its server has
+// not changed since the decision.
 func (g *sendGate) moduleAllows() bool {
 	g.router.mu.Lock()
 	defer g.router.mu.Unlock()
@@ -52,7 +53,7 @@
 	return g.router.module.MaySend(g.attempt) && g.router.address(g.attempt.Server) == g.outgoing.Address
 }
 
-// Sent is called when the first byte has been sent.
+// Sent records with the reservation that the first byte has been sent.
 func (g *sendGate) Sent() {
 	if g.reservation != nil {
 		g.reservation.Sent()
--- a/internal/routing/server_hints.go
+++ b/internal/routing/server_hints.go
@@ -2,12 +2,12 @@
 
 package routing
 
-// This file hands the module what is known of servers from elsewhere than discovery, and tells
-// others what this node saw of them.
+// This file passes information about servers that does not come from discovery to the module, and
+// reports the outcomes of attempts to other components.
 
-// SetDistances has the module prefer servers by how far they are from this node. Servers that are
-// listed later count as far until they are placed; otherwise all nodes would use a new server at
-// once.
+// SetDistances sets the distances of servers from this node; the module prefers near servers. A server
+// that is listed later has distance 1 until a later call places it, because otherwise all nodes would
+// use a new server at the same time.
 func (r *Router) SetDistances(byID map[string]int) {
 	r.event(func() {
 		r.unplacedDistance = 1
@@ -19,8 +19,8 @@
 	})
 }
 
-// SetOutlierScores hands the module the outlier scores that other nodes agree on. Servers that are
-// not named have none.
+// SetOutlierScores sets the outlier scores that other nodes agree on, by server id. Other servers have
+// the score 0.
 func (r *Router) SetOutlierScores(byID map[string]float64) {
 	r.event(func() {
 		r.outlierScores = byID
@@ -30,5 +30,6 @@
 	})
 }
 
-// OnOutcome registers who is told how each attempt went at its server. It must be called before Serve.
+// OnOutcome registers the callback that receives whether an attempt failed at its server. It must be
+// called before Serve.
 func (r *Router) OnOutcome(report func(serverID string, failed bool)) { r.onOutcome = report }
