--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -75,8 +75,8 @@
 // nobody.
 func (a *Attempt) SetTimeout(now time.Time) {
 	a.timeoutSetAt = now
-	left := max(a.Deadline.Sub(now).Milliseconds(), 1)
-	a.header.Set(headerTimeout, strconv.FormatInt(left, 10))
+	remaining := max(a.Deadline.Sub(now).Milliseconds(), 1)
+	a.header.Set(headerTimeout, strconv.FormatInt(remaining, 10))
 }
 
 // TimeoutOverstated says whether too much time has passed since SetTimeout for the request to be
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -49,8 +49,8 @@
 	ClientClosed func() bool // looks whether the client has closed; nil: that is not known
 }
 
-// ClientGone says whether the client of a request is known to have closed.
-func (q *Request) ClientGone() bool { return q.ClientClosed != nil && q.ClientClosed() }
+// HasClientClosed says whether the client of a request is known to have closed.
+func (q *Request) HasClientClosed() bool { return q.ClientClosed != nil && q.ClientClosed() }
 
 // RequestError says why a request was not accepted. Status and Text are the response to its client.
 type RequestError struct {
@@ -67,8 +67,8 @@
 // DecodeRequest decodes a client's request. chunksAlone says that the head of a chunked request
 // gave no length as well, which net/http drops unseen. The error is typed, so that each one has a
 // response; nil: there is none.
-func DecodeRequest(r *http.Request, names *Names, chunksAlone bool) (*Request, *RequestError) {
-	if err := checkForm(r, chunksAlone); err != nil {
+func DecodeRequest(r *http.Request, names *Names, onlyChunked bool) (*Request, *RequestError) {
+	if err := checkRequestHead(r, onlyChunked); err != nil {
 		return nil, err
 	}
 	q := &Request{
@@ -102,12 +102,12 @@
 	return q, nil
 }
 
-// checkForm checks what concerns any request, whatever it asks for.
-func checkForm(r *http.Request, chunksAlone bool) *RequestError {
+// checkRequestHead checks what concerns any request, whatever it asks for.
+func checkRequestHead(r *http.Request, onlyChunked bool) *RequestError {
 	switch {
 	case r.Method != http.MethodPost:
 		return &RequestError{http.StatusMethodNotAllowed, "jobs come by POST"}
-	case !hasUnambiguousLength(r, chunksAlone):
+	case !hasUnambiguousLength(r, onlyChunked):
 		return &RequestError{
 			Status: http.StatusLengthRequired,
 			Text:   "jobs come with a Content-Length or in chunks, not both, over HTTP/1.1",
@@ -122,10 +122,10 @@
 
 // decodeClass takes the class, which the header and the first part of the path name alike.
 func (q *Request) decodeClass(r *http.Request, names *Names) *RequestError {
-	inPath, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	pathClass, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class := r.Header.Get(headerClass)
 	q.Class = slices.Index(names.Classes, class)
-	if q.Class < 0 || class != inPath {
+	if q.Class < 0 || class != pathClass {
 		return &RequestError{http.StatusNotFound, "no such scheme, or path and " + headerClass + " differ"}
 	}
 	return nil
--- a/internal/protocol/request_headers.go
+++ b/internal/protocol/request_headers.go
@@ -40,12 +40,12 @@
 // hasUnambiguousLength says whether a request gives the end of its body in one way alone: by a
 // length, or in chunks over HTTP/1.1. Where two ways disagree, a second request may hide in the
 // difference (request smuggling), and HTTP/1.0 has no chunks.
-func hasUnambiguousLength(r *http.Request, chunksAlone bool) bool {
+func hasUnambiguousLength(r *http.Request, onlyChunked bool) bool {
 	if !r.ProtoAtLeast(1, 1) {
 		return false
 	}
 	if r.TransferEncoding != nil {
-		return chunksAlone
+		return onlyChunked
 	}
 	return r.ContentLength >= 0 && r.Header["Content-Length"] != nil
 }
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -29,7 +29,7 @@
 func (r *Router) Serve(ctx context.Context, received *protocol.Request) *protocol.Response {
 	// The client may have closed while its request waited in the socket. An overloaded node must not
 	// spend time on such requests.
-	if ctx.Err() != nil || received.ClientGone() {
+	if ctx.Err() != nil || received.HasClientClosed() {
 		return &protocol.Response{Status: http.StatusServiceUnavailable, ClientClosed: true}
 	}
 	if !r.reserveID(received.ID) {
--- a/internal/routing/send_gate.go
+++ b/internal/routing/send_gate.go
@@ -33,7 +33,7 @@
 	}
 	// On an overloaded node the notification that the client has closed waits behind other work. The
 	// server must not be given a job without a client.
-	if g.outgoing.Request.ClientGone() {
+	if g.outgoing.Request.HasClientClosed() {
 		g.router.event(func() { g.router.clientClosed(g.attempt.Request) })
 		return false
 	}
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -13,8 +13,8 @@
 
 // writeAction writes one action; fields are names and values in turn.
 func (n *instance) writeAction(verb string, fields ...string) {
-	if n.session.writing != n {
-		n.session.writing = n
+	if n.session.replyInstance != n {
+		n.session.replyInstance = n
 		n.session.write("AT\tWho=", n.name, "\n")
 	}
 	n.session.write(verb)
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -44,9 +44,9 @@
 	return v
 }
 
-func (f *fields) integer(name string) int64 { return f.parsed(name, f.text(name)) }
+func (f *fields) integer(name string) int64 { return f.parseInteger(name, f.text(name)) }
 
-func (f *fields) parsed(name, v string) int64 {
+func (f *fields) parseInteger(name, v string) int64 {
 	if f.err != nil {
 		return 0
 	}
@@ -60,7 +60,7 @@
 // integerOrZero reads a whole number; 0 where the field is absent.
 func (f *fields) integerOrZero(name string) int64 {
 	if v, found := f.find(name); found {
-		return f.parsed(name, v)
+		return f.parseInteger(name, v)
 	}
 	return 0
 }
@@ -78,8 +78,8 @@
 	return x
 }
 
-// reported is a value of the load report, where there is one.
-func (f *fields) reported(name string) float64 {
+// loadReportValue is a value of the load report, where there is one.
+func (f *fields) loadReportValue(name string) float64 {
 	report, found := f.find("ServerStats")
 	if name == "" || !found {
 		return 0
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -25,7 +25,7 @@
 	requests       map[string]*dispatch.Request
 	timers         map[int64]func()
 	lastToken      int64 // of a timer
-	touched        bool  // addressed in this round
+	inRound        bool  // addressed in this round
 	crashed        bool
 }
 
@@ -46,7 +46,7 @@
 }
 
 // step runs a step of the dispatcher at the time of the round. A panic is reported for this instance alone.
-func (n *instance) step(do func()) {
+func (n *instance) step(run func()) {
 	defer func() {
 		if r := recover(); r != nil {
 			n.crashed = true
@@ -57,7 +57,7 @@
 	if n.module != nil {
 		n.module.Advance(n.session.now)
 	}
-	do()
+	run()
 }
 
 func (n *instance) start(f *fields) {
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -17,12 +17,12 @@
 	"UPDATE":       (*instance).beginUpdate,
 	"ITEM":         (*instance).addEndpoint,
 	"ORDER":        (*instance).addRequest,
-	"ABANDONED":    (*instance).abandonRequest,
+	"ABANDONED":    (*instance).finishRequest,
 	"REPORT_BACK":  (*instance).endAttempt,
-	"HINT_UPDATE":  (*instance).noteProgress,
+	"HINT_UPDATE":  (*instance).reportProgress,
 	"WAKE":         (*instance).fireTimer,
 	"PROBED":       (*instance).reportCapacity,
-	"WHISPER":      (*instance).hearPeer,
+	"WHISPER":      (*instance).handlePeerMessage,
 	"ACK_FIRST":    func(*instance, *fields) {}, // streams are not used
 }
 
@@ -135,7 +135,7 @@
 	n.removeIfEnded(request)
 }
 
-func (n *instance) abandonRequest(f *fields) {
+func (n *instance) finishRequest(f *fields) {
 	request := n.requests[f.text("Job")]
 	if request == nil || f.err != nil {
 		return
@@ -156,17 +156,17 @@
 func (n *instance) endAttempt(f *fields) {
 	attempt := n.attempt(f)
 	outcome := f.outcome()
-	took := f.integerOrZero("TimeTaken")
+	duration := f.integerOrZero("TimeTaken")
 	requestEnded := f.integerOrZero("Ended") != 0
 	if attempt == nil || !attempt.InFlight || f.err != nil {
 		return
 	}
-	attempt.FreeSlots = f.reported(n.loadReportKeys.FreeSlots)
-	n.module.AttemptEnded(attempt, outcome, took, requestEnded)
+	attempt.FreeSlots = f.loadReportValue(n.loadReportKeys.FreeSlots)
+	n.module.AttemptEnded(attempt, outcome, duration, requestEnded)
 	n.removeIfEnded(attempt.Request)
 }
 
-func (n *instance) noteProgress(f *fields) {
+func (n *instance) reportProgress(f *fields) {
 	attempt, topic := n.attempt(f), f.integer("Topic")
 	if attempt == nil || !attempt.InFlight || f.err != nil {
 		return
@@ -191,10 +191,10 @@
 func (n *instance) reportCapacity(f *fields) {
 	server := n.servers[f.text("Executor")]
 	reported := f.text("Status") == "delivered"
-	freeSlots := f.reported(n.loadReportKeys.FreeSlots)
+	freeSlots := f.loadReportValue(n.loadReportKeys.FreeSlots)
 	freeMemory := math.MaxFloat64
 	if n.loadReportKeys.FreeMemory != "" {
-		freeMemory = f.reported(n.loadReportKeys.FreeMemory)
+		freeMemory = f.loadReportValue(n.loadReportKeys.FreeMemory)
 	}
 	if server == nil || f.err != nil {
 		return
@@ -205,9 +205,9 @@
 	n.module.CapacityReported(server, reported, freeSlots, freeMemory)
 }
 
-// hearPeer takes another node's word of slots that it reserved. Malformed messages, and servers that this node's own list has not
+// handlePeerMessage takes another node's word of slots that it reserved. Malformed messages, and servers that this node's own list has not
 // named, are ignored.
-func (n *instance) hearPeer(f *fields) {
+func (n *instance) handlePeerMessage(f *fields) {
 	message, err := base64.StdEncoding.DecodeString(f.text("Content"))
 	if err != nil || len(message) != peerMessageBytes {
 		return
--- a/internal/simwire/session.go
+++ b/internal/simwire/session.go
@@ -52,17 +52,17 @@
 
 // session is one conversation with the simulator.
 type session struct {
-	in         *bufio.Reader
-	out        *bufio.Writer
-	lineNumber int
-	inRound    bool
-	now        int64 // nanoseconds
-	batch      string
-	instances  map[string]*instance
-	current    *instance
-	touched    []*instance     // addressed in this round
-	writing    *instance       // whose actions are being written
-	update     *endpointUpdate // whose entries are being read; nil: none
+	in             *bufio.Reader
+	out            *bufio.Writer
+	lineNumber     int
+	roundOpen      bool
+	now            int64 // nanoseconds
+	batch          string
+	instances      map[string]*instance
+	current        *instance
+	roundInstances []*instance     // addressed in this round
+	replyInstance  *instance       // whose actions are being written
+	update         *endpointUpdate // whose entries are being read; nil: none
 }
 
 // endpointUpdate gathers the entries of one UPDATE.
@@ -76,7 +76,7 @@
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
-	if s.inRound {
+	if s.roundOpen {
 		return fmt.Errorf("line %d: %w", s.lineNumber, errInputEndsInRound)
 	}
 	return nil
@@ -93,24 +93,24 @@
 	case "ROUND":
 		return s.beginRound(f)
 	case "COMMIT":
-		if !s.inRound {
+		if !s.roundOpen {
 			return errCommitOutside
 		}
 		return s.commit()
 	case "ON":
 		return s.selectInstance(f)
 	}
-	if s.current == nil || !s.inRound {
+	if s.current == nil || !s.roundOpen {
 		return fmt.Errorf("%s with no instance selected", name)
 	}
 	return s.current.handleMessage(name, f)
 }
 
 func (s *session) beginRound(f *fields) error {
-	if s.inRound {
+	if s.roundOpen {
 		return errRoundInRound
 	}
-	s.inRound = true
+	s.roundOpen = true
 	s.current = nil
 	s.now = f.integer("Now")
 	s.batch = f.text("batch")
@@ -122,7 +122,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	if !s.inRound {
+	if !s.roundOpen {
 		return errInstanceOutside
 	}
 	selected := s.instances[name]
@@ -131,24 +131,24 @@
 		s.instances[name] = selected
 	}
 	s.current = selected
-	if !selected.touched {
-		selected.touched = true
-		s.touched = append(s.touched, selected)
+	if !selected.inRound {
+		selected.inRound = true
+		s.roundInstances = append(s.roundInstances, selected)
 	}
 	return nil
 }
 
 // commit ends a round: the instances that were addressed in it act, and the reply is sent.
 func (s *session) commit() error {
-	for _, touched := range s.touched {
-		touched.touched = false
-		if touched.module != nil && !touched.crashed {
-			touched.step(touched.module.ProcessQueue)
+	for _, member := range s.roundInstances {
+		member.inRound = false
+		if member.module != nil && !member.crashed {
+			member.step(member.module.ProcessQueue)
 		}
 	}
-	s.touched = s.touched[:0]
-	s.writing = nil
-	s.inRound = false
+	s.roundInstances = s.roundInstances[:0]
+	s.replyInstance = nil
+	s.roundOpen = false
 	s.write("YIELD\tbatch=", s.batch, "\n")
 	return s.out.Flush()
 }
