--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -13,53 +13,54 @@
 	"fernrail/dispatch"
 )
 
-// maxTimeoutOverstatement is by how much the timeout in an attempt's header may exceed what is left
-// when its first byte is sent. The platform allows 0.15 s; the rest is for the write.
+// maxTimeoutOverstatement bounds by how much the timeout in an attempt's header may exceed the remaining
+// time when the first byte is sent. The platform allows 150 ms; the difference is for the write.
 const maxTimeoutOverstatement = 100 * time.Millisecond
 
-// Attempt is one sending of a request to a server.
+// Attempt is one attempt to have a request processed by a server.
 type Attempt struct {
 	Address      string
 	Request      *Request
-	Deadline     time.Time   // when the node stops waiting, by the monotonic clock
-	Gate         SendGate    // nil: the first byte may always be sent
-	timeoutSetAt time.Time   // when Deadline was last written into header as a timeout
+	Deadline     time.Time   // when the node stops waiting; compared by the monotonic clock
+	Gate         SendGate    // nil: the first byte is always admitted
+	timeoutSetAt time.Time   // when the timeout in header was last set
 	header       http.Header // of the request to the server
 }
 
 // SendGate admits the first byte of an attempt.
 type SendGate interface {
-	// MaySend is asked at the moment at which the first byte would be sent, and again if the
-	// attempt changes to another connection.
+	// MaySend reports whether the first byte may be sent. It is called immediately before that, and
+	// again if the attempt moves to another connection.
 	MaySend() bool
 	// Sent is called when the first byte has been sent.
 	Sent()
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Outcome   dispatch.Outcome
-	Result    string  // of a job that succeeded
-	FreeSlots float64 // that the server reported with it; 0: none, or not reported
-	Cause     error   // why there is no complete response; nil: there is one
+	Result    string  // result of a job that succeeded
+	FreeSlots float64 // free slots that the server reported with the result; 0: none or not reported
+	Cause     error   // why there is no complete response; nil: the response is complete
 }
 
-// IsRejection says whether the head of a server's response proves that the job was never run.
+// IsRejection reports whether the header of a server's response proves that the job was never run.
 func IsRejection(r *http.Response) bool {
 	unavailable := r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout
 	return unavailable && r.Header.Get(headerRejected) == "1"
 }
 
-// Encode gives the HTTP request to the server.
+// Encode returns the HTTP request to the server.
 func (a *Attempt) Encode() *http.Request {
 	a.header = a.Request.Header.Clone()
 	a.SetTimeout(time.Now())
 	if a.header["User-Agent"] == nil {
-		a.header["User-Agent"] = nil // net/http would add its own
+		a.header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	return &http.Request{
-		Method:        http.MethodPost,
-		URL:           &url.URL{Scheme: "http", Host: a.Address, Opaque: a.Request.Target}, // forwarded byte for byte
+		Method: http.MethodPost,
+		// Opaque forwards the target byte for byte.
+		URL:           &url.URL{Scheme: "http", Host: a.Address, Opaque: a.Request.Target},
 		Host:          a.Address,
 		ProtoMajor:    1,
 		ProtoMinor:    1,
@@ -69,24 +70,24 @@
 	}
 }
 
-// SetTimeout writes how long the node will wait into the header of the encoded request, as of now.
-// It is called before the request is written: a timeout from before the connection came up, or
-// before the process stood still, is longer than what is left, and the server would work on for
-// nobody.
+// SetTimeout sets the timeout in the header of the encoded request to the time from now until Deadline.
+// It is called before the request is written. A timeout that was set before the connection was
+// established, or before the process was stopped, exceeds the remaining time, and the server would
+// continue to work after the node has stopped waiting.
 func (a *Attempt) SetTimeout(now time.Time) {
 	a.timeoutSetAt = now
 	remaining := max(a.Deadline.Sub(now).Milliseconds(), 1)
 	a.header.Set(headerTimeout, strconv.FormatInt(remaining, 10))
 }
 
-// TimeoutOverstated says whether too much time has passed since SetTimeout for the request to be
-// sent as it is.
+// TimeoutOverstated reports whether so much time has passed since SetTimeout that the request must not
+// be sent with the timeout that was set.
 func (a *Attempt) TimeoutOverstated(now time.Time) bool {
 	return !a.timeoutSetAt.IsZero() && now.Sub(a.timeoutSetAt) > maxTimeoutOverstatement
 }
 
-// singleUseBody hides that a body could be read again. http.Transport sends a request a second time
-// by itself if it can rewind the body or sees that there is none, and a job might run twice.
+// singleUseBody hides from http.Transport that a body can be read again or is empty. In both cases the
+// transport may resend a request on its own, and a job might run twice.
 type singleUseBody struct{ io.Reader }
 
 func (singleUseBody) Close() error { return nil }
--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -16,37 +16,37 @@
 	"fernrail/dispatch"
 )
 
-// ErrNoNews says that discovery worked on a poll and had nothing to tell. It must not be polled
-// again at once. Nobody worked on a poll that got no response, or one that can't be read.
-var ErrNoNews = errors.New("nothing told")
+// ErrNoNews means that discovery processed a poll and had no update. It must not be polled again
+// immediately. A poll that got no response, or an unreadable one, does not count as processed.
+var ErrNoNews = errors.New("discovery has no update")
 
-// MaxEndpointListBytes bounds an endpoint list; some thousands of servers fit.
+// MaxEndpointListBytes is the maximum size of an encoded endpoint list. Several thousand servers fit.
 const MaxEndpointListBytes = 4 << 20
 
 const (
-	// entriesPerYield is how many entries are decoded until other goroutines may run. A process
-	// with a small share of a core takes hundreds of milliseconds for a list of thousands, and all
-	// that arrived meanwhile would wait for its end.
+	// entriesPerYield is the number of entries that are decoded before other goroutines may run. A
+	// process that has only a fraction of a core takes hundreds of milliseconds to decode thousands of
+	// entries, and all requests that arrive in the meantime would wait.
 	entriesPerYield = 64
-	// maxStartedMillis is beyond any start of a server, as Unix time, and far from overflow in
-	// nanoseconds.
+	// maxStartedMillis bounds the start time of a server, as Unix time in ms. It is later than any real
+	// start time, and does not overflow when converted to nanoseconds.
 	maxStartedMillis = 1 << 43
 )
 
-// EndpointList is the complete list of servers, or what changed in it.
+// EndpointList is the complete list of servers, or the changes to it.
 type EndpointList struct {
 	Version   int64
 	Complete  bool
 	Endpoints []Endpoint
 }
 
-// Endpoint is a server as discovery lists it.
+// Endpoint is an entry of an endpoint list.
 type Endpoint struct {
 	ID, Address             string
 	State                   dispatch.EndpointState
-	Zone, MachineType, Cell int     // Zone and MachineType are indexes of Names; -1: not among them
+	Zone, MachineType, Cell int     // Zone and MachineType are indexes into Names; -1: unknown name
 	Started                 int64   // Unix time, ns; 0: long ago
-	Capacity                float64 // what a unit is stands in the settings
+	Capacity                float64 // the settings define the unit
 }
 
 var endpointStates = map[string]dispatch.EndpointState{
@@ -55,7 +55,7 @@
 	"Gone":        dispatch.Removed,
 }
 
-// discoveryEntry is one server as discovery writes it.
+// discoveryEntry is one server as discovery encodes it.
 type discoveryEntry struct {
 	ID            string   `json:"id"`
 	Address       string   `json:"addr"`
@@ -67,8 +67,8 @@
 	StartedMillis int64    `json:"started_ms"`
 }
 
-// DecodeEndpointList decodes a list. An error in one entry fails all of it: a part of a list would
-// hide servers that drain.
+// DecodeEndpointList decodes an endpoint list. An error in one entry fails the complete list, because a
+// partial list would hide servers that are draining.
 func DecodeEndpointList(text []byte, names *Names) (*EndpointList, error) {
 	d := listDecoder{in: json.NewDecoder(bytes.NewReader(text)), names: names}
 	if err := d.decode(); err != nil {
@@ -80,7 +80,7 @@
 	return &EndpointList{Version: *d.version, Complete: *d.complete, Endpoints: d.endpoints}, nil
 }
 
-// listDecoder decodes a list key by key, so that it can let other goroutines run in between.
+// listDecoder decodes a list token by token, so that other goroutines can run in between.
 type listDecoder struct {
 	in         *json.Decoder
 	names      *Names
@@ -90,7 +90,7 @@
 	endpoints  []Endpoint
 }
 
-// decode decodes the one object that the text has to be.
+// decode decodes the text, which must be a single JSON object.
 func (d *listDecoder) decode() error {
 	if err := d.expect('{'); err != nil {
 		return err
@@ -104,12 +104,12 @@
 		return err
 	}
 	if _, err := d.in.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("something follows the list")
+		return errors.New("unexpected data after the endpoint list")
 	}
 	return nil
 }
 
-// decodeField decodes one key with its value; unknown ones are skipped.
+// decodeField decodes one key with its value. Unknown keys are skipped.
 func (d *listDecoder) decodeField() error {
 	key, err := d.in.Token()
 	if err != nil {
@@ -156,12 +156,12 @@
 		return err
 	}
 	if got != want {
-		return fmt.Errorf("%v in place of %v", got, want)
+		return fmt.Errorf("endpoint list: got token %v, want %v", got, want)
 	}
 	return nil
 }
 
-// endpoint checks an entry and gives its typed form.
+// endpoint validates an entry and returns its typed form.
 func (e *discoveryEntry) endpoint(names *Names) (Endpoint, error) {
 	capacity := 1.0
 	if e.Capacity != nil {
--- a/internal/protocol/load_report.go
+++ b/internal/protocol/load_report.go
@@ -10,26 +10,27 @@
 	"strings"
 )
 
-// MaxLoadReportBytes bounds a load report.
+// MaxLoadReportBytes is the maximum size of an encoded load report.
 const MaxLoadReportBytes = 4 << 10
 
-// maxSlots is more than any machine has; a report of more is not used.
+// maxSlots bounds the slots of a server. It is more than any machine has; larger values are invalid.
 const maxSlots = 1 << 16
 
-// LoadReportKeys are the names of the values that a load report gives; empty: it does not.
+// LoadReportKeys are the keys of the values in a load report. An empty key means that the report does
+// not include the value.
 type LoadReportKeys struct {
 	FreeSlots, FreeMemory string
 }
 
-// LoadReport is a server's free capacity in answer to a probe.
+// LoadReport is the free capacity of a server, as reported in response to a probe.
 type LoadReport struct {
 	FreeSlots  float64
-	FreeMemory float64 // memory units; math.MaxFloat64 where it is not reported
+	FreeMemory float64 // memory units; math.MaxFloat64: not reported
 }
 
-// DecodeLoadReport decodes a load report, either a JSON object or name=value pairs. A report that
-// lacks a value which keys names, or gives an absurd one, is an error: it must not look like free
-// capacity.
+// DecodeLoadReport decodes a load report, which is a JSON object or a list of name=value pairs. It
+// returns an error if a value named by keys is missing or out of range, because such a value must not
+// count as free capacity.
 func DecodeLoadReport(text []byte, keys LoadReportKeys) (LoadReport, error) {
 	values := map[string]float64{}
 	if err := json.Unmarshal(text, &values); err != nil {
@@ -53,7 +54,7 @@
 	return report, nil
 }
 
-// parsePairs parses name=value pairs, separated by commas. What is not a number is left out.
+// parsePairs parses name=value pairs, separated by commas. Values that are not numbers are skipped.
 func parsePairs(text string) map[string]float64 {
 	values := map[string]float64{}
 	for pair := range strings.SplitSeq(text, ",") {
@@ -65,8 +66,8 @@
 	return values
 }
 
-// reportedCapacity gives a value of a load report. Reports are noisy: a little less than nothing is
-// nothing.
+// reportedCapacity returns a value of a load report. A negative value counts as 0, because reports are
+// noisy and may be slightly below 0.
 func reportedCapacity(values map[string]float64, key string) (float64, error) {
 	value, reported := values[key]
 	if !reported || !(value > -maxSlots && value < maxSlots) {
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package protocol is the edge between the wire and the code. Requests, responses, job updates,
-// load reports and endpoint lists are decoded once into small typed values, and encoded here alone.
-// The names on the wire appear in no other package.
+// Package protocol encodes and decodes the wire formats of requests, responses, job updates, load reports
+// and endpoint lists. Each message is decoded once into a small typed value. No other package uses the
+// names on the wire.
 package protocol
 
 import (
@@ -18,13 +18,13 @@
 	"fernrail/dispatch"
 )
 
-// MaxBodyBytes bounds a body in either direction.
+// MaxBodyBytes is the maximum size of the body of a request and of the result of a job.
 const MaxBodyBytes = 64 << 10
 
 const (
 	maxRequestIDBytes = 256
-	// maxRequestTimeout is beyond any deadline. Much longer ones would overflow when counted in
-	// nanoseconds.
+	// maxRequestTimeout is longer than any real timeout. Much longer values would overflow when
+	// converted to nanoseconds.
 	maxRequestTimeout         = time.Hour
 	maxRequestSlots           = 1e6
 	maxRequestMemory          = 1e6 // memory units
@@ -36,25 +36,26 @@
 // Request is a client's request, read completely.
 type Request struct {
 	ID           string
-	Target       string // path and query, forwarded as they came
+	Target       string // path and query, forwarded unchanged
 	Class        int
 	Tenant       int
 	Timeout      time.Duration
 	Slots        float64
-	Memory       float64     // units; 0: not given
+	Memory       float64     // memory units; 0: not given
 	AffinityKey  uint64      // below 2^53; requests with equal keys use the same data; 0: not given
 	ExpectedWork int64       // ns of work; 0: not given
-	Header       http.Header // what is forwarded to the server
+	Header       http.Header // headers that are forwarded to the server
 	Body         []byte
-	ClientClosed func() bool // looks whether the client has closed; nil: that is not known
+	ClientClosed func() bool // reports whether the client has closed; nil: unknown
 }
 
-// HasClientClosed says whether the client of a request is known to have closed.
+// HasClientClosed reports whether the client is known to have closed its connection.
 func (q *Request) HasClientClosed() bool { return q.ClientClosed != nil && q.ClientClosed() }
 
-// RequestError says why a request was not accepted. Status and Text are the response to its client.
+// RequestError is the reason why a request was not accepted. Status and Text are the response to the
+// client.
 type RequestError struct {
-	Status int // of HTTP
+	Status int // HTTP status code
 	Text   string
 }
 
@@ -64,9 +65,9 @@
 	return &RequestError{Status: http.StatusBadRequest, Text: text}
 }
 
-// DecodeRequest decodes a client's request. chunksAlone says that the head of a chunked request
-// gave no length as well, which net/http drops unseen. The error is typed, so that each one has a
-// response; nil: there is none.
+// DecodeRequest decodes a request of a client. onlyChunked means that the header of a chunked request
+// had no Content-Length; the caller must check this, because net/http removes the Content-Length of a
+// chunked request. The error is typed so that each one has a response; it is nil on success.
 func DecodeRequest(r *http.Request, names *Names, onlyChunked bool) (*Request, *RequestError) {
 	if err := checkRequestHead(r, onlyChunked); err != nil {
 		return nil, err
@@ -102,7 +103,7 @@
 	return q, nil
 }
 
-// checkRequestHead checks what concerns any request, whatever it asks for.
+// checkRequestHead makes the checks that are independent of the class of the request.
 func checkRequestHead(r *http.Request, onlyChunked bool) *RequestError {
 	switch {
 	case r.Method != http.MethodPost:
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// decodeClass takes the class, which the header and the first part of the path name alike.
+// decodeClass decodes the class. The header and the first segment of the path must name the same class.
 func (q *Request) decodeClass(r *http.Request, names *Names) *RequestError {
 	pathClass, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class := r.Header.Get(headerClass)
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// decodeTenant takes the tenant; a node without tenants counts all requests for tenant 0.
+// decodeTenant decodes the tenant. A node without tenants assigns all requests to tenant 0.
 func (q *Request) decodeTenant(header http.Header, names *Names) *RequestError {
 	if len(names.Tenants) == 0 {
 		return nil
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// decodeInfo takes slots and memory; names that are not known are skipped.
+// decodeInfo decodes slots and memory. Unknown names are skipped.
 func (q *Request) decodeInfo(header http.Header) *RequestError {
 	for pair := range strings.SplitSeq(header.Get(headerRequestInfo), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -180,7 +181,8 @@
 	return nil
 }
 
-// affinityKey comes from the query alone, so that it is the same at every node; 0: there is none.
+// affinityKey returns the affinity key of a request, or 0 if it has none. The key depends only on the
+// query, so that all nodes derive the same key.
 func affinityKey(r *http.Request) uint64 {
 	name := r.URL.Query().Get(queryAffinityKey)
 	if name == "" {
--- a/internal/protocol/request_headers.go
+++ b/internal/protocol/request_headers.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// hopByHopHeaders concern one connection alone and are not forwarded.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -22,8 +22,8 @@
 	"Content-Length",
 }
 
-// forwardedHeader gives the headers that go on to the server. Unknown ones do, too: a server could
-// not recognize a repeat if a header such as Idempotency-Key stayed behind.
+// forwardedHeader returns the headers that are forwarded to the server. Unknown headers are forwarded,
+// too: without a header such as Idempotency-Key a server could not recognize a repeated request.
 func forwardedHeader(header http.Header) http.Header {
 	forwarded := header.Clone()
 	for _, value := range header["Connection"] {
@@ -37,9 +37,9 @@
 	return forwarded
 }
 
-// hasUnambiguousLength says whether a request gives the end of its body in one way alone: by a
-// length, or in chunks over HTTP/1.1. Where two ways disagree, a second request may hide in the
-// difference (request smuggling), and HTTP/1.0 has no chunks.
+// hasUnambiguousLength reports whether a request delimits its body in exactly one way: by a length, or by
+// chunks over HTTP/1.1. If two ways disagree, a second request may be hidden in the difference (request
+// smuggling). HTTP/1.0 has no chunks.
 func hasUnambiguousLength(r *http.Request, onlyChunked bool) bool {
 	if !r.ProtoAtLeast(1, 1) {
 		return false
@@ -50,9 +50,9 @@
 	return r.ContentLength >= 0 && r.Header["Content-Length"] != nil
 }
 
-// isPlainText says whether what is forwarded is text that any server can read, with each of the
-// protocol's headers given once. A server closes a connection on what it can't read, and what was
-// sent on it before would be lost.
+// isPlainText reports whether the target and the headers are text that any server can parse, and whether
+// each header of the protocol occurs only once. A server closes a connection on which it receives an
+// unreadable request, and earlier requests on that connection would be lost.
 func isPlainText(r *http.Request) bool {
 	for name, values := range r.Header {
 		if strings.HasPrefix(name, "X-") && len(values) > 1 {
@@ -68,8 +68,7 @@
 	return isPath && isPrintable(r.RequestURI, '!') && isPrintable(r.Header.Get(headerRequestID), '!')
 }
 
-// isPrintable says whether a text has only tabs and ASCII characters from the given first one to
-// the last printable one.
+// isPrintable reports whether a text consists only of tabs and printable ASCII characters from first on.
 func isPrintable(text string, first rune) bool {
 	return !strings.ContainsFunc(text, func(c rune) bool { return c < first && c != '\t' || c > '~' })
 }
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -12,9 +12,9 @@
 // Response is the final response to a client.
 type Response struct {
 	Status       int
-	RetryAfter   time.Duration // advice; 0: none
+	RetryAfter   time.Duration // delay that the client is advised to wait before a retry; 0: none
 	Body         string
-	ClientClosed bool // the client has closed, or at least its sending side: it may not read this
+	ClientClosed bool // the client has closed at least its sending side and may not read the response
 }
 
 // Write sends the response.
--- a/internal/protocol/timing.go
+++ b/internal/protocol/timing.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// A node counts as notified of a change of the endpoint list within NotificationDeadline after
-// discovery had the change and could be reached, whatever failed before. At that moment a poll may
-// be out that will bring nothing. All that may pass until the next one's response is derived here.
+// The platform treats a node as notified of a change of the endpoint list at the latest
+// NotificationDeadline after discovery has the change and is reachable, regardless of earlier failures.
+// A poll that is in flight when discovery becomes reachable may still fail. The other intervals are
+// derived from the deadline so that the response to the next poll arrives in time.
 const (
-	// NotificationDeadline is set by the platform's pages.
+	// NotificationDeadline is defined by the documentation of the platform.
 	NotificationDeadline = 6 * time.Second
-	// WatchWait is how long a poll lets discovery wait for a change.
+	// WatchWait is how long discovery may wait for a change before it responds to a poll.
 	WatchWait = NotificationDeadline / 2
-	// WatchSilence is how much longer the response to a poll is waited for.
+	// WatchSilence is how long the node waits for the response to a poll beyond WatchWait.
 	WatchSilence = NotificationDeadline / 6
-	// PollRetryInterval is from the start of a failed poll to that of the next; the rest of the
-	// deadline is for its response.
+	// PollRetryInterval is the time from the start of a failed poll to the start of the next one. The
+	// rest of the deadline is for the response to the next poll.
 	PollRetryInterval = NotificationDeadline - 2*WatchSilence/4
 )
--- a/internal/protocol/wire_names.go
+++ b/internal/protocol/wire_names.go
@@ -2,8 +2,7 @@
 
 package protocol
 
-// Names on the wire, with what the code calls them. The JSON keys stand as tags of the structs that
-// decode them.
+// Names on the wire. JSON keys are in the tags of the structs that decode them.
 const (
 	headerRequestID    = "X-Call-Id"
 	headerClass        = "X-Call-Class"
@@ -20,7 +19,8 @@
 	queryAffinityKey = "obj"
 )
 
-// Names lists the names that the wire uses. A name's index is that of the decision module's settings.
+// Names lists the configured names that occur on the wire. The index of a name is its index in the
+// settings of the decision module.
 type Names struct {
 	Zones, MachineTypes, Classes, Tenants []string
 }
