--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -177,9 +177,9 @@
 	case addressErr != nil && state != dispatch.Removed:
 		return Endpoint{}, fmt.Errorf("addr %q is not host:port", e.Address)
 	case !(capacity >= 0 && capacity < maxSlots):
-		return Endpoint{}, fmt.Errorf("weight %v is no size", capacity)
+		return Endpoint{}, fmt.Errorf("weight %v is not at least 0 and below %d", capacity, maxSlots)
 	case e.StartedMillis < 0 || e.StartedMillis > maxStartedMillis:
-		return Endpoint{}, fmt.Errorf("started_ms %d is no time", e.StartedMillis)
+		return Endpoint{}, fmt.Errorf("started_ms %d is not between 0 and %d", e.StartedMillis, maxStartedMillis)
 	}
 	return Endpoint{
 		ID:          e.ID,
--- a/internal/protocol/job_updates.go
+++ b/internal/protocol/job_updates.go
@@ -93,7 +93,7 @@
 	}
 	// A result of another job must never be forwarded as the result of this job.
 	if message.ID != r.id {
-		return JobUpdate{}, fmt.Errorf("a line about %.40q instead", message.ID)
+		return JobUpdate{}, fmt.Errorf("job update is about job %.40q, want %.40q", message.ID, r.id)
 	}
 	state, known := jobStates[message.State]
 	if !known {
