--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -11,7 +11,7 @@
 	"fernrail/dispatch"
 )
 
-// writeAction writes one action; fields are names and values in turn.
+// writeAction writes one action of the instance to the reply. fields alternates names and values.
 func (n *instance) writeAction(verb string, fields ...string) {
 	if n.session.replyInstance != n {
 		n.session.replyInstance = n
@@ -26,9 +26,10 @@
 
 func formatInteger(value int64) string { return strconv.FormatInt(value, 10) }
 
-// StartAttempt implements dispatch.Actions, as do the methods after it.
+// StartAttempt implements dispatch.Actions.
 func (n *instance) StartAttempt(attempt *dispatch.Attempt) {
-	n.writeAction("TRY", "Job", attempt.Request.Tag, "Executor", attempt.Server.Tag, "Limit", formatInteger(attempt.Timeout))
+	n.writeAction("TRY", "Job", attempt.Request.Tag, "Executor", attempt.Server.Tag,
+		"Limit", formatInteger(attempt.Timeout))
 }
 
 // CancelAttempt implements dispatch.Actions.
@@ -62,7 +63,8 @@
 	n.writeAction("SOUND_OUT", "Executor", server.Tag)
 }
 
-// NotifyPeers sends what was reserved in peerMessageBytes: slots, and the server's hash.
+// NotifyPeers implements dispatch.Actions: it sends the number of reserved slots and the server's hash to
+// all other nodes, in a message of peerMessageBytes.
 func (n *instance) NotifyPeers(server *dispatch.Server, slots float64) {
 	message := []byte{byte(min(max(slots, 0), math.MaxUint8))}
 	message = binary.BigEndian.AppendUint32(message, uint32(server.Hash))
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -10,10 +10,11 @@
 	"fernrail/dispatch"
 )
 
-// fields reads the name=value parts of one line. The first fault is kept in err; later reads give zero.
+// fields reads the name=value fields of one line. The first error is stored in err; later reads return
+// zero values.
 type fields struct {
-	message string
-	rest    string
+	message string // name of the message, for errors
+	rest    string // the line after the name, with fields separated by tabs
 	err     error
 }
 
@@ -23,7 +24,7 @@
 	}
 }
 
-// find returns a field's value; lines are short, so each call scans the line.
+// find returns the value of a field. Lines are short, so each call scans the line.
 func (f *fields) find(name string) (string, bool) {
 	rest := f.rest
 	for rest != "" {
@@ -57,7 +58,7 @@
 	return x
 }
 
-// integerOrZero reads a whole number; 0 where the field is absent.
+// integerOrZero returns the value of an integer field, or 0 if the field is absent.
 func (f *fields) integerOrZero(name string) int64 {
 	if v, found := f.find(name); found {
 		return f.parseInteger(name, v)
@@ -78,7 +79,7 @@
 	return x
 }
 
-// loadReportValue is a value of the load report, where there is one.
+// loadReportValue returns a value of the load report, or 0 if there is no report or no such value.
 func (f *fields) loadReportValue(name string) float64 {
 	report, found := f.find("ServerStats")
 	if name == "" || !found {
@@ -90,7 +91,8 @@
 			if err != nil {
 				f.fail("field ServerStats: %s: %q is not a number of slots", key, v)
 			}
-			// Reports are noisy: none free may be reported as a little less than none, and an absurd value reports nothing.
+			// Reports are noisy: without free capacity the value may be slightly negative. Values out of
+			// range count as 0.
 			if x >= 0 && x < maxReportedSlots {
 				return x
 			}
@@ -100,10 +102,10 @@
 	return 0
 }
 
-// maxReportedSlots bounds a plausible number of free slots.
+// maxReportedSlots is the exclusive upper bound of a valid value in a load report.
 const maxReportedSlots = 1 << 16
 
-// outcomes are the outcomes of attempts by the simulator's words.
+// outcomes maps the values of the Status field to the outcomes of attempts.
 var outcomes = map[string]dispatch.Outcome{
 	"delivered": dispatch.Succeeded, "app_error": dispatch.Failed, "shed": dispatch.Rejected,
 	"expired": dispatch.TimedOut, "dial_failed": dispatch.ConnectFailed, "dropped": dispatch.ConnectionLost,
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -13,7 +13,7 @@
 	"fernrail/internal/protocol"
 )
 
-// instance is one dispatcher with its tables. It implements dispatch.Actions.
+// instance is one dispatcher with its lookup tables. It implements dispatch.Actions.
 type instance struct {
 	name           string
 	session        *session
@@ -21,15 +21,15 @@
 	settings       *dispatch.Settings
 	loadReportKeys protocol.LoadReportKeys
 	servers        map[string]*dispatch.Server
-	serversByHash  map[uint32]*dispatch.Server // the same, as nodes name them to one another
+	serversByHash  map[uint32]*dispatch.Server // the same servers, by the hash in messages between nodes
 	requests       map[string]*dispatch.Request
 	timers         map[int64]func()
-	lastToken      int64 // of a timer
-	inRound        bool  // addressed in this round
+	lastToken      int64 // token of the latest timer
+	inRound        bool  // part of session.roundInstances
 	crashed        bool
 }
 
-// handleMessage hands a message to the instance; one that has crashed ignores everything.
+// handleMessage runs the handler of a message. An instance that has crashed ignores all messages.
 func (n *instance) handleMessage(name string, f *fields) error {
 	if n.crashed {
 		return nil
@@ -45,7 +45,8 @@
 	return f.err
 }
 
-// step runs a step of the dispatcher at the time of the round. A panic is reported for this instance alone.
+// step runs a step of the dispatcher at the time of the round. A panic is reported as a CRASH action and
+// stops only this instance.
 func (n *instance) step(run func()) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -83,7 +84,7 @@
 	n.timers = nil
 }
 
-// removeIfEnded drops a request once it is answered and no attempt of it is in flight.
+// removeIfEnded deletes a request that has its final response and no attempt in flight.
 func (n *instance) removeIfEnded(request *dispatch.Request) {
 	if !request.Done {
 		return
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -10,7 +10,7 @@
 	"fernrail/dispatch"
 )
 
-// messageHandlers hand each message's fields to the dispatcher.
+// messageHandlers maps the name of each message to its handler.
 var messageHandlers = map[string]func(n *instance, f *fields){
 	"NEW_INSTANCE": (*instance).start,
 	"KILL":         (*instance).kill,
@@ -23,16 +23,17 @@
 	"WAKE":         (*instance).fireTimer,
 	"PROBED":       (*instance).reportCapacity,
 	"WHISPER":      (*instance).handlePeerMessage,
-	"ACK_FIRST":    func(*instance, *fields) {}, // streams are not used
+	"ACK_FIRST":    func(*instance, *fields) {}, // the adapter uses no streams
 }
 
-// The topics of a progress note.
+// The values of the Topic field of HINT_UPDATE.
 const (
 	topicStarted  = 1
 	topicProgress = 2
 )
 
-// peerMessageBytes is the length of a message between nodes: slots, and the server's hash.
+// peerMessageBytes is the length of a message between nodes: one byte for the slots and four bytes for
+// the server's hash.
 const peerMessageBytes = 5
 
 func (n *instance) beginUpdate(f *fields) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// addEndpoint adds one entry to the update that is being read, and applies the update after the last one.
+// addEndpoint adds one entry to the current update, and applies the update after its last entry.
 func (n *instance) addEndpoint(f *fields) {
 	update := n.session.update
 	if update == nil {
@@ -88,7 +89,7 @@
 	}
 }
 
-// server returns the server of a name, which is made if it is new.
+// server returns the server with the given name. It creates a server for an unknown name.
 func (n *instance) server(tag string) *dispatch.Server {
 	server := n.servers[tag]
 	if server == nil {
@@ -144,7 +145,7 @@
 	n.removeIfEnded(request)
 }
 
-// attempt returns the attempt that a message is about; nil: it is not known any more.
+// attempt returns the attempt that a message refers to, or nil if it is unknown or already removed.
 func (n *instance) attempt(f *fields) *dispatch.Attempt {
 	request, number := n.requests[f.text("Job")], f.integer("Trial")
 	if request == nil || f.err != nil || number < 0 || number >= int64(len(request.Attempts)) {
@@ -187,7 +188,8 @@
 	}
 }
 
-// reportCapacity hands on what a server said of its capacity: none, where the probe failed or its report lacks the value.
+// reportCapacity passes the free capacity of a server to the dispatcher. The free slots are 0 if the probe
+// failed or the report lacks the value.
 func (n *instance) reportCapacity(f *fields) {
 	server := n.servers[f.text("Executor")]
 	reported := f.text("Status") == "delivered"
@@ -205,8 +207,8 @@
 	n.module.CapacityReported(server, reported, freeSlots, freeMemory)
 }
 
-// handlePeerMessage takes another node's word of slots that it reserved. Malformed messages, and servers that this node's own list has not
-// named, are ignored.
+// handlePeerMessage handles a message from another node about slots that it reserved. Malformed messages
+// and messages about servers that are not in this node's list are ignored.
 func (n *instance) handlePeerMessage(f *fields) {
 	message, err := base64.StdEncoding.DecodeString(f.text("Content"))
 	if err != nil || len(message) != peerMessageBytes {
--- a/internal/simwire/session.go
+++ b/internal/simwire/session.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package simwire speaks the simulator's text protocol for any number of instances of the decision package: batches of lines in,
-// actions out. It owns ids, the tables from ids to objects, and timer tokens; it decides nothing.
+// Package simwire implements the text protocol of the simulator for any number of instances of the
+// decision package: it reads batches of lines and writes actions. It maps ids to objects and allocates
+// timer tokens; it makes no decisions.
 package simwire
 
 import (
@@ -14,7 +15,7 @@
 	"fernrail/dispatch"
 )
 
-// Sizes of the buffers, in bytes; a batch of a large fleet is long.
+// Sizes of the buffers, in bytes. A batch of a large fleet is long.
 const (
 	inputBufferBytes  = 1 << 20
 	outputBufferBytes = 1 << 16
@@ -27,7 +28,8 @@
 	errInstanceOutside  = errors.New("ON outside a round")
 )
 
-// Serve answers batches until the input ends. A line that cannot be read is an error that names its number.
+// Serve responds to batches until the input ends. It returns an error with the line number for a line
+// that can't be decoded.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &session{
 		in:        bufio.NewReaderSize(in, inputBufferBytes),
@@ -50,24 +52,24 @@
 	}
 }
 
-// session is one conversation with the simulator.
+// session is the state of one connection to the simulator.
 type session struct {
 	in             *bufio.Reader
 	out            *bufio.Writer
 	lineNumber     int
 	roundOpen      bool
-	now            int64 // nanoseconds
+	now            int64 // time of the round, ns
 	batch          string
 	instances      map[string]*instance
 	current        *instance
-	roundInstances []*instance     // addressed in this round
-	replyInstance  *instance       // whose actions are being written
-	update         *endpointUpdate // whose entries are being read; nil: none
+	roundInstances []*instance     // instances selected in this round, in the order of selection
+	replyInstance  *instance       // instance of the last action in the reply; nil: none
+	update         *endpointUpdate // update with missing entries; nil: none
 }
 
-// endpointUpdate gathers the entries of one UPDATE.
+// endpointUpdate collects the entries of one UPDATE message.
 type endpointUpdate struct {
-	remaining int
+	remaining int // number of entries that are still to be read
 	mode      string
 	endpoints []dispatch.Endpoint
 }
@@ -82,12 +84,12 @@
 	return nil
 }
 
-// handleLine handles one line: a message to the session, or one to the current instance.
+// handleLine handles one line, which is a message to the session or to the current instance.
 func (s *session) handleLine(text string) error {
 	name, rest, _ := strings.Cut(text, "\t")
 	f := &fields{rest: rest, message: name}
 	if s.update != nil && name != "ITEM" {
-		return fmt.Errorf("%s where %d more list entries are due", name, s.update.remaining)
+		return fmt.Errorf("%s where %d more list entries are expected", name, s.update.remaining)
 	}
 	switch name {
 	case "ROUND":
@@ -138,7 +140,8 @@
 	return nil
 }
 
-// commit ends a round: the instances that were addressed in it act, and the reply is sent.
+// commit ends a round: the instances that were selected in it process their queues, and the reply is
+// sent.
 func (s *session) commit() error {
 	for _, member := range s.roundInstances {
 		member.inRound = false
@@ -153,7 +156,8 @@
 	return s.out.Flush()
 }
 
-// write appends texts to the reply. A bufio.Writer keeps its first error, and the Flush in commit returns it.
+// write appends texts to the reply. A bufio.Writer stores its first error, and the Flush in commit
+// returns it.
 func (s *session) write(texts ...string) {
 	for _, text := range texts {
 		_, _ = s.out.WriteString(text)
