--- a/internal/simwire/session_test.go
+++ b/internal/simwire/session_test.go
@@ -134,6 +134,6 @@
 		t.Fatal(err)
 	}
 	if !n.crashed || !strings.HasPrefix(out.String(), "AT\tWho=node/1\nCRASH\tText=index out") {
-		t.Fatal(out.String())
+		t.Fatalf("got output %q and crashed=%t, want a CRASH action", out.String(), n.crashed)
 	}
 }
