--- a/internal/routing/discovery_outage_test.go
+++ b/internal/routing/discovery_outage_test.go
@@ -20,7 +20,7 @@
 
 // silentSource tells versions at their times, and is silent for a span.
 type silentSource struct {
-	answersAfterSilence            bool         // calls that are out in the silence are answered when it is over
+	releasesPolls                  bool         // calls that are out in the silence are answered when it is over
 	lostPollStart                  atomic.Int64 // when the last call began that is never answered, ns from zero
 	start, silentFrom, silentUntil time.Time
 	updates                        map[int64]*protocol.EndpointList // by version
@@ -28,21 +28,21 @@
 	failure                        error                            // what it answers while down; nil: nothing
 }
 
-func (a *silentSource) Poll(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
+func (s *silentSource) Poll(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
 	silent, start := false, time.Now()
 	for {
 		now := time.Now()
-		down := now.After(a.silentFrom) && now.Before(a.silentUntil)
-		if down && a.failure != nil {
-			return nil, a.failure
+		down := now.After(s.silentFrom) && now.Before(s.silentUntil)
+		if down && s.failure != nil {
+			return nil, s.failure
 		}
-		if silent = silent || down && !a.answersAfterSilence; silent {
-			a.lostPollStart.Store(int64(start.Sub(a.start)))
+		if silent = silent || down && !s.releasesPolls; silent {
+			s.lostPollStart.Store(int64(start.Sub(s.start)))
 		}
-		if l := a.updates[since+1]; !silent && !down && l != nil && now.Sub(a.start) >= a.availableAt[since+1] {
-			return l, nil
+		if list := s.updates[since+1]; !silent && !down && list != nil && now.Sub(s.start) >= s.availableAt[since+1] {
+			return list, nil
 		}
 		select {
 		case <-time.After(10 * time.Millisecond):
@@ -59,22 +59,22 @@
 func TestUpdateDuringBackoff(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
-			chance := rand.New(rand.NewPCG(seed, 1))
-			span := func(most time.Duration) time.Duration { return time.Duration(chance.Int64N(int64(most))) }
-			c, now := &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Now()
-			a := &silentSource{
-				answersAfterSilence: chance.IntN(2) == 0,
-				start:               now,
-				silentFrom:          now.Add(span(3 * time.Second)),
-				availableAt:         map[int64]time.Duration{},
+			random := rand.New(rand.NewPCG(seed, 1))
+			duration := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
+			forwarder, start := &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Now()
+			source := &silentSource{
+				releasesPolls: random.IntN(2) == 0,
+				start:         start,
+				silentFrom:    start.Add(duration(3 * time.Second)),
+				availableAt:   map[int64]time.Duration{},
 			}
-			if chance.IntN(3) == 0 {
-				a.failure = errors.New("refused")
+			if random.IntN(3) == 0 {
+				source.failure = errors.New("refused")
 			}
-			a.silentUntil = a.silentFrom.Add(4500*time.Millisecond + span(12*time.Second))
-			told := a.silentUntil.Add(span(2 * time.Second))
-			a.availableAt[1], a.availableAt[2] = 0, told.Sub(now)
-			a.updates = map[int64]*protocol.EndpointList{1: versionedList(1, completeList("a", "b").Endpoints...),
+			source.silentUntil = source.silentFrom.Add(4500*time.Millisecond + duration(12*time.Second))
+			notifiedAt := source.silentUntil.Add(duration(2 * time.Second))
+			source.availableAt[1], source.availableAt[2] = 0, notifiedAt.Sub(start)
+			source.updates = map[int64]*protocol.EndpointList{1: versionedList(1, completeList("a", "b").Endpoints...),
 				2: {Version: 2, Endpoints: []protocol.Endpoint{testEndpoint("b", dispatch.Draining)}}}
 			settings := testSettings()
 			settings.DrainGrace, settings.MaxPollInterval = 2e9, int64(protocol.PollRetryInterval)
@@ -82,31 +82,31 @@
 				Settings:         settings,
 				Seed:             seed,
 				InitialEndpoints: completeList("a", "b"),
-				Forwarder:        c,
+				Forwarder:        forwarder,
 				ProbeTimeout:     time.Second,
-				EndpointSource:   a,
+				EndpointSource:   source,
 				Log:              zerolog.Nop(),
 			})
-			ctx, stop := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			go router.WatchEndpoints(ctx)
-			time.Sleep(time.Until(told))
-			if late := now.Add(time.Duration(a.lostPollStart.Load()) + 5*time.Second); late.After(told) {
-				told = late
+			time.Sleep(time.Until(notifiedAt))
+			if lostUntil := start.Add(time.Duration(source.lostPollStart.Load()) + 5*time.Second); lostUntil.After(notifiedAt) {
+				notifiedAt = lostUntil
 			}
-			time.Sleep(time.Until(told.Add(2 * time.Second)))
+			time.Sleep(time.Until(notifiedAt.Add(2 * time.Second)))
 			synctest.Wait()
-			before := c.attemptCount()
+			sentBefore := forwarder.attemptCount()
 			for i := range 200 {
 				router.Serve(t.Context(), testRequest(fmt.Sprint(i), 0, time.Second))
 			}
-			for _, j := range c.attempts[before:] {
-				if j.Address == "b:7" {
+			for _, attempt := range forwarder.attempts[sentBefore:] {
+				if attempt.Address == "b:7" {
 					t.Errorf("seed %d: silent from %v to %v, told at %v, and sent to it after the grace",
-						seed, a.silentFrom.Sub(now), a.silentUntil.Sub(now), told.Sub(now))
+						seed, source.silentFrom.Sub(start), source.silentUntil.Sub(start), notifiedAt.Sub(start))
 					break
 				}
 			}
-			stop()
+			cancel()
 		})
 	}
 }
--- a/internal/routing/endpoint_watcher_test.go
+++ b/internal/routing/endpoint_watcher_test.go
@@ -19,9 +19,9 @@
 
 func TestEndpointUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: succeedAfter(time.Millisecond)}
+		forwarder := &fakeForwarder{script: succeedAfter(time.Millisecond)}
 		moved := protocol.Endpoint{ID: "b", Address: "elsewhere:7"}
-		l := &scriptedSource{answers: []any{
+		source := &scriptedSource{answers: []any{
 			versionedList(5, testEndpoint("a", dispatch.Up), testEndpoint("b", dispatch.Up)),
 			&protocol.EndpointList{
 				Version:   6,
@@ -31,33 +31,33 @@
 			&protocol.EndpointList{Version: 3, Endpoints: []protocol.Endpoint{testEndpoint("a", dispatch.Up)}},
 			versionedList(2, moved),
 		}}
-		router := newTestRouter(c, l, completeList("old"))
-		ctx, stop := context.WithCancel(t.Context())
-		defer stop()
+		router := newTestRouter(forwarder, source, completeList("old"))
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
 		go router.WatchEndpoints(ctx)
 		time.Sleep(2 * time.Second) // the first call for news comes by chance within that
 		synctest.Wait()
 		for i := range 20 {
 			router.Serve(t.Context(), testRequest(fmt.Sprint(i), 0, time.Second))
 		}
-		for _, j := range c.attempts {
-			if j.Address != "elsewhere:7" {
-				t.Errorf("sent to %s", j.Address)
+		for _, attempt := range forwarder.attempts {
+			if attempt.Address != "elsewhere:7" {
+				t.Errorf("sent to %s", attempt.Address)
 			}
 		}
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		if got := strings.Join(l.polls, ", "); got != "0 false, 5 false, 6 false, 6 false, 6 true, 2 false" {
+		if got := strings.Join(source.polls, ", "); got != "0 false, 5 false, 6 false, 6 false, 6 true, 2 false" {
 			t.Error(got)
 		}
 		// A discovery that fails is not polled without a pause.
-		if pause := l.polledAt[3].Sub(l.polledAt[2]); pause < 200*time.Millisecond || pause > time.Second {
+		if pause := source.polledAt[3].Sub(source.polledAt[2]); pause < 200*time.Millisecond || pause > time.Second {
 			t.Error(pause)
 		}
 		if len(router.endpoints) != 1 || router.endpoints["b"] == nil {
 			t.Error(router.endpoints)
 		}
-		stop()
+		cancel()
 	})
 }
 
@@ -66,21 +66,21 @@
 // What is told whole when asked for counts, whatever its version.
 func TestInvalidEndpointListsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		old := versionedList(3, completeList("gone").Endpoints...)
-		stale := &protocol.EndpointList{Version: 7, Endpoints: completeList("a").Endpoints}
-		l := &scriptedSource{answers: []any{
+		regressed := versionedList(3, completeList("gone").Endpoints...)
+		regressedChanges := &protocol.EndpointList{Version: 7, Endpoints: completeList("a").Endpoints}
+		source := &scriptedSource{answers: []any{
 			versionedList(7, completeList("a").Endpoints...),
-			old,
+			regressed,
 			errors.New("half a list"),
-			old,
-			old,
+			regressed,
+			regressed,
 		}}
 		for range 100 {
-			l.answers = append(l.answers, &protocol.EndpointList{Version: 3, Endpoints: completeList("gone").Endpoints})
+			source.answers = append(source.answers, &protocol.EndpointList{Version: 3, Endpoints: completeList("gone").Endpoints})
 		}
-		l.answers = append(l.answers, stale)
-		router := newTestRouter(&fakeForwarder{}, l, &protocol.EndpointList{})
-		ctx, stop := context.WithCancel(t.Context())
+		source.answers = append(source.answers, regressedChanges)
+		router := newTestRouter(&fakeForwarder{}, source, &protocol.EndpointList{})
+		ctx, cancel := context.WithCancel(t.Context())
 		go router.WatchEndpoints(ctx)
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
@@ -88,14 +88,14 @@
 			t.Error("an old list was taken unasked")
 		}
 		time.Sleep(5 * time.Second)
-		stop()
+		cancel()
 		synctest.Wait()
-		got := strings.Join(l.polls[:5], ", ")
+		got := strings.Join(source.polls[:5], ", ")
 		if got != "0 true, 7 false, 7 true, 7 true, 3 false" || !router.IsListed("gone") {
 			t.Error(got)
 		}
-		if len(l.polls) > 105 {
-			t.Errorf("asked %d times in five seconds", len(l.polls))
+		if len(source.polls) > 105 {
+			t.Errorf("asked %d times in five seconds", len(source.polls))
 		}
 	})
 }
@@ -104,21 +104,21 @@
 // the complete one only if it has none. Discovery could not answer many nodes that start together
 // and all fetch complete lists.
 func TestKnownListIsWatched(t *testing.T) {
-	for _, c := range []struct {
-		known *protocol.EndpointList
-		want  string
+	for _, test := range []struct {
+		initial *protocol.EndpointList
+		want    string
 	}{{versionedList(41, completeList("a").Endpoints...), "41 false"}, {&protocol.EndpointList{}, "0 true"}} {
 		synctest.Test(t, func(t *testing.T) {
-			l := &scriptedSource{}
-			router := newTestRouter(&fakeForwarder{}, l, c.known)
-			ctx, stop := context.WithCancel(t.Context())
+			source := &scriptedSource{}
+			router := newTestRouter(&fakeForwarder{}, source, test.initial)
+			ctx, cancel := context.WithCancel(t.Context())
 			go router.WatchEndpoints(ctx)
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
-			if got := strings.Join(l.polls, ", "); got != c.want {
-				t.Errorf("asked %s, want %s", got, c.want)
+			if got := strings.Join(source.polls, ", "); got != test.want {
+				t.Errorf("asked %s, want %s", got, test.want)
 			}
-			stop()
+			cancel()
 		})
 	}
 }
@@ -133,28 +133,28 @@
 
 func checkPollSpacing(t *testing.T, answer any) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &scriptedSource{answers: []any{completeList("a")}}
+		source := &scriptedSource{answers: []any{completeList("a")}}
 		for range 50 {
-			l.answers = append(l.answers, answer)
+			source.answers = append(source.answers, answer)
 		}
-		hasty := testSettings()
-		hasty.MaxPollInterval = 0
+		settings := testSettings()
+		settings.MaxPollInterval = 0
 		router := New(Config{
-			Settings:         hasty,
+			Settings:         settings,
 			Seed:             1,
 			InitialEndpoints: &protocol.EndpointList{},
 			Forwarder:        &fakeForwarder{},
 			ProbeTimeout:     time.Second,
-			EndpointSource:   l,
+			EndpointSource:   source,
 			Log:              zerolog.Nop(),
 		})
-		ctx, stop := context.WithCancel(t.Context())
+		ctx, cancel := context.WithCancel(t.Context())
 		go router.WatchEndpoints(ctx)
 		time.Sleep(time.Second + time.Millisecond)
-		stop()
+		cancel()
 		synctest.Wait()
-		if len(l.polls) > 22 || len(l.polls) < 20 {
-			t.Errorf("asked %d times in a second", len(l.polls))
+		if len(source.polls) > 22 || len(source.polls) < 20 {
+			t.Errorf("asked %d times in a second", len(source.polls))
 		}
 	})
 }
@@ -164,25 +164,25 @@
 // the same.
 func TestEndpointSourceIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		old := &scriptedSource{answers: []any{versionedList(50, completeList("a", "b").Endpoints...)}}
-		down := &scriptedSource{answers: []any{errors.New("refused")}}
-		fresh := &scriptedSource{answers: []any{versionedList(3, completeList("b", "c").Endpoints...)}}
-		router := newTestRouter(&fakeForwarder{script: succeedAfter(time.Millisecond)}, old, completeList("a"))
-		ctx, stop := context.WithCancel(t.Context())
+		oldSource := &scriptedSource{answers: []any{versionedList(50, completeList("a", "b").Endpoints...)}}
+		downSource := &scriptedSource{answers: []any{errors.New("refused")}}
+		newSource := &scriptedSource{answers: []any{versionedList(3, completeList("b", "c").Endpoints...)}}
+		router := newTestRouter(&fakeForwarder{script: succeedAfter(time.Millisecond)}, oldSource, completeList("a"))
+		ctx, cancel := context.WithCancel(t.Context())
 		go router.WatchEndpoints(ctx)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		kept := router.endpoints["b"].server
-		for _, l := range []*scriptedSource{down, fresh} {
+		serverBefore := router.endpoints["b"].server
+		for _, source := range []*scriptedSource{downSource, newSource} {
 			router.SetEndpointSource(&scriptedSource{}) // the last one counts
-			router.SetEndpointSource(l)
+			router.SetEndpointSource(source)
 			synctest.Wait()
 		}
-		got := fmt.Sprint(old.polls, down.polls, fresh.polls)
+		got := fmt.Sprint(oldSource.polls, downSource.polls, newSource.polls)
 		wantPolls := "[0 false 50 false] [0 true] [0 true 3 false]"
-		if got != wantPolls || len(router.endpoints) != 2 || router.endpoints["b"].server != kept {
+		if got != wantPolls || len(router.endpoints) != 2 || router.endpoints["b"].server != serverBefore {
 			t.Error(got, router.endpoints)
 		}
-		stop()
+		cancel()
 	})
 }
--- a/internal/routing/event_loop_test.go
+++ b/internal/routing/event_loop_test.go
@@ -30,19 +30,19 @@
 			EndpointSource:   &scriptedSource{},
 			Log:              zerolog.New(&log),
 		})
-		broken := *router.settings
-		broken.Classes = []*dispatch.Class{nil}
-		whole := router.settings
-		router.settings = &broken
-		if a := router.Serve(t.Context(), testRequest("j", 0, time.Second)); a == nil || a.Status != 500 {
-			t.Errorf("%+v", a)
+		brokenSettings := *router.settings
+		brokenSettings.Classes = []*dispatch.Class{nil}
+		validSettings := router.settings
+		router.settings = &brokenSettings
+		if response := router.Serve(t.Context(), testRequest("j", 0, time.Second)); response == nil || response.Status != 500 {
+			t.Errorf("%+v", response)
 		}
 		if !strings.Contains(log.String(), "requests.go") {
 			t.Error(log.String())
 		}
-		router.settings = whole
-		if a := router.Serve(t.Context(), testRequest("k", 0, time.Second)); a == nil || a.Status != 200 {
-			t.Errorf("%+v", a)
+		router.settings = validSettings
+		if response := router.Serve(t.Context(), testRequest("k", 0, time.Second)); response == nil || response.Status != 200 {
+			t.Errorf("%+v", response)
 		}
 	})
 }
@@ -54,13 +54,13 @@
 // TestPanicInAnAttempt: what a fault on the way to a server leaves open may have run.
 func TestPanicInAnAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: panickingScript}
-		router := newTestRouter(c, &scriptedSource{}, completeList("a"))
+		forwarder := &fakeForwarder{script: panickingScript}
+		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a"))
 		start := time.Now()
-		a := router.Serve(t.Context(), testRequest("j", 1, time.Second))
+		response := router.Serve(t.Context(), testRequest("j", 1, time.Second))
 		took := time.Since(start)
-		if a == nil || a.Status != 500 || c.attemptCount() != 1 || took > 100*time.Millisecond {
-			t.Errorf("%+v after %d attempts and %s", a, c.attemptCount(), took)
+		if response == nil || response.Status != 500 || forwarder.attemptCount() != 1 || took > 100*time.Millisecond {
+			t.Errorf("%+v after %d attempts and %s", response, forwarder.attemptCount(), took)
 		}
 	})
 }
--- a/internal/routing/exclusions_test.go
+++ b/internal/routing/exclusions_test.go
@@ -18,26 +18,26 @@
 // as discovery has it now.
 func TestExcludedServerGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
-		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
-		asked := 0
-		to := func(address string) (count int) {
-			c.attempts = nil
-			var all sync.WaitGroup
+		forwarder := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
+		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b"))
+		requestCount := 0
+		sentTo := func(address string) (count int) {
+			forwarder.attempts = nil
+			var clients sync.WaitGroup
 			for range 8 { // at once, so that every server is needed
-				asked++
-				q := testRequest(fmt.Sprint(asked), 0, time.Second)
-				all.Go(func() { router.Serve(t.Context(), q) })
+				requestCount++
+				request := testRequest(fmt.Sprint(requestCount), 0, time.Second)
+				clients.Go(func() { router.Serve(t.Context(), request) })
 			}
-			all.Wait()
-			for _, j := range c.attempts {
-				if j.Address == address {
+			clients.Wait()
+			for _, attempt := range forwarder.attempts {
+				if attempt.Address == address {
 					count++
 				}
 			}
 			return count
 		}
-		if to("a:7") == 0 {
+		if sentTo("a:7") == 0 {
 			t.Fatal("not in use before")
 		}
 		router.SetExcluded([]string{"a", "never"})
@@ -45,18 +45,18 @@
 			t.Errorf("%d known, %d excluded", known, excluded)
 		}
 		restarted := protocol.Endpoint{ID: "a", Address: "elsewhere:7", Started: time.Now().UnixNano()}
-		for name, l := range map[string]*protocol.EndpointList{
+		for name, list := range map[string]*protocol.EndpointList{
 			"nothing": {}, "whole": completeList("a", "b"), "change": changedList(testEndpoint("a", dispatch.Up)),
 			"away": completeList("b"), "back": completeList("a", "b"), "restarted": changedList(restarted),
 		} {
-			applyList(router, l)
-			if got := to("a:7") + to("elsewhere:7"); got > 0 {
+			applyList(router, list)
+			if got := sentTo("a:7") + sentTo("elsewhere:7"); got > 0 {
 				t.Errorf("%s: %d went to a excluded server", name, got)
 			}
 		}
 		applyList(router, changedList(restarted))
 		router.SetExcluded(nil)
-		if to("elsewhere:7") == 0 {
+		if sentTo("elsewhere:7") == 0 {
 			t.Error("not in use after")
 		}
 		if applyList(router, completeList("b")); !router.WasListed("a") || router.WasListed("never") {
@@ -64,7 +64,7 @@
 		}
 		router.SetExcluded([]string{"b"})
 		applyList(router, changedList(testEndpoint("b", dispatch.Draining)))
-		if router.SetExcluded(nil); to("b:7") > 0 {
+		if router.SetExcluded(nil); sentTo("b:7") > 0 {
 			t.Error("one that drains by discovery's word is in use")
 		}
 	})
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -17,7 +17,7 @@
 
 // attemptScript plays a server: it runs the nth attempt, reports its updates, and gives outcome and result.
 type attemptScript func(
-	ctx context.Context, nth int, attempt *protocol.Attempt, update func(protocol.JobUpdate),
+	ctx context.Context, number int, attempt *protocol.Attempt, update func(protocol.JobUpdate),
 ) (dispatch.Outcome, string)
 
 // fakeForwarder stands in for the servers: a script says what comes of each attempt. Time is that
@@ -30,35 +30,35 @@
 	script          attemptScript
 }
 
-func (c *fakeForwarder) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
-	ended func(protocol.AttemptResult)) {
-	c.mu.Lock()
-	c.attempts = append(c.attempts, job)
-	n := len(c.attempts)
-	c.mu.Unlock()
-	o, result := c.script(ctx, n, job, heard)
-	ended(protocol.AttemptResult{Outcome: o, Result: result})
+func (f *fakeForwarder) Forward(ctx context.Context, attempt *protocol.Attempt, update func(protocol.JobUpdate),
+	end func(protocol.AttemptResult)) {
+	f.mu.Lock()
+	f.attempts = append(f.attempts, attempt)
+	number := len(f.attempts)
+	f.mu.Unlock()
+	outcome, result := f.script(ctx, number, attempt, update)
+	end(protocol.AttemptResult{Outcome: outcome, Result: result})
 }
 
 // Probe is answered by load, after its delay.
-func (c *fakeForwarder) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
-	c.mu.Lock()
-	c.probedAddresses = append(c.probedAddresses, address)
-	c.mu.Unlock()
-	return c.loadReport(ctx, address)
+func (f *fakeForwarder) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
+	f.mu.Lock()
+	f.probedAddresses = append(f.probedAddresses, address)
+	f.mu.Unlock()
+	return f.loadReport(ctx, address)
 }
 
-func (c *fakeForwarder) attemptCount() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.attempts)
+func (f *fakeForwarder) attemptCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.attempts)
 }
 
 // finishAfter runs a job for a time; an attempt given up ends as it would on sockets.
-func finishAfter(ctx context.Context, span time.Duration, o dispatch.Outcome) (dispatch.Outcome, string) {
+func finishAfter(ctx context.Context, duration time.Duration, outcome dispatch.Outcome) (dispatch.Outcome, string) {
 	select {
-	case <-time.After(span):
-		return o, "r"
+	case <-time.After(duration):
+		return outcome, "r"
 	case <-ctx.Done():
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -68,12 +68,12 @@
 }
 
 // succeedAfter starts each attempt at once and succeeds after a time.
-func succeedAfter(span time.Duration) attemptScript {
+func succeedAfter(duration time.Duration) attemptScript {
 	return func(
 		ctx context.Context, _ int, _ *protocol.Attempt, update func(protocol.JobUpdate),
 	) (dispatch.Outcome, string) {
 		update(protocol.JobUpdate{State: protocol.Started})
-		return finishAfter(ctx, span, dispatch.Succeeded)
+		return finishAfter(ctx, duration, dispatch.Succeeded)
 	}
 }
 
@@ -84,18 +84,18 @@
 	polledAt []time.Time
 }
 
-func (l *scriptedSource) Poll(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
-	l.polls, l.polledAt = append(l.polls, fmt.Sprint(since, whole)), append(l.polledAt, time.Now())
-	if len(l.answers) == 0 {
+func (s *scriptedSource) Poll(ctx context.Context, since int64, complete bool) (*protocol.EndpointList, error) {
+	s.polls, s.polledAt = append(s.polls, fmt.Sprint(since, complete)), append(s.polledAt, time.Now())
+	if len(s.answers) == 0 {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	a := l.answers[0]
-	l.answers = l.answers[1:]
-	if err, isFault := a.(error); isFault {
+	answer := s.answers[0]
+	s.answers = s.answers[1:]
+	if err, isError := answer.(error); isError {
 		return nil, err
 	}
-	return a.(*protocol.EndpointList), nil
+	return answer.(*protocol.EndpointList), nil
 }
 
 // testSettings has an idempotent class, 0, and a non-idempotent one, 1.
@@ -138,23 +138,23 @@
 }
 
 func completeList(ids ...string) *protocol.EndpointList {
-	l := &protocol.EndpointList{Complete: true}
+	list := &protocol.EndpointList{Complete: true}
 	for _, id := range ids {
-		l.Endpoints = append(l.Endpoints, testEndpoint(id, dispatch.Up))
+		list.Endpoints = append(list.Endpoints, testEndpoint(id, dispatch.Up))
 	}
-	return l
+	return list
 }
 
-func testRequest(id string, class int, budget time.Duration) *protocol.Request {
-	return &protocol.Request{ID: id, Class: class, Slots: 1, Timeout: budget}
+func testRequest(id string, class int, timeout time.Duration) *protocol.Request {
+	return &protocol.Request{ID: id, Class: class, Slots: 1, Timeout: timeout}
 }
 
 // newTestRouter starts a router with the settings of testSettings that logs nothing.
-func newTestRouter(forwarder Forwarder, source EndpointSource, known *protocol.EndpointList) *Router {
+func newTestRouter(forwarder Forwarder, source EndpointSource, initial *protocol.EndpointList) *Router {
 	return New(Config{
 		Settings:         testSettings(),
 		Seed:             1,
-		InitialEndpoints: known,
+		InitialEndpoints: initial,
 		Forwarder:        forwarder,
 		ProbeTimeout:     time.Second,
 		EndpointSource:   source,
--- a/internal/routing/late_connection_test.go
+++ b/internal/routing/late_connection_test.go
@@ -20,22 +20,22 @@
 // of the request goes there, it is proved not run, and another server has it.
 func TestLateConnection(t *testing.T) {
 	var mu sync.Mutex
-	arrived := map[string]int{}
+	requestCounts := map[string]int{}
 	server := func(name string) string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		httpServer := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
-			arrived[name]++
+			requestCounts[name]++
 			mu.Unlock()
 			id := r.Header.Get("X-Call-Id")
 			fmt.Fprintf(w, `{"id":%q,"from":%q,"state":"done","result":%q}`+"\n", id, name, name)
 		})}
-		go s.Serve(l)
-		t.Cleanup(func() { s.Close() })
-		return l.Addr().String()
+		go httpServer.Serve(listener)
+		t.Cleanup(func() { httpServer.Close() })
+		return listener.Addr().String()
 	}
 	a := protocol.Endpoint{ID: "a", Address: server("a")}
 	b := protocol.Endpoint{ID: "b", Address: server("b")}
@@ -62,42 +62,42 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			stood := b
-			defer func() { b = stood }()
+			original := b
+			defer func() { b = original }()
 			mu.Lock()
-			arrived = map[string]int{}
+			requestCounts = map[string]int{}
 			mu.Unlock()
 			connections := transport.NewConnectionBudget(256)
-			x := transport.NewServerClient(connections, time.Minute, time.Minute, protocol.LoadReportKeys{}, func() {})
-			dialing, told := make(chan struct{}, 9), make(chan struct{})
-			x.SetDialGate(func(address string) bool {
-				if address == stood.Address {
+			client := transport.NewServerClient(connections, time.Minute, time.Minute, protocol.LoadReportKeys{}, func() {})
+			dialing, changed := make(chan struct{}, 9), make(chan struct{})
+			client.SetDialGate(func(address string) bool {
+				if address == original.Address {
 					dialing <- struct{}{}
-					<-told
+					<-changed
 				}
 				return true
 			})
-			router := newTestRouter(x, &scriptedSource{}, versionedList(0, b))
+			router := newTestRouter(client, &scriptedSource{}, versionedList(0, b))
 			for _, class := range []int{0, 1} {
-				answer := make(chan *protocol.Response, 1)
+				responses := make(chan *protocol.Response, 1)
 				go func() {
-					q := testRequest(fmt.Sprint(name, class), class, time.Minute)
-					q.Target, q.Header = "/j", http.Header{"X-Call-Id": {q.ID}}
-					answer <- router.Serve(context.Background(), q)
+					request := testRequest(fmt.Sprint(name, class), class, time.Minute)
+					request.Target, request.Header = "/j", http.Header{"X-Call-Id": {request.ID}}
+					responses <- router.Serve(context.Background(), request)
 				}()
 				if class == 0 {
 					<-dialing
 					change(router)
-					close(told)
+					close(changed)
 				}
-				if got := <-answer; got.Status != http.StatusOK || got.Body != "a" {
+				if got := <-responses; got.Status != http.StatusOK || got.Body != "a" {
 					t.Errorf("class %d: %+v", class, got)
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if arrived["a"] != 2 || arrived["b"] != 0 {
-				t.Errorf("what arrived: %v", arrived)
+			if requestCounts["a"] != 2 || requestCounts["b"] != 0 {
+				t.Errorf("what arrived: %v", requestCounts)
 			}
 		})
 	}
--- a/internal/routing/probes_test.go
+++ b/internal/routing/probes_test.go
@@ -18,10 +18,10 @@
 // ends, and one whose server has gone meanwhile harms nothing.
 func TestCapacityProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asking := testSettings()
-		asking.CapacityProbes = true
-		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
-		c.loadReport = func(ctx context.Context, address string) (protocol.LoadReport, error) {
+		settings := testSettings()
+		settings.CapacityProbes = true
+		forwarder := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
+		forwarder.loadReport = func(ctx context.Context, address string) (protocol.LoadReport, error) {
 			if address == "b:7" {
 				return protocol.LoadReport{FreeSlots: 2, FreeMemory: 1}, nil
 			}
@@ -29,25 +29,25 @@
 			return protocol.LoadReport{}, ctx.Err()
 		}
 		router := New(Config{
-			Settings:         asking,
+			Settings:         settings,
 			Seed:             1,
 			InitialEndpoints: completeList("a", "b", "c"),
-			Forwarder:        c,
+			Forwarder:        forwarder,
 			ProbeTimeout:     300 * time.Millisecond,
 			EndpointSource:   &scriptedSource{},
 			Log:              zerolog.Nop(),
 		})
-		a := router.Serve(t.Context(), testRequest("j", 0, 5*time.Second))
+		response := router.Serve(t.Context(), testRequest("j", 0, 5*time.Second))
 		synctest.Wait()
-		c.mu.Lock()
-		if a == nil || a.Status != 200 || c.attempts[0].Address != "b:7" || len(c.probedAddresses) != 3 {
-			t.Errorf("%+v %v", a, c.probedAddresses)
+		forwarder.mu.Lock()
+		if response == nil || response.Status != 200 || forwarder.attempts[0].Address != "b:7" || len(forwarder.probedAddresses) != 3 {
+			t.Errorf("%+v %v", response, forwarder.probedAddresses)
 		}
-		c.mu.Unlock()
+		forwarder.mu.Unlock()
 		applyList(router, versionedList(0, testEndpoint("b", dispatch.Up)))
 		time.Sleep(time.Second)
-		if a := router.Serve(t.Context(), testRequest("k", 0, 5*time.Second)); a == nil || a.Status != 200 {
-			t.Errorf("%+v", a)
+		if response := router.Serve(t.Context(), testRequest("k", 0, 5*time.Second)); response == nil || response.Status != 200 {
+			t.Errorf("%+v", response)
 		}
 	})
 }
--- a/internal/routing/requests_test.go
+++ b/internal/routing/requests_test.go
@@ -24,20 +24,20 @@
 func TestRequestIDIsReservedOnce(t *testing.T) {
 	for _, window := range []time.Duration{0, 1500 * time.Millisecond, 45 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			c, settings := &fakeForwarder{script: succeedAfter(15 * time.Second)}, testSettings()
+			forwarder, settings := &fakeForwarder{script: succeedAfter(15 * time.Second)}, testSettings()
 			settings.Classes[1].DedupWindow = int64(window)
 			router := New(Config{
 				Settings:         settings,
 				Seed:             1,
 				InitialEndpoints: completeList("a", "b"),
-				Forwarder:        c,
+				Forwarder:        forwarder,
 				ProbeTimeout:     time.Second,
 				EndpointSource:   &scriptedSource{},
 				Log:              zerolog.Nop(),
 			})
 			serve := func(id string, class int) int {
-				if a := router.Serve(t.Context(), testRequest(id, class, time.Minute)); a != nil {
-					return a.Status
+				if response := router.Serve(t.Context(), testRequest(id, class, time.Minute)); response != nil {
+					return response.Status
 				}
 				return 0
 			}
@@ -53,13 +53,13 @@
 			if got := <-first; got != http.StatusOK {
 				t.Errorf("window %s: the first got %d", window, got)
 			}
-			ends, lasts := time.Now(), cmp.Or(window, 10*time.Second)
-			for i := 0; time.Since(ends) < lasts-time.Millisecond; i++ {
+			endedAt, reserved := time.Now(), cmp.Or(window, 10*time.Second)
+			for i := 0; time.Since(endedAt) < reserved-time.Millisecond; i++ {
 				if got := serve("j", 1); got != http.StatusConflict {
-					t.Errorf("window %s: %d after %s", window, got, time.Since(ends))
+					t.Errorf("window %s: %d after %s", window, got, time.Since(endedAt))
 				}
 				go serve(fmt.Sprint(i), 0) // others come and go meanwhile, of a class whose window is not told
-				time.Sleep(min(time.Second, lasts-time.Millisecond-time.Since(ends)))
+				time.Sleep(min(time.Second, reserved-time.Millisecond-time.Since(endedAt)))
 			}
 			time.Sleep(2 * time.Millisecond)
 			if got := serve("j", 1); got != http.StatusOK {
@@ -69,8 +69,8 @@
 			serve("other", 0)
 			time.Sleep(2 * time.Minute)
 			serve("another", 0)
-			if kept := len(router.ids.current) + len(router.ids.previous); kept > 4 {
-				t.Errorf("window %s: %d ids are kept", window, kept)
+			if stored := len(router.ids.current) + len(router.ids.previous); stored > 4 {
+				t.Errorf("window %s: %d ids are kept", window, stored)
 			}
 		})
 	}
@@ -78,16 +78,16 @@
 
 func TestRequestSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
-		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
+		forwarder := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
+		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b"))
 		start := time.Now()
-		a := router.Serve(t.Context(), testRequest("j", 0, time.Second))
-		if a == nil || a.Status != 200 || a.Body != "r" {
-			t.Fatalf("%+v", a)
+		response := router.Serve(t.Context(), testRequest("j", 0, time.Second))
+		if response == nil || response.Status != 200 || response.Body != "r" {
+			t.Fatalf("%+v", response)
 		}
-		j := c.attempts[0]
-		if c.attemptCount() != 1 || !strings.HasSuffix(j.Address, ":7") || j.Deadline.Sub(start) != time.Second {
-			t.Errorf("%+v", j)
+		attempt := forwarder.attempts[0]
+		if forwarder.attemptCount() != 1 || !strings.HasSuffix(attempt.Address, ":7") || attempt.Deadline.Sub(start) != time.Second {
+			t.Errorf("%+v", attempt)
 		}
 		time.Sleep(time.Minute)
 		synctest.Wait()
@@ -101,13 +101,13 @@
 // decline only where nothing can have run.
 func TestUnfinishedRequestIsAnsweredBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: succeedAfter(time.Hour)}
-		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
+		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
+		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b"))
 		for class, status := range []int{503, 500} {
 			start := time.Now()
-			a := router.Serve(t.Context(), testRequest(fmt.Sprint(class), class, time.Second))
-			if a == nil || a.Status != status || time.Since(start) >= time.Second {
-				t.Errorf("class %d: %+v after %s", class, a, time.Since(start))
+			response := router.Serve(t.Context(), testRequest(fmt.Sprint(class), class, time.Second))
+			if response == nil || response.Status != status || time.Since(start) >= time.Second {
+				t.Errorf("class %d: %+v after %s", class, response, time.Since(start))
 			}
 		}
 		synctest.Wait()
@@ -122,22 +122,22 @@
 // harmless or sure.
 func TestClientCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: succeedAfter(time.Hour)}
-		router := newTestRouter(c, &scriptedSource{}, completeList("a"))
+		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
+		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a"))
 		for class, status := range []int{503, 500} {
-			ctx, leave := context.WithCancel(t.Context())
-			time.AfterFunc(100*time.Millisecond, leave)
-			a := router.Serve(ctx, testRequest(fmt.Sprint(class), class, 5*time.Second))
-			if a == nil || !a.ClientClosed || a.Status != status {
-				t.Errorf("%+v", a)
+			ctx, closeClient := context.WithCancel(t.Context())
+			time.AfterFunc(100*time.Millisecond, closeClient)
+			response := router.Serve(ctx, testRequest(fmt.Sprint(class), class, 5*time.Second))
+			if response == nil || !response.ClientClosed || response.Status != status {
+				t.Errorf("%+v", response)
 			}
-			a = router.Serve(ctx, testRequest(fmt.Sprint("late", class), class, 5*time.Second))
-			if a == nil || !a.ClientClosed || a.Status != 503 {
-				t.Errorf("%+v", a)
+			response = router.Serve(ctx, testRequest(fmt.Sprint("late", class), class, 5*time.Second))
+			if response == nil || !response.ClientClosed || response.Status != 503 {
+				t.Errorf("%+v", response)
 			}
 		}
-		if c.attemptCount() != 2 {
-			t.Errorf("%d attempts", c.attemptCount())
+		if forwarder.attemptCount() != 2 {
+			t.Errorf("%d attempts", forwarder.attemptCount())
 		}
 		synctest.Wait()
 		if len(router.requests)+len(router.cancelFuncs) > 0 {
@@ -152,14 +152,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
 		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b", "c"))
-		start, done := time.Now(), make(chan *protocol.Response, 2)
-		go func() { done <- router.Serve(t.Context(), testRequest("j", 1, time.Minute)) }()
+		start, responses := time.Now(), make(chan *protocol.Response, 2)
+		go func() { responses <- router.Serve(t.Context(), testRequest("j", 1, time.Minute)) }()
 		time.Sleep(100 * time.Millisecond)
 		router.Shutdown(time.Second)
-		go func() { done <- router.Serve(t.Context(), testRequest("k", 1, time.Minute)) }()
+		go func() { responses <- router.Serve(t.Context(), testRequest("k", 1, time.Minute)) }()
 		for range 2 {
-			if a := <-done; a == nil || time.Since(start) >= 1100*time.Millisecond {
-				t.Errorf("%+v after %s", a, time.Since(start))
+			if response := <-responses; response == nil || time.Since(start) >= 1100*time.Millisecond {
+				t.Errorf("%+v after %s", response, time.Since(start))
 			}
 		}
 	})
--- a/internal/routing/rules_fuzz_test.go
+++ b/internal/routing/rules_fuzz_test.go
@@ -30,121 +30,121 @@
 	})
 }
 
-func runRandomHistory(t *testing.T, r *rand.Rand) {
+func runRandomHistory(t *testing.T, source *rand.Rand) {
 	var mu sync.Mutex // round all below
-	dice := func(n int) int {
+	randomInt := func(n int) int {
 		mu.Lock()
 		defer mu.Unlock()
-		return r.IntN(n)
+		return source.IntN(n)
 	}
-	stopped, answered, mayRun := map[string]time.Time{}, map[string]bool{}, map[string]bool{}
-	c := &fakeForwarder{}
-	c.script = func(
-		ctx context.Context, _ int, job *protocol.Attempt, heard func(protocol.JobUpdate),
+	stoppedAt, answered, mayRun := map[string]time.Time{}, map[string]bool{}, map[string]bool{}
+	forwarder := &fakeForwarder{}
+	forwarder.script = func(
+		ctx context.Context, _ int, attempt *protocol.Attempt, update func(protocol.JobUpdate),
 	) (dispatch.Outcome, string) {
-		id := job.Request.ID
+		id := attempt.Request.ID
 		mu.Lock()
-		if at, is := stopped[job.Address]; is && time.Since(at) > 0 {
+		if stopTime, isStopped := stoppedAt[attempt.Address]; isStopped && time.Since(stopTime) > 0 {
 			t.Error("rule 3: attempt to a server that drains or is gone")
 		}
 		if answered[id] && ctx.Err() == nil {
 			t.Error("rule 1: attempt after the final answer")
 		}
-		if mayRun[id] && job.Request.Class == 1 {
+		if mayRun[id] && attempt.Request.Class == 1 {
 			t.Error("rule 2: a non-idempotent request goes again")
 		}
 		mayRun[id] = true
 		mu.Unlock()
-		if dice(3) > 0 {
-			heard(protocol.JobUpdate{State: protocol.Started})
+		if randomInt(3) > 0 {
+			update(protocol.JobUpdate{State: protocol.Started})
 		}
-		span := time.Duration(dice(1500)) * time.Millisecond
-		o, result := finishAfter(ctx, span, dispatch.Outcome(dice(int(dispatch.StaleConnection)+1)))
-		if o == dispatch.Rejected || o == dispatch.ConnectFailed || o == dispatch.NotSent {
+		duration := time.Duration(randomInt(1500)) * time.Millisecond
+		outcome, result := finishAfter(ctx, duration, dispatch.Outcome(randomInt(int(dispatch.StaleConnection)+1)))
+		if outcome == dispatch.Rejected || outcome == dispatch.ConnectFailed || outcome == dispatch.NotSent {
 			mu.Lock()
 			mayRun[id] = false
 			mu.Unlock()
 		}
-		return o, result
+		return outcome, result
 	}
 	ids := []string{"a", "b", "c", "d"}
 	states, excluded := map[string]dispatch.EndpointState{}, map[string]bool{}
-	mark := func() { // under mu
+	updateStopped := func() { // under mu
 		for _, id := range ids {
-			at := id + ":7"
+			address := id + ":7"
 			if states[id] == dispatch.Up && !excluded[id] {
-				delete(stopped, at)
-			} else if stopped[at].IsZero() {
-				stopped[at] = time.Now()
+				delete(stoppedAt, address)
+			} else if stoppedAt[address].IsZero() {
+				stoppedAt[address] = time.Now()
 			}
 		}
 	}
 	router := New(Config{
 		Settings:         testSettings(),
-		Seed:             r.Uint64(),
+		Seed:             source.Uint64(),
 		InitialEndpoints: completeList(ids...),
-		Forwarder:        c,
+		Forwarder:        forwarder,
 		ProbeTimeout:     time.Second,
 		EndpointSource:   &scriptedSource{},
 		Log:              zerolog.Nop(),
 	})
-	var lives sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 60 {
-		time.Sleep(time.Duration(dice(100)) * time.Millisecond)
-		if dice(5) == 0 {
-			e, whole := testEndpoint(ids[dice(len(ids))], dispatch.EndpointState(dice(3))), dice(2) == 0
-			e.Started = time.Now().UnixNano() * int64(dice(2)) // it may have restarted
+		time.Sleep(time.Duration(randomInt(100)) * time.Millisecond)
+		if randomInt(5) == 0 {
+			endpoint, complete := testEndpoint(ids[randomInt(len(ids))], dispatch.EndpointState(randomInt(3))), randomInt(2) == 0
+			endpoint.Started = time.Now().UnixNano() * int64(randomInt(2)) // it may have restarted
 			router.event(func() {
 				mu.Lock()
 				defer mu.Unlock()
-				states[e.ID] = e.State
-				mark()
-				l := &protocol.EndpointList{Complete: whole, Endpoints: []protocol.Endpoint{e}}
-				if whole {
-					l.Endpoints = nil
+				states[endpoint.ID] = endpoint.State
+				updateStopped()
+				list := &protocol.EndpointList{Complete: complete, Endpoints: []protocol.Endpoint{endpoint}}
+				if complete {
+					list.Endpoints = nil
 					for _, id := range ids {
 						if states[id] != dispatch.Removed {
-							l.Endpoints = append(l.Endpoints, testEndpoint(id, states[id]))
+							list.Endpoints = append(list.Endpoints, testEndpoint(id, states[id]))
 						}
 					}
 				}
-				router.applyEndpoints(l)
+				router.applyEndpoints(list)
 			})
 		}
-		if dice(6) == 0 {
+		if randomInt(6) == 0 {
 			mu.Lock()
-			id := ids[r.IntN(len(ids))]
+			id := ids[source.IntN(len(ids))]
 			if excluded[id] = !excluded[id]; !excluded[id] {
 				delete(excluded, id)
 			}
-			mark()
-			now := slices.Sorted(maps.Keys(excluded))
+			updateStopped()
+			excludedIDs := slices.Sorted(maps.Keys(excluded))
 			mu.Unlock()
-			router.SetExcluded(now)
+			router.SetExcluded(excludedIDs)
 		}
-		id, class, budget := fmt.Sprint(i), dice(2), time.Duration(dice(3000)+20)*time.Millisecond
-		ctx, leave := context.WithCancel(t.Context())
-		if dice(8) == 0 {
-			time.AfterFunc(time.Duration(dice(800))*time.Millisecond, leave)
+		id, class, timeout := fmt.Sprint(i), randomInt(2), time.Duration(randomInt(3000)+20)*time.Millisecond
+		ctx, closeClient := context.WithCancel(t.Context())
+		if randomInt(8) == 0 {
+			time.AfterFunc(time.Duration(randomInt(800))*time.Millisecond, closeClient)
 		}
-		lives.Go(func() {
-			defer leave()
+		clients.Go(func() {
+			defer closeClient()
 			start := time.Now()
-			a := router.Serve(ctx, testRequest(id, class, budget))
+			response := router.Serve(ctx, testRequest(id, class, timeout))
 			mu.Lock()
 			defer mu.Unlock()
-			if answered[id] = true; a == nil && ctx.Err() == nil {
+			if answered[id] = true; response == nil && ctx.Err() == nil {
 				t.Error("rule 1: no answer")
 			}
-			if time.Since(start) > budget {
+			if time.Since(start) > timeout {
 				t.Error("rule 1: answered late")
 			}
-			if a != nil && a.Status == 503 && class == 1 && mayRun[id] {
+			if response != nil && response.Status == 503 && class == 1 && mayRun[id] {
 				t.Error("rule 2: declined though it may have run")
 			}
 		})
 	}
-	lives.Wait()
+	clients.Wait()
 	time.Sleep(time.Minute)
 	synctest.Wait()
 	if len(router.requests)+len(router.cancelFuncs) > 0 {
--- a/internal/routing/scheduling_delay_test.go
+++ b/internal/routing/scheduling_delay_test.go
@@ -15,34 +15,34 @@
 // next to none.
 func TestSchedulingDelay(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	m := newDelayMonitor()
-	if m.Delay() != 0 {
+	monitor := newDelayMonitor()
+	if monitor.Delay() != 0 {
 		t.Error("there is a lag before it is measured")
 	}
-	go m.run(t.Context(), zerolog.Nop())
+	go monitor.run(t.Context(), zerolog.Nop())
 	time.Sleep(3 * delaySampleInterval)
-	hold := func(span time.Duration) {
-		for start := time.Now(); time.Since(start) < span; {
+	spin := func(duration time.Duration) {
+		for start := time.Now(); time.Since(start) < duration; {
 		}
 	}
-	const held = 400 * time.Millisecond
-	end := make(chan int64)
+	const busyTime = 400 * time.Millisecond
+	delays := make(chan int64)
 	for range 8 { // ready work that takes its time together
 		go func() {
-			hold(held / 8)
-			end <- m.Delay()
+			spin(busyTime / 8)
+			delays <- monitor.Delay()
 		}()
 	}
-	most := int64(0)
+	maxDelay := int64(0)
 	for range 8 {
-		most = max(most, <-end)
+		maxDelay = max(maxDelay, <-delays)
 	}
-	if most < int64(held)/8 { // each gets its turn for some 10 ms
-		t.Errorf("lag %v while work waited for %v", time.Duration(most), held)
+	if maxDelay < int64(busyTime)/8 { // each gets its turn for some 10 ms
+		t.Errorf("lag %v while work waited for %v", time.Duration(maxDelay), busyTime)
 	}
-	for start := time.Now(); m.Delay() > int64(held)/4; time.Sleep(delaySampleInterval) {
+	for start := time.Now(); monitor.Delay() > int64(busyTime)/4; time.Sleep(delaySampleInterval) {
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("lag %v long after that", time.Duration(m.Delay()))
+			t.Fatalf("lag %v long after that", time.Duration(monitor.Delay()))
 		}
 	}
 }
--- a/internal/routing/send_gate_test.go
+++ b/internal/routing/send_gate_test.go
@@ -26,23 +26,23 @@
 }
 
 func (s *slowForwarder) Forward(
-	ctx context.Context, job *protocol.Attempt, _ func(protocol.JobUpdate), ended func(protocol.AttemptResult),
+	ctx context.Context, attempt *protocol.Attempt, _ func(protocol.JobUpdate), end func(protocol.AttemptResult),
 ) {
 	s.mu.Lock()
-	late := time.Duration(s.rand.Int64N(1e9))
+	connectTime := time.Duration(s.rand.Int64N(1e9))
 	s.mu.Unlock()
-	if o, _ := finishAfter(ctx, late, dispatch.Succeeded); o != dispatch.Succeeded {
-		ended(protocol.AttemptResult{Outcome: o})
+	if outcome, _ := finishAfter(ctx, connectTime, dispatch.Succeeded); outcome != dispatch.Succeeded {
+		end(protocol.AttemptResult{Outcome: outcome})
 		return
 	}
-	if !job.Gate.MaySend() {
-		ended(protocol.AttemptResult{Outcome: dispatch.NotSent})
+	if !attempt.Gate.MaySend() {
+		end(protocol.AttemptResult{Outcome: dispatch.NotSent})
 		return
 	}
-	s.onSend(job.Address, job)
-	job.Gate.Sent()
-	o, result := finishAfter(ctx, 50*time.Millisecond, dispatch.Succeeded)
-	ended(protocol.AttemptResult{Outcome: o, Result: result})
+	s.onSend(attempt.Address, attempt)
+	attempt.Gate.Sent()
+	outcome, result := finishAfter(ctx, 50*time.Millisecond, dispatch.Succeeded)
+	end(protocol.AttemptResult{Outcome: outcome, Result: result})
 }
 
 // TestNothingIsSentLate: random histories of drains, returns, whole lists and exclusions while attempts
@@ -51,67 +51,67 @@
 func TestNothingIsSentLate(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			chance := rand.New(rand.NewPCG(seed, 2))
+			random := rand.New(rand.NewPCG(seed, 2))
 			ids := []string{"a", "b", "c", "d"}
-			s := &slowForwarder{fakeForwarder: &fakeForwarder{}, rand: rand.New(rand.NewPCG(seed, 3))}
+			forwarder := &slowForwarder{fakeForwarder: &fakeForwarder{}, rand: rand.New(rand.NewPCG(seed, 3))}
 			router := New(Config{
 				Settings:         testSettings(),
 				Seed:             seed,
 				InitialEndpoints: completeList(ids...),
-				Forwarder:        s,
+				Forwarder:        forwarder,
 				ProbeTimeout:     time.Second,
 				EndpointSource:   &scriptedSource{},
 				Log:              zerolog.Nop(),
 			})
-			up, answered, left := map[string]bool{"a": true, "b": true, "c": true, "d": true}, map[string]bool{}, 0
+			up, answered, sentCount := map[string]bool{"a": true, "b": true, "c": true, "d": true}, map[string]bool{}, 0
 			var mu sync.Mutex
-			s.onSend = func(address string, job *protocol.Attempt) {
+			forwarder.onSend = func(address string, attempt *protocol.Attempt) {
 				mu.Lock()
 				defer mu.Unlock()
-				if left++; !up[address[:1]] || answered[job.Request.ID] {
+				if sentCount++; !up[address[:1]] || answered[attempt.Request.ID] {
 					t.Errorf("seed %d: %s left for %s, answered: %v",
-						seed, job.Request.ID, address, answered[job.Request.ID])
+						seed, attempt.Request.ID, address, answered[attempt.Request.ID])
 				}
 			}
 			for i := range 300 {
 				go func() {
-					class := chance.IntN(2)
-					timeout := time.Duration(100+chance.IntN(3000)) * time.Millisecond
-					q := testRequest(fmt.Sprint(i), class, timeout)
-					ctx, gone := context.WithCancel(t.Context())
-					if chance.IntN(4) == 0 {
-						time.AfterFunc(time.Duration(chance.Int64N(1e9)), gone)
+					class := random.IntN(2)
+					timeout := time.Duration(100+random.IntN(3000)) * time.Millisecond
+					request := testRequest(fmt.Sprint(i), class, timeout)
+					ctx, closeClient := context.WithCancel(t.Context())
+					if random.IntN(4) == 0 {
+						time.AfterFunc(time.Duration(random.Int64N(1e9)), closeClient)
 					}
-					router.Serve(ctx, q)
+					router.Serve(ctx, request)
 					mu.Lock()
-					answered[q.ID] = true
+					answered[request.ID] = true
 					mu.Unlock()
-					gone()
+					closeClient()
 				}()
 				synctest.Wait()
 				if i%5 == 0 {
 					mu.Lock()
-					id := ids[1+chance.IntN(3)]
+					id := ids[1+random.IntN(3)]
 					up[id] = !up[id]
-					e, all := testEndpoint(id, dispatch.Up), []protocol.Endpoint{}
+					changed, listed := testEndpoint(id, dispatch.Up), []protocol.Endpoint{}
 					if !up[id] {
-						e.State = dispatch.Draining
+						changed.State = dispatch.Draining
 					}
-					switch chance.IntN(3) {
+					switch random.IntN(3) {
 					case 0:
-						applyList(router, changedList(e))
+						applyList(router, changedList(changed))
 					default:
 						excluded := []string{}
 						for _, id := range ids {
 							switch {
 							case up[id]:
-								all = append(all, testEndpoint(id, dispatch.Up))
-							case chance.IntN(2) == 0:
-								all, excluded = append(all, testEndpoint(id, dispatch.Up)), append(excluded, id)
+								listed = append(listed, testEndpoint(id, dispatch.Up))
+							case random.IntN(2) == 0:
+								listed, excluded = append(listed, testEndpoint(id, dispatch.Up)), append(excluded, id)
 							}
 						}
 						router.SetExcluded(excluded)
-						applyList(router, versionedList(0, all...))
+						applyList(router, versionedList(0, listed...))
 					}
 					mu.Unlock()
 				}
@@ -119,8 +119,8 @@
 			}
 			time.Sleep(5 * time.Second)
 			synctest.Wait()
-			if left < 5 {
-				t.Errorf("seed %d: %d left", seed, left)
+			if sentCount < 5 {
+				t.Errorf("seed %d: %d left", seed, sentCount)
 			}
 		})
 	}
