--- a/internal/routing/discovery_outage_test.go
+++ b/internal/routing/discovery_outage_test.go
@@ -18,14 +18,15 @@
 	"fernrail/internal/protocol"
 )
 
-// silentSource tells versions at their times, and is silent for a span.
+// silentSource is discovery that sends each update from a set time on, and is unavailable for a period: it
+// returns an error or does not respond.
 type silentSource struct {
-	releasesPolls                  bool         // calls that are out in the silence are answered when it is over
-	lostPollStart                  atomic.Int64 // when the last call began that is never answered, ns from zero
+	releasesPolls                  bool         // polls in flight get a response after the period
+	lostPollStart                  atomic.Int64 // start of the last poll without a response, ns since start
 	start, silentFrom, silentUntil time.Time
 	updates                        map[int64]*protocol.EndpointList // by version
-	availableAt                    map[int64]time.Duration          // when the agent has it, from zero
-	failure                        error                            // what it answers while down; nil: nothing
+	availableAt                    map[int64]time.Duration          // when discovery has it, since start
+	failure                        error                            // error during the period; nil: no response
 }
 
 func (s *silentSource) Poll(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
@@ -41,7 +42,8 @@
 		if silent = silent || down && !s.releasesPolls; silent {
 			s.lostPollStart.Store(int64(start.Sub(s.start)))
 		}
-		if list := s.updates[since+1]; !silent && !down && list != nil && now.Sub(s.start) >= s.availableAt[since+1] {
+		if list := s.updates[since+1]; !silent && !down && list != nil &&
+			now.Sub(s.start) >= s.availableAt[since+1] {
 			return list, nil
 		}
 		select {
@@ -52,10 +54,10 @@
 	}
 }
 
-// TestUpdateDuringBackoff: discovery falls silent and comes back with an update, or has one soon
-// after, while the node backs off from a poll that was refused or never answered. The rules count
-// the node as notified at once, so the backoff must end in time. An update that a poll misses which
-// is never answered counts as notified 2 s after the poll's wait of 3 s.
+// TestUpdateDuringBackoff: discovery becomes available again with an update, or gets one soon after,
+// while the node backs off from a poll that was refused or got no response. The rules count the node as
+// notified immediately, so a backoff that is too long breaks them. If a poll without a response misses
+// the update, the node counts as notified 2 s after the poll's wait of 3 s.
 func TestUpdateDuringBackoff(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
@@ -90,7 +92,8 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			go router.WatchEndpoints(ctx)
 			time.Sleep(time.Until(notifiedAt))
-			if lostUntil := start.Add(time.Duration(source.lostPollStart.Load()) + 5*time.Second); lostUntil.After(notifiedAt) {
+			if lostUntil := start.Add(time.Duration(source.lostPollStart.Load()) +
+				5*time.Second); lostUntil.After(notifiedAt) {
 				notifiedAt = lostUntil
 			}
 			time.Sleep(time.Until(notifiedAt.Add(2 * time.Second)))
@@ -101,7 +104,7 @@
 			}
 			for _, attempt := range forwarder.attempts[sentBefore:] {
 				if attempt.Address == "b:7" {
-					t.Errorf("seed %d: silent from %v to %v, told at %v, and sent to it after the grace",
+					t.Errorf("seed %d: attempt to b 2s after its drain; no discovery from %v to %v, notified at %v",
 						seed, source.silentFrom.Sub(start), source.silentUntil.Sub(start), notifiedAt.Sub(start))
 					break
 				}
--- a/internal/routing/endpoint_watcher_test.go
+++ b/internal/routing/endpoint_watcher_test.go
@@ -17,6 +17,8 @@
 	"fernrail/internal/protocol"
 )
 
+// TestEndpointUpdates: changes of state and address take effect. After a failed poll the node waits, and
+// after a list with a lower version it requests the complete list.
 func TestEndpointUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{script: succeedAfter(time.Millisecond)}
@@ -35,14 +37,14 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go router.WatchEndpoints(ctx)
-		time.Sleep(2 * time.Second) // the first call for news comes by chance within that
+		time.Sleep(2 * time.Second) // the first poll is sent at a random time within 2 s
 		synctest.Wait()
 		for i := range 20 {
 			router.Serve(t.Context(), testRequest(fmt.Sprint(i), 0, time.Second))
 		}
 		for _, attempt := range forwarder.attempts {
 			if attempt.Address != "elsewhere:7" {
-				t.Errorf("sent to %s", attempt.Address)
+				t.Errorf("attempt sent to %s, want elsewhere:7", attempt.Address)
 			}
 		}
 		time.Sleep(10 * time.Second)
@@ -50,8 +52,9 @@
 		if got := strings.Join(source.polls, ", "); got != "0 false, 5 false, 6 false, 6 false, 6 true, 2 false" {
 			t.Error(got)
 		}
-		// A discovery that fails is not polled without a pause.
-		if pause := source.polledAt[3].Sub(source.polledAt[2]); pause < 200*time.Millisecond || pause > time.Second {
+		// After a failed poll the node must wait before the next one.
+		if pause := source.polledAt[3].Sub(source.polledAt[2]); pause < 200*time.Millisecond ||
+			pause > time.Second {
 			t.Error(pause)
 		}
 		if len(router.endpoints) != 1 || router.endpoints["b"] == nil {
@@ -61,9 +64,9 @@
 	})
 }
 
-// TestInvalidEndpointListsAreIgnored: an older version or half a list counts as a failed call: the
-// list stays, the whole is asked for where versions went back, and nothing is asked without end.
-// What is told whole when asked for counts, whatever its version.
+// TestInvalidEndpointListsAreIgnored: a list with a lower version or a truncated list counts as a failed
+// poll. The current list stays in use, the complete list is requested after a version regression, and
+// polls are not repeated in a tight loop. A complete list that was requested is applied with any version.
 func TestInvalidEndpointListsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		regressed := versionedList(3, completeList("gone").Endpoints...)
@@ -71,12 +74,13 @@
 		source := &scriptedSource{answers: []any{
 			versionedList(7, completeList("a").Endpoints...),
 			regressed,
-			errors.New("half a list"),
+			errors.New("truncated list"),
 			regressed,
 			regressed,
 		}}
 		for range 100 {
-			source.answers = append(source.answers, &protocol.EndpointList{Version: 3, Endpoints: completeList("gone").Endpoints})
+			source.answers = append(source.answers,
+				&protocol.EndpointList{Version: 3, Endpoints: completeList("gone").Endpoints})
 		}
 		source.answers = append(source.answers, regressedChanges)
 		router := newTestRouter(&fakeForwarder{}, source, &protocol.EndpointList{})
@@ -85,7 +89,7 @@
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
 		if !router.IsListed("a") || router.IsListed("gone") {
-			t.Error("an old list was taken unasked")
+			t.Error("a list with a lower version was applied without being requested")
 		}
 		time.Sleep(5 * time.Second)
 		cancel()
@@ -95,15 +99,15 @@
 			t.Error(got)
 		}
 		if len(source.polls) > 105 {
-			t.Errorf("asked %d times in five seconds", len(source.polls))
+			t.Errorf("got %d polls in 5 s, want at most 105", len(source.polls))
 		}
 	})
 }
 
-// TestKnownListIsWatched: a node polls for changes of the list that it was configured with, and for
-// the complete one only if it has none. Discovery could not answer many nodes that start together
-// and all fetch complete lists.
-func TestKnownListIsWatched(t *testing.T) {
+// TestFirstPollRequestsChanges: a node polls for changes to the list in its configuration, and for the
+// complete list only if it has none. Discovery would be overloaded if many nodes that start together all
+// fetched complete lists.
+func TestFirstPollRequestsChanges(t *testing.T) {
 	for _, test := range []struct {
 		initial *protocol.EndpointList
 		want    string
@@ -116,21 +120,22 @@
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
 			if got := strings.Join(source.polls, ", "); got != test.want {
-				t.Errorf("asked %s, want %s", got, test.want)
+				t.Errorf("got polls %q, want %q", got, test.want)
 			}
 			cancel()
 		})
 	}
 }
 
-// TestEmptyPollsAreSpaced: a place that answers at once, with nothing or a fault, is not asked
-// without end, whatever the settings say of pauses.
+// TestEmptyPollsAreSpaced: a source that responds immediately without an update or with an error is not
+// polled in a tight loop, even if the settings have no poll interval.
 func TestEmptyPollsAreSpaced(t *testing.T) {
 	for _, answer := range []any{&protocol.EndpointList{}, errors.New("refused")} {
 		checkPollSpacing(t, answer)
 	}
 }
 
+// checkPollSpacing checks the number of polls of a source that gives the same answer to each poll.
 func checkPollSpacing(t *testing.T, answer any) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &scriptedSource{answers: []any{completeList("a")}}
@@ -154,27 +159,28 @@
 		cancel()
 		synctest.Wait()
 		if len(source.polls) > 22 || len(source.polls) < 20 {
-			t.Errorf("asked %d times in a second", len(source.polls))
+			t.Errorf("got %d polls in 1 s, want 20 to 22", len(source.polls))
 		}
 	})
 }
 
-// TestEndpointSourceIsReplaced: a new place is asked at once, also while the old one waits or the
-// next call there, and for the whole list, however low its version. Servers that both name are
-// the same.
+// TestEndpointSourceIsReplaced: a new source is polled immediately, also during a poll of the old source
+// or the pause after one. The complete list is requested, and a lower version is accepted. Servers in both
+// lists keep their state.
 func TestEndpointSourceIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		oldSource := &scriptedSource{answers: []any{versionedList(50, completeList("a", "b").Endpoints...)}}
 		downSource := &scriptedSource{answers: []any{errors.New("refused")}}
 		newSource := &scriptedSource{answers: []any{versionedList(3, completeList("b", "c").Endpoints...)}}
-		router := newTestRouter(&fakeForwarder{script: succeedAfter(time.Millisecond)}, oldSource, completeList("a"))
+		router := newTestRouter(&fakeForwarder{script: succeedAfter(time.Millisecond)}, oldSource,
+			completeList("a"))
 		ctx, cancel := context.WithCancel(t.Context())
 		go router.WatchEndpoints(ctx)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		serverBefore := router.endpoints["b"].server
 		for _, source := range []*scriptedSource{downSource, newSource} {
-			router.SetEndpointSource(&scriptedSource{}) // the last one counts
+			router.SetEndpointSource(&scriptedSource{}) // replaced by the next one
 			router.SetEndpointSource(source)
 			synctest.Wait()
 		}
--- a/internal/routing/event_loop_test.go
+++ b/internal/routing/event_loop_test.go
@@ -16,8 +16,8 @@
 	"fernrail/internal/protocol"
 )
 
-// TestPanicEndsOneStep: a fault of the module answers the request it came with and is told with its
-// stack; others go on.
+// TestPanicEndsOneStep: a panic in the module fails only the request of that step and is logged with its
+// stack. The next request succeeds.
 func TestPanicEndsOneStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
@@ -34,33 +34,40 @@
 		brokenSettings.Classes = []*dispatch.Class{nil}
 		validSettings := router.settings
 		router.settings = &brokenSettings
-		if response := router.Serve(t.Context(), testRequest("j", 0, time.Second)); response == nil || response.Status != 500 {
-			t.Errorf("%+v", response)
+		if response := router.Serve(t.Context(), testRequest("j", 0, time.Second)); response == nil ||
+			response.Status != 500 {
+			t.Errorf("request with a panic: got response %+v, want status 500", response)
 		}
 		if !strings.Contains(log.String(), "requests.go") {
 			t.Error(log.String())
 		}
 		router.settings = validSettings
-		if response := router.Serve(t.Context(), testRequest("k", 0, time.Second)); response == nil || response.Status != 200 {
-			t.Errorf("%+v", response)
+		if response := router.Serve(t.Context(), testRequest("k", 0, time.Second)); response == nil ||
+			response.Status != 200 {
+			t.Errorf("request after the panic: got response %+v, want status 200", response)
 		}
 	})
 }
 
-func panickingScript(context.Context, int, *protocol.Attempt, func(protocol.JobUpdate)) (dispatch.Outcome, string) {
-	panic("odd")
+// panickingScript is an attemptScript that panics.
+func panickingScript(context.Context, int, *protocol.Attempt,
+	func(protocol.JobUpdate)) (dispatch.Outcome, string) {
+	panic("panic of the test")
 }
 
-// TestPanicInAnAttempt: what a fault on the way to a server leaves open may have run.
-func TestPanicInAnAttempt(t *testing.T) {
+// TestPanicDuringForwardMayHaveRun: a non-idempotent attempt whose forwarding panicked may have run, so its
+// request fails immediately and is not retried.
+func TestPanicDuringForwardMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{script: panickingScript}
 		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a"))
 		start := time.Now()
 		response := router.Serve(t.Context(), testRequest("j", 1, time.Second))
-		took := time.Since(start)
-		if response == nil || response.Status != 500 || forwarder.attemptCount() != 1 || took > 100*time.Millisecond {
-			t.Errorf("%+v after %d attempts and %s", response, forwarder.attemptCount(), took)
+		duration := time.Since(start)
+		if response == nil || response.Status != 500 || forwarder.attemptCount() != 1 ||
+			duration > 100*time.Millisecond {
+			t.Errorf("got response %+v after %d attempts and %s, want status 500 after 1 attempt within 100ms",
+				response, forwarder.attemptCount(), duration)
 		}
 	})
 }
--- a/internal/routing/exclusions_test.go
+++ b/internal/routing/exclusions_test.go
@@ -13,10 +13,10 @@
 	"fernrail/internal/protocol"
 )
 
-// TestExcludedServerGetsNothing: whatever discovery tells of a excluded server, a whole list, a
-// restart, another address or that it was away, nothing goes to it; put back, it is in use again,
-// as discovery has it now.
-func TestExcludedServerGetsNothing(t *testing.T) {
+// TestExcludedServerGetsNoAttempts: an excluded server gets no attempts, even if discovery sends a complete
+// list, a restart or another address of it, or removes it and lists it again. After the exclusion has
+// ended the server is used again in the state and at the address that discovery listed last.
+func TestExcludedServerGetsNoAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
 		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b"))
@@ -24,7 +24,7 @@
 		sentTo := func(address string) (count int) {
 			forwarder.attempts = nil
 			var clients sync.WaitGroup
-			for range 8 { // at once, so that every server is needed
+			for range 8 { // concurrently, so that every server is needed
 				requestCount++
 				request := testRequest(fmt.Sprint(requestCount), 0, time.Second)
 				clients.Go(func() { router.Serve(t.Context(), request) })
@@ -38,34 +38,35 @@
 			return count
 		}
 		if sentTo("a:7") == 0 {
-			t.Fatal("not in use before")
+			t.Fatal("server a got no attempt before its exclusion, want at least 1")
 		}
 		router.SetExcluded([]string{"a", "never"})
 		if known, excluded := router.ServerCounts(); known != 2 || excluded != 1 {
-			t.Errorf("%d known, %d excluded", known, excluded)
+			t.Errorf("got %d known and %d excluded servers, want 2 and 1", known, excluded)
 		}
 		restarted := protocol.Endpoint{ID: "a", Address: "elsewhere:7", Started: time.Now().UnixNano()}
 		for name, list := range map[string]*protocol.EndpointList{
-			"nothing": {}, "whole": completeList("a", "b"), "change": changedList(testEndpoint("a", dispatch.Up)),
-			"away": completeList("b"), "back": completeList("a", "b"), "restarted": changedList(restarted),
+			"no changes": {}, "complete list": completeList("a", "b"),
+			"change":  changedList(testEndpoint("a", dispatch.Up)),
+			"removed": completeList("b"), "listed again": completeList("a", "b"), "restarted": changedList(restarted),
 		} {
 			applyList(router, list)
 			if got := sentTo("a:7") + sentTo("elsewhere:7"); got > 0 {
-				t.Errorf("%s: %d went to a excluded server", name, got)
+				t.Errorf("after list %q: got %d attempts to an excluded server, want 0", name, got)
 			}
 		}
 		applyList(router, changedList(restarted))
 		router.SetExcluded(nil)
 		if sentTo("elsewhere:7") == 0 {
-			t.Error("not in use after")
+			t.Error("server a got no attempt at its new address after its exclusion, want at least 1")
 		}
 		if applyList(router, completeList("b")); !router.WasListed("a") || router.WasListed("never") {
-			t.Error("who was ever listed")
+			t.Error("WasListed: want true for the removed server a, false for the unknown server")
 		}
 		router.SetExcluded([]string{"b"})
 		applyList(router, changedList(testEndpoint("b", dispatch.Draining)))
 		if router.SetExcluded(nil); sentTo("b:7") > 0 {
-			t.Error("one that drains by discovery's word is in use")
+			t.Error("server b, which is draining in discovery, got an attempt after its exclusion, want 0")
 		}
 	})
 }
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -15,13 +15,14 @@
 	"github.com/rs/zerolog"
 )
 
-// attemptScript plays a server: it runs the nth attempt, reports its updates, and gives outcome and result.
+// attemptScript simulates a server: it runs the attempt with the given number, from 1, reports its
+// updates, and returns the outcome and the result.
 type attemptScript func(
 	ctx context.Context, number int, attempt *protocol.Attempt, update func(protocol.JobUpdate),
 ) (dispatch.Outcome, string)
 
-// fakeForwarder stands in for the servers: a script says what comes of each attempt. Time is that
-// of a synctest bubble.
+// fakeForwarder simulates the servers: a script determines the outcome of each attempt. Time is that of a
+// synctest bubble.
 type fakeForwarder struct {
 	mu              sync.Mutex
 	attempts        []*protocol.Attempt
@@ -30,8 +31,8 @@
 	script          attemptScript
 }
 
-func (f *fakeForwarder) Forward(ctx context.Context, attempt *protocol.Attempt, update func(protocol.JobUpdate),
-	end func(protocol.AttemptResult)) {
+func (f *fakeForwarder) Forward(ctx context.Context, attempt *protocol.Attempt,
+	update func(protocol.JobUpdate), end func(protocol.AttemptResult)) {
 	f.mu.Lock()
 	f.attempts = append(f.attempts, attempt)
 	number := len(f.attempts)
@@ -40,7 +41,7 @@
 	end(protocol.AttemptResult{Outcome: outcome, Result: result})
 }
 
-// Probe is answered by load, after its delay.
+// Probe returns the result of loadReport.
 func (f *fakeForwarder) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
 	f.mu.Lock()
 	f.probedAddresses = append(f.probedAddresses, address)
@@ -54,8 +55,9 @@
 	return len(f.attempts)
 }
 
-// finishAfter runs a job for a time; an attempt given up ends as it would on sockets.
-func finishAfter(ctx context.Context, duration time.Duration, outcome dispatch.Outcome) (dispatch.Outcome, string) {
+// finishAfter runs a job for a duration. It returns Canceled or TimedOut if the context ends earlier.
+func finishAfter(ctx context.Context, duration time.Duration,
+	outcome dispatch.Outcome) (dispatch.Outcome, string) {
 	select {
 	case <-time.After(duration):
 		return outcome, "r"
@@ -67,7 +69,7 @@
 	return dispatch.TimedOut, ""
 }
 
-// succeedAfter starts each attempt at once and succeeds after a time.
+// succeedAfter returns a script that starts each attempt immediately and succeeds after a duration.
 func succeedAfter(duration time.Duration) attemptScript {
 	return func(
 		ctx context.Context, _ int, _ *protocol.Attempt, update func(protocol.JobUpdate),
@@ -77,14 +79,16 @@
 	}
 }
 
-// scriptedSource gives lists and faults in turn, and then waits.
+// scriptedSource responds to polls with the given lists and errors in turn. Later polls wait until their
+// context ends.
 type scriptedSource struct {
 	answers  []any
 	polls    []string
 	polledAt []time.Time
 }
 
-func (s *scriptedSource) Poll(ctx context.Context, since int64, complete bool) (*protocol.EndpointList, error) {
+func (s *scriptedSource) Poll(ctx context.Context, since int64,
+	complete bool) (*protocol.EndpointList, error) {
 	s.polls, s.polledAt = append(s.polls, fmt.Sprint(since, complete)), append(s.polledAt, time.Now())
 	if len(s.answers) == 0 {
 		<-ctx.Done()
@@ -98,7 +102,7 @@
 	return answer.(*protocol.EndpointList), nil
 }
 
-// testSettings has an idempotent class, 0, and a non-idempotent one, 1.
+// testSettings returns settings with an idempotent class, 0, and a non-idempotent class, 1.
 func testSettings() *dispatch.Settings {
 	return &dispatch.Settings{
 		Nodes:            2,
@@ -149,7 +153,7 @@
 	return &protocol.Request{ID: id, Class: class, Slots: 1, Timeout: timeout}
 }
 
-// newTestRouter starts a router with the settings of testSettings that logs nothing.
+// newTestRouter starts a router with testSettings and without a log.
 func newTestRouter(forwarder Forwarder, source EndpointSource, initial *protocol.EndpointList) *Router {
 	return New(Config{
 		Settings:         testSettings(),
@@ -162,17 +166,17 @@
 	})
 }
 
-// versionedList is a complete list of a version.
+// versionedList returns a complete list with a version.
 func versionedList(version int64, endpoints ...protocol.Endpoint) *protocol.EndpointList {
 	return &protocol.EndpointList{Version: version, Complete: true, Endpoints: endpoints}
 }
 
-// changedList lists changes alone.
+// changedList returns a list of changes.
 func changedList(endpoints ...protocol.Endpoint) *protocol.EndpointList {
 	return &protocol.EndpointList{Endpoints: endpoints}
 }
 
-// applyList hands a list to a router as if discovery had sent it.
+// applyList passes a list to a router as if discovery had sent it.
 func applyList(router *Router, list *protocol.EndpointList) {
 	router.event(func() { router.applyEndpoints(list) })
 }
--- a/internal/routing/late_connection_test.go
+++ b/internal/routing/late_connection_test.go
@@ -16,8 +16,9 @@
 	"fernrail/internal/transport"
 )
 
-// TestLateConnection: a connection comes up after its server was told of as leaving. Not a byte
-// of the request goes there, it is proved not run, and another server has it.
+// TestLateConnection: a connection is established after its server was drained, removed, excluded or
+// listed with another address. No byte of the request must be sent on it. As the job has not run, another
+// server gets the request, even if it is not idempotent.
 func TestLateConnection(t *testing.T) {
 	var mu sync.Mutex
 	requestCounts := map[string]int{}
@@ -44,18 +45,18 @@
 			b.State = dispatch.Draining
 			applyList(router, changedList(a, b))
 		},
-		"is left out of a whole list": func(router *Router) {
+		"is not in a complete list": func(router *Router) {
 			applyList(router, versionedList(0, a))
 		},
 		"is excluded": func(router *Router) {
 			applyList(router, changedList(a))
 			router.SetExcluded([]string{"b"})
 		},
-		"is listed elsewhere": func(router *Router) {
+		"is listed with another address": func(router *Router) {
 			b.Address = a.Address
 			applyList(router, changedList(a, b))
 		},
-		"goes and comes back as another": func(router *Router) {
+		"is removed and listed again with another address": func(router *Router) {
 			applyList(router, versionedList(0, a))
 			b.Address = a.Address
 			applyList(router, versionedList(0, a, b))
@@ -68,7 +69,8 @@
 			requestCounts = map[string]int{}
 			mu.Unlock()
 			connections := transport.NewConnectionBudget(256)
-			client := transport.NewServerClient(connections, time.Minute, time.Minute, protocol.LoadReportKeys{}, func() {})
+			client := transport.NewServerClient(connections, time.Minute, time.Minute, protocol.LoadReportKeys{},
+				func() {})
 			dialing, changed := make(chan struct{}, 9), make(chan struct{})
 			client.SetDialGate(func(address string) bool {
 				if address == original.Address {
@@ -91,13 +93,13 @@
 					close(changed)
 				}
 				if got := <-responses; got.Status != http.StatusOK || got.Body != "a" {
-					t.Errorf("class %d: %+v", class, got)
+					t.Errorf("class %d: got response %+v, want status 200 from server a", class, got)
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			if requestCounts["a"] != 2 || requestCounts["b"] != 0 {
-				t.Errorf("what arrived: %v", requestCounts)
+				t.Errorf("got requests by server %v, want 2 at a and 0 at b", requestCounts)
 			}
 		})
 	}
--- a/internal/routing/probes_test.go
+++ b/internal/routing/probes_test.go
@@ -14,8 +14,8 @@
 	"fernrail/internal/protocol"
 )
 
-// TestCapacityProbes: a request goes to the server that tells of room; a probe that is never answered
-// ends, and one whose server has gone meanwhile harms nothing.
+// TestCapacityProbes: a request is sent to the server that reports free capacity. A probe without a
+// response times out, and the result of a probe whose server was removed in the meantime is ignored.
 func TestCapacityProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := testSettings()
@@ -40,14 +40,17 @@
 		response := router.Serve(t.Context(), testRequest("j", 0, 5*time.Second))
 		synctest.Wait()
 		forwarder.mu.Lock()
-		if response == nil || response.Status != 200 || forwarder.attempts[0].Address != "b:7" || len(forwarder.probedAddresses) != 3 {
-			t.Errorf("%+v %v", response, forwarder.probedAddresses)
+		if response == nil || response.Status != 200 || forwarder.attempts[0].Address != "b:7" ||
+			len(forwarder.probedAddresses) != 3 {
+			t.Errorf("got response %+v after probes of %v, want status 200 from b:7 after 3 probes",
+				response, forwarder.probedAddresses)
 		}
 		forwarder.mu.Unlock()
 		applyList(router, versionedList(0, testEndpoint("b", dispatch.Up)))
 		time.Sleep(time.Second)
-		if response := router.Serve(t.Context(), testRequest("k", 0, 5*time.Second)); response == nil || response.Status != 200 {
-			t.Errorf("%+v", response)
+		if response := router.Serve(t.Context(), testRequest("k", 0, 5*time.Second)); response == nil ||
+			response.Status != 200 {
+			t.Errorf("after servers were removed: got response %+v, want status 200", response)
 		}
 	})
 }
--- a/internal/routing/requests_test.go
+++ b/internal/routing/requests_test.go
@@ -17,10 +17,10 @@
 	"fernrail/internal/protocol"
 )
 
-// TestRequestIDIsReservedOnce: an id is rejected while its request is open, and after that for its
-// class's deduplication window, or 10 s where none is set, to the millisecond. The first request
-// goes on unharmed, and a repeat after the window is a new request. A longer window would reject a
-// client's own retry, a shorter one would run it twice.
+// TestRequestIDIsReservedOnce: an id is rejected while its request is open, and then for the
+// deduplication window of its class, or for 10 s if none is set, accurate to 1 ms. The first request is
+// not affected, and a repeat after the window is a new request. A longer window would reject a client's
+// own retry; a shorter one would run the request twice.
 func TestRequestIDIsReservedOnce(t *testing.T) {
 	for _, window := range []time.Duration{0, 1500 * time.Millisecond, 45 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -46,36 +46,39 @@
 			for range 14 {
 				synctest.Wait()
 				if got := serve("j", 1); got != http.StatusConflict {
-					t.Errorf("window %s: %d while it is open", window, got)
+					t.Errorf("window %s: repeat of an open request: got status %d, want 409", window, got)
 				}
 				time.Sleep(time.Second)
 			}
 			if got := <-first; got != http.StatusOK {
-				t.Errorf("window %s: the first got %d", window, got)
+				t.Errorf("window %s: first request: got status %d, want 200", window, got)
 			}
 			endedAt, reserved := time.Now(), cmp.Or(window, 10*time.Second)
 			for i := 0; time.Since(endedAt) < reserved-time.Millisecond; i++ {
 				if got := serve("j", 1); got != http.StatusConflict {
-					t.Errorf("window %s: %d after %s", window, got, time.Since(endedAt))
+					t.Errorf("window %s: got status %d for a repeat %s after the response, want 409",
+						window, got, time.Since(endedAt))
 				}
-				go serve(fmt.Sprint(i), 0) // others come and go meanwhile, of a class whose window is not told
+				go serve(fmt.Sprint(i), 0) // concurrent requests of a class without a window
 				time.Sleep(min(time.Second, reserved-time.Millisecond-time.Since(endedAt)))
 			}
 			time.Sleep(2 * time.Millisecond)
 			if got := serve("j", 1); got != http.StatusOK {
-				t.Errorf("window %s: %d when it is over", window, got)
+				t.Errorf("window %s: repeat after the window: got status %d, want 200", window, got)
 			}
 			time.Sleep(2 * time.Minute)
 			serve("other", 0)
 			time.Sleep(2 * time.Minute)
 			serve("another", 0)
 			if stored := len(router.ids.current) + len(router.ids.previous); stored > 4 {
-				t.Errorf("window %s: %d ids are kept", window, stored)
+				t.Errorf("window %s: got %d stored ids, want at most 4", window, stored)
 			}
 		})
 	}
 }
 
+// TestRequestSucceeds: a request causes one attempt with its deadline, gets the result of the job, and
+// leaves no state in the router.
 func TestRequestSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
@@ -83,23 +86,24 @@
 		start := time.Now()
 		response := router.Serve(t.Context(), testRequest("j", 0, time.Second))
 		if response == nil || response.Status != 200 || response.Body != "r" {
-			t.Fatalf("%+v", response)
+			t.Fatalf("got response %+v, want status 200 with body r", response)
 		}
 		attempt := forwarder.attempts[0]
-		if forwarder.attemptCount() != 1 || !strings.HasSuffix(attempt.Address, ":7") || attempt.Deadline.Sub(start) != time.Second {
-			t.Errorf("%+v", attempt)
+		if forwarder.attemptCount() != 1 || !strings.HasSuffix(attempt.Address, ":7") ||
+			attempt.Deadline.Sub(start) != time.Second {
+			t.Errorf("got attempt %+v, want only one, to port 7, with a deadline after 1s", attempt)
 		}
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if len(router.requests)+len(router.cancelFuncs) > 0 {
-			t.Error("something of it is kept")
+			t.Error("the router still has state of a finished request")
 		}
 	})
 }
 
-// TestUnfinishedRequestIsAnsweredBeforeDeadline: every request is answered before its expiry, by a
-// decline only where nothing can have run.
-func TestUnfinishedRequestIsAnsweredBeforeDeadline(t *testing.T) {
+// TestUnfinishedRequestGetsResponseBeforeDeadline: a request whose job does not finish gets its response
+// before its deadline. It is rejected as not run only if it is idempotent.
+func TestUnfinishedRequestGetsResponseBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
 		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b"))
@@ -107,19 +111,20 @@
 			start := time.Now()
 			response := router.Serve(t.Context(), testRequest(fmt.Sprint(class), class, time.Second))
 			if response == nil || response.Status != status || time.Since(start) >= time.Second {
-				t.Errorf("class %d: %+v after %s", class, response, time.Since(start))
+				t.Errorf("class %d: got response %+v after %s, want status 503 for class 0 and 500 for 1 within 1s",
+					class, response, time.Since(start))
 			}
 		}
 		synctest.Wait()
 		if len(router.cancelFuncs) > 0 {
-			t.Error("attempts are out that nobody waits for")
+			t.Error("attempts of finished requests are still in flight")
 		}
 	})
 }
 
-// TestClientCloses: nothing is out for a client that has closed. What is written to it, should it
-// still read, promises no more than the rules allow: that its job never ran only where that is
-// harmless or sure.
+// TestClientCloses: after a client has closed, no attempt for it is in flight or sent. As the client may
+// still read, the response obeys the rules: it states that the job has not run only if the request is
+// idempotent or the job certainly has not run.
 func TestClientCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
@@ -129,26 +134,26 @@
 			time.AfterFunc(100*time.Millisecond, closeClient)
 			response := router.Serve(ctx, testRequest(fmt.Sprint(class), class, 5*time.Second))
 			if response == nil || !response.ClientClosed || response.Status != status {
-				t.Errorf("%+v", response)
+				t.Errorf("client closed during its request: got response %+v, want status 503 or 500", response)
 			}
 			response = router.Serve(ctx, testRequest(fmt.Sprint("late", class), class, 5*time.Second))
 			if response == nil || !response.ClientClosed || response.Status != 503 {
-				t.Errorf("%+v", response)
+				t.Errorf("client closed before its request: got response %+v, want status 503", response)
 			}
 		}
 		if forwarder.attemptCount() != 2 {
-			t.Errorf("%d attempts", forwarder.attemptCount())
+			t.Errorf("got %d attempts, want 2", forwarder.attemptCount())
 		}
 		synctest.Wait()
 		if len(router.requests)+len(router.cancelFuncs) > 0 {
-			t.Error("the attempt is still out")
+			t.Error("a request or an attempt of a closed client is still open")
 		}
 	})
 }
 
-// TestShutdownAnswersInTime: a node that is told to end answers all that it has, and what still
-// comes, within the time it is given.
-func TestShutdownAnswersInTime(t *testing.T) {
+// TestShutdownRespondsInTime: a node that shuts down responds to its open requests, and to those that
+// arrive later, within the time given to Shutdown.
+func TestShutdownRespondsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
 		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b", "c"))
@@ -159,7 +164,7 @@
 		go func() { responses <- router.Serve(t.Context(), testRequest("k", 1, time.Minute)) }()
 		for range 2 {
 			if response := <-responses; response == nil || time.Since(start) >= 1100*time.Millisecond {
-				t.Errorf("%+v after %s", response, time.Since(start))
+				t.Errorf("got response %+v after %s, want a response within 1.1s", response, time.Since(start))
 			}
 		}
 	})
--- a/internal/routing/rules_fuzz_test.go
+++ b/internal/routing/rules_fuzz_test.go
@@ -19,8 +19,8 @@
 	"fernrail/internal/protocol"
 )
 
-// FuzzRules holds the node to the rules through random lives, answers, departures and changes of
-// the list.
+// FuzzRules checks the rules of the platform with random requests, outcomes, closed clients, changes of the
+// endpoint list and exclusions.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(12) {
 		f.Add(seed)
@@ -30,8 +30,11 @@
 	})
 }
 
+// runRandomHistory runs 60 requests and checks the rules: a request gets one response before its deadline
+// (rule 1), a non-idempotent job never runs twice (rule 2), and no attempt goes to a server that is not up
+// (rule 3).
 func runRandomHistory(t *testing.T, source *rand.Rand) {
-	var mu sync.Mutex // round all below
+	var mu sync.Mutex // guards source and all maps below
 	randomInt := func(n int) int {
 		mu.Lock()
 		defer mu.Unlock()
@@ -45,13 +48,13 @@
 		id := attempt.Request.ID
 		mu.Lock()
 		if stopTime, isStopped := stoppedAt[attempt.Address]; isStopped && time.Since(stopTime) > 0 {
-			t.Error("rule 3: attempt to a server that drains or is gone")
+			t.Error("rule 3: attempt to a server that is draining, excluded or removed")
 		}
 		if answered[id] && ctx.Err() == nil {
-			t.Error("rule 1: attempt after the final answer")
+			t.Error("rule 1: attempt after the final response")
 		}
 		if mayRun[id] && attempt.Request.Class == 1 {
-			t.Error("rule 2: a non-idempotent request goes again")
+			t.Error("rule 2: second attempt of a non-idempotent request that may have run")
 		}
 		mayRun[id] = true
 		mu.Unlock()
@@ -69,7 +72,7 @@
 	}
 	ids := []string{"a", "b", "c", "d"}
 	states, excluded := map[string]dispatch.EndpointState{}, map[string]bool{}
-	updateStopped := func() { // under mu
+	updateStopped := func() { // the caller must hold mu
 		for _, id := range ids {
 			address := id + ":7"
 			if states[id] == dispatch.Up && !excluded[id] {
@@ -92,8 +95,9 @@
 	for i := range 60 {
 		time.Sleep(time.Duration(randomInt(100)) * time.Millisecond)
 		if randomInt(5) == 0 {
-			endpoint, complete := testEndpoint(ids[randomInt(len(ids))], dispatch.EndpointState(randomInt(3))), randomInt(2) == 0
-			endpoint.Started = time.Now().UnixNano() * int64(randomInt(2)) // it may have restarted
+			endpoint, complete := testEndpoint(
+				ids[randomInt(len(ids))], dispatch.EndpointState(randomInt(3))), randomInt(2) == 0
+			endpoint.Started = time.Now().UnixNano() * int64(randomInt(2)) // the start time of a restarted server
 			router.event(func() {
 				mu.Lock()
 				defer mu.Unlock()
@@ -134,13 +138,13 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if answered[id] = true; response == nil && ctx.Err() == nil {
-				t.Error("rule 1: no answer")
+				t.Error("rule 1: no response")
 			}
 			if time.Since(start) > timeout {
-				t.Error("rule 1: answered late")
+				t.Error("rule 1: response after the deadline")
 			}
 			if response != nil && response.Status == 503 && class == 1 && mayRun[id] {
-				t.Error("rule 2: declined though it may have run")
+				t.Error("rule 2: non-idempotent request that may have run was rejected as not run")
 			}
 		})
 	}
@@ -148,6 +152,7 @@
 	time.Sleep(time.Minute)
 	synctest.Wait()
 	if len(router.requests)+len(router.cancelFuncs) > 0 {
-		t.Errorf("%d requests and %d attempts are left", len(router.requests), len(router.cancelFuncs))
+		t.Errorf("got %d open requests and %d attempts in flight at the end, want 0",
+			len(router.requests), len(router.cancelFuncs))
 	}
 }
--- a/internal/routing/scheduling_delay_test.go
+++ b/internal/routing/scheduling_delay_test.go
@@ -10,14 +10,14 @@
 	"github.com/rs/zerolog"
 )
 
-// TestSchedulingDelay: what is ready while another goroutine holds the only processor waits, and
-// the meter says for how long, at once and for a while after. A process that is not short of it has
-// next to none.
+// TestSchedulingDelay: while goroutines occupy the only processor, runnable work waits, and the monitor
+// reports the delay immediately and for some time afterwards. In a process with enough CPU time the delay
+// is close to 0.
 func TestSchedulingDelay(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	monitor := newDelayMonitor()
 	if monitor.Delay() != 0 {
-		t.Error("there is a lag before it is measured")
+		t.Error("got a delay before the first measurement, want 0")
 	}
 	go monitor.run(t.Context(), zerolog.Nop())
 	time.Sleep(3 * delaySampleInterval)
@@ -27,7 +27,7 @@
 	}
 	const busyTime = 400 * time.Millisecond
 	delays := make(chan int64)
-	for range 8 { // ready work that takes its time together
+	for range 8 { // runnable work that takes busyTime in total
 		go func() {
 			spin(busyTime / 8)
 			delays <- monitor.Delay()
@@ -37,12 +37,13 @@
 	for range 8 {
 		maxDelay = max(maxDelay, <-delays)
 	}
-	if maxDelay < int64(busyTime)/8 { // each gets its turn for some 10 ms
-		t.Errorf("lag %v while work waited for %v", time.Duration(maxDelay), busyTime)
+	if maxDelay < int64(busyTime)/8 { // the scheduler preempts each goroutine after about 10 ms
+		t.Errorf("got delay %v while work waited for up to %v, want at least 1/8 of that",
+			time.Duration(maxDelay), busyTime)
 	}
 	for start := time.Now(); monitor.Delay() > int64(busyTime)/4; time.Sleep(delaySampleInterval) {
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("lag %v long after that", time.Duration(monitor.Delay()))
+			t.Fatalf("got delay %v 20s after the load, want at most 100ms", time.Duration(monitor.Delay()))
 		}
 	}
 }
--- a/internal/routing/send_gate_test.go
+++ b/internal/routing/send_gate_test.go
@@ -17,12 +17,12 @@
 	"fernrail/internal/protocol"
 )
 
-// slowForwarder is a carrier whose connections come up late: each attempt asks at its first byte,
-// some time after it was decided.
+// slowForwarder is a Forwarder with slow connections: each attempt calls its send gate up to 1 s after the
+// attempt was decided.
 type slowForwarder struct {
 	*fakeForwarder
 	rand   *rand.Rand
-	onSend func(address string, job *protocol.Attempt)
+	onSend func(address string, attempt *protocol.Attempt)
 }
 
 func (s *slowForwarder) Forward(
@@ -45,10 +45,10 @@
 	end(protocol.AttemptResult{Outcome: outcome, Result: result})
 }
 
-// TestNothingIsSentLate: random histories of drains, returns, whole lists and exclusions while attempts
-// wait for up to a second: what leaves goes to a server that stands as up at that moment, for a
-// request that has no answer yet.
-func TestNothingIsSentLate(t *testing.T) {
+// TestSendGateChecksCurrentState: attempts wait up to 1 s for a connection during random changes, complete
+// lists and exclusions. The first byte must be sent only to a server that is up at that moment, for a
+// request without a response.
+func TestSendGateChecksCurrentState(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 2))
@@ -63,13 +63,14 @@
 				EndpointSource:   &scriptedSource{},
 				Log:              zerolog.Nop(),
 			})
-			up, answered, sentCount := map[string]bool{"a": true, "b": true, "c": true, "d": true}, map[string]bool{}, 0
+			up, answered, sentCount := map[string]bool{"a": true, "b": true, "c": true, "d": true},
+				map[string]bool{}, 0
 			var mu sync.Mutex
 			forwarder.onSend = func(address string, attempt *protocol.Attempt) {
 				mu.Lock()
 				defer mu.Unlock()
 				if sentCount++; !up[address[:1]] || answered[attempt.Request.ID] {
-					t.Errorf("seed %d: %s left for %s, answered: %v",
+					t.Errorf("seed %d: request %s was sent to %s; answered %v, want false and a server that is up",
 						seed, attempt.Request.ID, address, answered[attempt.Request.ID])
 				}
 			}
@@ -120,7 +121,7 @@
 			time.Sleep(5 * time.Second)
 			synctest.Wait()
 			if sentCount < 5 {
-				t.Errorf("seed %d: %d left", seed, sentCount)
+				t.Errorf("seed %d: got %d sent attempts, want at least 5", seed, sentCount)
 			}
 		})
 	}
