--- a/internal/routing/endpoint_watcher_test.go
+++ b/internal/routing/endpoint_watcher_test.go
@@ -50,15 +50,15 @@
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		if got := strings.Join(source.polls, ", "); got != "0 false, 5 false, 6 false, 6 false, 6 true, 2 false" {
-			t.Error(got)
+			t.Errorf("got polls %q, want one of version 0, one of 5, two of 6, the complete list and one of 2", got)
 		}
 		// After a failed poll the node must wait before the next one.
 		if pause := source.polledAt[3].Sub(source.polledAt[2]); pause < 200*time.Millisecond ||
 			pause > time.Second {
-			t.Error(pause)
+			t.Errorf("got %s between the starts of two polls, want 200ms to 1s", pause)
 		}
 		if len(router.endpoints) != 1 || router.endpoints["b"] == nil {
-			t.Error(router.endpoints)
+			t.Errorf("got endpoints %v, want only b", router.endpoints)
 		}
 		cancel()
 	})
@@ -96,7 +96,8 @@
 		synctest.Wait()
 		got := strings.Join(source.polls[:5], ", ")
 		if got != "0 true, 7 false, 7 true, 7 true, 3 false" || !router.IsListed("gone") {
-			t.Error(got)
+			t.Errorf("got polls %q and listed=%t, want five polls and the requested list applied",
+				got, router.IsListed("gone"))
 		}
 		if len(source.polls) > 105 {
 			t.Errorf("got %d polls in 5 s, want at most 105", len(source.polls))
@@ -187,7 +188,8 @@
 		got := fmt.Sprint(oldSource.polls, downSource.polls, newSource.polls)
 		wantPolls := "[0 false 50 false] [0 true] [0 true 3 false]"
 		if got != wantPolls || len(router.endpoints) != 2 || router.endpoints["b"].server != serverBefore {
-			t.Error(got, router.endpoints)
+			t.Errorf("got polls %s and endpoints %v, want polls %s and the same server b",
+				got, router.endpoints, wantPolls)
 		}
 		cancel()
 	})
--- a/internal/routing/event_loop_test.go
+++ b/internal/routing/event_loop_test.go
@@ -39,7 +39,7 @@
 			t.Errorf("request with a panic: got response %+v, want status 500", response)
 		}
 		if !strings.Contains(log.String(), "requests.go") {
-			t.Error(log.String())
+			t.Errorf("got log %q, want the stack with requests.go", log.String())
 		}
 		router.settings = validSettings
 		if response := router.Serve(t.Context(), testRequest("k", 0, time.Second)); response == nil ||
