--- a/internal/protocol/attempt_test.go
+++ b/internal/protocol/attempt_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestRejection(t *testing.T) {
-	for _, c := range []struct {
-		status int
-		mark   string
-		want   bool
+	for _, test := range []struct {
+		status   int
+		rejected string
+		want     bool
 	}{{503, "1", true}, {504, "1", true}, {503, "", false}, {500, "1", false}, {429, "1", false}, {200, "1", false}} {
-		r := &http.Response{StatusCode: c.status, Header: http.Header{"X-Rejected": {c.mark}}}
-		if IsRejection(r) != c.want {
-			t.Errorf("%+v", c)
+		response := &http.Response{StatusCode: test.status, Header: http.Header{"X-Rejected": {test.rejected}}}
+		if IsRejection(response) != test.want {
+			t.Errorf("%+v", test)
 		}
 	}
 }
@@ -25,11 +25,11 @@
 // by itself.
 func TestBodyGoesOutOnce(t *testing.T) {
 	for _, body := range []string{"", "x"} {
-		out := (&Attempt{Request: &Request{Target: "/p", Body: []byte(body), Header: http.Header{}}}).Encode()
-		if out.GetBody != nil || out.Body == nil || out.Body == http.NoBody {
-			t.Fatalf("%+v", out)
+		request := (&Attempt{Request: &Request{Target: "/p", Body: []byte(body), Header: http.Header{}}}).Encode()
+		if request.GetBody != nil || request.Body == nil || request.Body == http.NoBody {
+			t.Fatalf("%+v", request)
 		}
-		if _, canSeek := out.Body.(io.Seeker); canSeek {
+		if _, canSeek := request.Body.(io.Seeker); canSeek {
 			t.Error("the body can be wound back")
 		}
 	}
--- a/internal/protocol/endpoint_list_test.go
+++ b/internal/protocol/endpoint_list_test.go
@@ -14,21 +14,21 @@
 {"id":"s-2","addr":"10.0.0.2:7","zone":"odd","kind":"odd","state":"Terminating"},{"id":"s-3","state":"Gone"}]}`
 
 func TestEndpointList(t *testing.T) {
-	l, err := DecodeEndpointList([]byte(rawList), names)
-	if err != nil || l.Version != 41 || !l.Complete || len(l.Endpoints) != 3 {
-		t.Fatal(l, err)
+	list, err := DecodeEndpointList([]byte(rawList), names)
+	if err != nil || list.Version != 41 || !list.Complete || len(list.Endpoints) != 3 {
+		t.Fatal(list, err)
 	}
 	first := Endpoint{ID: "s-1", Address: "10.0.0.1:7", Zone: 1, Cell: 3, Started: 17e17, Capacity: 1.5}
-	if l.Endpoints[0] != first || l.Endpoints[1].State != dispatch.Draining || l.Endpoints[1].Zone != -1 ||
-		l.Endpoints[2].State != dispatch.Removed {
-		t.Errorf("%+v", l.Endpoints)
+	if list.Endpoints[0] != first || list.Endpoints[1].State != dispatch.Draining || list.Endpoints[1].Zone != -1 ||
+		list.Endpoints[2].State != dispatch.Removed {
+		t.Errorf("%+v", list.Endpoints)
 	}
-	for _, c := range [][2]string{{`"version":41,`, ""}, {`"full":true,`, ""}, {`"servers":[`, `"server":[`},
+	for _, change := range [][2]string{{`"version":41,`, ""}, {`"full":true,`, ""}, {`"servers":[`, `"server":[`},
 		{"Ready", "ready"}, {`"weight":1.5`, `"weight":-1`}, {`"weight":1.5`, `"weight":1e9`},
 		{`"id":"s-1",`, ""}, {"10.0.0.1:7", "nowhere"}, {"1700000000000", "-5"},
 		{"1700000000000", "9223372036854775807"}, {"]}", "]"}, {`"cell":3`, `"cell":"x"`}} {
-		if l, err := DecodeEndpointList([]byte(strings.Replace(rawList, c[0], c[1], 1)), names); err == nil {
-			t.Errorf("%s for %s: %+v", c[1], c[0], l)
+		if list, err := DecodeEndpointList([]byte(strings.Replace(rawList, change[0], change[1], 1)), names); err == nil {
+			t.Errorf("%s for %s: %+v", change[1], change[0], list)
 		}
 	}
 }
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -73,26 +73,26 @@
 }
 
 func TestGoldenClientRequest(t *testing.T) {
-	q, fault := DecodeRequest(clientRequest(t, wireLines(t, "client_request.http")), goldenNames, false)
-	if fault != nil {
-		t.Fatal(fault)
+	request, requestErr := DecodeRequest(clientRequest(t, wireLines(t, "client_request.http")), goldenNames, false)
+	if requestErr != nil {
+		t.Fatal(requestErr)
 	}
 	var got bytes.Buffer
 	fmt.Fprintf(&got, "id %q\ntarget %q\nclass %d\ntenant %d\ntimeout %s\nslots %v\nmemory %v\nkey %d\nwork %d\n",
-		q.ID, q.Target, q.Class, q.Tenant, q.Timeout, q.Slots, q.Memory, q.AffinityKey, q.ExpectedWork)
-	q.Header.Write(&got)
-	fmt.Fprintf(&got, "body %q\n", q.Body)
+		request.ID, request.Target, request.Class, request.Tenant, request.Timeout, request.Slots, request.Memory, request.AffinityKey, request.ExpectedWork)
+	request.Header.Write(&got)
+	fmt.Fprintf(&got, "body %q\n", request.Body)
 	checkGolden(t, "client_request.golden", got.Bytes())
 }
 
 func TestGoldenServerRequest(t *testing.T) {
-	q, fault := DecodeRequest(clientRequest(t, wireLines(t, "client_request.http")), goldenNames, false)
-	if fault != nil {
-		t.Fatal(fault)
+	request, requestErr := DecodeRequest(clientRequest(t, wireLines(t, "client_request.http")), goldenNames, false)
+	if requestErr != nil {
+		t.Fatal(requestErr)
 	}
 	var got bytes.Buffer
 	synctest.Test(t, func(t *testing.T) {
-		attempt := &Attempt{Address: "10.0.0.1:7000", Request: q, Deadline: time.Now().Add(437 * time.Millisecond)}
+		attempt := &Attempt{Address: "10.0.0.1:7000", Request: request, Deadline: time.Now().Add(437 * time.Millisecond)}
 		if err := attempt.Encode().Write(&got); err != nil {
 			t.Error(err)
 		}
@@ -122,12 +122,12 @@
 		{"X-Call-Cost: 1500", "X-Call-Cost: much"},
 	} {
 		text := strings.Replace(valid, change[0], change[1], 1)
-		_, fault := DecodeRequest(clientRequest(t, text), goldenNames, false)
-		if fault == nil {
+		_, requestErr := DecodeRequest(clientRequest(t, text), goldenNames, false)
+		if requestErr == nil {
 			t.Errorf("%q in place of %q was accepted", change[1], change[0])
 			continue
 		}
-		fmt.Fprintf(&got, "%.40q: %d %s\n", change[1], fault.Status, fault.Text)
+		fmt.Fprintf(&got, "%.40q: %d %s\n", change[1], requestErr.Status, requestErr.Text)
 	}
 	checkGolden(t, "request_errors.golden", got.Bytes())
 }
@@ -152,15 +152,15 @@
 
 func TestGoldenEndpointLists(t *testing.T) {
 	for _, name := range []string{"endpoint_list_complete", "endpoint_list_changes"} {
-		l, err := DecodeEndpointList(fixture(t, name+".json"), goldenNames)
+		list, err := DecodeEndpointList(fixture(t, name+".json"), goldenNames)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got bytes.Buffer
-		fmt.Fprintf(&got, "version %d, complete %t\n", l.Version, l.Complete)
-		for _, e := range l.Endpoints {
+		fmt.Fprintf(&got, "version %d, complete %t\n", list.Version, list.Complete)
+		for _, endpoint := range list.Endpoints {
 			fmt.Fprintf(&got, "id %q address %q state %d zone %d machine type %d cell %d started %d capacity %v\n",
-				e.ID, e.Address, e.State, e.Zone, e.MachineType, e.Cell, e.Started, e.Capacity)
+				endpoint.ID, endpoint.Address, endpoint.State, endpoint.Zone, endpoint.MachineType, endpoint.Cell, endpoint.Started, endpoint.Capacity)
 		}
 		checkGolden(t, name+".golden", got.Bytes())
 	}
@@ -183,7 +183,7 @@
 	updates := NewUpdateReader("9b1f", "x0", bytes.NewReader(fixture(t, "server_updates.jsonl")))
 	var got bytes.Buffer
 	for {
-		u, err := updates.Next()
+		update, err := updates.Next()
 		if errors.Is(err, io.ErrUnexpectedEOF) {
 			break
 		}
@@ -191,7 +191,7 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&got, "state %d progress %v result %q free slots %v final %t\n",
-			u.State, u.Progress, u.Result, u.FreeSlots, u.Final())
+			update.State, update.Progress, update.Result, update.FreeSlots, update.Final())
 	}
 	checkGolden(t, "server_updates.golden", got.Bytes())
 }
--- a/internal/protocol/job_updates_test.go
+++ b/internal/protocol/job_updates_test.go
@@ -15,22 +15,22 @@
 		`{"util":0.2,"x0":3.9}`: 3.9, `{"x0":-1}`: 0, `{"x0":1e9}`: 0, `{"x0":"4"}`: 0, `{}`: 0,
 		`null`: 0, `[4]`: 0, `"x0"`: 0, `{"x1":4}`: 0} {
 		line := `{"id":"j","state":"done","result":"a","load":` + load + "}"
-		l, err := NewUpdateReader("j", "x0", strings.NewReader(line)).Next()
-		if err != nil || l.Result != "a" || l.FreeSlots != want {
-			t.Errorf("%s: %+v %v, want %v", load, l, err, want)
+		update, err := NewUpdateReader("j", "x0", strings.NewReader(line)).Next()
+		if err != nil || update.Result != "a" || update.FreeSlots != want {
+			t.Errorf("%s: %+v %v, want %v", load, update, err, want)
 		}
 	}
 }
 
 func TestServerUpdates(t *testing.T) {
-	l := NewUpdateReader("j", "x0", strings.NewReader(`{"id":"j","from":"s","state":"started"}`+"\n\n"+
+	reader := NewUpdateReader("j", "x0", strings.NewReader(`{"id":"j","from":"s","state":"started"}`+"\n\n"+
 		`{"id":"j","state":"running","share":0.4}`+"\n"+`{"id":"j","state":"done","result":"a\nb","load":{"util":"odd"}}`+"\n"))
 	for _, want := range []JobUpdate{{State: Started}, {State: Running, Progress: 0.4}, {State: Done, Result: "a\nb"}} {
-		if got, err := l.Next(); err != nil || got != want || got.Final() != (want.State == Done) {
+		if got, err := reader.Next(); err != nil || got != want || got.Final() != (want.State == Done) {
 			t.Errorf("%+v %v, want %+v", got, err, want)
 		}
 	}
-	if _, err := l.Next(); err == nil {
+	if _, err := reader.Next(); err == nil {
 		t.Error("no end")
 	}
 	for _, text := range []string{"", "done", `{"id":"j","state":"do`, `{"id":"k","state":"done","result":"x"}`,
@@ -45,9 +45,9 @@
 	if _, err := NewUpdateReader("j", "x0", endlessReader("x")).Next(); err == nil {
 		t.Error("an endless line was read")
 	}
-	l = NewUpdateReader("j", "x0", endlessReader(`{"id":"j","state":"started"}`+"\n"))
+	reader = NewUpdateReader("j", "x0", endlessReader(`{"id":"j","state":"started"}`+"\n"))
 	for n := 0; ; n++ {
-		if _, err := l.Next(); err != nil {
+		if _, err := reader.Next(); err != nil {
 			break
 		} else if n > maxUpdateStreamBytes {
 			t.Fatal("an endless answer was read")
@@ -70,18 +70,18 @@
 	f.Add(`{"id":"j","state":"running","share":1e999}`)
 	f.Add("{\"id\":\"j\",\"state\":\"done\",\"result\":\"\xff\"}\x00")
 	f.Fuzz(func(t *testing.T, text string) {
-		l, err := NewUpdateReader("j", "x0", strings.NewReader(text)).Next()
-		if err != nil || l.State != Done {
+		update, err := NewUpdateReader("j", "x0", strings.NewReader(text)).Next()
+		if err != nil || update.State != Done {
 			return
 		}
 		first, _, _ := strings.Cut(strings.TrimSpace(text), "\n")
-		var said map[string]any
-		json.Unmarshal([]byte(first), &said)
-		for key, value := range said {
-			if strings.EqualFold(key, "result") && value == l.Result {
+		var message map[string]any
+		json.Unmarshal([]byte(first), &message)
+		for key, value := range message {
+			if strings.EqualFold(key, "result") && value == update.Result {
 				return
 			}
 		}
-		t.Errorf("%q gave %+v", text, l)
+		t.Errorf("%q gave %+v", text, update)
 	})
 }
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -11,27 +11,27 @@
 )
 
 func TestDecodeAndForwardRequest(t *testing.T) {
-	q, fault := readRequest(t, rawRequest)
-	if fault != nil {
-		t.Fatal(fault)
+	request, requestErr := readRequest(t, rawRequest)
+	if requestErr != nil {
+		t.Fatal(requestErr)
 	}
-	if q.ID != "9b1f" || q.Target != "/pay/x%2f<?obj=7f" || q.Class != 1 || q.Tenant != 1 || q.Slots != 2.5 ||
-		q.ExpectedWork != 1.5e6 || q.Timeout != 480*time.Millisecond || string(q.Body) != "body" {
-		t.Errorf("%+v", q)
+	if request.ID != "9b1f" || request.Target != "/pay/x%2f<?obj=7f" || request.Class != 1 || request.Tenant != 1 || request.Slots != 2.5 ||
+		request.ExpectedWork != 1.5e6 || request.Timeout != 480*time.Millisecond || string(request.Body) != "body" {
+		t.Errorf("%+v", request)
 	}
 	// The idempotency key must be forwarded, and the headers of the client's connection must not.
 	var text strings.Builder
 	synctest.Test(t, func(t *testing.T) {
-		job := &Attempt{Address: "10.0.0.1:7", Request: q, Deadline: time.Now().Add(500 * time.Millisecond)}
-		out := job.Encode()
+		attempt := &Attempt{Address: "10.0.0.1:7", Request: request, Deadline: time.Now().Add(500 * time.Millisecond)}
+		encoded := attempt.Encode()
 		time.Sleep(200 * time.Millisecond) // its connection comes up; what is told is what is left then
-		if !job.TimeoutOverstated(time.Now()) {
+		if !attempt.TimeoutOverstated(time.Now()) {
 			t.Error("it would go out as it was told before")
 		}
-		if job.SetTimeout(time.Now()); job.TimeoutOverstated(time.Now()) {
+		if attempt.SetTimeout(time.Now()); attempt.TimeoutOverstated(time.Now()) {
 			t.Error("it would not go out")
 		}
-		out.Write(&text)
+		encoded.Write(&text)
 	})
 	for _, want := range []string{"POST /pay/x%2f<?obj=7f HTTP/1.1\r\n", "X-Call-Id: 9b1f\r\n", "X-Budget-Ms: 300\r\n",
 		"Idempotency-Key: k\r\n", "Content-Length: 4\r\n", "\r\n\r\nbody"} {
@@ -45,7 +45,7 @@
 }
 
 func TestInvalidRequests(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		from, to string
 		status   int
 	}{
@@ -75,9 +75,9 @@
 		{"HTTP/1.1", "HTTP/1.0", 411},
 		{"Length: 4\r\n\r\nbody", "Length: 65537\r\n\r\n" + strings.Repeat("x", MaxBodyBytes+1), 413},
 	} {
-		_, fault := readRequest(t, strings.Replace(rawRequest, c.from, c.to, 1))
-		if fault == nil || fault.Status != c.status {
-			t.Errorf("%.40s: %+v, want %d", c.to, fault, c.status)
+		_, requestErr := readRequest(t, strings.Replace(rawRequest, test.from, test.to, 1))
+		if requestErr == nil || requestErr.Status != test.status {
+			t.Errorf("%.40s: %+v, want %d", test.to, requestErr, test.status)
 		}
 	}
 }
@@ -99,21 +99,21 @@
 		}
 		return DecodeRequest(r, names, false)
 	}
-	about := "/" + names.Classes[0] + "?obj=7f3a"
-	one, fault := read(about, "mem=0.5,slots=2")
-	same, _ := read(about, "")
-	other, _ := read(about+"1", "")
+	target := "/" + names.Classes[0] + "?obj=7f3a"
+	first, requestErr := read(target, "mem=0.5,slots=2")
+	same, _ := read(target, "")
+	other, _ := read(target+"1", "")
 	none, _ := read("/"+names.Classes[0], "")
-	if fault != nil {
-		t.Fatal(fault)
+	if requestErr != nil {
+		t.Fatal(requestErr)
 	}
-	key := one.AffinityKey
+	key := first.AffinityKey
 	keyIsWrong := key == 0 || key >= 1<<53 || key != same.AffinityKey || key == other.AffinityKey
-	if keyIsWrong || none.AffinityKey != 0 || one.Memory != 0.5 {
-		t.Errorf("%+v %+v %+v %+v %+v", one, same, other, none, fault)
+	if keyIsWrong || none.AffinityKey != 0 || first.Memory != 0.5 {
+		t.Errorf("%+v %+v %+v %+v %+v", first, same, other, none, requestErr)
 	}
 	for _, info := range []string{"mem=", "mem=-1", "mem=NaN", "mem=much"} {
-		if _, fault := read(about, info); fault == nil || fault.Status != 400 {
+		if _, requestErr := read(target, info); requestErr == nil || requestErr.Status != 400 {
 			t.Errorf("%s is taken", info)
 		}
 	}
--- a/internal/protocol/response_test.go
+++ b/internal/protocol/response_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestRetryAfter(t *testing.T) {
-	w := httptest.NewRecorder()
-	(&Response{Status: 503, RetryAfter: 1500 * time.Millisecond}).Write(w)
-	if w.Code != 503 || w.Header().Get("Retry-After") != "1.5" {
-		t.Error(w)
+	recorder := httptest.NewRecorder()
+	(&Response{Status: 503, RetryAfter: 1500 * time.Millisecond}).Write(recorder)
+	if recorder.Code != 503 || recorder.Header().Get("Retry-After") != "1.5" {
+		t.Error(recorder)
 	}
 }
