--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -179,7 +179,8 @@
 	case !(capacity >= 0 && capacity < maxSlots):
 		return Endpoint{}, fmt.Errorf("weight %v is not at least 0 and below %d", capacity, maxSlots)
 	case e.StartedMillis < 0 || e.StartedMillis > maxStartedMillis:
-		return Endpoint{}, fmt.Errorf("started_ms %d is not between 0 and %d", e.StartedMillis, int64(maxStartedMillis))
+		return Endpoint{}, fmt.Errorf("started_ms %d is not between 0 and %d",
+			e.StartedMillis, int64(maxStartedMillis))
 	}
 	return Endpoint{
 		ID:          e.ID,
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -20,8 +20,8 @@
 	"time"
 )
 
-// updateGolden writes the fixtures anew. They hold what other programs read or write, so a
-// difference is a change of the protocol.
+// updateGolden rewrites the golden files. They contain what other programs read or write, so a difference
+// is a change of the protocol.
 var updateGolden = flag.Bool("update", false, "write the golden files of testdata")
 
 var goldenNames = &Names{
@@ -31,7 +31,7 @@
 	Tenants:      []string{"acme", "globex"},
 }
 
-// fixture reads a file of testdata.
+// fixture returns the content of a file in testdata.
 func fixture(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -41,7 +41,7 @@
 	return text
 }
 
-// checkGolden compares with a golden file, byte for byte.
+// checkGolden compares got with a golden file, byte for byte.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if *updateGolden {
@@ -55,7 +55,7 @@
 	}
 }
 
-// clientRequest gives a client's request as the HTTP server would hand it over.
+// clientRequest returns a client's request in the form in which the HTTP server passes it on.
 func clientRequest(t *testing.T, text string) *http.Request {
 	t.Helper()
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
@@ -66,33 +66,40 @@
 	return r
 }
 
-// wireLines gives a fixture with the line ends of HTTP.
+// wireLines returns a fixture with CRLF line endings.
 func wireLines(t *testing.T, name string) string {
 	t.Helper()
 	return strings.ReplaceAll(string(fixture(t, name)), "\n", "\r\n")
 }
 
+// TestGoldenClientRequest checks how a client's request is decoded.
 func TestGoldenClientRequest(t *testing.T) {
-	request, requestErr := DecodeRequest(clientRequest(t, wireLines(t, "client_request.http")), goldenNames, false)
+	request, requestErr := DecodeRequest(clientRequest(t, wireLines(t, "client_request.http")),
+		goldenNames, false)
 	if requestErr != nil {
 		t.Fatal(requestErr)
 	}
 	var got bytes.Buffer
-	fmt.Fprintf(&got, "id %q\ntarget %q\nclass %d\ntenant %d\ntimeout %s\nslots %v\nmemory %v\nkey %d\nwork %d\n",
-		request.ID, request.Target, request.Class, request.Tenant, request.Timeout, request.Slots, request.Memory, request.AffinityKey, request.ExpectedWork)
+	fmt.Fprintf(&got,
+		"id %q\ntarget %q\nclass %d\ntenant %d\ntimeout %s\nslots %v\nmemory %v\nkey %d\nwork %d\n",
+		request.ID, request.Target, request.Class, request.Tenant, request.Timeout, request.Slots,
+		request.Memory, request.AffinityKey, request.ExpectedWork)
 	request.Header.Write(&got)
 	fmt.Fprintf(&got, "body %q\n", request.Body)
 	checkGolden(t, "client_request.golden", got.Bytes())
 }
 
+// TestGoldenServerRequest checks the request to a server.
 func TestGoldenServerRequest(t *testing.T) {
-	request, requestErr := DecodeRequest(clientRequest(t, wireLines(t, "client_request.http")), goldenNames, false)
+	request, requestErr := DecodeRequest(clientRequest(t, wireLines(t, "client_request.http")),
+		goldenNames, false)
 	if requestErr != nil {
 		t.Fatal(requestErr)
 	}
 	var got bytes.Buffer
 	synctest.Test(t, func(t *testing.T) {
-		attempt := &Attempt{Address: "10.0.0.1:7000", Request: request, Deadline: time.Now().Add(437 * time.Millisecond)}
+		attempt := &Attempt{Address: "10.0.0.1:7000", Request: request,
+			Deadline: time.Now().Add(437 * time.Millisecond)}
 		if err := attempt.Encode().Write(&got); err != nil {
 			t.Error(err)
 		}
@@ -100,8 +107,7 @@
 	checkGolden(t, "server_request.golden", got.Bytes())
 }
 
-// TestGoldenRequestErrors holds the status and the text of the answer to each kind of request that
-// is not accepted.
+// TestGoldenRequestErrors checks the status and the text of the response to each kind of invalid request.
 func TestGoldenRequestErrors(t *testing.T) {
 	valid := wireLines(t, "client_request.http")
 	var got bytes.Buffer
@@ -124,7 +130,7 @@
 		text := strings.Replace(valid, change[0], change[1], 1)
 		_, requestErr := DecodeRequest(clientRequest(t, text), goldenNames, false)
 		if requestErr == nil {
-			t.Errorf("%q in place of %q was accepted", change[1], change[0])
+			t.Errorf("request with %q for %q was accepted, want an error", change[1], change[0])
 			continue
 		}
 		fmt.Fprintf(&got, "%.40q: %d %s\n", change[1], requestErr.Status, requestErr.Text)
@@ -132,6 +138,7 @@
 	checkGolden(t, "request_errors.golden", got.Bytes())
 }
 
+// TestGoldenResponses checks the responses to clients.
 func TestGoldenResponses(t *testing.T) {
 	for name, response := range map[string]*Response{
 		"response_succeeded.golden":   {Status: http.StatusOK, Body: "result\n"},
@@ -150,6 +157,7 @@
 	}
 }
 
+// TestGoldenEndpointLists checks how endpoint lists are decoded.
 func TestGoldenEndpointLists(t *testing.T) {
 	for _, name := range []string{"endpoint_list_complete", "endpoint_list_changes"} {
 		list, err := DecodeEndpointList(fixture(t, name+".json"), goldenNames)
@@ -160,12 +168,14 @@
 		fmt.Fprintf(&got, "version %d, complete %t\n", list.Version, list.Complete)
 		for _, endpoint := range list.Endpoints {
 			fmt.Fprintf(&got, "id %q address %q state %d zone %d machine type %d cell %d started %d capacity %v\n",
-				endpoint.ID, endpoint.Address, endpoint.State, endpoint.Zone, endpoint.MachineType, endpoint.Cell, endpoint.Started, endpoint.Capacity)
+				endpoint.ID, endpoint.Address, endpoint.State, endpoint.Zone, endpoint.MachineType, endpoint.Cell,
+				endpoint.Started, endpoint.Capacity)
 		}
 		checkGolden(t, name+".golden", got.Bytes())
 	}
 }
 
+// TestGoldenLoadReports checks how load reports are decoded.
 func TestGoldenLoadReports(t *testing.T) {
 	keys := LoadReportKeys{FreeSlots: "x0", FreeMemory: "x1"}
 	var got bytes.Buffer
@@ -174,11 +184,13 @@
 		fmt.Fprintf(&got, "%s: slots %v, memory %v, error %t\n", name, both.FreeSlots, both.FreeMemory, err != nil)
 		slots, err := DecodeLoadReport(fixture(t, name), LoadReportKeys{FreeSlots: "x0"})
 		unlimited := slots.FreeMemory == math.MaxFloat64
-		fmt.Fprintf(&got, "%s: slots %v, memory unlimited %t, error %t\n", name, slots.FreeSlots, unlimited, err != nil)
+		fmt.Fprintf(&got, "%s: slots %v, memory unlimited %t, error %t\n",
+			name, slots.FreeSlots, unlimited, err != nil)
 	}
 	checkGolden(t, "load_reports.golden", got.Bytes())
 }
 
+// TestGoldenServerUpdates checks how job updates are decoded.
 func TestGoldenServerUpdates(t *testing.T) {
 	updates := NewUpdateReader("9b1f", "x0", bytes.NewReader(fixture(t, "server_updates.jsonl")))
 	var got bytes.Buffer
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -10,33 +10,37 @@
 	"time"
 )
 
+// TestDecodeAndForwardRequest: a request is decoded and forwarded with its headers, except those of the
+// client's connection, and with the timeout that remains when its connection is established.
 func TestDecodeAndForwardRequest(t *testing.T) {
 	request, requestErr := readRequest(t, rawRequest)
 	if requestErr != nil {
 		t.Fatal(requestErr)
 	}
-	if request.ID != "9b1f" || request.Target != "/pay/x%2f<?obj=7f" || request.Class != 1 || request.Tenant != 1 || request.Slots != 2.5 ||
-		request.ExpectedWork != 1.5e6 || request.Timeout != 480*time.Millisecond || string(request.Body) != "body" {
-		t.Errorf("%+v", request)
+	if request.ID != "9b1f" || request.Target != "/pay/x%2f<?obj=7f" || request.Class != 1 ||
+		request.Tenant != 1 || request.Slots != 2.5 || request.ExpectedWork != 1.5e6 ||
+		request.Timeout != 480*time.Millisecond || string(request.Body) != "body" {
+		t.Errorf("got request %+v, want the values of rawRequest", request)
 	}
 	// The idempotency key must be forwarded, and the headers of the client's connection must not.
 	var text strings.Builder
 	synctest.Test(t, func(t *testing.T) {
-		attempt := &Attempt{Address: "10.0.0.1:7", Request: request, Deadline: time.Now().Add(500 * time.Millisecond)}
+		attempt := &Attempt{Address: "10.0.0.1:7", Request: request,
+			Deadline: time.Now().Add(500 * time.Millisecond)}
 		encoded := attempt.Encode()
-		time.Sleep(200 * time.Millisecond) // its connection comes up; what is told is what is left then
+		time.Sleep(200 * time.Millisecond) // until the connection is established
 		if !attempt.TimeoutOverstated(time.Now()) {
-			t.Error("it would go out as it was told before")
+			t.Error("TimeoutOverstated is false 200ms after SetTimeout, want true")
 		}
 		if attempt.SetTimeout(time.Now()); attempt.TimeoutOverstated(time.Now()) {
-			t.Error("it would not go out")
+			t.Error("TimeoutOverstated is true immediately after SetTimeout, want false")
 		}
 		encoded.Write(&text)
 	})
-	for _, want := range []string{"POST /pay/x%2f<?obj=7f HTTP/1.1\r\n", "X-Call-Id: 9b1f\r\n", "X-Budget-Ms: 300\r\n",
-		"Idempotency-Key: k\r\n", "Content-Length: 4\r\n", "\r\n\r\nbody"} {
+	for _, want := range []string{"POST /pay/x%2f<?obj=7f HTTP/1.1\r\n", "X-Call-Id: 9b1f\r\n",
+		"X-Budget-Ms: 300\r\n", "Idempotency-Key: k\r\n", "Content-Length: 4\r\n", "\r\n\r\nbody"} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("%q is missing in %q", want, text.String())
+			t.Errorf("forwarded request lacks %q: %q", want, text.String())
 		}
 	}
 	if strings.Contains(text.String(), "X-Odd") || strings.Contains(text.String(), "User-Agent") {
@@ -44,6 +48,7 @@
 	}
 }
 
+// TestInvalidRequests: each invalid request gets the status of its error.
 func TestInvalidRequests(t *testing.T) {
 	for _, test := range []struct {
 		from, to string
@@ -77,13 +82,14 @@
 	} {
 		_, requestErr := readRequest(t, strings.Replace(rawRequest, test.from, test.to, 1))
 		if requestErr == nil || requestErr.Status != test.status {
-			t.Errorf("%.40s: %+v, want %d", test.to, requestErr, test.status)
+			t.Errorf("request with %.40q: got error %+v, want status %d", test.to, requestErr, test.status)
 		}
 	}
 }
 
 // TestAffinityKeyAndMemory: the affinity key comes from the query alone and is the same at every
-// node; memory that is not a number is rejected.
+// node; a memory value that is not a number of at least 0 is
+// rejected.
 func TestAffinityKeyAndMemory(t *testing.T) {
 	read := func(target, info string) (*Request, *RequestError) {
 		r := httptest.NewRequest("POST", target, strings.NewReader("b"))
@@ -110,11 +116,12 @@
 	key := first.AffinityKey
 	keyIsWrong := key == 0 || key >= 1<<53 || key != same.AffinityKey || key == other.AffinityKey
 	if keyIsWrong || none.AffinityKey != 0 || first.Memory != 0.5 {
-		t.Errorf("%+v %+v %+v %+v %+v", first, same, other, none, requestErr)
+		t.Errorf("affinity keys or memory are wrong: first %+v, same key %+v, other key %+v, no key %+v, error %+v",
+			first, same, other, none, requestErr)
 	}
 	for _, info := range []string{"mem=", "mem=-1", "mem=NaN", "mem=much"} {
 		if _, requestErr := read(target, info); requestErr == nil || requestErr.Status != 400 {
-			t.Errorf("%s is taken", info)
+			t.Errorf("memory %q was accepted, want status 400", info)
 		}
 	}
 }
--- a/internal/protocol/response_test.go
+++ b/internal/protocol/response_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// TestRetryAfter: the header Retry-After is in seconds, with decimals.
 func TestRetryAfter(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	(&Response{Status: 503, RetryAfter: 1500 * time.Millisecond}).Write(recorder)
