--- a/internal/protocol/endpoint_list_test.go
+++ b/internal/protocol/endpoint_list_test.go
@@ -19,7 +19,7 @@
 func TestEndpointList(t *testing.T) {
 	list, err := DecodeEndpointList([]byte(rawList), names)
 	if err != nil || list.Version != 41 || !list.Complete || len(list.Endpoints) != 3 {
-		t.Fatal(list, err)
+		t.Fatalf("got list %+v and error %v, want a complete list of version 41 with 3 endpoints", list, err)
 	}
 	first := Endpoint{ID: "s-1", Address: "10.0.0.1:7", Zone: 1, Cell: 3, Started: 17e17, Capacity: 1.5}
 	if list.Endpoints[0] != first || list.Endpoints[1].State != dispatch.Draining ||
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	if strings.Contains(text.String(), "X-Odd") || strings.Contains(text.String(), "User-Agent") {
-		t.Error(text.String())
+		t.Errorf("forwarded request %q has X-Odd or User-Agent, want neither", text.String())
 	}
 }
 
