--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestAffinityKeyAndMemory: the affinity key comes from the query alone and is the same at every
-// node; a memory value that is not a number of at least 0 is
+// TestAffinityKeyAndMemory: the affinity key depends only on the query, so that all nodes derive the same
+// key; a memory value that is not a number of at least 0 is
 // rejected.
 func TestAffinityKeyAndMemory(t *testing.T) {
 	read := func(target, info string) (*Request, *RequestError) {
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -55,7 +55,8 @@
 	return len(f.attempts)
 }
 
-// finishAfter runs a job for a duration. It returns Canceled or TimedOut if the context ends earlier.
+// finishAfter runs a job for a duration. If the context ends earlier, it returns Canceled or
+// TimedOut, as transport does.
 func finishAfter(ctx context.Context, duration time.Duration,
 	outcome dispatch.Outcome) (dispatch.Outcome, string) {
 	select {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -42,7 +42,7 @@
 	module           *dispatch.Dispatcher
 	endpoints        map[string]*endpoint // by server id
 	excluded         map[string]bool      // ids of servers that operators have excluded
-	listedIDs        map[string]bool      // ids that were ever listed; tells removed servers from misspelled ids
+	listedIDs        map[string]bool      // ids ever listed; distinguishes removed servers from misspelled ids
 	listedOrder      []string             // listedIDs in the order of their first listing
 	outlierScores    map[string]float64   // by server id, as agreed by other nodes
 	unplacedDistance int                  // distance of a server until SetDistances places it
--- a/internal/routing/server_hints.go
+++ b/internal/routing/server_hints.go
@@ -6,8 +6,8 @@
 // reports the outcomes of attempts to other components.
 
 // SetDistances sets the distances of servers from this node; the module prefers near servers. A server
-// that is listed later has distance 1 until a later call places it, because otherwise all nodes would
-// use a new server at the same time.
+// that is listed later counts as far, with distance 1, until a later call places it; otherwise all nodes
+// would use a new server at the same time.
 func (r *Router) SetDistances(byID map[string]int) {
 	r.event(func() {
 		r.unplacedDistance = 1
