--- a/internal/routing/discovery_outage_test.go
+++ b/internal/routing/discovery_outage_test.go
@@ -18,31 +18,31 @@
 	"fernrail/internal/protocol"
 )
 
-// silentSource is discovery that sends each update from a set time on, and is unavailable for a period: it
+// outageSource is discovery that sends each update from a set time on, and is unavailable for a period: it
 // returns an error or does not respond.
-type silentSource struct {
-	releasesPolls                  bool         // polls in flight get a response after the period
-	lostPollStart                  atomic.Int64 // start of the last poll without a response, ns since start
-	start, silentFrom, silentUntil time.Time
-	updates                        map[int64]*protocol.EndpointList // by version
-	availableAt                    map[int64]time.Duration          // when discovery has it, since start
-	failure                        error                            // error during the period; nil: no response
+type outageSource struct {
+	answersWaiting                bool         // polls in flight get a response after the period
+	lostPollStart                 atomic.Int64 // start of the last poll without a response, ns since start
+	start, outageStart, outageEnd time.Time
+	updates                       map[int64]*protocol.EndpointList // by version
+	availableAt                   map[int64]time.Duration          // when discovery has it, since start
+	failure                       error                            // error during the period; nil: no response
 }
 
-func (s *silentSource) Poll(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
+func (s *outageSource) Poll(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	silent, start := false, time.Now()
+	pollLost, start := false, time.Now()
 	for {
 		now := time.Now()
-		down := now.After(s.silentFrom) && now.Before(s.silentUntil)
+		down := now.After(s.outageStart) && now.Before(s.outageEnd)
 		if down && s.failure != nil {
 			return nil, s.failure
 		}
-		if silent = silent || down && !s.releasesPolls; silent {
+		if pollLost = pollLost || down && !s.answersWaiting; pollLost {
 			s.lostPollStart.Store(int64(start.Sub(s.start)))
 		}
-		if list := s.updates[since+1]; !silent && !down && list != nil &&
+		if list := s.updates[since+1]; !pollLost && !down && list != nil &&
 			now.Sub(s.start) >= s.availableAt[since+1] {
 			return list, nil
 		}
@@ -64,17 +64,17 @@
 			random := rand.New(rand.NewPCG(seed, 1))
 			duration := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
 			forwarder, start := &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Now()
-			source := &silentSource{
-				releasesPolls: random.IntN(2) == 0,
-				start:         start,
-				silentFrom:    start.Add(duration(3 * time.Second)),
-				availableAt:   map[int64]time.Duration{},
+			source := &outageSource{
+				answersWaiting: random.IntN(2) == 0,
+				start:          start,
+				outageStart:    start.Add(duration(3 * time.Second)),
+				availableAt:    map[int64]time.Duration{},
 			}
 			if random.IntN(3) == 0 {
 				source.failure = errors.New("refused")
 			}
-			source.silentUntil = source.silentFrom.Add(4500*time.Millisecond + duration(12*time.Second))
-			notifiedAt := source.silentUntil.Add(duration(2 * time.Second))
+			source.outageEnd = source.outageStart.Add(4500*time.Millisecond + duration(12*time.Second))
+			notifiedAt := source.outageEnd.Add(duration(2 * time.Second))
 			source.availableAt[1], source.availableAt[2] = 0, notifiedAt.Sub(start)
 			source.updates = map[int64]*protocol.EndpointList{1: versionedList(1, completeList("a", "b").Endpoints...),
 				2: {Version: 2, Endpoints: []protocol.Endpoint{testEndpoint("b", dispatch.Draining)}}}
@@ -105,7 +105,7 @@
 			for _, attempt := range forwarder.attempts[sentBefore:] {
 				if attempt.Address == "b:7" {
 					t.Errorf("seed %d: attempt to b 2s after its drain; no discovery from %v to %v, notified at %v",
-						seed, source.silentFrom.Sub(start), source.silentUntil.Sub(start), notifiedAt.Sub(start))
+						seed, source.outageStart.Sub(start), source.outageEnd.Sub(start), notifiedAt.Sub(start))
 					break
 				}
 			}
--- a/internal/routing/endpoint_watcher_test.go
+++ b/internal/routing/endpoint_watcher_test.go
@@ -69,7 +69,7 @@
 // polls are not repeated in a tight loop. A complete list that was requested is applied with any version.
 func TestInvalidEndpointListsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		regressed := versionedList(3, completeList("gone").Endpoints...)
+		regressed := versionedList(3, completeList("outdated").Endpoints...)
 		regressedChanges := &protocol.EndpointList{Version: 7, Endpoints: completeList("a").Endpoints}
 		source := &scriptedSource{answers: []any{
 			versionedList(7, completeList("a").Endpoints...),
@@ -80,7 +80,7 @@
 		}}
 		for range 100 {
 			source.answers = append(source.answers,
-				&protocol.EndpointList{Version: 3, Endpoints: completeList("gone").Endpoints})
+				&protocol.EndpointList{Version: 3, Endpoints: completeList("outdated").Endpoints})
 		}
 		source.answers = append(source.answers, regressedChanges)
 		router := newTestRouter(&fakeForwarder{}, source, &protocol.EndpointList{})
@@ -88,16 +88,16 @@
 		go router.WatchEndpoints(ctx)
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
-		if !router.IsListed("a") || router.IsListed("gone") {
+		if !router.IsListed("a") || router.IsListed("outdated") {
 			t.Error("a list with a lower version was applied without being requested")
 		}
 		time.Sleep(5 * time.Second)
 		cancel()
 		synctest.Wait()
 		got := strings.Join(source.polls[:5], ", ")
-		if got != "0 true, 7 false, 7 true, 7 true, 3 false" || !router.IsListed("gone") {
+		if got != "0 true, 7 false, 7 true, 7 true, 3 false" || !router.IsListed("outdated") {
 			t.Errorf("got polls %q and listed=%t, want five polls and the requested list applied",
-				got, router.IsListed("gone"))
+				got, router.IsListed("outdated"))
 		}
 		if len(source.polls) > 105 {
 			t.Errorf("got %d polls in 5 s, want at most 105", len(source.polls))
--- a/internal/routing/exclusions_test.go
+++ b/internal/routing/exclusions_test.go
@@ -40,7 +40,7 @@
 		if sentTo("a:7") == 0 {
 			t.Fatal("server a got no attempt before its exclusion, want at least 1")
 		}
-		router.SetExcluded([]string{"a", "never"})
+		router.SetExcluded([]string{"a", "unknown"})
 		if known, excluded := router.ServerCounts(); known != 2 || excluded != 1 {
 			t.Errorf("got %d known and %d excluded servers, want 2 and 1", known, excluded)
 		}
@@ -60,7 +60,7 @@
 		if sentTo("elsewhere:7") == 0 {
 			t.Error("server a got no attempt at its new address after its exclusion, want at least 1")
 		}
-		if applyList(router, completeList("b")); !router.WasListed("a") || router.WasListed("never") {
+		if applyList(router, completeList("b")); !router.WasListed("a") || router.WasListed("unknown") {
 			t.Error("WasListed: want true for the removed server a, false for the unknown server")
 		}
 		router.SetExcluded([]string{"b"})
--- a/internal/routing/interfaces.go
+++ b/internal/routing/interfaces.go
@@ -39,9 +39,9 @@
 	// Quota returns this node's quota of a budget, in units. key is that of Allow.
 	Quota(budget dispatch.Budget, key string) float64
 	// Reserve reserves the units that one attempt uses. It returns nil if the quota is not sufficient;
-	// the attempt must not be sent then. slowStartShare is the fraction of the server's slow-start
+	// the attempt must not be sent then. slowStartFraction is the fraction of the server's slow-start
 	// budget that the attempt uses.
-	Reserve(serverID, tenant string, isRetry bool, slowStartShare float64) Reservation
+	Reserve(serverID, tenant string, isRetry bool, slowStartFraction float64) Reservation
 	// AllowPoll takes one poll of discovery from its budget, immediately before the poll is sent, and
 	// reports whether it may be sent. An overdue poll is always allowed.
 	AllowPoll(overdue bool) bool
--- a/internal/routing/requests_test.go
+++ b/internal/routing/requests_test.go
@@ -53,14 +53,14 @@
 			if got := <-first; got != http.StatusOK {
 				t.Errorf("window %s: first request: got status %d, want 200", window, got)
 			}
-			endedAt, reserved := time.Now(), cmp.Or(window, 10*time.Second)
-			for i := 0; time.Since(endedAt) < reserved-time.Millisecond; i++ {
+			endedAt, reservedFor := time.Now(), cmp.Or(window, 10*time.Second)
+			for i := 0; time.Since(endedAt) < reservedFor-time.Millisecond; i++ {
 				if got := serve("j", 1); got != http.StatusConflict {
 					t.Errorf("window %s: got status %d for a repeat %s after the response, want 409",
 						window, got, time.Since(endedAt))
 				}
 				go serve(fmt.Sprint(i), 0) // concurrent requests of a class without a window
-				time.Sleep(min(time.Second, reserved-time.Millisecond-time.Since(endedAt)))
+				time.Sleep(min(time.Second, reservedFor-time.Millisecond-time.Since(endedAt)))
 			}
 			time.Sleep(2 * time.Millisecond)
 			if got := serve("j", 1); got != http.StatusOK {
--- a/internal/routing/rules_fuzz_test.go
+++ b/internal/routing/rules_fuzz_test.go
@@ -40,7 +40,7 @@
 		defer mu.Unlock()
 		return source.IntN(n)
 	}
-	stoppedAt, answered, mayRun := map[string]time.Time{}, map[string]bool{}, map[string]bool{}
+	stoppedAt, answered, mayHaveRun := map[string]time.Time{}, map[string]bool{}, map[string]bool{}
 	forwarder := &fakeForwarder{}
 	forwarder.script = func(
 		ctx context.Context, _ int, attempt *protocol.Attempt, update func(protocol.JobUpdate),
@@ -53,10 +53,10 @@
 		if answered[id] && ctx.Err() == nil {
 			t.Error("rule 1: attempt after the final response")
 		}
-		if mayRun[id] && attempt.Request.Class == 1 {
+		if mayHaveRun[id] && attempt.Request.Class == 1 {
 			t.Error("rule 2: second attempt of a non-idempotent request that may have run")
 		}
-		mayRun[id] = true
+		mayHaveRun[id] = true
 		mu.Unlock()
 		if randomInt(3) > 0 {
 			update(protocol.JobUpdate{State: protocol.Started})
@@ -65,7 +65,7 @@
 		outcome, result := finishAfter(ctx, duration, dispatch.Outcome(randomInt(int(dispatch.StaleConnection)+1)))
 		if outcome == dispatch.Rejected || outcome == dispatch.ConnectFailed || outcome == dispatch.NotSent {
 			mu.Lock()
-			mayRun[id] = false
+			mayHaveRun[id] = false
 			mu.Unlock()
 		}
 		return outcome, result
@@ -143,7 +143,7 @@
 			if time.Since(start) > timeout {
 				t.Error("rule 1: response after the deadline")
 			}
-			if response != nil && response.Status == 503 && class == 1 && mayRun[id] {
+			if response != nil && response.Status == 503 && class == 1 && mayHaveRun[id] {
 				t.Error("rule 2: non-idempotent request that may have run was rejected as not run")
 			}
 		})
