--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -44,7 +44,8 @@
 	Cause     error   // why there is no complete response; nil: the response is complete
 }
 
-// IsRejection reports whether the header of a server's response proves that the job was never run.
+// IsRejection reports whether the status and the header of a server's response prove that the job was
+// never run.
 func IsRejection(r *http.Response) bool {
 	unavailable := r.StatusCode == http.StatusServiceUnavailable || r.StatusCode == http.StatusGatewayTimeout
 	return unavailable && r.Header.Get(headerRejected) == "1"
--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -16,9 +16,9 @@
 	"fernrail/dispatch"
 )
 
-// ErrNoNews means that discovery processed a poll and had no update. It must not be polled again
-// immediately. A poll that got no response, or an unreadable one, does not count as processed.
-var ErrNoNews = errors.New("discovery has no update")
+// ErrNoNews means that discovery processed a poll and responded without an endpoint list. It must not be
+// polled again immediately. A poll that got no response, or an unreadable one, does not count as processed.
+var ErrNoNews = errors.New("no endpoint list in the response")
 
 // MaxEndpointListBytes is the maximum size of an encoded endpoint list. Several thousand servers fit.
 const MaxEndpointListBytes = 4 << 20
--- a/internal/routing/endpoint_watcher.go
+++ b/internal/routing/endpoint_watcher.go
@@ -95,7 +95,7 @@
 			return
 		case state.pollNow = <-r.pollRequested:
 		case r.endpointSource = <-r.nextEndpointSource:
-			// The result of a poll in flight at the old source is no longer used. Versions of different
+			// A poll in flight at the old source would bring no further updates. Versions of different
 			// sources can't be compared, so the complete list is fetched.
 			cancel()
 			results = nil
--- a/internal/routing/interfaces.go
+++ b/internal/routing/interfaces.go
@@ -29,8 +29,8 @@
 	Poll(ctx context.Context, since int64, complete bool) (*protocol.EndpointList, error)
 }
 
-// QuotaSource provides this node's quotas of the budgets that all nodes share. Its methods are called
-// with the router's lock held and must not call the Router.
+// QuotaSource provides this node's quotas of the budgets that all nodes share. Allow, Quota and Reserve are
+// called with the router's lock held; no method may call the Router.
 type QuotaSource interface {
 	// Allow reports whether the given number of additional units may be used now. key is the address
 	// of a server for the connection budget, the name of a tenant for the budget of its attempts, empty
--- a/internal/routing/scheduling_delay.go
+++ b/internal/routing/scheduling_delay.go
@@ -46,8 +46,8 @@
 	return max(d.lastDelay.Load(), d.now()-d.due.Load(), 0)
 }
 
-// run measures the delay until the context ends. It logs a delay above the threshold at most once a
-// second.
+// run measures the delay until the context ends. It logs a delay of at least delayLogThreshold,
+// at most once a second.
 func (d *delayMonitor) run(ctx context.Context, log zerolog.Logger) {
 	log = log.Sample(&zerolog.BurstSampler{Burst: 1, Period: time.Second})
 	timer := time.NewTimer(delaySampleInterval)
