--- a/internal/routing/discovery_outage_test.go
+++ b/internal/routing/discovery_outage_test.go
@@ -18,31 +18,33 @@
 	"fernrail/internal/protocol"
 )
 
-// silentSource tells versions at their times, and is silent for a span.
-type silentSource struct {
-	answersAfterSilence            bool         // calls that are out in the silence are answered when it is over
-	lostPollStart                  atomic.Int64 // when the last call began that is never answered, ns from zero
-	start, silentFrom, silentUntil time.Time
-	updates                        map[int64]*protocol.EndpointList // by version
-	availableAt                    map[int64]time.Duration          // when the agent has it, from zero
-	failure                        error                            // what it answers while down; nil: nothing
+// outageSource is discovery that sends each update from a set time on, and is unavailable for a period: it
+// returns an error or does not respond.
+type outageSource struct {
+	answersWaiting                bool         // polls in flight get a response after the period
+	lostPollStart                 atomic.Int64 // start of the last poll without a response, ns since start
+	start, outageStart, outageEnd time.Time
+	updates                       map[int64]*protocol.EndpointList // by version
+	availableAt                   map[int64]time.Duration          // when discovery has it, since start
+	failure                       error                            // error during the period; nil: no response
 }
 
-func (a *silentSource) Poll(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
+func (s *outageSource) Poll(ctx context.Context, since int64, _ bool) (*protocol.EndpointList, error) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	silent, start := false, time.Now()
+	pollLost, start := false, time.Now()
 	for {
 		now := time.Now()
-		down := now.After(a.silentFrom) && now.Before(a.silentUntil)
-		if down && a.failure != nil {
-			return nil, a.failure
+		down := now.After(s.outageStart) && now.Before(s.outageEnd)
+		if down && s.failure != nil {
+			return nil, s.failure
 		}
-		if silent = silent || down && !a.answersAfterSilence; silent {
-			a.lostPollStart.Store(int64(start.Sub(a.start)))
+		if pollLost = pollLost || down && !s.answersWaiting; pollLost {
+			s.lostPollStart.Store(int64(start.Sub(s.start)))
 		}
-		if l := a.updates[since+1]; !silent && !down && l != nil && now.Sub(a.start) >= a.availableAt[since+1] {
-			return l, nil
+		if list := s.updates[since+1]; !pollLost && !down && list != nil &&
+			now.Sub(s.start) >= s.availableAt[since+1] {
+			return list, nil
 		}
 		select {
 		case <-time.After(10 * time.Millisecond):
@@ -52,29 +54,29 @@
 	}
 }
 
-// TestUpdateDuringBackoff: discovery falls silent and comes back with an update, or has one soon
-// after, while the node backs off from a poll that was refused or never answered. The rules count
-// the node as notified at once, so the backoff must end in time. An update that a poll misses which
-// is never answered counts as notified 2 s after the poll's wait of 3 s.
+// TestUpdateDuringBackoff: discovery becomes available again with an update, or gets one soon after,
+// while the node backs off from a poll that was refused or got no response. The rules count the node as
+// notified immediately, so a backoff that is too long breaks them. If a poll without a response misses
+// the update, the node counts as notified 2 s after the poll's wait of 3 s.
 func TestUpdateDuringBackoff(t *testing.T) {
 	for seed := range uint64(24) {
 		synctest.Test(t, func(t *testing.T) {
-			chance := rand.New(rand.NewPCG(seed, 1))
-			span := func(most time.Duration) time.Duration { return time.Duration(chance.Int64N(int64(most))) }
-			c, now := &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Now()
-			a := &silentSource{
-				answersAfterSilence: chance.IntN(2) == 0,
-				start:               now,
-				silentFrom:          now.Add(span(3 * time.Second)),
-				availableAt:         map[int64]time.Duration{},
+			random := rand.New(rand.NewPCG(seed, 1))
+			duration := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
+			forwarder, start := &fakeForwarder{script: succeedAfter(time.Millisecond)}, time.Now()
+			source := &outageSource{
+				answersWaiting: random.IntN(2) == 0,
+				start:          start,
+				outageStart:    start.Add(duration(3 * time.Second)),
+				availableAt:    map[int64]time.Duration{},
 			}
-			if chance.IntN(3) == 0 {
-				a.failure = errors.New("refused")
+			if random.IntN(3) == 0 {
+				source.failure = errors.New("refused")
 			}
-			a.silentUntil = a.silentFrom.Add(4500*time.Millisecond + span(12*time.Second))
-			told := a.silentUntil.Add(span(2 * time.Second))
-			a.availableAt[1], a.availableAt[2] = 0, told.Sub(now)
-			a.updates = map[int64]*protocol.EndpointList{1: versionedList(1, completeList("a", "b").Endpoints...),
+			source.outageEnd = source.outageStart.Add(4500*time.Millisecond + duration(12*time.Second))
+			notifiedAt := source.outageEnd.Add(duration(2 * time.Second))
+			source.availableAt[1], source.availableAt[2] = 0, notifiedAt.Sub(start)
+			source.updates = map[int64]*protocol.EndpointList{1: versionedList(1, completeList("a", "b").Endpoints...),
 				2: {Version: 2, Endpoints: []protocol.Endpoint{testEndpoint("b", dispatch.Draining)}}}
 			settings := testSettings()
 			settings.DrainGrace, settings.MaxPollInterval = 2e9, int64(protocol.PollRetryInterval)
@@ -82,31 +84,32 @@
 				Settings:         settings,
 				Seed:             seed,
 				InitialEndpoints: completeList("a", "b"),
-				Forwarder:        c,
+				Forwarder:        forwarder,
 				ProbeTimeout:     time.Second,
-				EndpointSource:   a,
+				EndpointSource:   source,
 				Log:              zerolog.Nop(),
 			})
-			ctx, stop := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
 			go router.WatchEndpoints(ctx)
-			time.Sleep(time.Until(told))
-			if late := now.Add(time.Duration(a.lostPollStart.Load()) + 5*time.Second); late.After(told) {
-				told = late
+			time.Sleep(time.Until(notifiedAt))
+			if lostUntil := start.Add(time.Duration(source.lostPollStart.Load()) +
+				5*time.Second); lostUntil.After(notifiedAt) {
+				notifiedAt = lostUntil
 			}
-			time.Sleep(time.Until(told.Add(2 * time.Second)))
+			time.Sleep(time.Until(notifiedAt.Add(2 * time.Second)))
 			synctest.Wait()
-			before := c.attemptCount()
+			sentBefore := forwarder.attemptCount()
 			for i := range 200 {
 				router.Serve(t.Context(), testRequest(fmt.Sprint(i), 0, time.Second))
 			}
-			for _, j := range c.attempts[before:] {
-				if j.Address == "b:7" {
-					t.Errorf("seed %d: silent from %v to %v, told at %v, and sent to it after the grace",
-						seed, a.silentFrom.Sub(now), a.silentUntil.Sub(now), told.Sub(now))
+			for _, attempt := range forwarder.attempts[sentBefore:] {
+				if attempt.Address == "b:7" {
+					t.Errorf("seed %d: attempt to b 2s after its drain; no discovery from %v to %v, notified at %v",
+						seed, source.outageStart.Sub(start), source.outageEnd.Sub(start), notifiedAt.Sub(start))
 					break
 				}
 			}
-			stop()
+			cancel()
 		})
 	}
 }
--- a/internal/routing/helpers_test.go
+++ b/internal/routing/helpers_test.go
@@ -15,13 +15,14 @@
 	"github.com/rs/zerolog"
 )
 
-// attemptScript plays a server: it runs the nth attempt, reports its updates, and gives outcome and result.
+// attemptScript simulates a server: it runs the attempt with the given number, from 1, reports its
+// updates, and returns the outcome and the result.
 type attemptScript func(
-	ctx context.Context, nth int, attempt *protocol.Attempt, update func(protocol.JobUpdate),
+	ctx context.Context, number int, attempt *protocol.Attempt, update func(protocol.JobUpdate),
 ) (dispatch.Outcome, string)
 
-// fakeForwarder stands in for the servers: a script says what comes of each attempt. Time is that
-// of a synctest bubble.
+// fakeForwarder simulates the servers: a script determines the outcome of each attempt. Time is that of a
+// synctest bubble.
 type fakeForwarder struct {
 	mu              sync.Mutex
 	attempts        []*protocol.Attempt
@@ -30,35 +31,37 @@
 	script          attemptScript
 }
 
-func (c *fakeForwarder) Forward(ctx context.Context, job *protocol.Attempt, heard func(protocol.JobUpdate),
-	ended func(protocol.AttemptResult)) {
-	c.mu.Lock()
-	c.attempts = append(c.attempts, job)
-	n := len(c.attempts)
-	c.mu.Unlock()
-	o, result := c.script(ctx, n, job, heard)
-	ended(protocol.AttemptResult{Outcome: o, Result: result})
+func (f *fakeForwarder) Forward(ctx context.Context, attempt *protocol.Attempt,
+	update func(protocol.JobUpdate), end func(protocol.AttemptResult)) {
+	f.mu.Lock()
+	f.attempts = append(f.attempts, attempt)
+	number := len(f.attempts)
+	f.mu.Unlock()
+	outcome, result := f.script(ctx, number, attempt, update)
+	end(protocol.AttemptResult{Outcome: outcome, Result: result})
 }
 
-// Probe is answered by load, after its delay.
-func (c *fakeForwarder) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
-	c.mu.Lock()
-	c.probedAddresses = append(c.probedAddresses, address)
-	c.mu.Unlock()
-	return c.loadReport(ctx, address)
+// Probe returns the result of loadReport.
+func (f *fakeForwarder) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
+	f.mu.Lock()
+	f.probedAddresses = append(f.probedAddresses, address)
+	f.mu.Unlock()
+	return f.loadReport(ctx, address)
 }
 
-func (c *fakeForwarder) attemptCount() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.attempts)
+func (f *fakeForwarder) attemptCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.attempts)
 }
 
-// finishAfter runs a job for a time; an attempt given up ends as it would on sockets.
-func finishAfter(ctx context.Context, span time.Duration, o dispatch.Outcome) (dispatch.Outcome, string) {
+// finishAfter runs a job for a duration. If the context ends earlier, it returns Canceled or
+// TimedOut, as transport does.
+func finishAfter(ctx context.Context, duration time.Duration,
+	outcome dispatch.Outcome) (dispatch.Outcome, string) {
 	select {
-	case <-time.After(span):
-		return o, "r"
+	case <-time.After(duration):
+		return outcome, "r"
 	case <-ctx.Done():
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -67,38 +70,40 @@
 	return dispatch.TimedOut, ""
 }
 
-// succeedAfter starts each attempt at once and succeeds after a time.
-func succeedAfter(span time.Duration) attemptScript {
+// succeedAfter returns a script that starts each attempt immediately and succeeds after a duration.
+func succeedAfter(duration time.Duration) attemptScript {
 	return func(
 		ctx context.Context, _ int, _ *protocol.Attempt, update func(protocol.JobUpdate),
 	) (dispatch.Outcome, string) {
 		update(protocol.JobUpdate{State: protocol.Started})
-		return finishAfter(ctx, span, dispatch.Succeeded)
+		return finishAfter(ctx, duration, dispatch.Succeeded)
 	}
 }
 
-// scriptedSource gives lists and faults in turn, and then waits.
+// scriptedSource responds to polls with the given lists and errors in turn. Later polls wait until their
+// context ends.
 type scriptedSource struct {
 	answers  []any
 	polls    []string
 	polledAt []time.Time
 }
 
-func (l *scriptedSource) Poll(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
-	l.polls, l.polledAt = append(l.polls, fmt.Sprint(since, whole)), append(l.polledAt, time.Now())
-	if len(l.answers) == 0 {
+func (s *scriptedSource) Poll(ctx context.Context, since int64,
+	complete bool) (*protocol.EndpointList, error) {
+	s.polls, s.polledAt = append(s.polls, fmt.Sprint(since, complete)), append(s.polledAt, time.Now())
+	if len(s.answers) == 0 {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	a := l.answers[0]
-	l.answers = l.answers[1:]
-	if err, isFault := a.(error); isFault {
+	answer := s.answers[0]
+	s.answers = s.answers[1:]
+	if err, isError := answer.(error); isError {
 		return nil, err
 	}
-	return a.(*protocol.EndpointList), nil
+	return answer.(*protocol.EndpointList), nil
 }
 
-// testSettings has an idempotent class, 0, and a non-idempotent one, 1.
+// testSettings returns settings with an idempotent class, 0, and a non-idempotent class, 1.
 func testSettings() *dispatch.Settings {
 	return &dispatch.Settings{
 		Nodes:            2,
@@ -138,23 +143,23 @@
 }
 
 func completeList(ids ...string) *protocol.EndpointList {
-	l := &protocol.EndpointList{Complete: true}
+	list := &protocol.EndpointList{Complete: true}
 	for _, id := range ids {
-		l.Endpoints = append(l.Endpoints, testEndpoint(id, dispatch.Up))
+		list.Endpoints = append(list.Endpoints, testEndpoint(id, dispatch.Up))
 	}
-	return l
+	return list
 }
 
-func testRequest(id string, class int, budget time.Duration) *protocol.Request {
-	return &protocol.Request{ID: id, Class: class, Slots: 1, Timeout: budget}
+func testRequest(id string, class int, timeout time.Duration) *protocol.Request {
+	return &protocol.Request{ID: id, Class: class, Slots: 1, Timeout: timeout}
 }
 
-// newTestRouter starts a router with the settings of testSettings that logs nothing.
-func newTestRouter(forwarder Forwarder, source EndpointSource, known *protocol.EndpointList) *Router {
+// newTestRouter starts a router with testSettings and without a log.
+func newTestRouter(forwarder Forwarder, source EndpointSource, initial *protocol.EndpointList) *Router {
 	return New(Config{
 		Settings:         testSettings(),
 		Seed:             1,
-		InitialEndpoints: known,
+		InitialEndpoints: initial,
 		Forwarder:        forwarder,
 		ProbeTimeout:     time.Second,
 		EndpointSource:   source,
@@ -162,17 +167,17 @@
 	})
 }
 
-// versionedList is a complete list of a version.
+// versionedList returns a complete list with a version.
 func versionedList(version int64, endpoints ...protocol.Endpoint) *protocol.EndpointList {
 	return &protocol.EndpointList{Version: version, Complete: true, Endpoints: endpoints}
 }
 
-// changedList lists changes alone.
+// changedList returns a list of changes.
 func changedList(endpoints ...protocol.Endpoint) *protocol.EndpointList {
 	return &protocol.EndpointList{Endpoints: endpoints}
 }
 
-// applyList hands a list to a router as if discovery had sent it.
+// applyList passes a list to a router as if discovery had sent it.
 func applyList(router *Router, list *protocol.EndpointList) {
 	router.event(func() { router.applyEndpoints(list) })
 }
--- a/internal/routing/requests_test.go
+++ b/internal/routing/requests_test.go
@@ -17,27 +17,27 @@
 	"fernrail/internal/protocol"
 )
 
-// TestRequestIDIsReservedOnce: an id is rejected while its request is open, and after that for its
-// class's deduplication window, or 10 s where none is set, to the millisecond. The first request
-// goes on unharmed, and a repeat after the window is a new request. A longer window would reject a
-// client's own retry, a shorter one would run it twice.
+// TestRequestIDIsReservedOnce: an id is rejected while its request is open, and then for the
+// deduplication window of its class, or for 10 s if none is set, accurate to 1 ms. The first request is
+// not affected, and a repeat after the window is a new request. A longer window would reject a client's
+// own retry; a shorter one would run the request twice.
 func TestRequestIDIsReservedOnce(t *testing.T) {
 	for _, window := range []time.Duration{0, 1500 * time.Millisecond, 45 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			c, settings := &fakeForwarder{script: succeedAfter(15 * time.Second)}, testSettings()
+			forwarder, settings := &fakeForwarder{script: succeedAfter(15 * time.Second)}, testSettings()
 			settings.Classes[1].DedupWindow = int64(window)
 			router := New(Config{
 				Settings:         settings,
 				Seed:             1,
 				InitialEndpoints: completeList("a", "b"),
-				Forwarder:        c,
+				Forwarder:        forwarder,
 				ProbeTimeout:     time.Second,
 				EndpointSource:   &scriptedSource{},
 				Log:              zerolog.Nop(),
 			})
 			serve := func(id string, class int) int {
-				if a := router.Serve(t.Context(), testRequest(id, class, time.Minute)); a != nil {
-					return a.Status
+				if response := router.Serve(t.Context(), testRequest(id, class, time.Minute)); response != nil {
+					return response.Status
 				}
 				return 0
 			}
@@ -46,120 +46,125 @@
 			for range 14 {
 				synctest.Wait()
 				if got := serve("j", 1); got != http.StatusConflict {
-					t.Errorf("window %s: %d while it is open", window, got)
+					t.Errorf("window %s: repeat of an open request: got status %d, want 409", window, got)
 				}
 				time.Sleep(time.Second)
 			}
 			if got := <-first; got != http.StatusOK {
-				t.Errorf("window %s: the first got %d", window, got)
+				t.Errorf("window %s: first request: got status %d, want 200", window, got)
 			}
-			ends, lasts := time.Now(), cmp.Or(window, 10*time.Second)
-			for i := 0; time.Since(ends) < lasts-time.Millisecond; i++ {
+			endedAt, reservedFor := time.Now(), cmp.Or(window, 10*time.Second)
+			for i := 0; time.Since(endedAt) < reservedFor-time.Millisecond; i++ {
 				if got := serve("j", 1); got != http.StatusConflict {
-					t.Errorf("window %s: %d after %s", window, got, time.Since(ends))
+					t.Errorf("window %s: got status %d for a repeat %s after the response, want 409",
+						window, got, time.Since(endedAt))
 				}
-				go serve(fmt.Sprint(i), 0) // others come and go meanwhile, of a class whose window is not told
-				time.Sleep(min(time.Second, lasts-time.Millisecond-time.Since(ends)))
+				go serve(fmt.Sprint(i), 0) // concurrent requests of a class without a window
+				time.Sleep(min(time.Second, reservedFor-time.Millisecond-time.Since(endedAt)))
 			}
 			time.Sleep(2 * time.Millisecond)
 			if got := serve("j", 1); got != http.StatusOK {
-				t.Errorf("window %s: %d when it is over", window, got)
+				t.Errorf("window %s: repeat after the window: got status %d, want 200", window, got)
 			}
 			time.Sleep(2 * time.Minute)
 			serve("other", 0)
 			time.Sleep(2 * time.Minute)
 			serve("another", 0)
-			if kept := len(router.ids.current) + len(router.ids.previous); kept > 4 {
-				t.Errorf("window %s: %d ids are kept", window, kept)
+			if stored := len(router.ids.current) + len(router.ids.previous); stored > 4 {
+				t.Errorf("window %s: got %d stored ids, want at most 4", window, stored)
 			}
 		})
 	}
 }
 
+// TestRequestSucceeds: a request causes one attempt with its deadline, gets the result of the job, and
+// leaves no state in the router.
 func TestRequestSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
-		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
+		forwarder := &fakeForwarder{script: succeedAfter(50 * time.Millisecond)}
+		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b"))
 		start := time.Now()
-		a := router.Serve(t.Context(), testRequest("j", 0, time.Second))
-		if a == nil || a.Status != 200 || a.Body != "r" {
-			t.Fatalf("%+v", a)
+		response := router.Serve(t.Context(), testRequest("j", 0, time.Second))
+		if response == nil || response.Status != 200 || response.Body != "r" {
+			t.Fatalf("got response %+v, want status 200 with body r", response)
 		}
-		j := c.attempts[0]
-		if c.attemptCount() != 1 || !strings.HasSuffix(j.Address, ":7") || j.Deadline.Sub(start) != time.Second {
-			t.Errorf("%+v", j)
+		attempt := forwarder.attempts[0]
+		if forwarder.attemptCount() != 1 || !strings.HasSuffix(attempt.Address, ":7") ||
+			attempt.Deadline.Sub(start) != time.Second {
+			t.Errorf("got attempt %+v, want only one, to port 7, with a deadline after 1s", attempt)
 		}
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		if len(router.requests)+len(router.cancelFuncs) > 0 {
-			t.Error("something of it is kept")
+			t.Error("the router still has state of a finished request")
 		}
 	})
 }
 
-// TestUnfinishedRequestIsAnsweredBeforeDeadline: every request is answered before its expiry, by a
-// decline only where nothing can have run.
-func TestUnfinishedRequestIsAnsweredBeforeDeadline(t *testing.T) {
+// TestUnfinishedRequestGetsResponseBeforeDeadline: a request whose job does not finish gets its response
+// before its deadline. It is rejected as not run only if it is idempotent.
+func TestUnfinishedRequestGetsResponseBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: succeedAfter(time.Hour)}
-		router := newTestRouter(c, &scriptedSource{}, completeList("a", "b"))
+		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
+		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b"))
 		for class, status := range []int{503, 500} {
 			start := time.Now()
-			a := router.Serve(t.Context(), testRequest(fmt.Sprint(class), class, time.Second))
-			if a == nil || a.Status != status || time.Since(start) >= time.Second {
-				t.Errorf("class %d: %+v after %s", class, a, time.Since(start))
+			response := router.Serve(t.Context(), testRequest(fmt.Sprint(class), class, time.Second))
+			if response == nil || response.Status != status || time.Since(start) >= time.Second {
+				t.Errorf("class %d: got response %+v after %s, want status 503 for class 0 and 500 for 1 within 1s",
+					class, response, time.Since(start))
 			}
 		}
 		synctest.Wait()
 		if len(router.cancelFuncs) > 0 {
-			t.Error("attempts are out that nobody waits for")
+			t.Error("attempts of finished requests are still in flight")
 		}
 	})
 }
 
-// TestClientCloses: nothing is out for a client that has closed. What is written to it, should it
-// still read, promises no more than the rules allow: that its job never ran only where that is
-// harmless or sure.
+// TestClientCloses: after a client has closed, no attempt for it is in flight or sent. As the client may
+// still read, the response obeys the rules: it states that the job has not run only if the request is
+// idempotent or the job certainly has not run.
 func TestClientCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &fakeForwarder{script: succeedAfter(time.Hour)}
-		router := newTestRouter(c, &scriptedSource{}, completeList("a"))
+		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
+		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a"))
 		for class, status := range []int{503, 500} {
-			ctx, leave := context.WithCancel(t.Context())
-			time.AfterFunc(100*time.Millisecond, leave)
-			a := router.Serve(ctx, testRequest(fmt.Sprint(class), class, 5*time.Second))
-			if a == nil || !a.ClientClosed || a.Status != status {
-				t.Errorf("%+v", a)
+			ctx, closeClient := context.WithCancel(t.Context())
+			time.AfterFunc(100*time.Millisecond, closeClient)
+			response := router.Serve(ctx, testRequest(fmt.Sprint(class), class, 5*time.Second))
+			if response == nil || !response.ClientClosed || response.Status != status {
+				t.Errorf("client closed during its request: got response %+v, want status 503 or 500", response)
 			}
-			a = router.Serve(ctx, testRequest(fmt.Sprint("late", class), class, 5*time.Second))
-			if a == nil || !a.ClientClosed || a.Status != 503 {
-				t.Errorf("%+v", a)
+			response = router.Serve(ctx, testRequest(fmt.Sprint("late", class), class, 5*time.Second))
+			if response == nil || !response.ClientClosed || response.Status != 503 {
+				t.Errorf("client closed before its request: got response %+v, want status 503", response)
 			}
 		}
-		if c.attemptCount() != 2 {
-			t.Errorf("%d attempts", c.attemptCount())
+		if forwarder.attemptCount() != 2 {
+			t.Errorf("got %d attempts, want 2", forwarder.attemptCount())
 		}
 		synctest.Wait()
 		if len(router.requests)+len(router.cancelFuncs) > 0 {
-			t.Error("the attempt is still out")
+			t.Error("a request or an attempt of a closed client is still open")
 		}
 	})
 }
 
-// TestShutdownAnswersInTime: a node that is told to end answers all that it has, and what still
-// comes, within the time it is given.
-func TestShutdownAnswersInTime(t *testing.T) {
+// TestShutdownRespondsInTime: a node that shuts down responds to its open requests, and to those that
+// arrive later, within the time given to Shutdown.
+func TestShutdownRespondsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := &fakeForwarder{script: succeedAfter(time.Hour)}
 		router := newTestRouter(forwarder, &scriptedSource{}, completeList("a", "b", "c"))
-		start, done := time.Now(), make(chan *protocol.Response, 2)
-		go func() { done <- router.Serve(t.Context(), testRequest("j", 1, time.Minute)) }()
+		start, responses := time.Now(), make(chan *protocol.Response, 2)
+		go func() { responses <- router.Serve(t.Context(), testRequest("j", 1, time.Minute)) }()
 		time.Sleep(100 * time.Millisecond)
 		router.Shutdown(time.Second)
-		go func() { done <- router.Serve(t.Context(), testRequest("k", 1, time.Minute)) }()
+		go func() { responses <- router.Serve(t.Context(), testRequest("k", 1, time.Minute)) }()
 		for range 2 {
-			if a := <-done; a == nil || time.Since(start) >= 1100*time.Millisecond {
-				t.Errorf("%+v after %s", a, time.Since(start))
+			if response := <-responses; response == nil || time.Since(start) >= 1100*time.Millisecond {
+				t.Errorf("got response %+v after %s, want a response within 1.1s", response, time.Since(start))
 			}
 		}
 	})
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -10,29 +10,30 @@
 	"fernrail/dispatch"
 )
 
-// messageHandlers hand each message's fields to the dispatcher.
+// messageHandlers maps the name of each message to its handler.
 var messageHandlers = map[string]func(n *instance, f *fields){
 	"NEW_INSTANCE": (*instance).start,
 	"KILL":         (*instance).kill,
 	"UPDATE":       (*instance).beginUpdate,
 	"ITEM":         (*instance).addEndpoint,
 	"ORDER":        (*instance).addRequest,
-	"ABANDONED":    (*instance).abandonRequest,
+	"ABANDONED":    (*instance).finishRequest,
 	"REPORT_BACK":  (*instance).endAttempt,
-	"HINT_UPDATE":  (*instance).noteProgress,
+	"HINT_UPDATE":  (*instance).reportProgress,
 	"WAKE":         (*instance).fireTimer,
 	"PROBED":       (*instance).reportCapacity,
-	"WHISPER":      (*instance).hearPeer,
-	"ACK_FIRST":    func(*instance, *fields) {}, // streams are not used
+	"WHISPER":      (*instance).handlePeerMessage,
+	"ACK_FIRST":    func(*instance, *fields) {}, // the adapter uses no streams
 }
 
-// The topics of a progress note.
+// The values of the Topic field of HINT_UPDATE.
 const (
 	topicStarted  = 1
 	topicProgress = 2
 )
 
-// peerMessageBytes is the length of a message between nodes: slots, and the server's hash.
+// peerMessageBytes is the length of a message between nodes: one byte for the slots and four bytes for
+// the server's hash.
 const peerMessageBytes = 5
 
 func (n *instance) beginUpdate(f *fields) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// addEndpoint adds one entry to the update that is being read, and applies the update after the last one.
+// addEndpoint adds one entry to the current update, and applies the update after its last entry.
 func (n *instance) addEndpoint(f *fields) {
 	update := n.session.update
 	if update == nil {
@@ -88,7 +89,7 @@
 	}
 }
 
-// server returns the server of a name, which is made if it is new.
+// server returns the server with the given name. It creates a server for an unknown name.
 func (n *instance) server(tag string) *dispatch.Server {
 	server := n.servers[tag]
 	if server == nil {
@@ -135,7 +136,7 @@
 	n.removeIfEnded(request)
 }
 
-func (n *instance) abandonRequest(f *fields) {
+func (n *instance) finishRequest(f *fields) {
 	request := n.requests[f.text("Job")]
 	if request == nil || f.err != nil {
 		return
@@ -144,7 +145,7 @@
 	n.removeIfEnded(request)
 }
 
-// attempt returns the attempt that a message is about; nil: it is not known any more.
+// attempt returns the attempt that a message refers to, or nil if it is unknown or already removed.
 func (n *instance) attempt(f *fields) *dispatch.Attempt {
 	request, number := n.requests[f.text("Job")], f.integer("Trial")
 	if request == nil || f.err != nil || number < 0 || number >= int64(len(request.Attempts)) {
@@ -156,17 +157,17 @@
 func (n *instance) endAttempt(f *fields) {
 	attempt := n.attempt(f)
 	outcome := f.outcome()
-	took := f.integerOrZero("TimeTaken")
+	duration := f.integerOrZero("TimeTaken")
 	requestEnded := f.integerOrZero("Ended") != 0
 	if attempt == nil || !attempt.InFlight || f.err != nil {
 		return
 	}
-	attempt.FreeSlots = f.reported(n.loadReportKeys.FreeSlots)
-	n.module.AttemptEnded(attempt, outcome, took, requestEnded)
+	attempt.FreeSlots = f.loadReportValue(n.loadReportKeys.FreeSlots)
+	n.module.AttemptEnded(attempt, outcome, duration, requestEnded)
 	n.removeIfEnded(attempt.Request)
 }
 
-func (n *instance) noteProgress(f *fields) {
+func (n *instance) reportProgress(f *fields) {
 	attempt, topic := n.attempt(f), f.integer("Topic")
 	if attempt == nil || !attempt.InFlight || f.err != nil {
 		return
@@ -187,14 +188,15 @@
 	}
 }
 
-// reportCapacity hands on what a server said of its capacity: none, where the probe failed or its report lacks the value.
+// reportCapacity passes the free capacity of a server to the dispatcher. The free slots are 0 if the probe
+// failed or the report lacks the value.
 func (n *instance) reportCapacity(f *fields) {
 	server := n.servers[f.text("Executor")]
 	reported := f.text("Status") == "delivered"
-	freeSlots := f.reported(n.loadReportKeys.FreeSlots)
+	freeSlots := f.loadReportValue(n.loadReportKeys.FreeSlots)
 	freeMemory := math.MaxFloat64
 	if n.loadReportKeys.FreeMemory != "" {
-		freeMemory = f.reported(n.loadReportKeys.FreeMemory)
+		freeMemory = f.loadReportValue(n.loadReportKeys.FreeMemory)
 	}
 	if server == nil || f.err != nil {
 		return
@@ -205,9 +207,9 @@
 	n.module.CapacityReported(server, reported, freeSlots, freeMemory)
 }
 
-// hearPeer takes another node's word of slots that it reserved. Malformed messages, and servers that this node's own list has not
-// named, are ignored.
-func (n *instance) hearPeer(f *fields) {
+// handlePeerMessage handles a message from another node about slots that it reserved. Malformed messages
+// and messages about servers that are not in this node's list are ignored.
+func (n *instance) handlePeerMessage(f *fields) {
 	message, err := base64.StdEncoding.DecodeString(f.text("Content"))
 	if err != nil || len(message) != peerMessageBytes {
 		return
--- a/internal/simwire/session.go
+++ b/internal/simwire/session.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package simwire speaks the simulator's text protocol for any number of instances of the decision package: batches of lines in,
-// actions out. It owns ids, the tables from ids to objects, and timer tokens; it decides nothing.
+// Package simwire implements the text protocol of the simulator for any number of instances of the
+// decision package: it reads batches of lines and writes actions. It maps ids to objects and allocates
+// timer tokens; it makes no decisions.
 package simwire
 
 import (
@@ -14,7 +15,7 @@
 	"fernrail/dispatch"
 )
 
-// Sizes of the buffers, in bytes; a batch of a large fleet is long.
+// Sizes of the buffers, in bytes. A batch of a large fleet is long.
 const (
 	inputBufferBytes  = 1 << 20
 	outputBufferBytes = 1 << 16
@@ -27,7 +28,8 @@
 	errInstanceOutside  = errors.New("ON outside a round")
 )
 
-// Serve answers batches until the input ends. A line that cannot be read is an error that names its number.
+// Serve responds to batches until the input ends. It returns an error with the line number for a line
+// that can't be decoded.
 func Serve(in io.Reader, out io.Writer) error {
 	s := &session{
 		in:        bufio.NewReaderSize(in, inputBufferBytes),
@@ -50,24 +52,24 @@
 	}
 }
 
-// session is one conversation with the simulator.
+// session is the state of one connection to the simulator.
 type session struct {
-	in         *bufio.Reader
-	out        *bufio.Writer
-	lineNumber int
-	inRound    bool
-	now        int64 // nanoseconds
-	batch      string
-	instances  map[string]*instance
-	current    *instance
-	touched    []*instance     // addressed in this round
-	writing    *instance       // whose actions are being written
-	update     *endpointUpdate // whose entries are being read; nil: none
+	in             *bufio.Reader
+	out            *bufio.Writer
+	lineNumber     int
+	roundOpen      bool
+	now            int64 // time of the round, ns
+	batch          string
+	instances      map[string]*instance
+	current        *instance
+	roundInstances []*instance     // instances selected in this round, in the order of selection
+	replyInstance  *instance       // instance of the last action in the reply; nil: none
+	update         *endpointUpdate // update with missing entries; nil: none
 }
 
-// endpointUpdate gathers the entries of one UPDATE.
+// endpointUpdate collects the entries of one UPDATE message.
 type endpointUpdate struct {
-	remaining int
+	remaining int // number of entries that are still to be read
 	mode      string
 	endpoints []dispatch.Endpoint
 }
@@ -76,41 +78,41 @@
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
-	if s.inRound {
+	if s.roundOpen {
 		return fmt.Errorf("line %d: %w", s.lineNumber, errInputEndsInRound)
 	}
 	return nil
 }
 
-// handleLine handles one line: a message to the session, or one to the current instance.
+// handleLine handles one line, which is a message to the session or to the current instance.
 func (s *session) handleLine(text string) error {
 	name, rest, _ := strings.Cut(text, "\t")
 	f := &fields{rest: rest, message: name}
 	if s.update != nil && name != "ITEM" {
-		return fmt.Errorf("%s where %d more list entries are due", name, s.update.remaining)
+		return fmt.Errorf("%s where %d more list entries are expected", name, s.update.remaining)
 	}
 	switch name {
 	case "ROUND":
 		return s.beginRound(f)
 	case "COMMIT":
-		if !s.inRound {
+		if !s.roundOpen {
 			return errCommitOutside
 		}
 		return s.commit()
 	case "ON":
 		return s.selectInstance(f)
 	}
-	if s.current == nil || !s.inRound {
+	if s.current == nil || !s.roundOpen {
 		return fmt.Errorf("%s with no instance selected", name)
 	}
 	return s.current.handleMessage(name, f)
 }
 
 func (s *session) beginRound(f *fields) error {
-	if s.inRound {
+	if s.roundOpen {
 		return errRoundInRound
 	}
-	s.inRound = true
+	s.roundOpen = true
 	s.current = nil
 	s.now = f.integer("Now")
 	s.batch = f.text("batch")
@@ -122,7 +124,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	if !s.inRound {
+	if !s.roundOpen {
 		return errInstanceOutside
 	}
 	selected := s.instances[name]
@@ -131,29 +133,31 @@
 		s.instances[name] = selected
 	}
 	s.current = selected
-	if !selected.touched {
-		selected.touched = true
-		s.touched = append(s.touched, selected)
+	if !selected.inRound {
+		selected.inRound = true
+		s.roundInstances = append(s.roundInstances, selected)
 	}
 	return nil
 }
 
-// commit ends a round: the instances that were addressed in it act, and the reply is sent.
+// commit ends a round: the instances that were selected in it process their queues, and the reply is
+// sent.
 func (s *session) commit() error {
-	for _, touched := range s.touched {
-		touched.touched = false
-		if touched.module != nil && !touched.crashed {
-			touched.step(touched.module.ProcessQueue)
+	for _, member := range s.roundInstances {
+		member.inRound = false
+		if member.module != nil && !member.crashed {
+			member.step(member.module.ProcessQueue)
 		}
 	}
-	s.touched = s.touched[:0]
-	s.writing = nil
-	s.inRound = false
+	s.roundInstances = s.roundInstances[:0]
+	s.replyInstance = nil
+	s.roundOpen = false
 	s.write("YIELD\tbatch=", s.batch, "\n")
 	return s.out.Flush()
 }
 
-// write appends texts to the reply. A bufio.Writer keeps its first error, and the Flush in commit returns it.
+// write appends texts to the reply. A bufio.Writer stores its first error, and the Flush in commit
+// returns it.
 func (s *session) write(texts ...string) {
 	for _, text := range texts {
 		_, _ = s.out.WriteString(text)
