--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -11,32 +11,35 @@
 )
 
 const (
-	// maxKeyedRequests is the number of requests after which the counts by key are halved.
+	// maxKeyedRequests is the number of counted requests above which the counts of all keys are halved.
 	maxKeyedRequests = 256
-	// spareServerShare is the share of late starts up to which a key has one preferred server more.
+	// spareServerShare is the share of late starts up to which a key has one additional preferred server.
 	spareServerShare = 0.25
-	// crowdedFactor is the multiple of the mean load from which a preferred server gives way to the next one.
+	// crowdedFactor is the multiple of the mean load above which a preferred server is replaced by the next
+	// one.
 	crowdedFactor = 1.2
-	// otherZonePenalty and crowdedPenalty are added to sample keys. They are more than any hash gives.
+	// otherZonePenalty and crowdedPenalty are added to sample keys. Both exceed any value derived from a
+	// hash.
 	otherZonePenalty = 1e9
 	crowdedPenalty   = 2e9
 )
 
-// keyState is what the requests of one affinity key have in common. Those without a key go by their tenant.
+// keyState is the state shared by all requests of one affinity key. Requests without a key share a state by
+// tenant.
 type keyState struct {
 	concurrencyLimit
-	requests     int           // counted of late
-	retrySuccess decayingRatio // requests that failed and ended elsewhere, and those that succeeded there
-	failedServer *Server       // where the last request went badly, if none has gone well since
+	requests     int           // recent requests; halved from time to time
+	retrySuccess decayingRatio // retries at another server after a failure, and the successful ones
+	failedServer *Server       // server of the latest adverse outcome; nil after a success
 }
 
-// keyTable holds the states of the keys of late.
+// keyTable holds the states of recently used keys.
 type keyTable struct {
 	states   map[uint64]*keyState
-	requests int // counted in the states
+	requests int // sum of the requests counted in the states
 }
 
-// record adds a request to its key's.
+// record counts a request in the state of its key.
 func (t *keyTable) record(request *Request) {
 	t.requests++
 	if t.requests > maxKeyedRequests {
@@ -52,7 +55,7 @@
 	request.keyState = state
 }
 
-// halve halves all counts and drops the keys that have none left and nothing in flight.
+// halve halves all counts. It deletes the keys whose count is then 0 and that have no slots in flight.
 func (t *keyTable) halve() {
 	t.requests /= 2
 	maps.DeleteFunc(t.states, func(_ uint64, state *keyState) bool {
@@ -61,28 +64,30 @@
 	})
 }
 
-// considerPreferred considers the preferred servers of a request's affinity key for a draw.
+// considerPreferred considers the preferred servers of the request's affinity key in a draw.
 func (d *Dispatcher) considerPreferred(s *candidateSearch) {
-	// With preferred servers in each zone, each zone would fetch the data.
+	// If each zone had its own preferred servers, each zone would fetch the data separately.
 	s.anyZone = s.anyZone || d.settings.CrossZoneCost < d.settings.FetchCost
 	for _, server := range d.preferredServers(s) {
 		d.consider(s, server)
 	}
 }
 
-// preferredCount is the number of servers for a key: as many as its part of this node's requests needs, and one
-// more while most starts are prompt. Under congestion the store that all servers fetch from is short as well.
+// preferredCount is the number of preferred servers of a key: one, plus the number that corresponds to the
+// key's part of this node's requests, plus a spare one while most starts are prompt. Under congestion there
+// is no spare server, since the store that all servers fetch from is short of capacity as well.
 func (d *Dispatcher) preferredCount(state *keyState) int {
 	spare := int(d.promptShare(ownZone) + spareServerShare)
 	needed := (len(d.servers.all)*max(state.requests-1, 0) + d.keys.requests/2) / d.keys.requests
 	return 1 + spare + needed
 }
 
-// preferredServers are the few servers that the requests of an affinity key are drawn among. What a server must
-// fetch for each request would overload the store that all fetch from.
+// preferredServers returns the few servers among which the requests of an affinity key are drawn. If each
+// request went to any server, the data that servers fetch would overload the store that all of them fetch
+// from.
 func (d *Dispatcher) preferredServers(s *candidateSearch) []*Server {
 	count := d.preferredCount(s.request.keyState)
-	withStandby := count + 1 // takes the place of a crowded one
+	withStandby := count + 1 // one more, to replace a crowded server
 	d.preferred = d.preferred[:0]
 	for _, server := range d.servers.all {
 		server.sampleKey = d.affinityOrder(s, server)
@@ -107,9 +112,10 @@
 	return d.preferred[:min(count, len(d.preferred))]
 }
 
-// affinityOrder is a number for a key and a server, the same at all nodes. The servers with the least are
-// preferred, by their sizes. Few nodes at a time may send to a server in slow start, and hardly any would by
-// the key; so it comes first.
+// affinityOrder is a number for a key and a server that is the same at all nodes. The servers with the
+// lowest numbers are preferred, and larger servers are more likely to have low ones. A server in slow start
+// has the number 0 and comes first: only few nodes at a time may send to it, and by the hash hardly any of
+// them would.
 func (d *Dispatcher) affinityOrder(s *candidateSearch, server *Server) float64 {
 	if d.settings.warmUpFactor(server, d.now) < 1 {
 		return 0
@@ -127,7 +133,8 @@
 	return order
 }
 
-// putCrowdedLast moves the servers that the endpoint list tells of more than the mean load behind the others.
+// putCrowdedLast moves the servers that are loaded above the mean, according to the endpoint list, behind
+// the others.
 func (d *Dispatcher) putCrowdedLast(servers []*Server) {
 	if d.settings.LiveCapacity {
 		crowded := max(crowdedFactor*d.load/float64(len(d.servers.all)), 1)
@@ -140,9 +147,9 @@
 	slices.SortStableFunc(servers, bySampleKey)
 }
 
-// adjustKeyLimit moves the limit in flight of an affinity key, or of a tenant whose requests have none, by how
-// an attempt went. What waits for one lock behind all servers would hold their slots, and requests that don't
-// need it would starve.
+// adjustKeyLimit adjusts the limit of slots in flight of an affinity key, or of a tenant whose requests have
+// no key, after an attempt. Requests that wait for one lock behind all servers would otherwise occupy slots
+// at every server, and requests that do not need the lock would starve.
 func (d *Dispatcher) adjustKeyLimit(attempt *Attempt, outcome Outcome, retrySuccess float64) {
 	request := attempt.Request
 	hasKey := request.AffinityKey != 0
@@ -152,7 +159,8 @@
 	runtime := d.now - max(attempt.sentAt, attempt.startedAt)
 	overdue := float64(runtime) > overdueFactor*float64(d.expectedRuntime(request, medianQuantile))
 	fails := retrySuccess < likelyRetrySuccess
-	// Requests of one key are alike. Long running times alone say nothing of a tenant's.
+	// Requests of one key are alike. Requests of a tenant vary, so long running times alone do not count
+	// against it.
 	bad := overdue && fails
 	if hasKey {
 		bad = overdue || outcome == Failed && fails
@@ -164,14 +172,15 @@
 	}
 }
 
-// recordGoodRun raises the limit of a key after an attempt with so many slots that went well.
+// recordGoodRun raises the limit of a key after a successful attempt that occupied the given number of
+// slots.
 func (s *keyState) recordGoodRun(slots float64) {
 	s.failedServer = nil
 	s.grow(s.slotsInFlight + slots)
 }
 
-// recordBadRun reduces the limit of a key as the second server in a row agrees that it is not the server's
-// fault.
+// recordBadRun reduces the limit of a key when two different servers in a row had an adverse outcome. One
+// server alone may itself be at fault.
 func (d *Dispatcher) recordBadRun(attempt *Attempt) {
 	state := attempt.Request.keyState
 	if state.failedServer == nil || state.failedServer == attempt.Server {
--- a/dispatch/arrival.go
+++ b/dispatch/arrival.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	// minRuntimes is the number of running times of a class that are made up from hints, so that the first one
-	// doesn't count for all.
+	// minRuntimes is the number of running times of a class that are filled in from hints, so that the first
+	// measured one does not determine the estimate alone.
 	minRuntimes = 3
-	// overQuotaFactor is the multiple of what is due to a tenant by the others' arrivals that it may send,
+	// overQuotaFactor is the multiple of its expected arrivals that a tenant may send. The expectation
+	// follows from its quota and the other tenants' arrivals.
 	overQuotaFactor = 1.3
-	// and overQuotaDeviations the number of standard deviations that it may send besides.
+	// overQuotaDeviations is the number of standard deviations that a tenant may send above that multiple.
 	overQuotaDeviations = 2
-	// deadlineSamples is the number of latest requests of which one at least counts as a client's first
-	// attempt.
+	// deadlineSamples is the number of latest requests of which at least one is assumed to be a client's
+	// first attempt.
 	deadlineSamples = 16
-	// responseFraction is one over the part of a class's deadline that the way back to the client takes.
+	// responseFraction is the reciprocal of the part of a class's deadline that is reserved for returning
+	// the response to the client.
 	responseFraction = 64
 )
 
-// Arrive takes a request from a client. It is shed at once if this process is overloaded, and else queued;
-// ProcessQueue assigns it.
+// Arrive accepts a request from a client. If this process is overloaded, the request is shed at once;
+// otherwise it is queued and ProcessQueue assigns it.
 func (d *Dispatcher) Arrive(request *Request) {
 	if d.overloaded(request) {
 		d.giveUp(request, Overloaded)
@@ -43,8 +45,8 @@
 	d.queue.add(request)
 }
 
-// setSize sets what follows from the request's expected work: its latency objective, its size, and what counts
-// as a large one.
+// setSize sets the values that depend on the request's expected work: its latency objective, its size, and
+// the threshold of a large request.
 func (d *Dispatcher) setSize(request *Request) {
 	class := request.Class
 	runtimes := &d.runtimes[class.Index]
@@ -57,13 +59,15 @@
 	request.size = max(request.Slots, 1) * float64(work)
 	d.sizes.add(request.size / second)
 	d.largeSize = d.sizes.quantile(highQuantile, 0) * second
-	// Many requests of milliseconds begin and end while a longer-lived report would still count.
+	// While a longer-lived report would still count, many requests of a few milliseconds would start and
+	// end.
 	d.reportLifetime = min(maxReportLifetime, int64(d.largeSize))
 }
 
-// priorityWeight is the weight of a request by its class, size and tenant. One beyond its tenant's quota counts
-// for less, and where servers report load for nothing by the chance that starts are late: nodes without a queue
-// of their own would fill the servers with it.
+// priorityWeight is the weight of a request by its class, size and tenant. A request over its tenant's quota
+// is weighted by OverQuotaWeight. If servers report their load, it is weighted by 0 instead with the
+// probability of a late start: nodes that do not queue requests themselves would fill the servers with those
+// over quota.
 func (d *Dispatcher) priorityWeight(request *Request) float64 {
 	weight := request.Class.Weight
 	if d.settings.WeightByWork {
@@ -78,9 +82,10 @@
 	return weight * d.settings.OverQuotaWeight
 }
 
-// adjustedDeadline is the request's deadline by this node's clock. Where clients' clocks may differ it is moved
-// by what the deadlines of the latest requests were at least short of their classes': all would be shed at once
-// otherwise, or answered too late.
+// adjustedDeadline is the request's deadline by this node's clock. If clients' clocks may be off, the
+// deadline is shifted by the smallest amount by which the deadlines of the latest requests were short of
+// their classes' maximum. Without the shift, all requests would be shed at once or answered too late when
+// the clocks differ.
 func (d *Dispatcher) adjustedDeadline(request *Request) int64 {
 	margin, whole := d.settings.DeadlineMargin, request.Class.MaxDeadline
 	if margin == 0 || whole == 0 {
@@ -92,16 +97,17 @@
 	return request.Deadline + min(offset, max(offset-whole/responseFraction, 0))
 }
 
-// SetDeadline sets the clock time by which a request has to be answered, if that is earlier than the one
-// before. Its timer answers the request whatever else happens.
+// SetDeadline sets the clock time by which a request must be answered, if that is earlier than the current
+// deadline. A timer answers the request at that time in any case.
 func (d *Dispatcher) SetDeadline(request *Request, at int64) {
 	request.Deadline = min(request.Deadline, at)
 	left := request.Deadline - d.now - d.headroom()
 	request.cancelDeadline = d.actions.Schedule(left, func() { d.giveUp(request, DeadlineReached) })
 }
 
-// overQuota says whether a request lies beyond its tenant's quota, by chance in proportion to the tenant's
-// excess over what is due to it by the other tenants' arrivals.
+// overQuota reports whether a request is over its tenant's quota. The decision is random, with a probability
+// in proportion to the tenant's excess over the arrivals that its quota allows relative to the other
+// tenants' arrivals.
 func (d *Dispatcher) overQuota(request *Request) bool {
 	others, quotas := 0.0, 0.0
 	for i, tenant := range d.settings.Tenants {
--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -2,10 +2,11 @@
 
 package dispatch
 
-// maxDrawPause is the number of ticks up to which the pause after a draw without a server grows.
+// maxDrawPause is the maximum backoff after a draw without a server, in ticks.
 const maxDrawPause = 16
 
-// assign sends a request to a server, asks servers for their capacity, or lets the request wait.
+// assign sends a request to a server, probes servers for their capacity, or puts the request back into the
+// queue.
 func (d *Dispatcher) assign(request *Request) {
 	if request.Done || request.activeAttempts > 0 {
 		return
@@ -27,7 +28,8 @@
 	servers := d.draw(request, count)
 	switch {
 	case len(servers) == 0:
-		// Under congestion a node would spend its processor time on looking for capacity that is not there.
+		// Back off: under congestion a node would otherwise spend its processor time on searching for
+		// capacity that does not exist.
 		request.retryAt = d.now + d.settings.Tick*min(request.fruitlessDraws, maxDrawPause)
 		request.fruitlessDraws++
 		d.queue.add(request)
@@ -40,13 +42,15 @@
 
 // startAttempt sends a request to a server.
 func (d *Dispatcher) startAttempt(request *Request, server *Server) {
-	attempt := &Attempt{Request: request, Server: server, Number: len(request.Attempts), InFlight: true, sentAt: d.now}
+	attempt := &Attempt{
+		Request: request, Server: server, Number: len(request.Attempts), InFlight: true, sentAt: d.now}
 	request.Attempts = append(request.Attempts, attempt)
 	request.activeAttempts++
 	request.keyState.slotsInFlight += request.Slots
 	server.slotsInFlight += request.Slots
 	d.slotsInFlight += request.Slots
-	// Counted for warm servers too: the report of a server's restart may come after what is sent here.
+	// Sends to warm servers are recorded too: the endpoint list may report a restart only after this request
+	// was sent.
 	server.recentSends = server.recentSends.add(d.now, request.size, d.settings.OverloadWindow)
 	if d.settings.warmUpFactor(server, d.now) < 1 {
 		attempt.SlowStartShare = d.slowStartCost(request, server)
@@ -55,8 +59,9 @@
 	d.superviseAttempt(attempt)
 }
 
-// MaySend says at the first byte of an attempt whether it may still leave. An update of the list may have come
-// while it waited.
+// MaySend reports whether an attempt may still be sent, and is called at its first byte. The endpoint list
+// may have changed while the attempt waited.
 func (d *Dispatcher) MaySend(attempt *Attempt) bool {
-	return attempt.Server.State == Up && !attempt.Request.Done && !attempt.canceled && !d.endpointsMayBeStale()
+	return attempt.Server.State == Up && !attempt.Request.Done && !attempt.canceled &&
+		!d.endpointsMayBeStale()
 }
--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -2,21 +2,24 @@
 
 package dispatch
 
-// Which servers a draw considers. Of a short list all; of a long one a bounded number, so that a request costs
-// the same whatever the number of servers:
+// Which servers a draw considers. In a short list, all of them. In a long one, a bounded number, so that the
+// cost of a request does not depend on the number of servers:
 //
-//   - the idle servers with an open connection, which are preferred, and those in slow start that this node may
-//     send to now; if there are many, some of them at random;
-//   - if these are too few, sampleSize of all at random, and if there is no uncrowded one among them, up to maxSample;
-//   - where none of these may be sent to at all, all: a request that may only go to a few servers has to find them.
+//   - the idle servers with an open connection, which are preferred, and the servers in slow start to which
+//     this node may send now; if there are many of either, a random selection of them;
+//   - if these are too few, a random sample of sampleSize servers, and further samples of up to maxSample
+//     servers in total while there are not enough uncrowded servers;
+//   - if the rules permit none of these, all servers: a request that only a few servers can run must find
+//     them.
 //
-// As the sample is drawn evenly, each server's chance is in proportion to its weight, but for a part of about
-// the relative variance of weights over sampleSize.
+// As the sample is uniform, the probability of each server is in proportion to its weight, with a relative
+// error of about the relative variance of the weights divided by sampleSize.
 
 const (
-	// maxSample is the length of a list up to which all of it is considered.
+	// maxSample is the length of a list up to which all of it is considered, and the largest total sample of
+	// a longer list.
 	maxSample = 256
-	// sampleSize is the number of servers that are considered where any of them will do.
+	// sampleSize is the number of servers in one sample.
 	sampleSize = 64
 )
 
@@ -52,8 +55,8 @@
 	})
 }
 
-// considerSlowStart considers the servers in slow start that this node may send to now, maxSample at most, from
-// a random place on.
+// considerSlowStart considers the servers in slow start to which this node may send now: at most maxSample,
+// starting at a random position.
 func (d *Dispatcher) considerSlowStart(s *candidateSearch) {
 	d.inSlowStart.visitAll(func(server *Server) (keep bool) {
 		return server.listed && d.settings.warmUpFactor(server, d.now) < 1
@@ -72,8 +75,8 @@
 	}
 }
 
-// considerSample considers servers at random until there are enough candidates: idle ones, or once others were
-// considered, uncrowded ones.
+// considerSample considers servers at random until there are enough candidates. The first sample is
+// sufficient only if it yields idle servers; after that, uncrowded ones suffice.
 func (d *Dispatcher) considerSample(s *candidateSearch) {
 	step := uncrowdedStep
 	for left := maxSample; left > 0 && !d.enoughCandidates(s, step); left -= sampleSize {
@@ -85,7 +88,8 @@
 	}
 }
 
-// enoughCandidates says whether a draw has as many candidates as it needs, all of a preference before a step.
+// enoughCandidates reports whether a draw has as many healthy candidates as requested, all of them of a
+// lower (better) preference step than the given one.
 func (d *Dispatcher) enoughCandidates(s *candidateSearch, step float64) bool {
 	found := len(d.candidates)
 	return s.foundHealthy && found == s.count && d.candidates[found-1].sampleKey < step*preferenceStep
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -2,11 +2,11 @@
 
 package dispatch
 
-// ClientClosed ends a request whose client has closed, or shut its sending side and may still read the final
-// answer.
+// ClientClosed ends a request whose client has closed the connection, or has shut down its sending side and
+// may still read the final answer.
 func (d *Dispatcher) ClientClosed(request *Request) { d.giveUp(request, ClientGone) }
 
-// Finish ends a request that has its final answer, or whose client has gone.
+// Finish ends a request that has its final answer, or whose client has disconnected.
 func (d *Dispatcher) Finish(request *Request) {
 	request.Done = true
 	if request.cancelDeadline != nil {
@@ -17,7 +17,7 @@
 	}
 }
 
-// cancelAttempt withdraws an attempt that is in flight, where that is allowed.
+// cancelAttempt cancels an attempt that is in flight, if canceling is allowed.
 func (d *Dispatcher) cancelAttempt(attempt *Attempt) {
 	if attempt.InFlight && !attempt.canceled && d.settings.AllowCancel {
 		attempt.canceled = true
@@ -26,7 +26,7 @@
 	}
 }
 
-// giveUp ends a request that was not served.
+// giveUp ends a request without serving it.
 func (d *Dispatcher) giveUp(request *Request, reason Reason) {
 	if request.Done {
 		return
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -4,47 +4,47 @@
 
 import "math/rand/v2"
 
-// Dispatcher takes the decisions of one node. It is not safe for concurrent use.
+// Dispatcher makes the decisions of one node. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings *Settings
 	actions  Actions
 	random   *rand.Rand
 	now      int64 // clock time, ns
 
-	servers            serverSet // all that are listed
-	withIdleConnection serverSet // an idle connection to them should be open
+	servers            serverSet // all listed servers
+	withIdleConnection serverSet // servers to which an idle connection is probably open
 	inSlowStart        serverSet
-	lowLimit           serverSet // their limit is under the initial one
+	lowLimit           serverSet // servers whose limit is below initialLimit
 	machineTypes       map[int]*machineTypeStats
-	load               float64 // of all servers, by the endpoint list
-	slotsInFlight      float64 // at all servers
+	load               float64 // sum over all servers, from the endpoint list
+	slotsInFlight      float64 // sum over all servers
 	polls              pollSchedule
 
 	queue           waitQueue
 	keys            keyTable
 	tenantArrivals  []decayingRatio // by tenant: arrivals
-	classValues     []decayingRatio // by class: priority weight of arrivals, and of those answered in time
-	deadlineOffsets []int64         // ns by which the deadlines of the latest requests were short of their classes'
-	sizes           histogram       // of requests, in seconds
-	largeSize       float64         // of a large request, ns
+	classValues     []decayingRatio // by class: priority weight of arrivals, and of those in time
+	deadlineOffsets []int64         // ns; MaxDeadline minus the latest requests' deadlines
+	sizes           histogram       // sizes of requests, s
+	largeSize       float64         // size of a large request, ns
 
-	runtimes      []histogram // by class: running times over the work unit
+	runtimes      []histogram // by class: running times divided by the work unit
 	recentResults map[rankGroup][]recentResult
-	retrySuccess  []decayingRatio              // by class: requests that failed and ended elsewhere; those that succeeded
-	promptStarts  [zoneRelations]decayingRatio // attempts that had to start, and those that did so promptly
-	minStartDelay int64                        // the least from sending to the report of the start, ns; 0: none seen
+	retrySuccess  []decayingRatio              // by class: retries elsewhere, and the successful ones
+	promptStarts  [zoneRelations]decayingRatio // attempts, and those that started promptly
+	minStartDelay int64                        // minimum time from sending to a start, ns; 0: none seen
 
 	capacityReportedAt  int64 // when a server last reported its capacity
-	reportLifetime      int64 // how long a capacity report counts, ns
-	slowStartOwnerSince int64 // since when this process uses the node's slow start budgets
-	schedulingDelay     int64 // how long work of this process waits until it runs, ns
+	reportLifetime      int64 // how long a capacity report is valid, ns
+	slowStartOwnerSince int64 // clock time from which it uses the slow start budgets
+	schedulingDelay     int64 // how long runnable work of this process waits for the processor, ns
 
-	drawCount  int       // draws so far
+	drawCount  int       // number of draws so far
 	candidates []*Server // scratch space of draw
 	preferred  []*Server // scratch space of preferredServers
 }
 
-// New makes a Dispatcher that knows of no server yet. All its random choices follow from the seed.
+// New creates a Dispatcher that has no servers yet. All its random choices are determined by the seed.
 func New(settings *Settings, seed uint64, actions Actions, now int64) *Dispatcher {
 	d := &Dispatcher{
 		settings:            settings,
@@ -71,5 +71,5 @@
 	return d
 }
 
-// Advance sets the clock. It has to be called before the events of that time are reported.
+// Advance sets the clock. It must be called before the events of that time are reported.
 func (d *Dispatcher) Advance(now int64) { d.now = now }
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -2,11 +2,11 @@
 
 package dispatch
 
-// minCapacity is the least capacity that a server counts with.
+// minCapacity is the lower bound on a server's capacity.
 const minCapacity = 0.01
 
-// UpdateEndpoints applies changes of the endpoint list, or a complete list: servers that are not in it are gone
-// then.
+// UpdateEndpoints applies changes of the endpoint list, or a complete list. A complete list removes all
+// servers that it does not contain.
 func (d *Dispatcher) UpdateEndpoints(complete bool, endpoints []Endpoint) {
 	d.polls.recordSuccess()
 	if complete {
@@ -39,8 +39,8 @@
 	server.startedAt = endpoint.StartedAt
 	server.zone, server.machineType, server.cell = endpoint.Zone, endpoint.MachineType, endpoint.Cell
 	server.typeStats = d.machineTypeOf(endpoint)
-	// Each of many nodes sees next to nothing of a server's load: without this factor the draw would fill the
-	// small and the slow.
+	// With many nodes, each one observes only a small part of a server's load. Without this factor, the draw
+	// would overload small and slow servers.
 	server.spareFactor = 1
 	if d.settings.LiveCapacity {
 		server.spareFactor = max(endpoint.Capacity, minCapacity)
@@ -52,7 +52,7 @@
 	}
 }
 
-// machineTypeOf returns what is known of the endpoint's machine type.
+// machineTypeOf returns the statistics of the endpoint's machine type.
 func (d *Dispatcher) machineTypeOf(endpoint *Endpoint) *machineTypeStats {
 	stats := d.machineTypes[endpoint.MachineType]
 	if stats == nil {
@@ -62,7 +62,7 @@
 	return stats
 }
 
-// dropRemoved forgets the servers that are gone.
+// dropRemoved deletes the removed servers from all sets.
 func (d *Dispatcher) dropRemoved() {
 	d.servers.retain(func(server *Server) bool {
 		server.listed = server.State != Removed
@@ -75,8 +75,8 @@
 	})
 }
 
-// sumLoad adds up the load of all servers where the list tells it. Elsewhere a list of thousands is not walked
-// at each change of one.
+// sumLoad adds up the load of all servers if the endpoint list reports it. Otherwise the list is not
+// traversed: it may have thousands of entries and change one at a time.
 func (d *Dispatcher) sumLoad() {
 	d.load = 0
 	if !d.settings.LiveCapacity {
@@ -87,11 +87,11 @@
 	}
 }
 
-// load is what a server holds for each unit of its size, by the endpoint list.
+// load is the load of a server per unit of its size, from the endpoint list.
 func (s *Server) load() float64 { return s.size/s.spareFactor - 1 }
 
-// ServerCounts counts the listed servers, and those of them that no request is sent to now: those that drain,
-// and the outliers while others remain.
+// ServerCounts returns the number of listed servers, and the number of those that currently receive no
+// requests: servers that are not up, and outliers while other servers remain.
 func (d *Dispatcher) ServerCounts() (listed, excluded int) {
 	outliers := 0
 	for _, server := range d.servers.all {
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -3,15 +3,16 @@
 package dispatch
 
 const (
-	// delayedByHedge is the number of requests that one more attempt makes late where there is no capacity.
+	// delayedByHedge is the number of requests that one additional attempt makes late if there is no spare
+	// capacity.
 	delayedByHedge = 3.0
-	// unreliable is the reliability under which a server is not waited for where the request may be retried
-	// elsewhere.
+	// unreliable is the reliability below which an attempt is not waited for if its request may be retried
+	// at another server.
 	unreliable = 0.5
 )
 
-// hedgeOrRetry sends the request of a late attempt to a second server, or where that is not allowed cancels the
-// attempt to send it again.
+// hedgeOrRetry sends the request of a late attempt to a second server. If hedging is not allowed, it may
+// cancel the attempt instead, so that the request is sent again.
 func (d *Dispatcher) hedgeOrRetry(attempt *Attempt) {
 	if d.settings.AllowHedging {
 		d.hedge(attempt.Request)
@@ -20,9 +21,9 @@
 	}
 }
 
-// shouldCancel says whether a late attempt is better sent again. What is canceled may run all the same, for
-// nobody: so only one that stalls, one at an unreliable server, or one that is late where the endpoint list
-// tells which servers have capacity.
+// shouldCancel reports whether a late attempt should be canceled and sent again. A canceled attempt may
+// still run, with its result unused. So an attempt is canceled only if it stalls, if its server is
+// unreliable, or if it is late while the endpoint list reports which servers have capacity.
 func (d *Dispatcher) shouldCancel(attempt *Attempt) bool {
 	request := attempt.Request
 	if len(request.Attempts) >= d.settings.MaxAttempts || !d.mayRepeat(request) {
@@ -32,8 +33,8 @@
 	return attempt.startedAt > 0 || late || d.effectiveReliability(attempt.Server) < unreliable
 }
 
-// hedge sends a request to a second server if the gain outweighs the capacity that other requests may wait for,
-// here or at other nodes.
+// hedge sends a request to a second server if the gain outweighs the delay of other requests, at this node
+// or others, that need the same capacity.
 func (d *Dispatcher) hedge(request *Request) {
 	if !d.mayHedge() {
 		return
--- a/dispatch/histogram.go
+++ b/dispatch/histogram.go
@@ -5,12 +5,11 @@
 import "math"
 
 const (
-	// maxHistogramCount is the number of values at which all bins are halved, so that old ones lose their
-	// weight.
+	// maxHistogramCount is the count at which all bins are halved, so that old values lose their weight.
 	maxHistogramCount = 64
-	// binsPerDoubling and histogramStart set the bins' bounds.
+	// binsPerDoubling and histogramStart define the bounds of the bins.
 	binsPerDoubling = 2
-	histogramStart  = 256 // one over the upper bound of the first bin
+	histogramStart  = 256 // reciprocal of the upper bound of the first bin
 )
 
 // histogram counts ratios or seconds in bins of equal width on a logarithmic scale.
@@ -36,7 +35,7 @@
 	}
 }
 
-// shareBelow is the share of values under a bound; half while there are none.
+// shareBelow is the estimated share of values below a bound; 0.5 if there are no values.
 func (h *histogram) shareBelow(bound float64) float64 {
 	below := 0
 	for _, count := range h.bins[:binOf(bound)] {
@@ -45,7 +44,7 @@
 	return (float64(below) + 0.5) / float64(h.count+1)
 }
 
-// quantile is the q-quantile, or the given value while there are no values.
+// quantile is the q-quantile, or the value of unknown if there are no values.
 func (h *histogram) quantile(q, unknown float64) float64 {
 	left := q * float64(h.count)
 	for i, count := range h.bins {
--- a/dispatch/idempotency.go
+++ b/dispatch/idempotency.go
@@ -4,7 +4,7 @@
 
 import "slices"
 
-// firstPossibleRun is the first attempt that may have run or still may; nil if there is none.
+// firstPossibleRun returns the first attempt that may have run or may still run; nil if there is none.
 func (r *Request) firstPossibleRun() *Attempt {
 	i := slices.IndexFunc(r.Attempts, func(attempt *Attempt) bool { return !attempt.provedNotRun })
 	if i < 0 {
@@ -13,19 +13,20 @@
 	return r.Attempts[i]
 }
 
-// mayBeSentAgain says whether a client that sends the request again can't cause a second effect, whichever
-// server gets it.
+// mayBeSentAgain reports whether a client may send the request again without the risk of a second effect,
+// whichever server receives it.
 func (r *Request) mayBeSentAgain() bool {
 	if r.firstPossibleRun() == nil {
 		return true
 	}
 	class := r.Class
-	return class.Idempotency == Idempotent || class.Idempotency == IdempotentInGroup && class.DedupScope == DedupAll
+	return class.Idempotency == Idempotent ||
+		class.Idempotency == IdempotentInGroup && class.DedupScope == DedupAll
 }
 
-// mayRepeat says whether a request may be sent once more, if to the right server. One that may have run is not,
-// where that could have a second effect: its group of servers remembers the idempotency key for a while, or
-// nobody does.
+// mayRepeat reports whether a request may be sent once more to a suitable server. If it may have run before,
+// it must not be sent again when that could have a second effect: a non-idempotent request never, and a
+// request whose group of servers remembers the idempotency key only while the group still remembers it.
 func (d *Dispatcher) mayRepeat(request *Request) bool {
 	first := request.firstPossibleRun()
 	if first == nil {
@@ -41,7 +42,8 @@
 	}
 }
 
-// inDedupGroup says whether a server remembers the idempotency key of a request that may have run elsewhere.
+// inDedupGroup reports whether a server is in the group that remembers the idempotency key of a request that
+// may have run before.
 func (r *Request) inDedupGroup(server *Server) bool {
 	first := r.firstPossibleRun()
 	if first == nil || r.Class.Idempotency != IdempotentInGroup {
@@ -57,7 +59,7 @@
 	}
 }
 
-// allowed says whether the rules let a request be sent to a server now.
+// allowed reports whether the rules permit sending a request to a server now.
 func (d *Dispatcher) allowed(request *Request, server *Server) bool {
 	if server.State != Up || !server.listed {
 		return false
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -3,12 +3,12 @@
 package dispatch
 
 const (
-	// initialLimit is the number of slots that may be in flight at a server of which nothing is known.
+	// initialLimit is the limit of slots in flight at a server without history.
 	initialLimit = 4.0
-	// limitGrowth is the number of slots that a limit grows by at a prompt start; in proportion less for a
-	// limit under one.
+	// limitGrowth is the number of slots by which a prompt start raises a limit. A limit below one grows by
+	// proportionally less.
 	limitGrowth = 0.25
-	// limitReduction is the share of a limit that is left when an attempt had to wait.
+	// limitReduction is the factor by which a limit is reduced after an attempt had to wait.
 	limitReduction = 0.5
 )
 
@@ -20,8 +20,9 @@
 	reducedAt     int64 // when the limit was last reduced
 }
 
-// exceeded says whether so many slots more are over the limit. A limit under one is a pause after each attempt,
-// in proportion to a running time (ns): of many nodes each has less than one attempt at a small server.
+// exceeded reports whether the given number of additional slots would exceed the limit. A limit below one
+// means a pause after each attempt, in proportion to a running time (ns): with many nodes, each one may send
+// less than one attempt at a time to a small server.
 func (l *concurrencyLimit) exceeded(slots float64, now, runtime int64) bool {
 	if l.slotsInFlight > 0 {
 		return l.slotsInFlight+slots > l.limit
@@ -29,16 +30,16 @@
 	return l.slotsInFlight == 0 && float64(now-l.lastEndedAt) < (1/min(l.limit, 1)-1)*float64(runtime)
 }
 
-// grow raises the limit after a prompt start if the limit was nearly reached.
+// grow raises the limit after a prompt start if the slots in flight were within one of the limit.
 func (l *concurrencyLimit) grow(slotsInFlight float64) {
 	if slotsInFlight+1 >= l.limit {
 		l.limit += limitGrowth * min(l.limit, 1)
 	}
 }
 
-// reduceLimit reduces a limit after an attempt that had to wait with so many slots in flight, to this node's
-// share of one slot at the least. A hold-up makes all attempts late, so the limit falls once for all that were
-// sent before it fell.
+// reduceLimit reduces a limit after an attempt had to wait with the given number of slots in flight, but not
+// below this node's equal part of one slot. A stall makes all attempts late, so the limit is reduced only
+// once for all attempts that were sent before the reduction.
 func (d *Dispatcher) reduceLimit(limit *concurrencyLimit, sentAt int64, slotsInFlight float64) {
 	if sentAt < limit.reducedAt {
 		return
@@ -48,7 +49,7 @@
 	limit.reducedAt = d.now
 }
 
-// recordLateStart reduces a server's limit after an attempt that was rejected or had to wait.
+// recordLateStart reduces a server's limit after it rejected an attempt or made it wait.
 func (d *Dispatcher) recordLateStart(attempt *Attempt, slotsInFlight float64) {
 	server := attempt.Server
 	d.promptStarts[d.zoneOf(server)].decay(d.now).record(false)
@@ -56,9 +57,9 @@
 	d.recordLowLimit(server)
 }
 
-// recordPromptStart raises a server's limit after an attempt that started at once, and gives back what
-// rejections took: a server that rejects though it is not full would stand empty otherwise, and a full one
-// doesn't start anything at once.
+// recordPromptStart raises a server's limit after an attempt that started promptly, and restores the limit
+// that rejections have reduced. A server that rejects requests although it has capacity would otherwise stay
+// idle, and a server without capacity starts nothing promptly.
 func (d *Dispatcher) recordPromptStart(server *Server) {
 	d.promptStarts[d.zoneOf(server)].decay(d.now).record(true)
 	server.limit = max(server.limit, server.limitBeforeRejections)
@@ -68,8 +69,8 @@
 	d.growLowLimits()
 }
 
-// growLowLimits raises all limits under the initial one a little. A server with one long request has no starts
-// that raise its own, and one under a low limit gets few.
+// growLowLimits raises all limits below the initial one by a small amount. A server that runs one long
+// request has no starts that would raise its limit, and a server with a low limit has few.
 func (d *Dispatcher) growLowLimits() {
 	servers := float64(len(d.servers.all))
 	d.lowLimit.visitAll(func(server *Server) (keep bool) {
@@ -79,7 +80,7 @@
 	})
 }
 
-// recordLowLimit notes a server whose limit is under the initial one.
+// recordLowLimit records a server whose limit is below the initial one.
 func (d *Dispatcher) recordLowLimit(server *Server) {
 	if server.listed && server.limit < initialLimit {
 		d.lowLimit.add(server)
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -3,14 +3,16 @@
 package dispatch
 
 const (
-	// minRetrySuccess is the chance to succeed at another server under which two failures end a request.
+	// minRetrySuccess is the probability of success at another server below which a second failure ends a
+	// request.
 	minRetrySuccess = 0.1
-	// likelyRetrySuccess is that chance from which a failure is taken for the server's.
+	// likelyRetrySuccess is the probability of success at another server from which on a failure is
+	// attributed to the server rather than to the request.
 	likelyRetrySuccess = 0.5
 )
 
-// AttemptEnded takes the outcome of an attempt, some ns after it was sent. With requestEnded the request has
-// its final answer.
+// AttemptEnded processes the outcome of an attempt, took ns after it was sent. If requestEnded is true, the
+// request has its final answer.
 func (d *Dispatcher) AttemptEnded(attempt *Attempt, outcome Outcome, took int64, requestEnded bool) {
 	request, server := attempt.Request, attempt.Server
 	d.releaseSlots(attempt, outcome)
@@ -18,8 +20,8 @@
 	if !attempt.canceled {
 		request.activeAttempts--
 	}
-	// Of many nodes none has more than a few requests at a server, and would take it for that small without its
-	// reports.
+	// With many nodes, each one has only a few requests at a server. Without the reports, it would
+	// underestimate the server's number of slots.
 	server.typeStats.maxSlots = max(server.typeStats.maxSlots, attempt.FreeSlots)
 
 	failedElsewhere := request.failedServer != nil && request.failedServer != server
@@ -35,13 +37,14 @@
 		d.attemptSucceeded(attempt, took)
 	case Failed:
 		request.failedServer = server
-		// A request that fails wherever it goes, or what all servers depend on, would make healthy servers
-		// outliers.
+		// Requests that fail at every server, and faults of a service that all servers depend on, would
+		// otherwise make healthy servers outliers.
 		d.attemptFailed(attempt, retrySuccess)
 	case TimedOut, ConnectFailed, ConnectionLost:
 		d.attemptFailed(attempt, 1)
 	case StaleConnection:
-		if took > d.minStartTimeout() { // one that was closed while it was idle shows at once, and is no failure
+		// A connection that was closed while idle fails sooner, which is not a failure of the server.
+		if took > d.minStartTimeout() {
 			d.attemptFailed(attempt, 1)
 		}
 	case Rejected:
@@ -50,7 +53,7 @@
 	switch {
 	case requestEnded:
 		d.Finish(request)
-	case outcome == TimedOut && attempt.Timeout == 0: // its client has given up, whatever deadline it told
+	case outcome == TimedOut && attempt.Timeout == 0: // the client gave up, whatever deadline it had sent
 		d.giveUp(request, ClientTimeout)
 	case outcome == Failed && failedElsewhere && retrySuccess < minRetrySuccess:
 		d.giveUp(request, FailsEverywhere)
@@ -58,9 +61,9 @@
 	d.assign(request)
 }
 
-// releaseSlots takes the attempt's slots out of those in flight. A canceled attempt may run all the same, so
-// its slots stay reserved for a running time; without that a server would be filled with work that nobody waits
-// for.
+// releaseSlots subtracts the attempt's slots from those in flight. A canceled attempt may still run, so its
+// slots stay reserved for the expected running time; otherwise the server would be filled with work whose
+// results are unused.
 func (d *Dispatcher) releaseSlots(attempt *Attempt, outcome Outcome) {
 	request, server := attempt.Request, attempt.Server
 	attempt.InFlight = false
@@ -81,14 +84,14 @@
 	}
 }
 
-// recordRetry counts how a request that had failed elsewhere ended.
+// recordRetry records the result of a request that had failed at another server before.
 func (d *Dispatcher) recordRetry(request *Request, outcome Outcome) {
 	succeeded := outcome == Succeeded
 	d.retrySuccess[request.Class.Index].decay(d.now).record(succeeded)
 	request.keyState.retrySuccess.decay(d.now).record(succeeded)
 }
 
-// attemptSucceeded takes an answer that came so many ns after the attempt was sent.
+// attemptSucceeded processes a successful response that arrived took ns after the attempt was sent.
 func (d *Dispatcher) attemptSucceeded(attempt *Attempt, took int64) {
 	request, server := attempt.Request, attempt.Server
 	if !request.Done && d.now <= request.objectiveAt {
@@ -105,16 +108,16 @@
 	d.recordRuntime(attempt, d.now-max(attempt.sentAt, attempt.startedAt))
 }
 
-// attemptFailed lowers the server's reliability by its share of the blame, unless the attempt was canceled
-// before.
+// attemptFailed lowers the server's reliability in proportion to its part of the blame, unless the attempt
+// was canceled before.
 func (d *Dispatcher) attemptFailed(attempt *Attempt, share float64) {
 	if !attempt.canceled {
 		d.recordFailure(attempt, share)
 	}
 }
 
-// attemptRejected reduces the server's limit. A server that rejects everything at once looks idle and would be
-// sent everything.
+// attemptRejected reduces the server's limit. Otherwise a server that rejects every request at once would
+// look idle and attract all requests.
 func (d *Dispatcher) attemptRejected(attempt *Attempt) {
 	server := attempt.Server
 	server.limitBeforeRejections = max(server.limitBeforeRejections, server.limit)
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -2,37 +2,37 @@
 
 package dispatch
 
-// What a node does when it is short of processor time itself, for whatever reason: too many requests, a slow
-// host, a hold-up.
+// What a node does when its own process is short of processor time, because of too many requests, a slow
+// host or a stall.
 //
-// Each step of a request, and each update of the endpoint list, waits until the process comes to it. Without a
-// bound on that delay everything that was admitted is answered too late, and requests go to servers that have
-// left; and the busier the node, the more of its work is in vain (dials that time out, retries, hedges). So
-// what lay unread for too long is shed at once, which costs little, until the node has caught up.
+// Each step of a request and each update of the endpoint list waits until the process gets to it. Without a
+// bound on that delay, every admitted request is answered too late, and requests go to servers that have
+// left. The busier the node, the more of its work is wasted on dials that time out, retries and hedges. So
+// requests that lay unread for too long are shed at once, which costs little, until the node has caught up.
 
 const (
-	// requestSteps is the number of times that a request waits for the processor from its arrival to its
-	// answer: to be read, for the dispatcher, to connect, to be written, for the first and the last line of its
-	// answer, for the dispatcher, to be answered.
+	// requestSteps is the number of times that a request waits for the processor between its arrival and its
+	// answer: to be read, for the dispatcher, to connect, to be written, for the first and the last line of
+	// the server's response, for the dispatcher, to be answered.
 	requestSteps = 8
-	// updateSteps is the same for an update of the endpoint list: to be read, to be decoded, to be handed on,
-	// to be applied.
+	// updateSteps is the same number for an update of the endpoint list: to be read, to be decoded, to be
+	// passed on, to be applied.
 	updateSteps = 4
-	// uncountedDelay (ns) is the part of a delay that is not taken off a request's time; deadlines told to
-	// servers allow for it.
+	// uncountedDelay (ns) is the part of a delay that is not subtracted from a request's remaining time; the
+	// deadlines that are sent to servers allow for it.
 	uncountedDelay = 50e6
-	// minDelayTicks is the number of ticks that a process may always be behind, as it is whenever two requests
-	// meet.
+	// minDelayTicks is the delay, in ticks, that is always tolerated: it occurs whenever two requests arrive
+	// at the same time.
 	minDelayTicks = 10
 )
 
-// SetSchedulingDelay tells how long work of this process waits until it runs, ns. It is measured outside and
-// holds until the next call.
+// SetSchedulingDelay sets how long runnable work of this process waits for the processor, in ns. The caller
+// measures it; the value is used until the next call.
 func (d *Dispatcher) SetSchedulingDelay(delay int64) { d.schedulingDelay = delay }
 
-// maxUnreadTime is the longest time unread (ns) after which a request with so much time to its deadline can
-// still be served, and updates of the endpoint list are known in time. Either may wait for half of its time in
-// all its steps.
+// maxUnreadTime is the longest time (ns) for which a request may lie unread if it can still be served within
+// the remaining time to its deadline, and if updates of the endpoint list still arrive within the drain
+// grace. Either may wait for half of its time in total over all its steps.
 func (d *Dispatcher) maxUnreadTime(left int64) int64 {
 	longest := left / (2 * requestSteps)
 	if d.settings.DrainGrace > 0 {
@@ -41,21 +41,22 @@
 	return max(longest, minDelayTicks*d.settings.Tick)
 }
 
-// overloaded says whether a request that has just been read has to be shed.
+// overloaded reports whether a request that has just been read has to be shed.
 func (d *Dispatcher) overloaded(request *Request) bool {
 	return request.UnreadTime > d.maxUnreadTime(request.Deadline-d.now)
 }
 
-// endpointsMayBeStale says whether this process is so far behind that updates of the endpoint list may lie
-// unread for longer than the drain grace allows. Nothing is sent then: the server may have left.
+// endpointsMayBeStale reports whether this process is so late that updates of the endpoint list may lie
+// unread for longer than the drain grace. In that state nothing is sent, because the server may have left.
 func (d *Dispatcher) endpointsMayBeStale() bool {
 	longest := max(d.settings.DrainGrace/updateSteps, minDelayTicks*d.settings.Tick)
 	return d.settings.DrainGrace > 0 && d.schedulingDelay > longest
 }
 
-// mayHedge says whether this process can afford hedges. One that is late itself takes all servers for late.
+// mayHedge reports whether this process may hedge. To a process that is late itself, all servers appear
+// late.
 func (d *Dispatcher) mayHedge() bool { return d.schedulingDelay <= minDelayTicks*d.settings.Tick }
 
-// headroom is how long (ns) before a deadline an answer has to be decided on: it waits to be decided, and to be
-// written.
+// headroom is the time (ns) before a deadline by which the answer has to be decided. Both the decision and
+// writing the answer may wait for the processor.
 func (d *Dispatcher) headroom() int64 { return 2 * (d.settings.Tick + d.schedulingDelay) }
--- a/dispatch/polling.go
+++ b/dispatch/polling.go
@@ -3,36 +3,37 @@
 package dispatch
 
 const (
-	// pollParts is the number of parts that the time for the next poll is cut into: the backoff takes one or
-	// two of them.
+	// pollParts is the number of parts into which the time to the next poll is divided. The backoff uses one
+	// or two of them.
 	pollParts = 3
-	// maxPollFailures is the number of failed polls in a row up to which the backoff grows.
+	// maxPollFailures is the number of consecutive failed polls up to which the backoff grows.
 	maxPollFailures = 2
-	// minJitter is the least factor on the backoff; the largest is by one more.
+	// minJitter is the smallest factor on the backoff. The largest factor is minJitter + 1.
 	minJitter = 0.5
 )
 
 // pollSchedule is the state of polling the endpoint list.
 type pollSchedule struct {
-	failures int   // in a row, up to maxPollFailures
-	lastCost int64 // work that the last failed poll cost the discovery service, ns
-	deadline int64 // clock time by which the next poll goes out at the latest
+	failures int   // consecutive failed polls, at most maxPollFailures
+	lastCost int64 // work of the discovery service for the last failed poll, ns
+	deadline int64 // clock time by which the next poll must be sent
 }
 
-// recordSuccess ends a row of failures.
+// recordSuccess resets the failures.
 func (p *pollSchedule) recordSuccess() { p.failures, p.lastCost = 0, 0 }
 
-// StartPolling schedules the first poll. A node that has an endpoint list waits for a random time: nodes that
-// start together would poll together, and a service that falls behind serves none of them.
+// StartPolling schedules the first poll. A node that already has an endpoint list waits for a random time:
+// nodes that start together would otherwise poll together, and an overloaded discovery service answers none
+// of them.
 func (d *Dispatcher) StartPolling() {
 	silence := float64(d.settings.maxPollSilence())
 	d.schedulePoll(silence*d.random.Float64()*float64(min(len(d.servers.all), 1)), silence)
 }
 
-// PollFailed schedules the next poll after one that failed. It took so long (ns) and cost the discovery service
-// so much work (ns); the backoff is jittered and grows with what two failures in a row cost. It is bounded,
-// since a discovery service that could be reached as the poll was out has changes that count as notified some
-// time after.
+// PollFailed schedules the next poll after one failed that took the given time (ns) and cost the discovery
+// service the given work (ns). The backoff is jittered and grows with the smaller cost of the last two
+// failures. It is bounded: changes count as notified some time after the failed poll if the discovery
+// service could be reached during that poll.
 func (d *Dispatcher) PollFailed(took, cost int64) {
 	silence := float64(d.settings.maxPollSilence())
 	part := max(silence/pollParts, float64(min(cost, d.polls.lastCost)))
@@ -44,18 +45,19 @@
 	d.schedulePoll(part*float64(d.polls.failures)*jitter, pollParts*part)
 }
 
-// PollSucceeded schedules the next poll after one that brought changes, where nodes share a budget of polls.
+// PollSucceeded schedules the next poll after one that returned changes, if nodes share a budget of polls.
 func (d *Dispatcher) PollSucceeded() {
 	d.schedulePoll(0, float64(d.settings.maxPollSilence()))
 }
 
-// schedulePoll schedules a poll after some ns. It goes out within another number of ns, whatever its quota.
+// schedulePoll schedules a poll after a delay (ns). The poll is sent within another time (ns), even if the
+// quota does not allow it.
 func (d *Dispatcher) schedulePoll(after, within float64) {
 	d.polls.deadline = d.now + int64(within)
 	d.actions.Schedule(int64(after), d.PollEndpoints)
 }
 
-// PollEndpoints polls the endpoint list, as soon as this node's quota allows it.
+// PollEndpoints polls the endpoint list as soon as this node's quota allows it or the poll is overdue.
 func (d *Dispatcher) PollEndpoints() {
 	if d.settings.Quotas == nil || d.PollOverdue() || d.settings.Quotas.Allow(BudgetPolls, nil, nil, 1) {
 		d.actions.PollEndpoints(true)
@@ -64,6 +66,6 @@
 	}
 }
 
-// PollOverdue says that a poll goes out whatever the quotas say: without one this node would go on sending to
-// servers that drain.
+// PollOverdue reports whether a poll is sent regardless of the quota. Without it, this node would continue
+// to send requests to draining servers.
 func (d *Dispatcher) PollOverdue() bool { return d.now >= d.polls.deadline }
--- a/dispatch/probes.go
+++ b/dispatch/probes.go
@@ -3,20 +3,22 @@
 package dispatch
 
 const (
-	// probesPerRound is the number of servers that are asked for their capacity at a time.
+	// probesPerRound is the number of servers that are probed for their capacity at a time.
 	probesPerRound = 4
-	// maxUnansweredRounds is the number of rounds of probes after which a request is sent blindly if no server
-	// has reported since it came.
+	// maxUnansweredRounds is the number of probe rounds after which a request is sent without a capacity
+	// report if no server has reported its capacity since the request arrived.
 	maxUnansweredRounds = 4
-	// maxReportLifetime (ns) is the longest time for which a capacity report counts, and after which other
-	// servers are asked.
+	// maxReportLifetime (ns) is the longest time for which a capacity report is valid, and after which other
+	// servers are probed.
 	maxReportLifetime = 1e8
-	// reservationLifetimes is the number of report lifetimes for which reports may lack a reservation.
+	// reservationLifetimes is the number of report lifetimes for which a server's reports may not include a
+	// reservation yet.
 	reservationLifetimes = 4
 )
 
-// shouldProbe says whether servers are asked for their capacity before the request is sent. After some rounds
-// without any answer it is sent blindly: such servers never answer probes.
+// shouldProbe reports whether servers are probed for their capacity before the request is sent. After
+// several rounds without any answer the request is sent without a report, since such servers never answer
+// probes.
 func (d *Dispatcher) shouldProbe(request *Request) bool {
 	if !d.settings.CapacityProbes || d.settings.LiveCapacity {
 		return false
@@ -24,9 +26,9 @@
 	return request.probeRounds < maxUnansweredRounds || d.capacityReportedAt >= request.arrivedAt
 }
 
-// probeCapacity asks some servers for their capacity; the first that reports enough gets the request. Each of
-// many nodes sees next to nothing of the servers' load, and the late start of a long request can't be made
-// good.
+// probeCapacity probes some servers for their capacity. The first one that reports enough receives the
+// request. With many nodes, each one observes only a small part of the servers' load, and the delay from the
+// late start of a long request cannot be recovered.
 func (d *Dispatcher) probeCapacity(request *Request, servers []*Server) {
 	for _, server := range servers {
 		if len(server.probeWaiters) == 0 {
@@ -43,8 +45,8 @@
 	})
 }
 
-// CapacityReported takes the end of a capacity probe. Where the server did not answer, reported is false and free slots
-// and memory are 0.
+// CapacityReported processes the result of a capacity probe. If the server did not answer, reported is
+// false, and freeSlots and freeMemory are 0.
 func (d *Dispatcher) CapacityReported(server *Server, reported bool, freeSlots, freeMemory float64) {
 	waiting := server.probeWaiters
 	server.probeWaiters = nil
@@ -61,9 +63,9 @@
 	}
 }
 
-// acceptCapacity says whether a request that waited for the report is sent to the server. The report may come
-// late, after the server was removed or the request sent elsewhere. All nodes that hear of the same free slots
-// would take them, so it is by chance.
+// acceptCapacity reports whether a request that waited for the report is sent to the server. The report may
+// arrive after the server was removed or the request was sent elsewhere. The decision is random, since all
+// nodes that receive a report of the same free slots would otherwise use them at once.
 func (d *Dispatcher) acceptCapacity(request *Request, server *Server) bool {
 	if request.Done || request.activeAttempts != 0 {
 		return false
@@ -84,14 +86,15 @@
 	}
 }
 
-// SlotsReserved takes a reservation of slots by this or another node. It counts for as long as reports may lack
-// it.
+// SlotsReserved records a reservation of slots by this or another node. It counts for as long as the
+// server's reports may not include it yet.
 func (d *Dispatcher) SlotsReserved(server *Server, slots float64) {
 	server.reservations = server.reservations.add(d.now, -slots, reservationLifetimes*d.reportLifetime)
 	server.freeSlots -= slots
 }
 
-// reportedFull says whether the server reported of late that it has too little capacity for the request.
+// reportedFull reports whether a valid capacity report of the server shows too little capacity for the
+// request.
 func (d *Dispatcher) reportedFull(request *Request, server *Server) bool {
 	if server.capacityReportedAt <= 0 || d.now-server.capacityReportedAt >= d.reportLifetime {
 		return false
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// minChance is the part of a request's first expected value under which it doesn't wait any longer.
+	// minChance is the fraction of a request's expected value at arrival below which it is given up.
 	minChance = 0.5
-	// maxQueueTime is the longest time in the queue, as a multiple of the time to the latency objective.
+	// maxQueueTime is the longest time in the queue, as a multiple of the time from arrival to the latency
+	// objective.
 	maxQueueTime = 2
-	// queueTicks is the number of ticks between two looks at the queue where nothing else happens.
+	// queueTicks is the number of ticks after which the queue is processed if no other event occurs.
 	queueTicks = 2
-	// minOverObjective is the least that a class's objective may grow with work, over the work itself, when
-	// waits are weighed.
+	// minOverObjective is the lower bound on the growth of a class's objective with work in excess of the
+	// work itself, as a divisor of waiting times.
 	minOverObjective = 0.1
-	// minTotal bounds a class's total priority weight, which other classes' is divided by.
+	// minTotal is the lower bound on a class's total priority weight as a divisor.
 	minTotal = 1e-9
 )
 
 // waitQueue holds the requests that wait for a server.
 type waitQueue struct {
 	requests []*Request
-	timerSet bool // a timer to look at the queue is running
+	timerSet bool // a timer to process the queue is running
 }
 
-// add appends a request unless it waits already.
+// add appends a request unless it is already queued.
 func (q *waitQueue) add(request *Request) {
 	if !request.queued {
 		request.queued = true
@@ -35,7 +36,7 @@
 	}
 }
 
-// takeAll empties the queue.
+// takeAll empties the queue and returns its requests.
 func (q *waitQueue) takeAll() []*Request {
 	requests := q.requests
 	q.requests = nil
@@ -45,14 +46,15 @@
 	return requests
 }
 
-// ProcessQueue has to be called after each round of events. It assigns the waiting requests, those of the
-// highest expected value first, and gives up those that can hardly end in time.
+// ProcessQueue must be called after each round of events. It assigns the waiting requests in the order of
+// their expected value, highest first, and gives up those that are unlikely to end in time.
 func (d *Dispatcher) ProcessQueue() {
 	waiting := d.queue.takeAll()
 	for _, request := range waiting {
 		request.expectedValue = d.expectedValue(request)
 	}
-	slices.SortStableFunc(waiting, func(a, b *Request) int { return cmp.Compare(b.expectedValue, a.expectedValue) })
+	slices.SortStableFunc(waiting,
+		func(a, b *Request) int { return cmp.Compare(b.expectedValue, a.expectedValue) })
 	for _, request := range waiting {
 		switch {
 		case request.expectedValue <= 0:
@@ -70,12 +72,13 @@
 	}
 }
 
-// expectedValue is the priority weight for each unit of size that can be expected of a waiting request; 0: give
-// it up now.
+// expectedValue is the expected priority weight per unit of size of a waiting request. If it is 0, the
+// request is to be given up now.
 func (d *Dispatcher) expectedValue(request *Request) float64 {
 	late := request.Class.LateShare
 	share := late + (1-late)*d.chanceInTime(request, d.now)
-	// The chance is compared with that at arrival: hints of work that are too high make any chance look slim.
+	// The probability is compared with the one at arrival. If hints overestimate the work, any probability
+	// is low in absolute terms.
 	shareAtArrival := late + (1-late)*d.chanceInTime(request, request.arrivedAt)
 	switch {
 	case share < minChance*shareAtArrival:
@@ -88,9 +91,9 @@
 	return share * request.priorityWeight / request.size * d.classPreference(request.Class)
 }
 
-// chanceInTime is the chance that a request which starts at a clock time meets its latency objective. Where its
-// work is not known, the objective grows with the running time, and long requests alone make up for the time
-// that they waited.
+// chanceInTime is the probability that a request which starts at a clock time meets its latency objective.
+// If its work is not known, the objective grows with the running time, and only long requests can make up
+// for the time that they waited.
 func (d *Dispatcher) chanceInTime(request *Request, start int64) float64 {
 	class := request.Class
 	left := float64(request.arrivedAt + class.LatencyObjective - start)
@@ -101,8 +104,8 @@
 	return 1 - runtimes.shareBelow(-left/defaultWork/max(class.ObjectivePerWork-1, minOverObjective))
 }
 
-// classPreference is a factor on the value of a class's requests: over 1 for the class that earns the smallest
-// share of its weight, since the settings weigh the worst class besides the whole.
+// classPreference is a factor on the value of a class's requests. It is above 1 for the class that earns the
+// smallest share of its priority weight, since the settings give the worst class an additional weight.
 func (d *Dispatcher) classPreference(class *Class) float64 {
 	own, all := d.classValues[class.Index].decay(d.now), 0.0
 	for i := range d.classValues {
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -3,40 +3,41 @@
 package dispatch
 
 const (
-	// lowQuantile, medianQuantile and highQuantile are taken as the low, the middle and the high end of running
-	// times.
+	// lowQuantile, medianQuantile and highQuantile are the quantiles used as the low, middle and high
+	// estimates of running times.
 	lowQuantile    = 0.25
 	medianQuantile = 0.5
 	highQuantile   = 0.9
-	// minRuntime (ns) is the least running time that is expected of a request.
+	// minRuntime (ns) is the lower bound on the expected running time of a request.
 	minRuntime = 1e6
-	// runtimePrior is the number of requests by which a machine type is taken to run as long as all types do.
+	// runtimePrior is the weight, in requests, of the assumption that a machine type runs as long as the
+	// median of all types.
 	runtimePrior = typeScoreWeight
 )
 
-// machineTypeStats is what is known of one machine type.
+// machineTypeStats holds the statistics of one machine type.
 type machineTypeStats struct {
-	scores       decayingRatio // sum of scores over the top score, and their number
+	scores       decayingRatio // sum of scores divided by the top score, and their number
 	runtimeRatio decayingRatio // sum of warm running times over the median of all types, and their number
-	maxSlots     float64       // the most that were seen to run at once on one server, or reported as free
-	required     bool          // some class runs on this type alone
+	maxSlots     float64       // most slots observed to run at once on one server, or reported as free
+	required     bool          // some class runs only on this type
 }
 
-// meanScore is the mean score of the machine type over the top score.
+// meanScore is the mean score of the machine type, relative to the top score.
 func (m *machineTypeStats) meanScore() float64 {
 	return (m.scores.hits + initialScore) / (m.scores.total + 1)
 }
 
-// meanRuntimeRatio is the mean running time on the machine type over the median of all types. Without it
-// servers in slow start of slow types, or of a class where few requests run far longer than most, would be sent
-// a multiple of what they can take.
+// meanRuntimeRatio is the mean running time on the machine type, relative to the median of all types.
+// Without it, servers in slow start would be sent a multiple of the work that they can accept if their type
+// is slow, or if a few requests of a class run far longer than most.
 func (m *machineTypeStats) meanRuntimeRatio(now int64) float64 {
 	ratio := m.runtimeRatio.decay(now)
 	return (ratio.hits + runtimePrior) / (ratio.total + runtimePrior)
 }
 
-// recordRuntime adds the running time (ns) of an attempt to those of its class, and to those of its machine
-// type as if the server had been warm.
+// recordRuntime adds the running time (ns) of an attempt to those of its class. It also adds the running
+// time that a warm server would have had to those of the machine type.
 func (d *Dispatcher) recordRuntime(attempt *Attempt, runtime int64) {
 	if runtime <= 0 {
 		return
--- a/dispatch/scores.go
+++ b/dispatch/scores.go
@@ -5,20 +5,19 @@
 import "slices"
 
 const (
-	// scoreWindowSize is the number of latest scores that a server's mean is taken of.
+	// scoreWindowSize is the number of latest scores over which a server's mean is computed.
 	scoreWindowSize = 50
-	// topScore is the score of the first rank; means are divided by it.
+	// topScore is the score of the first rank. Means are relative to it.
 	topScore = 10.0
-	// initialScore is the share of the top score that a machine type without scores counts with.
+	// initialScore is the mean score, relative to the top score, of a machine type without scores.
 	initialScore = 0.5
-	// typeScoreWeight is the number of scores that the mean of its machine type counts for beside a server's
-	// own.
+	// typeScoreWeight is the weight, in scores, of the machine type's mean in a server's mean.
 	typeScoreWeight = 3.0
 	// rankedAgainst is the number of other servers' results that a result is ranked against.
 	rankedAgainst = 2
 )
 
-// rankScores are the scores of the ranks from the first to the last, and that of a lost request.
+// rankScores are the scores of the ranks from first to last, followed by that of a failed request.
 var rankScores = [rankedAgainst + 2]uint8{topScore, 6, 2, 0}
 
 const lostRank = rankedAgainst + 1
@@ -37,29 +36,30 @@
 	w.next = (w.next + 1) % scoreWindowSize
 }
 
-// mean is the mean score over the top score, drawn towards a prior mean while there are few scores.
+// mean is the mean score relative to the top score. With few scores it is pulled towards a prior mean.
 func (w *scoreWindow) mean(prior float64) float64 {
 	return (float64(w.sum)/topScore + prior*typeScoreWeight) / (float64(w.count) + typeScoreWeight)
 }
 
-// rankGroup is what requests have in common whose results are ranked against each other.
+// rankGroup identifies the requests whose results are ranked against each other.
 type rankGroup struct {
 	class *Class
 	slots float64
 }
 
-// recentResult is how a request of a rank group went at a server.
+// recentResult is the result of a request of a rank group at a server.
 type recentResult struct {
 	server   *Server
-	duration float64 // over the request's work unit
+	duration float64 // running time divided by the request's work unit
 	lost     bool
 }
 
-// recordRank ranks a result against the latest ones of its group at two other servers, and scores its server by
-// the rank. Nothing is scored if all three were lost, since that says nothing of the servers.
+// recordRank ranks a result against the latest ones of its group at two other servers, and scores its server
+// by the rank. If all three failed nothing is scored, since that does not distinguish the servers.
 func (d *Dispatcher) recordRank(request *Request, result recentResult) {
 	group := rankGroup{request.Class, request.Slots}
-	others := slices.DeleteFunc(d.recentResults[group], func(r recentResult) bool { return r.server == result.server })
+	others := slices.DeleteFunc(d.recentResults[group],
+		func(r recentResult) bool { return r.server == result.server })
 	others = others[max(len(others)-rankedAgainst, 0):]
 	d.recentResults[group] = append(others, result)
 	if len(others) < rankedAgainst {
--- a/dispatch/serverset.go
+++ b/dispatch/serverset.go
@@ -4,11 +4,10 @@
 
 import "math/rand/v2"
 
-// serverSet is a set of servers that is added to and removed from in constant time, and from which some are
-// drawn at random.
+// serverSet is a set of servers with addition and removal in constant time and random sampling.
 type serverSet struct {
 	all   []*Server
-	index func(*Server) *int // where a server keeps its place in the set, counted from one; 0: it is not in it
+	index func(*Server) *int // a server's position in the set, counted from one; 0: not in the set
 }
 
 func (s *serverSet) add(server *Server) {
@@ -19,7 +18,7 @@
 	}
 }
 
-// remove takes a server out. The last one takes its place, so the order changes.
+// remove removes a server. The last one moves to its position, so the order changes.
 func (s *serverSet) remove(server *Server) {
 	index := s.index(server)
 	if *index == 0 {
@@ -34,7 +33,7 @@
 	*index = 0
 }
 
-// retain takes out the servers that keep says no to, and leaves the others in order.
+// retain removes the servers for which keep returns false. The others keep their order.
 func (s *serverSet) retain(keep func(*Server) bool) {
 	kept := s.all[:0]
 	for _, server := range s.all {
@@ -49,8 +48,8 @@
 	s.all = kept
 }
 
-// sample calls visit with count servers of the set, drawn evenly, of which some may be the same; with each once
-// if there are no more. Those that visit does not want to keep are taken out.
+// sample calls visit with count servers of the set, chosen uniformly with replacement, or with each server
+// once if the set has at most count of them. It removes the servers for which visit returns false.
 func (s *serverSet) sample(random *rand.Rand, count int, visit func(*Server) (keep bool)) {
 	if len(s.all) <= count {
 		s.visitAll(visit)
@@ -64,7 +63,7 @@
 	}
 }
 
-// visitAll calls visit with each server of the set, and takes out those that it does not want to keep.
+// visitAll calls visit with each server of the set. It removes the servers for which visit returns false.
 func (s *serverSet) visitAll(visit func(*Server) (keep bool)) {
 	for i := 0; i < len(s.all); {
 		if visit(s.all[i]) {
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -4,28 +4,28 @@
 
 import "math"
 
-// A server that has just started has less capacity at first. All nodes together must not send it more work in a
-// window than it can take. Where nodes share budgets, each goes by its quota. Elsewhere they take turns, which
-// all of them work out alike from the settings, the server's start time and the clock: an even share of many
-// nodes would be less than one request each.
+// A server that has just started has less capacity at first. All nodes together must not send it more work
+// in a window than it can accept. If nodes share budgets, each uses its quota. Otherwise they take turns,
+// which every node computes from the settings, the server's start time and the clock with the same result.
+// An even division among many nodes would give each less than one request.
 
 const (
-	// slowStartMargin is the factor by which the work sent stays under what a server can take: nodes see
-	// different times and sizes.
+	// slowStartMargin is the factor by which the work sent stays below what a server can accept, since nodes
+	// observe different times and sizes.
 	slowStartMargin = 1.5
-	// turnsPerWindow is the number of turns in an overload window.
+	// turnsPerWindow is the number of turns per overload window.
 	turnsPerWindow = 4
 )
 
-// slowStartTurn is the time in which a group of nodes may send to a server in slow start.
+// slowStartTurn is a period in which one group of nodes may send to a server in slow start.
 type slowStartTurn struct {
-	quotaShare float64 // the work that this node may send in its turn, ns
-	since      int64   // clock time
-	ours       bool    // this node is in the group
-	groups     float64 // that take turns
+	quotaShare float64 // work that this node may send in its turn, ns
+	since      int64   // clock time at which the turn began
+	ours       bool    // this node is in the group of the turn
+	groups     float64 // number of groups that take turns
 }
 
-// nodesInRotation is the number of nodes that take turns. With quotas none do.
+// nodesInRotation is the number of nodes that take turns. With quotas there are no turns.
 func (s *Settings) nodesInRotation() int {
 	if s.Quotas != nil {
 		return 1
@@ -33,11 +33,11 @@
 	return max(s.Nodes, 1)
 }
 
-// turnLength is the length of a turn, ns.
+// turnLength is the duration of a turn, ns.
 func (s *Settings) turnLength() int64 { return max(s.OverloadWindow/turnsPerWindow, 1) }
 
-// slowStartShareFactor is the factor on the weight of a server in slow start by which this node draws it more
-// often than if all nodes could send to it at any time.
+// slowStartShareFactor is the factor on the weight of a server in slow start. It makes this node draw the
+// server more often than if all nodes could send to it at any time.
 func (s *Settings) slowStartShareFactor(server *Server, groups float64) float64 {
 	if s.Quotas == nil {
 		return groups
@@ -45,8 +45,8 @@
 	return s.Quotas.Quota(BudgetSlowStart, server) * float64(max(s.Nodes, 1))
 }
 
-// warmUpFactor is the least share of its capacity that a server has at a clock time; its start time may be too
-// early.
+// warmUpFactor is a lower bound on the share of its capacity that a server has at a clock time. The reported
+// start time may be too early.
 func (s *Settings) warmUpFactor(server *Server, at int64) float64 {
 	age := float64(at - server.startedAt - s.StartTimeError)
 	if server.startedAt == 0 || age >= float64(s.SlowStart) {
@@ -55,9 +55,9 @@
 	return s.SlowStartShare + (1-s.SlowStartShare)*max(age, 0)/float64(s.SlowStart)
 }
 
-// SetSlowStartOwner says whether this process may use its node's share of the slow start budgets. One that
-// takes them over from another process of the node doesn't know what that has sent, and waits for the next
-// turn.
+// SetSlowStartOwner sets whether this process may use its node's quota of the slow start budgets. A process
+// that takes over from another process of the node does not have the record of what that process sent, and
+// waits for the next turn.
 func (d *Dispatcher) SetSlowStartOwner(owner bool) {
 	d.slowStartOwnerSince = math.MaxInt64
 	if owner {
@@ -65,8 +65,8 @@
 	}
 }
 
-// withinSlowStartBudget says whether a request fits into this node's share of a server's budget in slow start.
-// All that was sent counts, rejected or not.
+// withinSlowStartBudget reports whether a request fits into this node's quota of a server's slow start
+// budget. All requests that were sent count, including rejected ones.
 func (d *Dispatcher) withinSlowStartBudget(request *Request, server *Server) bool {
 	if d.settings.warmUpFactor(server, d.now) == 1 {
 		return true
@@ -81,31 +81,33 @@
 	return server.recentSends.sum(request.size, turn.since) <= turn.quotaShare
 }
 
-// slowStartCost is the share of a server's budget in slow start that a request takes.
+// slowStartCost is the share of a server's slow start budget that a request uses.
 func (d *Dispatcher) slowStartCost(request *Request, server *Server) float64 {
 	return request.size / d.slowStartBudget(server, d.now-d.settings.OverloadWindow, 1)
 }
 
-// slowStartBudget is one of some equal parts of the work (ns) that all nodes may send to a server in a window,
-// as warm as it is at a clock time.
+// slowStartBudget is the work (ns) that all nodes may send to a server in a window, at its warm-up state at
+// a clock time, divided into a number of equal parts.
 func (d *Dispatcher) slowStartBudget(server *Server, at int64, parts float64) float64 {
 	work := d.settings.OverloadFactor * float64(d.settings.OverloadWindow) * max(server.typeStats.maxSlots, 1)
 	work /= server.typeStats.meanRuntimeRatio(d.now)
 	return work * (d.settings.warmUpFactor(server, at) / slowStartMargin / parts)
 }
 
-// currentTurn works out whose turn it is to send to a server in slow start. As many nodes as its budget has
-// large requests form a group.
+// currentTurn computes which group's turn it is to send to a server in slow start. A group has as many nodes
+// as large requests fit into the budget of a turn.
 func (d *Dispatcher) currentTurn(server *Server) slowStartTurn {
 	nodes, length := d.settings.nodesInRotation(), d.settings.turnLength()
-	// The earliest time that the server may have started: with a later one nothing sent since then would count.
+	// The earliest possible start time. With a later one, requests sent between the actual start and that
+	// time would not count.
 	start := server.startedAt - d.settings.StartTimeError
 	number := max(d.now-start, 0) / length
 	since := start + number*length
-	budget := d.slowStartBudget(server, since, turnsPerWindow+1) // a window meets one turn more than it is long
+	// A window overlaps one turn more than fits into it.
+	budget := d.slowStartBudget(server, since, turnsPerWindow+1)
 	members := max(int64(min(budget/d.largeSize, float64(nodes))), 1)
 	groups := (int64(nodes) + members - 1) / members
-	const startUnit = 1e6 // ns; servers that start together have their turns at different nodes
+	const startUnit = 1e6 // ns; gives servers that start together different turns
 	return slowStartTurn{
 		quotaShare: budget / float64(members),
 		since:      since,
@@ -114,8 +116,9 @@
 	}
 }
 
-// inSlowStartTurn says whether it may be this node's turn at a server in slow start. It is worked out once a
-// turn, for the search for candidates; withinSlowStartBudget decides what is sent.
+// inSlowStartTurn reports whether it may be this node's turn at a server in slow start. The result is
+// computed once per turn and limits which candidates are considered; withinSlowStartBudget decides what is
+// sent.
 func (d *Dispatcher) inSlowStartTurn(server *Server) bool {
 	if d.settings.Quotas != nil {
 		return true
--- a/dispatch/statistics.go
+++ b/dispatch/statistics.go
@@ -7,17 +7,18 @@
 	"slices"
 )
 
-// decayTime (ns) is the time constant by which old observations lose their weight, and reliability returns to
+// decayTime (ns) is the time constant by which old observations lose their weight and reliability returns to
 // 1.
 const decayTime = 10e9
 
-// decayingRatio counts events and those of them that went well. Old ones count less and less.
+// decayingRatio counts events and the successful ones among them. Older events count less.
 type decayingRatio struct {
 	total, hits float64
-	decayedAt   int64 // clock time that both are worked out for
+	decayedAt   int64 // clock time for which both counts are valid
 }
 
-// decay works both counts out for now. It has to be called before they are read or added to.
+// decay updates both counts to the given clock time. It must be called before the counts are read or
+// changed.
 func (r *decayingRatio) decay(now int64) *decayingRatio {
 	factor := math.Exp(-float64(now-r.decayedAt) / decayTime)
 	r.total *= factor
@@ -36,7 +37,7 @@
 
 // timedAmount is an amount of work or slots at a clock time.
 type timedAmount struct {
-	at     int64
+	at     int64 // clock time, ns
 	amount float64
 }
 
@@ -49,7 +50,7 @@
 	return append(a, timedAmount{at, amount})
 }
 
-// sum adds the amounts since a clock time to a start value.
+// sum returns a start value plus the amounts since a clock time.
 func (a recentAmounts) sum(start float64, since int64) float64 {
 	for _, recent := range a {
 		if recent.at >= since {
--- a/dispatch/supervision.go
+++ b/dispatch/supervision.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// overdueFactor is the multiple of the high end of running times after which an attempt counts as failed.
+	// overdueFactor is the multiple of the high estimate of running times after which an attempt counts as
+	// failed.
 	overdueFactor = 4.0
-	// missedProgressPeriods is the number of periods without a progress report after which an attempt counts as
-	// stalled.
+	// missedProgressPeriods is the number of reporting periods without a progress report after which an
+	// attempt counts as stalled.
 	missedProgressPeriods = 1.5
 )
 
-// AttemptStarted takes a server's report that an attempt has started.
+// AttemptStarted processes a server's report that an attempt has started.
 func (d *Dispatcher) AttemptStarted(attempt *Attempt) {
 	if !attempt.InFlight || attempt.startedAt > 0 {
 		return
@@ -29,7 +30,7 @@
 	if delay <= d.startTimeout(attempt) {
 		d.recordPromptStart(server)
 	}
-	// The first of the hedged attempts to start is kept. Those that still wait cost nothing to cancel.
+	// The first hedged attempt to start is kept. Canceling attempts that have not started costs nothing.
 	for _, other := range request.Attempts {
 		if other != attempt && other.startedAt == 0 {
 			d.cancelAttempt(other)
@@ -38,12 +39,12 @@
 	d.superviseAttempt(attempt)
 }
 
-// AttemptProgressed takes a server's progress report.
+// AttemptProgressed processes a server's progress report.
 func (d *Dispatcher) AttemptProgressed(attempt *Attempt) { attempt.progressAt = d.now }
 
-// checkLater calls check after some ns, if the attempt is still in flight then. A process that was held up
-// finds due timers and unread reports together and would take its own delay for the servers', so it first reads
-// the reports, for a tick.
+// checkLater calls check after a delay (ns) if the attempt is still in flight then. A process that was
+// stalled finds due timers and unread reports at the same time, and would attribute its own delay to the
+// servers. In that case it first reads the reports for one tick.
 func (d *Dispatcher) checkLater(attempt *Attempt, after int64, check func()) {
 	latest := d.now + after + d.minStartTimeout()
 	d.actions.Schedule(after, func() {
@@ -57,7 +58,7 @@
 	})
 }
 
-// superviseAttempt waits for an attempt's start, where servers report it, and then for its end.
+// superviseAttempt waits for the start of an attempt, if servers report it, and then for its end.
 func (d *Dispatcher) superviseAttempt(attempt *Attempt) {
 	if attempt.startedAt > 0 || !d.settings.StartNotices {
 		d.awaitEnd(attempt, d.settings.Tick)
@@ -71,10 +72,10 @@
 	})
 }
 
-// handleLateStart reduces the limit of a server where an attempt waits for its start, at first not below this
-// node's share of the slots that its machine type is known to have: servers with many slots would stand half
-// empty. Each late start in a row halves that bound, since a server that has become slow does not run as many
-// any more.
+// handleLateStart reduces the limit of a server at which an attempt waits for its start. The first reduction
+// does not go below this node's equal part of the slots that the server's machine type is known to have;
+// otherwise servers with many slots would be half idle. Each consecutive late start halves that bound, since
+// a server that has become slow no longer runs as many requests.
 func (d *Dispatcher) handleLateStart(attempt *Attempt) {
 	server := attempt.Server
 	share := server.typeStats.maxSlots / float64(max(d.settings.Nodes, 1))
@@ -86,14 +87,14 @@
 	d.recordLowLimit(server)
 }
 
-// awaitStart decides from time to time what becomes of an attempt that waits at its server.
+// awaitStart periodically decides whether to give up, hedge or retry an attempt that waits at its server.
 func (d *Dispatcher) awaitStart(attempt *Attempt) {
 	if attempt.startedAt > 0 {
 		return
 	}
 	request := attempt.Request
-	// Only where a late answer earns nothing: what is shed here may run all the same and come back as a retry,
-	// without an end.
+	// Only if a late answer earns nothing: a request that is shed here may still run, and may return as a
+	// retry repeatedly.
 	worthless := request.Class.Idempotency == Idempotent && request.Class.LateShare == 0
 	if worthless && d.expectedValue(request) <= 0 {
 		d.giveUp(request, LateAtServer)
@@ -107,8 +108,8 @@
 	d.checkLater(attempt, wait, func() { d.awaitStart(attempt) })
 }
 
-// awaitEnd decides from time to time what becomes of an attempt that runs. It waits longer each time, from a
-// first number of ns on.
+// awaitEnd periodically checks a running attempt for a stall or an excessive running time. The interval
+// starts at the given wait (ns) and doubles each time, up to a bound.
 func (d *Dispatcher) awaitEnd(attempt *Attempt, wait int64) {
 	runtime := d.expectedRuntime(attempt.Request, highQuantile)
 	stalled := d.stalled(attempt)
@@ -123,7 +124,7 @@
 	d.checkLater(attempt, wait, func() { d.awaitEnd(attempt, 2*wait) })
 }
 
-// stalled says whether an attempt owes a progress report for too long.
+// stalled reports whether an attempt's progress report is overdue.
 func (d *Dispatcher) stalled(attempt *Attempt) bool {
 	period := d.settings.ProgressInterval
 	silence := d.now - max(attempt.progressAt, attempt.startedAt, attempt.sentAt)
