--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -158,30 +158,30 @@
 	}
 	runtime := d.now - max(attempt.sentAt, attempt.startedAt)
 	overdue := float64(runtime) > overdueFactor*float64(d.expectedRuntime(request, medianQuantile))
-	fails := retrySuccess < likelyRetrySuccess
+	retryUnlikely := retrySuccess < likelyRetrySuccess
 	// Requests of one key are alike. Requests of a tenant vary, so long running times alone do not count
 	// against it.
-	bad := overdue && fails
+	adverse := overdue && retryUnlikely
 	if hasKey {
-		bad = overdue || outcome == Failed && fails
+		adverse = overdue || outcome == Failed && retryUnlikely
 	}
-	if bad {
-		d.recordBadRun(attempt)
+	if adverse {
+		d.recordAdverseOutcome(attempt)
 	} else if outcome == Succeeded {
-		request.keyState.recordGoodRun(request.Slots)
+		request.keyState.recordSuccess(request.Slots)
 	}
 }
 
-// recordGoodRun raises the limit of a key after a successful attempt that occupied the given number of
+// recordSuccess raises the limit of a key after a successful attempt that occupied the given number of
 // slots.
-func (s *keyState) recordGoodRun(slots float64) {
+func (s *keyState) recordSuccess(slots float64) {
 	s.failedServer = nil
 	s.grow(s.slotsInFlight + slots)
 }
 
-// recordBadRun reduces the limit of a key when two different servers in a row had an adverse outcome. One
-// server alone may itself be at fault.
-func (d *Dispatcher) recordBadRun(attempt *Attempt) {
+// recordAdverseOutcome reduces the limit of a key when two different servers in a row had an adverse
+// outcome. One server alone may itself be at fault.
+func (d *Dispatcher) recordAdverseOutcome(attempt *Attempt) {
 	state := attempt.Request.keyState
 	if state.failedServer == nil || state.failedServer == attempt.Server {
 		state.failedServer = attempt.Server
--- a/dispatch/arrival.go
+++ b/dispatch/arrival.go
@@ -20,9 +20,9 @@
 	// deadlineSamples is the number of latest requests of which at least one is assumed to be a client's
 	// first attempt.
 	deadlineSamples = 16
-	// responseFraction is the reciprocal of the part of a class's deadline that is reserved for returning
+	// responseDivisor is the reciprocal of the part of a class's deadline that is reserved for returning
 	// the response to the client.
-	responseFraction = 64
+	responseDivisor = 64
 )
 
 // Arrive accepts a request from a client. If this process is overloaded, the request is shed at once;
@@ -32,9 +32,9 @@
 		d.giveUp(request, Overloaded)
 		return
 	}
-	unread := max(request.UnreadTime-uncountedDelay, 0)
-	request.arrivedAt = d.now - unread
-	request.Deadline -= unread
+	unreadExcess := max(request.UnreadTime-ignoredDelay, 0)
+	request.arrivedAt = d.now - unreadExcess
+	request.Deadline -= unreadExcess
 	request.Deadline = d.adjustedDeadline(request)
 	request.overQuota = len(d.settings.Tenants) > 0 && d.overQuota(request)
 	d.setSize(request)
@@ -87,22 +87,22 @@
 // their classes' maximum. Without the shift, all requests would be shed at once or answered too late when
 // the clocks differ.
 func (d *Dispatcher) adjustedDeadline(request *Request) int64 {
-	margin, whole := d.settings.DeadlineMargin, request.Class.MaxDeadline
-	if margin == 0 || whole == 0 {
+	margin, maxDeadline := d.settings.DeadlineMargin, request.Class.MaxDeadline
+	if margin == 0 || maxDeadline == 0 {
 		return request.Deadline
 	}
 	latest := d.deadlineOffsets[max(len(d.deadlineOffsets)-deadlineSamples+1, 0):]
-	d.deadlineOffsets = append(latest, whole-request.Deadline+d.now)
+	d.deadlineOffsets = append(latest, maxDeadline-request.Deadline+d.now)
 	offset := min(max(slices.Min(d.deadlineOffsets), -margin), margin)
-	return request.Deadline + min(offset, max(offset-whole/responseFraction, 0))
+	return request.Deadline + min(offset, max(offset-maxDeadline/responseDivisor, 0))
 }
 
 // SetDeadline sets the clock time by which a request must be answered, if that is earlier than the current
 // deadline. A timer answers the request at that time in any case.
 func (d *Dispatcher) SetDeadline(request *Request, at int64) {
 	request.Deadline = min(request.Deadline, at)
-	left := request.Deadline - d.now - d.headroom()
-	request.cancelDeadline = d.actions.Schedule(left, func() { d.giveUp(request, DeadlineReached) })
+	remaining := request.Deadline - d.now - d.headroom()
+	request.cancelDeadline = d.actions.Schedule(remaining, func() { d.giveUp(request, DeadlineReached) })
 }
 
 // overQuota reports whether a request is over its tenant's quota. The decision is random, with a probability
@@ -118,6 +118,6 @@
 	}
 	own := d.tenantArrivals[request.Tenant].decay(d.now)
 	own.total++
-	due := (others + 1) * d.settings.Tenants[request.Tenant].Quota / quotas
-	return d.random.Float64()*own.total > overQuotaFactor*due+overQuotaDeviations*math.Sqrt(due)
+	expected := (others + 1) * d.settings.Tenants[request.Tenant].Quota / quotas
+	return d.random.Float64()*own.total > overQuotaFactor*expected+overQuotaDeviations*math.Sqrt(expected)
 }
--- a/dispatch/assignment.go
+++ b/dispatch/assignment.go
@@ -2,8 +2,8 @@
 
 package dispatch
 
-// maxDrawPause is the maximum backoff after a draw without a server, in ticks.
-const maxDrawPause = 16
+// maxDrawBackoffTicks is the maximum backoff after a draw without a server, in ticks.
+const maxDrawBackoffTicks = 16
 
 // assign sends a request to a server, probes servers for their capacity, or puts the request back into the
 // queue.
@@ -30,8 +30,8 @@
 	case len(servers) == 0:
 		// Back off: under congestion a node would otherwise spend its processor time on searching for
 		// capacity that does not exist.
-		request.retryAt = d.now + d.settings.Tick*min(request.fruitlessDraws, maxDrawPause)
-		request.fruitlessDraws++
+		request.retryAt = d.now + d.settings.Tick*min(request.failedDraws, maxDrawBackoffTicks)
+		request.failedDraws++
 		d.queue.add(request)
 	case probing:
 		d.probeCapacity(request, servers)
--- a/dispatch/candidates.go
+++ b/dispatch/candidates.go
@@ -79,7 +79,7 @@
 // sufficient only if it yields idle servers; after that, uncrowded ones suffice.
 func (d *Dispatcher) considerSample(s *candidateSearch) {
 	step := uncrowdedStep
-	for left := maxSample; left > 0 && !d.enoughCandidates(s, step); left -= sampleSize {
+	for remaining := maxSample; remaining > 0 && !d.enoughCandidates(s, step); remaining -= sampleSize {
 		d.servers.sample(d.random, sampleSize, func(server *Server) (keep bool) {
 			d.consider(s, server)
 			return true
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -3,12 +3,12 @@
 package dispatch
 
 const (
-	// delayedByHedge is the number of requests that one additional attempt makes late if there is no spare
+	// delayedPerHedge is the number of requests that one additional attempt makes late if there is no spare
 	// capacity.
-	delayedByHedge = 3.0
-	// unreliable is the reliability below which an attempt is not waited for if its request may be retried
-	// at another server.
-	unreliable = 0.5
+	delayedPerHedge = 3.0
+	// minWaitReliability is the reliability below which an attempt is not waited for if its request may be
+	// retried at another server.
+	minWaitReliability = 0.5
 )
 
 // hedgeOrRetry sends the request of a late attempt to a second server. If hedging is not allowed, it may
@@ -29,8 +29,8 @@
 	if len(request.Attempts) >= d.settings.MaxAttempts || !d.mayRepeat(request) {
 		return false
 	}
-	late := d.settings.LiveCapacity && d.now-attempt.sentAt >= d.slack(request, attempt.sentAt)/slackParts
-	return attempt.startedAt > 0 || late || d.effectiveReliability(attempt.Server) < unreliable
+	late := d.settings.LiveCapacity && d.now-attempt.sentAt >= d.slack(request, attempt.sentAt)/slackDivisor
+	return attempt.startedAt > 0 || late || d.effectiveReliability(attempt.Server) < minWaitReliability
 }
 
 // hedge sends a request to a second server if the gain outweighs the delay of other requests, at this node
@@ -42,7 +42,7 @@
 	for _, server := range d.draw(request, 1) {
 		prompt := d.promptShare(d.zoneOf(server))
 		gain := 1 - request.Class.LateShare + d.settings.MissedObjectiveCost
-		idle := len(d.queue.requests) == 0 && prompt*gain >= (1-prompt)*delayedByHedge
+		idle := len(d.queue.requests) == 0 && prompt*gain >= (1-prompt)*delayedPerHedge
 		if idle && len(request.Attempts) < d.settings.MaxAttempts && request.activeAttempts <= 1 {
 			d.startAttempt(request, server)
 		}
--- a/dispatch/histogram.go
+++ b/dispatch/histogram.go
@@ -45,13 +45,13 @@
 }
 
 // quantile is the q-quantile, or the value of unknown if there are no values.
-func (h *histogram) quantile(q, unknown float64) float64 {
-	left := q * float64(h.count)
+func (h *histogram) quantile(q, fallback float64) float64 {
+	remaining := q * float64(h.count)
 	for i, count := range h.bins {
-		left -= float64(count)
-		if left < 0 {
+		remaining -= float64(count)
+		if remaining < 0 {
 			return math.Exp2((float64(i)+0.5)/binsPerDoubling) / histogramStart
 		}
 	}
-	return unknown
+	return fallback
 }
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -44,8 +44,8 @@
 	if sentAt < limit.reducedAt {
 		return
 	}
-	least := 1 / float64(max(d.settings.Nodes, 1))
-	limit.limit = max(limitReduction*min(limit.limit, slotsInFlight), least)
+	minLimit := 1 / float64(max(d.settings.Nodes, 1))
+	limit.limit = max(limitReduction*min(limit.limit, slotsInFlight), minLimit)
 	limit.reducedAt = d.now
 }
 
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -110,9 +110,9 @@
 
 // attemptFailed lowers the server's reliability in proportion to its part of the blame, unless the attempt
 // was canceled before.
-func (d *Dispatcher) attemptFailed(attempt *Attempt, share float64) {
+func (d *Dispatcher) attemptFailed(attempt *Attempt, blame float64) {
 	if !attempt.canceled {
-		d.recordFailure(attempt, share)
+		d.recordFailure(attempt, blame)
 	}
 }
 
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -18,9 +18,9 @@
 	// updateSteps is the same number for an update of the endpoint list: to be read, to be decoded, to be
 	// passed on, to be applied.
 	updateSteps = 4
-	// uncountedDelay (ns) is the part of a delay that is not subtracted from a request's remaining time; the
+	// ignoredDelay (ns) is the part of a delay that is not subtracted from a request's remaining time; the
 	// deadlines that are sent to servers allow for it.
-	uncountedDelay = 50e6
+	ignoredDelay = 50e6
 	// minDelayTicks is the delay, in ticks, that is always tolerated: it occurs whenever two requests arrive
 	// at the same time.
 	minDelayTicks = 10
@@ -33,8 +33,8 @@
 // maxUnreadTime is the longest time (ns) for which a request may lie unread if it can still be served within
 // the remaining time to its deadline, and if updates of the endpoint list still arrive within the drain
 // grace. Either may wait for half of its time in total over all its steps.
-func (d *Dispatcher) maxUnreadTime(left int64) int64 {
-	longest := left / (2 * requestSteps)
+func (d *Dispatcher) maxUnreadTime(remaining int64) int64 {
+	longest := remaining / (2 * requestSteps)
 	if d.settings.DrainGrace > 0 {
 		longest = min(longest, d.settings.DrainGrace/(2*updateSteps))
 	}
--- a/dispatch/polling.go
+++ b/dispatch/polling.go
@@ -26,8 +26,8 @@
 // nodes that start together would otherwise poll together, and an overloaded discovery service answers none
 // of them.
 func (d *Dispatcher) StartPolling() {
-	silence := float64(d.settings.maxPollSilence())
-	d.schedulePoll(silence*d.random.Float64()*float64(min(len(d.servers.all), 1)), silence)
+	maxGap := float64(d.settings.maxPollGap())
+	d.schedulePoll(maxGap*d.random.Float64()*float64(min(len(d.servers.all), 1)), maxGap)
 }
 
 // PollFailed schedules the next poll after one failed that took the given time (ns) and cost the discovery
@@ -35,10 +35,10 @@
 // failures. It is bounded: changes count as notified some time after the failed poll if the discovery
 // service could be reached during that poll.
 func (d *Dispatcher) PollFailed(took, cost int64) {
-	silence := float64(d.settings.maxPollSilence())
-	part := max(silence/pollParts, float64(min(cost, d.polls.lastCost)))
-	left := float64(max(d.settings.MaxPollInterval-took, 0))
-	part = min(part, left/pollParts)
+	maxGap := float64(d.settings.maxPollGap())
+	part := max(maxGap/pollParts, float64(min(cost, d.polls.lastCost)))
+	remaining := float64(max(d.settings.MaxPollInterval-took, 0))
+	part = min(part, remaining/pollParts)
 	d.polls.failures = min(d.polls.failures+1, maxPollFailures)
 	d.polls.lastCost = cost
 	jitter := minJitter + d.random.Float64()
@@ -47,7 +47,7 @@
 
 // PollSucceeded schedules the next poll after one that returned changes, if nodes share a budget of polls.
 func (d *Dispatcher) PollSucceeded() {
-	d.schedulePoll(0, float64(d.settings.maxPollSilence()))
+	d.schedulePoll(0, float64(d.settings.maxPollGap()))
 }
 
 // schedulePoll schedules a poll after a delay (ns). The poll is sent within another time (ns), even if the
--- a/dispatch/promptness.go
+++ b/dispatch/promptness.go
@@ -6,8 +6,8 @@
 	// startTimeoutFactor is the factor on the sum of a tick and the minimum start delay that gives the
 	// minimum start time-out.
 	startTimeoutFactor = 4
-	// slackParts is the reciprocal of the part of its slack that an attempt may wait for its start.
-	slackParts = 4
+	// slackDivisor is the reciprocal of the part of its slack that an attempt may wait for its start.
+	slackDivisor = 4
 )
 
 // zoneRelation is the location of a server relative to this node's zone.
@@ -47,7 +47,7 @@
 	if !d.settings.LoadReports {
 		return d.minStartTimeout()
 	}
-	return max(d.minStartTimeout(), d.slack(attempt.Request, attempt.sentAt)/slackParts)
+	return max(d.minStartTimeout(), d.slack(attempt.Request, attempt.sentAt)/slackDivisor)
 }
 
 // slack is how long (ns) after a clock time a request may start and still meet its latency objective. If its
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -75,11 +75,11 @@
 // expectedValue is the expected priority weight per unit of size of a waiting request. If it is 0, the
 // request is to be given up now.
 func (d *Dispatcher) expectedValue(request *Request) float64 {
-	late := request.Class.LateShare
-	share := late + (1-late)*d.chanceInTime(request, d.now)
+	lateShare := request.Class.LateShare
+	share := lateShare + (1-lateShare)*d.chanceInTime(request, d.now)
 	// The probability is compared with the one at arrival. If hints overestimate the work, any probability
 	// is low in absolute terms.
-	shareAtArrival := late + (1-late)*d.chanceInTime(request, request.arrivedAt)
+	shareAtArrival := lateShare + (1-lateShare)*d.chanceInTime(request, request.arrivedAt)
 	switch {
 	case share < minChance*shareAtArrival:
 		return 0
@@ -96,12 +96,12 @@
 // for the time that they waited.
 func (d *Dispatcher) chanceInTime(request *Request, start int64) float64 {
 	class := request.Class
-	left := float64(request.arrivedAt + class.LatencyObjective - start)
+	remaining := float64(request.arrivedAt + class.LatencyObjective - start)
 	runtimes := &d.runtimes[class.Index]
 	if request.ExpectedWork > 0 {
-		return runtimes.shareBelow(left/float64(request.ExpectedWork) + class.ObjectivePerWork)
+		return runtimes.shareBelow(remaining/float64(request.ExpectedWork) + class.ObjectivePerWork)
 	}
-	return 1 - runtimes.shareBelow(-left/defaultWork/max(class.ObjectivePerWork-1, minOverObjective))
+	return 1 - runtimes.shareBelow(-remaining/defaultWork/max(class.ObjectivePerWork-1, minOverObjective))
 }
 
 // classPreference is a factor on the value of a class's requests. It is above 1 for the class that earns the
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -39,8 +39,8 @@
 		w.advance(w.settings.Tick)
 		w.d.ProcessQueue()
 	}
-	if request.fruitlessDraws == 0 || request.fruitlessDraws > 20 {
-		t.Errorf("looked for room %d times in 100 rounds", request.fruitlessDraws)
+	if request.failedDraws == 0 || request.failedDraws > 20 {
+		t.Errorf("looked for room %d times in 100 rounds", request.failedDraws)
 	}
 	for _, m := range w.endpoints {
 		m.Server.slotsInFlight = 0
--- a/dispatch/reliability.go
+++ b/dispatch/reliability.go
@@ -41,8 +41,8 @@
 
 // recordFailure lowers the reliability by the effect of one failure, scaled by the server's part of the
 // blame (0 to 1).
-func (r *reliability) recordFailure(share float64, now int64) {
-	*r = reliability{r.at(now) * (1 - (1-failureFactor)*share), now}
+func (r *reliability) recordFailure(blame float64, now int64) {
+	*r = reliability{r.at(now) * (1 - (1-failureFactor)*blame), now}
 }
 
 // effectiveReliability is the server's reliability at this node. It is lower if many nodes together report a
@@ -63,13 +63,13 @@
 
 // recordFailure records an attempt as failed in its server's reliability, by the server's part of the blame,
 // and in its rank scores. It does so once per attempt.
-func (d *Dispatcher) recordFailure(attempt *Attempt, share float64) {
+func (d *Dispatcher) recordFailure(attempt *Attempt, blame float64) {
 	if attempt.failureRecorded {
 		return
 	}
 	attempt.failureRecorded = true
-	attempt.Server.reliability.recordFailure(share, d.now)
-	d.recordRank(attempt.Request, recentResult{server: attempt.Server, lost: true})
+	attempt.Server.reliability.recordFailure(blame, d.now)
+	d.recordRank(attempt.Request, recentResult{server: attempt.Server, failed: true})
 }
 
 // retrySuccessRate is the probability that a failed request succeeds at another server, estimated from
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -33,7 +33,7 @@
 	failedServer   *Server // server of its latest failure
 	probeRounds    int     // rounds of capacity probes
 	retryAt        int64   // clock time of the next draw
-	fruitlessDraws int64   // number of draws that found no server
+	failedDraws    int64   // number of draws that found no server
 	queued         bool
 	overQuota      bool   // over its tenant's quota
 	cancelDeadline func() // cancels the timer of its deadline
--- a/dispatch/runtimes.go
+++ b/dispatch/runtimes.go
@@ -53,6 +53,6 @@
 // expectedRuntime is the running time (ns) that a share q of requests like this one does not exceed.
 func (d *Dispatcher) expectedRuntime(request *Request, q float64) int64 {
 	unit := request.workUnit()
-	unknown := float64(request.Class.LatencyObjective) / unit
-	return max(int64(unit*d.runtimes[request.Class.Index].quantile(q, unknown)), minRuntime)
+	fallback := float64(request.Class.LatencyObjective) / unit
+	return max(int64(unit*d.runtimes[request.Class.Index].quantile(q, fallback)), minRuntime)
 }
--- a/dispatch/scores.go
+++ b/dispatch/scores.go
@@ -20,7 +20,7 @@
 // rankScores are the scores of the ranks from first to last, followed by that of a failed request.
 var rankScores = [rankedAgainst + 2]uint8{topScore, 6, 2, 0}
 
-const lostRank = rankedAgainst + 1
+const failedRank = rankedAgainst + 1
 
 // scoreWindow holds a server's latest scores.
 type scoreWindow struct {
@@ -51,7 +51,7 @@
 type recentResult struct {
 	server   *Server
 	duration float64 // running time divided by the request's work unit
-	lost     bool
+	failed   bool
 }
 
 // recordRank ranks a result against the latest ones of its group at two other servers, and scores its server
@@ -65,17 +65,17 @@
 	if len(others) < rankedAgainst {
 		return
 	}
-	rank, lost := 0, 0
+	rank, failures := 0, 0
 	for _, other := range others {
-		if other.lost {
-			lost++
+		if other.failed {
+			failures++
 		} else if other.duration < result.duration {
 			rank++
 		}
 	}
-	if result.lost {
-		rank = lostRank
-		if lost == rankedAgainst {
+	if result.failed {
+		rank = failedRank
+		if failures == rankedAgainst {
 			return
 		}
 	}
--- a/dispatch/selection.go
+++ b/dispatch/selection.go
@@ -145,7 +145,7 @@
 	// machine type is used.
 	score := server.scores.mean(server.typeStats.meanScore())
 	if warm := d.settings.warmUpFactor(server, d.now); warm < 1 {
-		score *= warm * d.settings.slowStartShareFactor(server, d.currentTurn(server).groups)
+		score *= warm * d.settings.slowStartWeightFactor(server, d.currentTurn(server).groups)
 	}
 	// Requests of other classes would crowd out a class that only one machine type can run.
 	if request.Class.MachineType < 0 && server.typeStats.required {
--- a/dispatch/serverset.go
+++ b/dispatch/serverset.go
@@ -35,17 +35,17 @@
 
 // retain removes the servers for which keep returns false. The others keep their order.
 func (s *serverSet) retain(keep func(*Server) bool) {
-	kept := s.all[:0]
+	retained := s.all[:0]
 	for _, server := range s.all {
 		if keep(server) {
-			kept = append(kept, server)
-			*s.index(server) = len(kept)
+			retained = append(retained, server)
+			*s.index(server) = len(retained)
 		} else {
 			*s.index(server) = 0
 		}
 	}
-	clear(s.all[len(kept):])
-	s.all = kept
+	clear(s.all[len(retained):])
+	s.all = retained
 }
 
 // sample calls visit with count servers of the set, chosen uniformly with replacement, or with each server
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -90,12 +90,12 @@
 
 // MaxPollWait is the maximum time (ns) until a node's next poll after a poll that returned changes or
 // failed.
-func (s *Settings) MaxPollWait() int64 { return min(s.maxPollSilence(), s.MaxPollInterval) }
+func (s *Settings) MaxPollWait() int64 { return min(s.maxPollGap(), s.MaxPollInterval) }
 
-// maxPollSilence is the maximum time (ns) without a poll in flight. After UnpolledEventAge without one, a
+// maxPollGap is the maximum time (ns) without a poll in flight. After UnpolledEventAge without one, a
 // change may count as notified although this node has not received it. Requests may still be sent for the
 // drain grace after that, and half of it remains for the poll itself.
-func (s *Settings) maxPollSilence() int64 { return s.UnpolledEventAge + s.DrainGrace/2 }
+func (s *Settings) maxPollGap() int64 { return s.UnpolledEventAge + s.DrainGrace/2 }
 
 // requiresMachineType reports whether some class runs only on the given machine type.
 func (s *Settings) requiresMachineType(machineType int) bool {
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -19,9 +19,9 @@
 
 // slowStartTurn is a period in which one group of nodes may send to a server in slow start.
 type slowStartTurn struct {
-	quotaShare float64 // work that this node may send in its turn, ns
+	nodeBudget float64 // work that this node may send in its turn, ns
 	since      int64   // clock time at which the turn began
-	ours       bool    // this node is in the group of the turn
+	ownTurn    bool    // this node is in the group of the turn
 	groups     float64 // number of groups that take turns
 }
 
@@ -36,9 +36,9 @@
 // turnLength is the duration of a turn, ns.
 func (s *Settings) turnLength() int64 { return max(s.OverloadWindow/turnsPerWindow, 1) }
 
-// slowStartShareFactor is the factor on the weight of a server in slow start. It makes this node draw the
+// slowStartWeightFactor is the factor on the weight of a server in slow start. It makes this node draw the
 // server more often than if all nodes could send to it at any time.
-func (s *Settings) slowStartShareFactor(server *Server, groups float64) float64 {
+func (s *Settings) slowStartWeightFactor(server *Server, groups float64) float64 {
 	if s.Quotas == nil {
 		return groups
 	}
@@ -75,10 +75,10 @@
 		return d.settings.Quotas.Allow(BudgetSlowStart, server, request, d.slowStartCost(request, server))
 	}
 	turn := d.currentTurn(server)
-	if !turn.ours || d.slowStartOwnerSince >= turn.since {
+	if !turn.ownTurn || d.slowStartOwnerSince >= turn.since {
 		return false
 	}
-	return server.recentSends.sum(request.size, turn.since) <= turn.quotaShare
+	return server.recentSends.sum(request.size, turn.since) <= turn.nodeBudget
 }
 
 // slowStartCost is the share of a server's slow start budget that a request uses.
@@ -109,9 +109,9 @@
 	groups := (int64(nodes) + members - 1) / members
 	const startUnit = 1e6 // ns; gives servers that start together different turns
 	return slowStartTurn{
-		quotaShare: budget / float64(members),
+		nodeBudget: budget / float64(members),
 		since:      since,
-		ours:       (number+int64(d.settings.NodeIndex)+server.startedAt/startUnit)%groups == 0,
+		ownTurn:    (number+int64(d.settings.NodeIndex)+server.startedAt/startUnit)%groups == 0,
 		groups:     float64(groups),
 	}
 }
@@ -125,7 +125,7 @@
 	}
 	if d.now >= server.turnUntil {
 		turn := d.currentTurn(server)
-		server.inTurn = turn.ours
+		server.inTurn = turn.ownTurn
 		server.turnUntil = turn.since + d.settings.turnLength()
 	}
 	return server.inTurn
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -156,7 +156,7 @@
 		w.completeAll()
 		w.endpoints[0].StartedAt = w.now
 		w.updateEndpoints(true)
-		part := w.d.currentTurn(w.endpoints[0].Server).quotaShare
+		part := w.d.currentTurn(w.endpoints[0].Server).nodeBudget
 		return part
 	}
 	if untold, told := part(0), part(4); told <= untold {
--- a/dispatch/supervision.go
+++ b/dispatch/supervision.go
@@ -78,11 +78,11 @@
 // a server that has become slow no longer runs as many requests.
 func (d *Dispatcher) handleLateStart(attempt *Attempt) {
 	server := attempt.Server
-	share := server.typeStats.maxSlots / float64(max(d.settings.Nodes, 1))
-	least := min(server.limit, share*math.Exp2(-server.lateStarts))
+	nodeSlots := server.typeStats.maxSlots / float64(max(d.settings.Nodes, 1))
+	minLimit := min(server.limit, nodeSlots*math.Exp2(-server.lateStarts))
 	d.recordLateStart(attempt, server.slotsInFlight)
 	server.limitBeforeRejections = 0
-	server.limit = max(server.limit, least)
+	server.limit = max(server.limit, minLimit)
 	server.lateStarts++
 	d.recordLowLimit(server)
 }
@@ -95,8 +95,8 @@
 	request := attempt.Request
 	// Only if a late answer earns nothing: a request that is shed here may still run, and may return as a
 	// retry repeatedly.
-	worthless := request.Class.Idempotency == Idempotent && request.Class.LateShare == 0
-	if worthless && d.expectedValue(request) <= 0 {
+	lateWorthless := request.Class.Idempotency == Idempotent && request.Class.LateShare == 0
+	if lateWorthless && d.expectedValue(request) <= 0 {
 		d.giveUp(request, LateAtServer)
 		return
 	}
