--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -8,69 +8,75 @@
 	"testing"
 )
 
-// countServersMet counts the servers that requests of one affinity key are sent to, of all that nodes with
-// seeds of their own send.
-func countServersMet(t *testing.T, key func(i int) uint64, units func(i int) float64) map[*Server]int {
+// countServersUsed counts the requests that each server receives from six nodes with different seeds. All
+// requests have affinity keys; units, if not nil, gives the servers' capacities.
+func countServersUsed(t *testing.T, key func(i int) uint64, units func(i int) float64) map[*Server]int {
 	t.Helper()
 	settings := testSettings()
 	settings.LiveCapacity = units != nil
-	met := map[*Server]int{}
-	var fleet []*Endpoint
+	used := map[*Server]int{}
+	var endpoints []*Endpoint
 	for i := range 20 {
 		m := &Endpoint{Server: &Server{Hash: HashName("e" + strconv.Itoa(i))}, Capacity: 1}
 		if units != nil {
 			m.Capacity = units(i)
 		}
-		fleet = append(fleet, m)
+		endpoints = append(endpoints, m)
 	}
 	for node := range 6 {
 		w := newHarness(t, uint64(node), settings)
-		for _, m := range fleet {
+		for _, m := range endpoints {
 			w.endpoints = append(w.endpoints, &Endpoint{Server: &Server{Hash: m.Server.Hash}, Capacity: m.Capacity})
 		}
 		w.updateEndpoints(true)
 		for i := range 100 {
-			request := w.keyed(key(i), 1e8, 9e9)
+			request := w.keyedRequest(key(i), 1e8, 9e9)
 			w.admit(request)
 			for j, m := range w.endpoints {
-				if len(w.open) > 0 && m.Server == w.open[0].Server {
-					met[fleet[j].Server]++
+				if len(w.inFlight) > 0 && m.Server == w.inFlight[0].Server {
+					used[endpoints[j].Server]++
 				}
 			}
 			w.completeAll()
 		}
 	}
-	return met
+	return used
 }
 
-// TestAffinityKeysShareServers: requests of one affinity key among many meet on few servers, at all nodes
-// alike; where all ask for one key it is spread, and without keys all servers are met.
+// TestAffinityKeysShareServers checks that the requests of one affinity key among many go to the same few
+// servers at all nodes, that a key that all requests use is spread over more servers, and that requests
+// without a key use all servers.
 func TestAffinityKeysShareServers(t *testing.T) {
-	most := func(met map[*Server]int) (n int) {
+	maxRequests := func(met map[*Server]int) (n int) {
 		for _, count := range met {
 			n = max(n, count)
 		}
 		return n
 	}
-	rare := func(i int) uint64 { return uint64(7 + i%2*(i+100)) } // half are of one affinity key, the others about many
+	rare := func(i int) uint64 { return uint64(7 + i%2*(i+100)) } // half have one key, the others many
 	tenth := func(i int) uint64 { return []uint64{7, uint64(1000 + i)}[min(i%10, 1)] }
-	if one := most(countServersMet(t, tenth, nil)); one < 46 {
-		t.Errorf("a tenth of all requests are of one affinity key, yet the server met most has %d of 600", one)
+	if one := maxRequests(countServersUsed(t, tenth, nil)); one < 46 {
+		t.Errorf(
+			"a tenth of all requests have one key: the most used server got %d of 600 requests, want at least 46",
+			one)
 	}
-	if all := most(countServersMet(t, func(int) uint64 { return 7 }, nil)); all > 150 {
-		t.Errorf("all requests are of one affinity key, and one server gets %d of 600", all)
+	if all := maxRequests(countServersUsed(t, func(int) uint64 { return 7 }, nil)); all > 150 {
+		t.Errorf("all requests have one key: the most used server got %d of 600 requests, want at most 150",
+			all)
 	}
-	if met := countServersMet(t, func(int) uint64 { return 0 }, nil); len(met) < 20 || most(met) > 90 {
-		t.Errorf("without keys %d of 20 are met, one %d times of 600", len(met), most(met))
+	if met := countServersUsed(t, func(int) uint64 { return 0 }, nil); len(met) < 20 || maxRequests(met) > 90 {
+		t.Errorf(
+			"no keys: %d of 20 servers used, want 20; the most used got %d of 600 requests, want at most 90",
+			len(met), maxRequests(met))
 	}
-	if met := countServersMet(t, rare, nil); len(met) < 15 {
-		t.Errorf("%d of 20 are met", len(met))
+	if met := countServersUsed(t, rare, nil); len(met) < 15 {
+		t.Errorf("half of the requests have rare keys: %d of 20 servers used, want at least 15", len(met))
 	}
 }
 
-// TestCrowdedPreferredServerGivesWay: where the endpoint list tells of load, a key leaves a preferred server
-// that holds more than most, for one more server and no third.
-func TestCrowdedPreferredServerGivesWay(t *testing.T) {
+// TestCrowdedPreferredServerIsReplaced checks that a key with preferred servers that are loaded above the
+// mean, according to the endpoint list, gets one additional server and not a third one.
+func TestCrowdedPreferredServerIsReplaced(t *testing.T) {
 	settings := testSettings()
 	settings.LiveCapacity = true
 	w := newHarness(t, 7, settings)
@@ -79,48 +85,49 @@
 		m.Server.Hash, m.Capacity = HashName("e"+strconv.Itoa(i)), 4
 	}
 	w.updateEndpoints(true)
-	met := func() map[*Server]int {
+	serversOfKey := func() map[*Server]int {
 		n := map[*Server]int{}
-		for i := range 120 { // about forty keys
-			request := w.keyed(uint64(2+i%40), 1e8, 9e9)
+		for i := range 120 { // forty keys
+			request := w.keyedRequest(uint64(2+i%40), 1e8, 9e9)
 			w.admit(request)
 			if i%40 == 1 {
-				n[w.open[0].Server]++
+				n[w.inFlight[0].Server]++
 			}
 			w.completeAll()
 		}
 		return n
 	}
-	preferred := met()
+	preferred := serversOfKey()
 	for range 4 {
-		maps.Copy(preferred, met())
+		maps.Copy(preferred, serversOfKey())
 	}
 	for _, m := range w.endpoints {
-		if _, is := preferred[m.Server]; is {
+		if _, found := preferred[m.Server]; found {
 			m.Capacity = 1
 		}
 	}
 	w.updateEndpoints(true)
-	now := met()
+	afterwards := serversOfKey()
 	for range 4 {
-		maps.Copy(now, met())
+		maps.Copy(afterwards, serversOfKey())
 	}
-	fresh := 0
-	for server := range now {
-		if _, is := preferred[server]; !is {
-			fresh++
+	added := 0
+	for server := range afterwards {
+		if _, found := preferred[server]; !found {
+			added++
 		}
 	}
-	if len(preferred) != 2 || len(now) > 3 || fresh != 1 {
-		t.Errorf("%d preferred servers, then %d, of these %d new", len(preferred), len(now), fresh)
+	if len(preferred) != 2 || len(afterwards) > 3 || added != 1 {
+		t.Errorf("got %d preferred servers, want 2; under load %d, want at most 3; of these %d new, want 1",
+			len(preferred), len(afterwards), added)
 	}
 }
 
-// TestPreferredServersAcrossZones: where a fetch is priced above a crossing, nodes of two zones meet on the
-// same preferred server of a key; where crossing is dearer each zone has its own.
+// TestPreferredServersAcrossZones checks that nodes of two zones use the same preferred servers of a key if
+// a fetch costs more than crossing zones, and that otherwise each zone has its own.
 func TestPreferredServersAcrossZones(t *testing.T) {
 	for _, fetch := range []float64{0, 0.05} {
-		met := map[uint64]int{}
+		used := map[uint64]int{}
 		for node := range 20 {
 			settings := testSettings()
 			settings.CrossZoneCost, settings.FetchCost, settings.Zone = 0.03, fetch, node%2
@@ -129,25 +136,28 @@
 			for i, m := range w.endpoints {
 				m.Server.Hash = HashName("e" + strconv.Itoa(i))
 			}
-			for i := range 200 { // about seven keys, the middle one of three
-				request := w.keyed(uint64(2+i%7), 1e8, 9e9)
+			for i := range 200 { // seven keys, of which one is checked
+				request := w.keyedRequest(uint64(2+i%7), 1e8, 9e9)
 				w.admit(request)
 				if i%7 == 1 {
-					met[w.open[0].Server.Hash]++
+					used[w.inFlight[0].Server.Hash]++
 				}
 				w.completeAll()
 			}
 		}
-		if one := len(met) <= 3; one != (fetch > 0) {
-			t.Errorf("a fetch at %v, and a key has %d preferred servers", fetch, len(met))
+		if shared := len(used) <= 3; shared != (fetch > 0) {
+			t.Errorf(
+				"fetch cost %v: a key has %d preferred servers, want at most 3 only if a fetch has a cost",
+				fetch, len(used))
 		}
 	}
 }
 
-// TestSlowStartServersArePreferred: a few nodes at a time may send to a server in slow start; whoever may does,
-// whatever the request is about, or by key none of them ever would and what was swapped stands empty.
+// TestSlowStartServersArePreferred guards against idle servers after a replacement. Only a few nodes at a
+// time may send to a server in slow start. Such a node must prefer it for every key, or hardly any request
+// would reach it.
 func TestSlowStartServersArePreferred(t *testing.T) {
-	met := 0
+	keysServed := 0
 	for key := range uint64(20) {
 		w := newHarness(t, key, testSettings())
 		w.addServers(20, false)
@@ -155,28 +165,28 @@
 			m.Server.Hash = HashName(strconv.Itoa(i))
 		}
 		w.advance(3e9)
-		w.d.keys.requests = 200 // others are of other keys
-		cold := w.endpoints[7]
-		cold.StartedAt = w.now - w.settings.SlowStart/2
+		w.d.keys.requests = 200 // counted for other keys
+		slowStarting := w.endpoints[7]
+		slowStarting.StartedAt = w.now - w.settings.SlowStart/2
 		w.updateEndpoints(true)
 		for range 20 {
-			request := w.keyed(key+1, 1e7, 9e9)
+			request := w.keyedRequest(key+1, 1e7, 9e9)
 			w.admit(request)
 			w.completeAll()
 			w.advance(1e8)
-			if request.Attempts[0].Server == cold.Server {
-				met++
+			if request.Attempts[0].Server == slowStarting.Server {
+				keysServed++
 				break
 			}
 		}
 	}
-	if met < 15 {
-		t.Errorf("%d of 20 keys meet the server in slow start", met)
+	if keysServed < 15 {
+		t.Errorf("%d of 20 keys used the server in slow start, want at least 15", keysServed)
 	}
 }
 
-// TestOnePreferredServerUnderCongestion: while starts are prompt a key has a second preferred server for when
-// the first is full; under congestion the second would fetch as well, and so feed it.
+// TestOnePreferredServerUnderCongestion checks that a key has a second preferred server only while starts
+// are prompt. Under congestion the second server would fetch data as well, and so increase the congestion.
 func TestOnePreferredServerUnderCongestion(t *testing.T) {
 	for prompt, want := range map[float64]int{9: 2, 0: 1} {
 		w := newHarness(t, 2, testSettings())
@@ -191,10 +201,10 @@
 		if preferred := w.d.preferredServers(search); len(preferred) != want {
 			t.Errorf("%v of 9 starts prompt: %d preferred servers, want %d", prompt, len(preferred), want)
 		}
-		// The counts may be halved away while a request waits; it has a preferred server all the same.
+		// The counts may be halved to 0 while a request waits; the key still has preferred servers.
 		request.keyState.requests, w.d.keys.requests = 0, 5
 		if preferred := w.d.preferredServers(search); len(preferred) != want {
-			t.Errorf("no count left: %d preferred servers", len(preferred))
+			t.Errorf("counts halved to 0: got %d preferred servers", len(preferred))
 		}
 	}
 }
--- a/dispatch/arrival_test.go
+++ b/dispatch/arrival_test.go
@@ -4,12 +4,12 @@
 
 import "testing"
 
-// A burst of one tenant must not count as within its share; even traffic must.
+// TestOverQuota checks that a tenant's burst is over its quota and that even traffic is not.
 func TestOverQuota(t *testing.T) {
 	settings := testSettings()
 	settings.OverQuotaWeight, settings.Tenants = 0.1, []*Tenant{{Quota: 0.5}, {Quota: 0.5}}
 	w := newHarness(t, 1, settings)
-	over := func(n, burst int) (count int) {
+	countOverQuota := func(n, burst int) (count int) {
 		for i := range n {
 			if tenant := min(i%burst, 1); w.d.overQuota(&Request{Tenant: tenant}) && tenant == 1 {
 				count++
@@ -17,16 +17,17 @@
 		}
 		return count
 	}
-	if got := over(200, 2); got > 10 {
-		t.Fatalf("%d of 100 even requests over the share", got)
+	if got := countOverQuota(200, 2); got > 10 {
+		t.Fatalf("even traffic: %d of 100 requests over quota, want at most 10", got)
 	}
 	w.advance(3e10)
-	if got := over(600, 6); got < 250 {
-		t.Fatalf("%d of 500 requests of a burst over the share", got)
+	if got := countOverQuota(600, 6); got < 250 {
+		t.Fatalf("burst: %d of 500 requests over quota, want at least 250", got)
 	}
 }
 
-// Quiet nodes hold no queue, so what lies beyond a share must not be sent into congestion; without one it may.
+// TestOverQuotaIsShedUnderCongestion checks that requests over quota are shed under congestion and served
+// otherwise. Nodes with little traffic have no queue and would send them into the congestion.
 func TestOverQuotaIsShedUnderCongestion(t *testing.T) {
 	for _, prompt := range []float64{0, 400} {
 		settings, shed := testSettings(), 0
@@ -41,34 +42,36 @@
 			}
 		}
 		if prompt == 0 && shed < 20 || prompt > 0 && shed > 2 {
-			t.Fatalf("%d of 40 beyond the share shed with %v prompt starts", shed, prompt)
+			t.Fatalf(
+				"%d of 40 requests over quota shed with %v of 400 starts prompt, want at least 20 if none is, else at most 2",
+				shed, prompt)
 		}
 	}
 }
 
-// TestDeadlineBroughtForward: a node that is told to end has to answer all that it has within less than the
+// TestSetDeadlineToEarlierTime checks that a node that shuts down answers its requests by the earlier
 // deadline.
-func TestDeadlineBroughtForward(t *testing.T) {
+func TestSetDeadlineToEarlierTime(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(2, false)
 	request := w.arrive(2, 1, 1e9, 5e9)
 	w.d.SetDeadline(request, w.now+4e8)
 	if w.advance(4e8); w.finals[request] != 1 {
-		t.Fatal("not answered in time")
+		t.Fatal("request not answered exactly once by its new deadline")
 	}
 	w.checkAllAnswered()
 }
 
-// TestAnsweredRequestsKeepNoTimer: timers of answered requests would pile up with the rate and the longest
-// deadline.
-func TestAnsweredRequestsKeepNoTimer(t *testing.T) {
+// TestAnswerCancelsDeadlineTimer guards against timers of answered requests that accumulate in proportion to
+// the request rate and the longest deadline.
+func TestAnswerCancelsDeadlineTimer(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(2, false)
 	w.arrive(0, 1, 1e8, 3600e9)
 	w.completeAll()
 	for _, a := range w.timers {
 		if a.at > w.now+60e9 {
-			t.Fatal("the timer of its deadline is kept")
+			t.Fatal("the deadline timer of an answered request is still set")
 		}
 	}
 }
@@ -82,42 +85,43 @@
 	return settings
 }
 
-// TestDeadlinesToldTooShort: a node whose clock is ahead hears that its requests have no time left, and serves
-// them all the same; what it can't serve is answered before the latest that the rules allow.
-func TestDeadlinesToldTooShort(t *testing.T) {
+// TestDeadlinesTooShortByClockError checks a node whose clock is ahead, so that requests appear to have no
+// time left. It must serve them, and answer those that it cannot serve before the latest permitted time.
+func TestDeadlinesTooShortByClockError(t *testing.T) {
 	w := newHarness(t, 1, clockSettings())
 	w.addServers(2, false)
 	for i := range 40 {
 		request := w.arrive(i%5, 1, 5e7, -int64(i%3)*1e6)
 		if request.Done || len(request.Attempts) != 1 {
-			t.Fatalf("request %d, told of nothing of 3 s, has %d attempts", i, len(request.Attempts))
+			t.Fatalf("request %d, which appears to have no time left, was shed or has %d attempts, want 1",
+				i, len(request.Attempts))
 		}
 		w.completeAll()
 	}
-	for range 3 { // at odds with this node's other requests: a client's later try
+	for range 3 { // unlike this node's other requests: a later attempt of a client
 		w.arrive(0, 1, 5e7, -1e9)
 	}
 	for range 40 {
-		w.arrive(2, 4, 5e7, 0) // more than there is room for
+		w.arrive(2, 4, 5e7, 0) // more requests than there is capacity for
 	}
 	w.advance(3e9)
 	w.checkAllAnswered()
 }
 
-// TestDeadlinesToldTooLong: a node whose clock is behind hears of more time than any client waits; whatever is
-// out, the final answer comes within the class's.
-func TestDeadlinesToldTooLong(t *testing.T) {
+// TestDeadlinesTooLongByClockError checks a node whose clock is behind, so that requests appear to have more
+// time than any client waits. Each must be answered within its class's maximum deadline.
+func TestDeadlinesTooLongByClockError(t *testing.T) {
 	w := newHarness(t, 2, clockSettings())
 	w.addServers(2, false)
 	for i := range 8 {
 		request := w.arrive(i%5, 1, 5e7, 45e8)
-		if at := w.now + 3e9; request.Deadline > at {
-			t.Fatalf("kept for %d ms too long", (request.Deadline-at)/1e6)
+		if latest := w.now + 3e9; request.Deadline > latest {
+			t.Fatalf("deadline is %d ms later than the class's maximum of 3 s", (request.Deadline-latest)/1e6)
 		}
 	}
-	later := w.arrive(0, 1, 5e7, 25e8) // a later try, told as much too long
-	if left := later.Deadline - w.now; left > 11e8 {
-		t.Errorf("a later try with 1 s left is kept for %d ms", left/1e6)
+	later := w.arrive(0, 1, 5e7, 25e8) // a later attempt with the same clock error
+	if remaining := later.Deadline - w.now; remaining > 11e8 {
+		t.Errorf("a later attempt with 1 s left has a deadline in %d ms, want at most 1100 ms", remaining/1e6)
 	}
 	w.checkAllAnswered()
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// idleActions is an Actions on which nothing happens by itself.
+// idleActions implements Actions without any effects. It records the latest attempt.
 type idleActions struct{ attempt *Attempt }
 
 func (*idleActions) Schedule(int64, func()) func()   { return func() {} }
@@ -22,15 +22,15 @@
 func newIdleDispatcher(servers int) (*Dispatcher, *idleActions, *Settings) {
 	settings, actions := testSettings(), &idleActions{}
 	d := New(settings, 1, actions, 1e12)
-	var members []Endpoint
+	var endpoints []Endpoint
 	for i := range servers {
-		members = append(members, Endpoint{Server: &Server{Tag: fmt.Sprint(i)}, Zone: i % 3, MachineType: i % 2})
+		endpoints = append(endpoints, Endpoint{Server: &Server{Tag: fmt.Sprint(i)}, Zone: i % 3, MachineType: i % 2})
 	}
-	d.UpdateEndpoints(true, members)
+	d.UpdateEndpoints(true, endpoints)
 	return d, actions, settings
 }
 
-// BenchmarkArrival is one arrival to its attempt, and the attempt's end.
+// BenchmarkArrival measures one request from its arrival to the end of its attempt.
 func BenchmarkArrival(b *testing.B) {
 	for _, servers := range []int{20, 200, 3200} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkSettle is one look at a queue of requests that find no room.
-func BenchmarkSettle(b *testing.B) {
+// BenchmarkProcessQueue measures one pass over a queue of requests for which no server has capacity.
+func BenchmarkProcessQueue(b *testing.B) {
 	for _, servers := range []int{20, 200, 2000} {
 		for _, waiting := range []int{10, 100, 1000} {
 			b.Run(fmt.Sprintf("%d/%d", servers, waiting), func(b *testing.B) {
@@ -67,7 +67,7 @@
 					d.ProcessQueue()
 				}
 				if len(d.queue.requests) != waiting {
-					b.Fatalf("%d of %d wait", len(d.queue.requests), waiting)
+					b.Fatalf("%d requests are queued, want %d", len(d.queue.requests), waiting)
 				}
 			})
 		}
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// newLongList is a dispatcher with a list of thousands and one request that nothing was done for yet.
+// newLongList returns a dispatcher with 3200 servers and one request that has arrived but is not assigned.
 func newLongList(t *testing.T) (*Dispatcher, *Settings, *Request) {
 	d, _, settings := newIdleDispatcher(3200)
 	d.Advance(1e12)
@@ -26,36 +26,38 @@
 	return n
 }
 
-// TestDrawConsidersFew: with work that grows with the endpoint list a node with a small share of a core would
-// fall behind among thousands of servers.
+// TestDrawConsidersFew guards against work per draw that grows with the endpoint list. A node with a small
+// part of a core would become overloaded with thousands of servers.
 func TestDrawConsidersFew(t *testing.T) {
 	d, _, request := newLongList(t)
-	for i, server := range d.servers.all { // an hour in which it used them all
+	for i, server := range d.servers.all { // every second server was used recently
 		if i%2 == 0 {
 			server.idleUntil = d.now + 1e9
 			d.withIdleConnection.add(server)
 		}
 	}
 	if d.draw(request, 1); countConsidered(d) > 2*maxSample {
-		t.Errorf("%d servers were considered", countConsidered(d))
+		t.Errorf("draw considered %d servers, want at most 2*maxSample", countConsidered(d))
 	}
 	if d.candidates[0].idleUntil == 0 {
-		t.Error("one without a connection was drawn")
+		t.Error("draw selected a server without an idle connection")
 	}
-	for _, server := range d.servers.all { // none has room
+	for _, server := range d.servers.all { // no server has capacity
 		server.limit = 0
 	}
 	if drawn := d.draw(request, 1); len(drawn) > 0 || countConsidered(d) > 2*maxSample {
-		t.Errorf("%d servers were considered in vain", countConsidered(d))
+		t.Errorf(
+			"no server has capacity: one was drawn, or %d servers were considered, want at most 2*maxSample",
+			countConsidered(d))
 	}
 }
 
-// TestLongListDrawsInProportion: each server's chance is in proportion to its weight, in a long list as in a
-// short one. The design's draw decides.
+// TestLongListDrawsInProportion checks that each server's probability is in proportion to its weight in a
+// long list, as it is in a short one.
 func TestLongListDrawsInProportion(t *testing.T) {
 	const draws = 40000
 	d, _, request := newLongList(t)
-	want, all, got := map[int]float64{}, 0.0, map[int]float64{}
+	want, total, got := map[int]float64{}, 0.0, map[int]float64{}
 	class := func(server *Server) int { return server.scores.sum/scoreWindowSize*2 + int(2*server.reliability.value) }
 	for i, server := range d.servers.all {
 		server.scores.count, server.scores.sum = scoreWindowSize, scoreWindowSize*[...]int{10, 6, 2, 2}[i%4]
@@ -63,21 +65,22 @@
 			server.reliability = reliability{0.5, d.now}
 		}
 		want[class(server)] += d.weight(request, server)
-		all += d.weight(request, server)
+		total += d.weight(request, server)
 	}
 	for range draws {
 		got[class(d.draw(request, 1)[0])]++
 	}
 	for c, w := range want {
-		expected := w / all * draws
-		if off := math.Abs(got[c] - expected); off > 4*math.Sqrt(expected)+0.01*expected {
-			t.Errorf("class %d: drawn %.0f times in place of %.0f", c, got[c], expected)
+		expected := w / total * draws
+		if deviation := math.Abs(got[c] - expected); deviation > 4*math.Sqrt(expected)+0.01*expected {
+			t.Errorf("servers of group %d: drawn %.0f times, want about %.0f", c, got[c], expected)
 		}
 	}
 }
 
-// TestNarrowChoiceIsFound: a retry that may go to one small group of servers alone finds one of them.
-func TestNarrowChoiceIsFound(t *testing.T) {
+// TestDrawFindsSmallDedupGroup checks that a retry that only a small group of servers may receive finds one
+// of that group.
+func TestDrawFindsSmallDedupGroup(t *testing.T) {
 	d, settings, _ := newLongList(t)
 	for i, server := range d.servers.all {
 		server.cell = i / 2
@@ -88,40 +91,42 @@
 	request.Attempts = append(request.Attempts, &Attempt{Request: request, Server: home, sentAt: d.now})
 	for range 20 {
 		if drawn := d.draw(request, 1); len(drawn) != 1 || drawn[0].cell != home.cell {
-			t.Fatalf("%d servers of its group were found", len(drawn))
+			t.Fatalf("draw returned %d servers, want 1 of the deduplication group", len(drawn))
 		}
 	}
 }
 
-// TestLongListUsesServersInTurn: half of a long list is in slow start, and a random sample seldom meets those
-// that this node may send to.
-func TestLongListUsesServersInTurn(t *testing.T) {
+// TestLongListFindsServersInSlowStartTurn checks a long list of which half is in slow start. A random sample
+// rarely contains the few servers to which this node may send at the time.
+func TestLongListFindsServersInSlowStartTurn(t *testing.T) {
 	d, settings, request := newLongList(t)
 	settings.Nodes, d.slowStartOwnerSince, request.size = 300, 0, request.size/2
-	var members []Endpoint
+	var slowStarting []Endpoint
 	for i, server := range d.servers.all {
 		if i%2 == 0 {
-			members = append(members, Endpoint{Server: server, StartedAt: d.now - 2e9 - int64(i)*1e6})
+			slowStarting = append(slowStarting, Endpoint{Server: server, StartedAt: d.now - 2e9 - int64(i)*1e6})
 		}
 	}
-	d.UpdateEndpoints(false, members)
-	may := 0
-	for _, m := range members {
+	d.UpdateEndpoints(false, slowStarting)
+	permitted := 0
+	for _, m := range slowStarting {
 		if d.allowed(request, m.Server) {
-			may++
+			permitted++
 		}
 	}
 	drawn := d.draw(request, 1)
-	if may == 0 || may > 320 || countConsidered(d) > 2*maxSample+may || d.settings.warmUpFactor(drawn[0], d.now) == 1 {
+	if permitted == 0 || permitted > 320 || countConsidered(d) > 2*maxSample+permitted || d.settings.warmUpFactor(drawn[0], d.now) == 1 {
 		warm := d.settings.warmUpFactor(drawn[0], d.now)
-		t.Errorf("%d may be sent to now, and the one drawn has %v of its capacity", may, warm)
+		t.Errorf(
+			"%d servers in slow start are permitted, want 1 to 320; the drawn one has %v of its capacity, want less than 1",
+			permitted, warm)
 	}
-	settings.Nodes = 1 // it is always its turn
+	settings.Nodes = 1 // it is always this node's turn
 	if d.draw(request, 1); countConsidered(d) > 2*maxSample {
-		t.Errorf("%d servers were considered, most of them in slow start", countConsidered(d))
+		t.Errorf("one node: draw considered %d servers, want at most 2*maxSample", countConsidered(d))
 	}
-	d.UpdateEndpoints(true, members[:10])
+	d.UpdateEndpoints(true, slowStarting[:10])
 	if n := len(d.servers.all) + len(d.withIdleConnection.all) + len(d.inSlowStart.all); n != 20 {
-		t.Errorf("%d places are kept for ten servers", n)
+		t.Errorf("sets have %d entries for 10 servers, want 20", n)
 	}
 }
--- a/dispatch/cluster_test.go
+++ b/dispatch/cluster_test.go
@@ -11,24 +11,24 @@
 	"fernrail/internal/invariants"
 )
 
-// cluster is many nodes that share nothing but the clock and the servers.
+// cluster is a number of nodes that share only the clock and the servers.
 type cluster struct {
 	*rand.Rand
 	settings       *Settings
 	now            int64
 	nodes          []*clusterNode
-	startedAt      []int64 // of each server
-	startTimeError []int64 // by which it is stamped
+	startedAt      []int64 // start time of each server
+	startTimeError []int64 // error of each reported start time
 	sent           [][]timedAmount
 	slots          float64
-	rejecting      bool // every attempt is rejected at once, so that all that the nodes hold goes out again
+	rejecting      bool // every attempt is rejected at once, so that all queued requests are retried
 	runtime        int64
-	speed          []float64           // of each server; nil: jobs run for settle everywhere
-	work           func() int64        // of a request that tells nothing of it
-	workOf         map[*Request]int64  // of these
-	clientTimeout  int64               // how long clients wait; 0: a second
-	checker        *invariants.Checker // hears of all that happens, and shares nothing with the module
-	checkerError   error               // what the checker could not make sense of
+	speed          []float64           // of each server; nil: every attempt takes runtime
+	work           func() int64        // draws the work of requests without a hint; nil: all have hints
+	workOf         map[*Request]int64  // work of requests without a hint
+	clientTimeout  int64               // how long clients wait for requests without a hint; 1 s for others
+	checker        *invariants.Checker // receives all events; independent of the dispatcher
+	checkerError   error               // first event that the checker could not process
 	accepted       int
 }
 
@@ -38,22 +38,23 @@
 	}
 }
 
-// checkInvariants fails the test for what the checker has seen.
+// checkInvariants fails the test if the checker found violations.
 func (h *cluster) checkInvariants(t *testing.T) {
 	t.Helper()
-	if breaches := h.checker.Violations(h.now); h.checkerError != nil || len(breaches) > 0 {
-		t.Fatalf("%v, of %d violations: %+v", h.checkerError, len(breaches), breaches[:min(len(breaches), 3)])
+	if violations := h.checker.Violations(h.now); h.checkerError != nil || len(violations) > 0 {
+		t.Fatalf("checker error %v, want none; got %d violations, want 0, first: %+v",
+			h.checkerError, len(violations), violations[:min(len(violations), 3)])
 	}
 }
 
-// clusterNode is the Actions of one of them.
+// clusterNode implements the Actions of one node.
 type clusterNode struct {
 	*cluster
-	d       *Dispatcher
-	servers []*Server
-	timers  []*timer
-	open    []*Attempt
-	sentAt  map[*Attempt]int64
+	d        *Dispatcher
+	servers  []*Server
+	timers   []*timer
+	inFlight []*Attempt
+	sentAt   map[*Attempt]int64
 }
 
 func (n *clusterNode) StartAttempt(attempt *Attempt) {
@@ -63,12 +64,12 @@
 		work = float64(n.workOf[attempt.Request])
 	}
 	n.sent[i] = append(n.sent[i], timedAmount{n.now, work})
-	n.open, n.sentAt[attempt] = append(n.open, attempt), n.now
+	n.inFlight, n.sentAt[attempt] = append(n.inFlight, attempt), n.now
 	n.record(invariants.Event{Kind: invariants.AttemptSent, Request: attempt.Request.Tag, Attempt: attempt.Number,
 		Server: strconv.Itoa(i), Work: work / 1e9})
 }
 
-// runtimeOf is how long an attempt runs, without a queue.
+// runtimeOf is the running time of an attempt without queueing.
 func (n *clusterNode) runtimeOf(attempt *Attempt) int64 {
 	if n.work == nil {
 		return n.runtime
@@ -77,7 +78,7 @@
 	return int64(float64(n.workOf[attempt.Request]) / n.speed[i] / n.warmUpShare(i, n.sentAt[attempt]))
 }
 
-// warmUpShare is the part of its capacity that a server has at least.
+// warmUpShare is the minimum share of its capacity that a server has at a clock time.
 func (h *cluster) warmUpShare(i int, at int64) float64 {
 	if age := at - h.startedAt[i]; h.startedAt[i] > 0 && age < h.settings.SlowStart {
 		return capacityShare(h.settings, max(age, 0))
@@ -101,8 +102,8 @@
 
 func (n *clusterNode) ProbeCapacity(*Server) {}
 
-func (n *clusterNode) Schedule(after int64, then func()) (forget func()) {
-	a := &timer{n.now + max(after, 1), then}
+func (n *clusterNode) Schedule(after int64, call func()) (cancel func()) {
+	a := &timer{n.now + max(after, 1), call}
 	n.timers = append(n.timers, a)
 	return func() { n.timers = slices.DeleteFunc(n.timers, func(b *timer) bool { return a == b }) }
 }
@@ -144,23 +145,24 @@
 		h.nodes = append(h.nodes, n)
 	} else {
 		h.record(invariants.Event{Kind: invariants.NodeKilled, Node: strconv.Itoa(settings.NodeIndex)})
-		h.nodes[settings.NodeIndex] = n // started again: it knows nothing of what it sent before
+		h.nodes[settings.NodeIndex] = n // a restarted node has no record of what it sent before
 	}
 	n.updateEndpoints()
 }
 
 func (n *clusterNode) updateEndpoints() {
-	var members []Endpoint
+	var endpoints []Endpoint
 	for i, server := range n.servers {
-		members = append(members, Endpoint{Server: server, StartedAt: n.startedAt[i] + n.startTimeError[i]})
+		endpoints = append(endpoints, Endpoint{Server: server, StartedAt: n.startedAt[i] + n.startTimeError[i]})
 	}
-	n.d.UpdateEndpoints(true, members)
+	n.d.UpdateEndpoints(true, endpoints)
 }
 
-// restartServers starts all servers again; starts tell how many have been seen at work in one.
-func (h *cluster) restartServers(apart int64, unlike int) {
+// restartServers restarts all servers within the given spread of start times. Each node's estimate of the
+// servers' slots is lower than the actual number by less than slotVariation.
+func (h *cluster) restartServers(maxSpread int64, slotVariation int) {
 	for i := range h.startedAt {
-		h.startedAt[i] = h.now - h.Int64N(apart+1)
+		h.startedAt[i] = h.now - h.Int64N(maxSpread+1)
 		h.startTimeError[i] = h.Int64N(2*h.settings.StartTimeError+1) - h.settings.StartTimeError
 	}
 	for _, i := range h.Perm(len(h.startedAt)) {
@@ -168,12 +170,13 @@
 	}
 	for _, n := range h.nodes {
 		n.updateEndpoints()
-		n.d.machineTypes[0].maxSlots = h.slots - float64(h.IntN(unlike)) // nodes have seen more or less of it
+		n.d.machineTypes[0].maxSlots = h.slots - float64(h.IntN(slotVariation)) // nodes observed different numbers of slots
 	}
 }
 
-// advance lets time go by; every node has work waiting that is as large as given, give or take half.
-func (h *cluster) advance(span, size int64, share float64) {
+// advance advances the clock by span. At each node, requests arrive at the given rate with a size between
+// half and one and a half times the given one.
+func (h *cluster) advance(span, size int64, arrivalsPerTick float64) {
 	for end := h.now + span; h.now < end; {
 		h.now += h.settings.Tick
 		for _, n := range h.nodes {
@@ -185,7 +188,7 @@
 					a.call()
 				}
 			}
-			for due := share; due > 0 && h.Float64() < due; due-- {
+			for arrivals := arrivalsPerTick; arrivals > 0 && h.Float64() < arrivals; arrivals-- {
 				h.accepted++
 				request := &Request{Tag: strconv.Itoa(h.accepted), Class: h.settings.Classes[0], Slots: 1,
 					ExpectedWork: size/2 + h.Int64N(size), Deadline: h.now + 1e9}
@@ -197,12 +200,12 @@
 				n.d.Arrive(request)
 			}
 			n.d.ProcessQueue()
-			for _, attempt := range slices.Clone(n.open) {
+			for _, attempt := range slices.Clone(n.inFlight) {
 				if o := Succeeded; h.rejecting || h.now-n.sentAt[attempt] >= n.runtimeOf(attempt) {
 					if h.rejecting {
 						o = Rejected
 					}
-					n.open = slices.DeleteFunc(n.open, func(q *Attempt) bool { return attempt == q })
+					n.inFlight = slices.DeleteFunc(n.inFlight, func(q *Attempt) bool { return attempt == q })
 					n.record(invariants.Event{Kind: invariants.AttemptEnded, Request: attempt.Request.Tag,
 						Attempt: attempt.Number, Result: o.String()})
 					if o == Succeeded && !attempt.Request.Done {
@@ -217,9 +220,9 @@
 	}
 }
 
-// maxBudgetShare is the most of any budget in slow start that was sent to it in one window, by what it can do
-// meanwhile.
-func (h *cluster) maxBudgetShare() (part float64) {
+// maxBudgetShare is the largest share of a server's slow start budget that was sent to it in one window,
+// relative to its minimum capacity in that window.
+func (h *cluster) maxBudgetShare() (highest float64) {
 	for i, sends := range h.sent {
 		for from, first := range sends {
 			sum, last := 0.0, first
@@ -229,11 +232,11 @@
 				}
 			}
 			age := max(first.at-h.startedAt[i], 0) // capacity at the window's start: the least in it
-			able := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*float64(age)/float64(h.settings.SlowStart)
+			capacity := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*float64(age)/float64(h.settings.SlowStart)
 			if first.at >= h.startedAt[i] && last.at < h.startedAt[i]+h.settings.SlowStart {
-				part = max(part, sum/(h.settings.OverloadFactor*able*h.slots*float64(h.settings.OverloadWindow)))
+				highest = max(highest, sum/(h.settings.OverloadFactor*capacity*h.slots*float64(h.settings.OverloadWindow)))
 			}
 		}
 	}
-	return part
+	return highest
 }
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -9,8 +9,11 @@
 	"testing"
 )
 
-// harness is an Actions that holds every action against the four rules at the moment it is taken, and drives
-// the module through random legal histories. It models no queues and no speeds: what servers do is chance.
+// harness implements Actions, checks every action against the four rules when it is performed, and drives
+// the dispatcher through random valid histories. It has no model of queues or speeds; outcomes are random.
+// The rules: each request gets exactly one final answer by its deadline (1), no request runs twice if that
+// could have a second effect, or is hedged if that is not allowed (2), nothing is sent to draining or
+// removed servers (3), and servers in slow start are not sent more than their budget (4).
 type harness struct {
 	*testing.T
 	*rand.Rand
@@ -18,16 +21,16 @@
 	d             *Dispatcher
 	now           int64
 	timers        []*timer
-	open          []*Attempt
+	inFlight      []*Attempt
 	requests      []*Request
 	finals        map[*Request]int
-	mayRun        map[*Attempt]bool // not proved unrun
+	mayRun        map[*Attempt]bool // no outcome proves that it did not run
 	sentAt        map[*Attempt]int64
 	canceled      int
 	notified      []float64
-	probes        []*Server // without an answer
+	probes        []*Server // without an answer yet
 	endpoints     []*Endpoint
-	stopped       map[*Server]bool // told that it drains or is gone
+	unavailable   map[*Server]bool // draining or removed in the latest update
 	slowStartWork map[*Server][]timedAmount
 }
 
@@ -38,7 +41,7 @@
 
 const testSlots = 4
 
-// unlimitedKey is the key state of requests that never arrived.
+// unlimitedKey is the key state of requests that did not arrive through Arrive.
 var unlimitedKey = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
 
 func testSettings() *Settings {
@@ -58,17 +61,18 @@
 
 func newHarness(t *testing.T, seed uint64, settings *Settings) *harness {
 	w := &harness{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), settings: settings, now: 1e12, finals: map[*Request]int{},
-		mayRun: map[*Attempt]bool{}, sentAt: map[*Attempt]int64{}, stopped: map[*Server]bool{},
+		mayRun: map[*Attempt]bool{}, sentAt: map[*Attempt]int64{}, unavailable: map[*Server]bool{},
 		slowStartWork: map[*Server][]timedAmount{}}
 	w.d = New(settings, seed, w, w.now)
 	return w
 }
 
-// addServers lists n servers, two a cell and four a zone; every third one has just started when cold is set.
-func (w *harness) addServers(n int, cold bool) {
+// addServers lists n servers, two per cell and four per zone. If slowStart is true, every third one has just
+// started.
+func (w *harness) addServers(n int, slowStart bool) {
 	for i := range n {
 		m := &Endpoint{Server: &Server{}, Zone: i / 4, Cell: i / 2, MachineType: i % 2}
-		if cold && i%3 == 0 {
+		if slowStart && i%3 == 0 {
 			m.StartedAt = w.now - w.Int64N(w.settings.SlowStart)
 		}
 		w.endpoints = append(w.endpoints, m)
@@ -76,18 +80,18 @@
 	w.updateEndpoints(true)
 }
 
-func (w *harness) updateEndpoints(whole bool) {
-	var members []Endpoint
+func (w *harness) updateEndpoints(complete bool) {
+	var entries []Endpoint
 	for _, m := range w.endpoints {
-		w.stopped[m.Server] = m.State != Up
-		if !whole || m.State != Removed {
-			members = append(members, *m)
+		w.unavailable[m.Server] = m.State != Up
+		if !complete || m.State != Removed {
+			entries = append(entries, *m)
 		}
 	}
-	if whole && len(members) > 0 {
-		members = append(members, members[0])
+	if complete && len(entries) > 0 {
+		entries = append(entries, entries[0])
 	}
-	w.d.UpdateEndpoints(whole, members)
+	w.d.UpdateEndpoints(complete, entries)
 }
 
 func (w *harness) StartAttempt(attempt *Attempt) {
@@ -95,12 +99,12 @@
 	request := attempt.Request
 	switch {
 	case w.finals[request] > 0:
-		w.Fatal("rule 1: attempt for a request that has its final answer")
+		w.Fatal("rule 1: attempt started for a request that has its final answer")
 	case attempt.Number >= w.settings.MaxAttempts:
-		w.Fatal("more attempts than the settings allow")
+		w.Fatal("attempt started over the maximum number of attempts")
 	}
-	if w.stopped[attempt.Server] {
-		w.Fatal("rule 3: attempt to a server that drains or is gone")
+	if w.unavailable[attempt.Server] {
+		w.Fatal("rule 3: attempt started at a draining or removed server")
 	}
 	var first *Attempt
 	for _, q := range request.Attempts[:attempt.Number] {
@@ -108,23 +112,23 @@
 			first = q
 		}
 		if q.InFlight && !w.settings.AllowHedging {
-			w.Fatal("rule 2: two attempts out where none may be doubled")
+			w.Fatal("rule 2: two attempts in flight although hedging is not allowed")
 		}
 	}
 	if class := request.Class; first != nil && class.Idempotency != Idempotent {
 		if class.Idempotency == NonIdempotent || w.now-w.sentAt[first] > class.DedupWindow ||
 			class.DedupScope == DedupCell && attempt.Server.cell != first.Server.cell ||
 			class.DedupScope == DedupZone && attempt.Server.zone != first.Server.zone {
-			w.Fatalf("rule 2: class %d sent again where it may run twice", class.Index)
+			w.Fatalf("rule 2: request of class %d sent again although it may run twice", class.Index)
 		}
 	}
 	w.mayRun[attempt], w.sentAt[attempt] = true, w.now
-	w.open = append(w.open, attempt)
+	w.inFlight = append(w.inFlight, attempt)
 	w.checkSlowStart(attempt)
 }
 
-// checkSlowStart holds this node's sends alone to the budget of a server in slow start. What all nodes send
-// together is FuzzSlowStartBudget's.
+// checkSlowStart checks this node's sends alone against the budget of a server in slow start.
+// FuzzSlowStartBudget checks the sends of all nodes together.
 func (w *harness) checkSlowStart(attempt *Attempt) {
 	server := attempt.Server
 	i := slices.IndexFunc(w.endpoints, func(m *Endpoint) bool { return m.Server == server })
@@ -143,28 +147,30 @@
 	}
 	capacity := capacityShare(w.settings, age) * testSlots * float64(w.settings.OverloadWindow)
 	if sum > w.settings.OverloadFactor*capacity {
-		w.Fatalf("rule 4: %.0f ms of work sent to a server in slow start", sum/1e6)
+		w.Fatalf(
+			"rule 4: %.0f ms of work sent in one window to a server in slow start, which is over its budget",
+			sum/1e6)
 	}
 }
 
-// capacityShare is the least share of its capacity that a server of an age (ns) in slow start has.
+// capacityShare is the minimum share of its capacity that a server in slow start has at an age (ns).
 func capacityShare(settings *Settings, age int64) float64 {
 	return settings.SlowStartShare + (1-settings.SlowStartShare)*float64(age)/float64(settings.SlowStart)
 }
 
 func (w *harness) CancelAttempt(attempt *Attempt) {
 	if w.canceled++; !w.settings.AllowCancel {
-		w.Fatal("withdrawn where it is not permitted")
+		w.Fatal("attempt canceled although canceling is not allowed")
 	}
 }
 
 func (w *harness) recordFinal(request *Request) {
 	w.Helper()
 	if w.finals[request]++; w.finals[request] > 1 {
-		w.Fatal("rule 1: two final answers")
+		w.Fatal("rule 1: request has two final answers")
 	}
 	if w.now > request.Deadline {
-		w.Fatal("rule 1: final answer after deadline")
+		w.Fatal("rule 1: final answer after the deadline")
 	}
 }
 
@@ -176,7 +182,7 @@
 		class.Idempotency == IdempotentInGroup && class.DedupScope != DedupAll
 	for _, attempt := range request.Attempts {
 		if w.mayRun[attempt] && mayRunTwice {
-			w.Fatalf("rule 2: class %d shed though it may have run", class.Index)
+			w.Fatalf("rule 2: request of class %d shed although it may have run", class.Index)
 		}
 	}
 }
@@ -189,13 +195,13 @@
 
 func (w *harness) ProbeCapacity(server *Server) { w.probes = append(w.probes, server) }
 
-func (w *harness) Schedule(after int64, then func()) (forget func()) {
-	a := &timer{w.now + max(after, 1), then}
+func (w *harness) Schedule(after int64, call func()) (cancel func()) {
+	a := &timer{w.now + max(after, 1), call}
 	w.timers = append(w.timers, a)
 	return func() { w.timers = slices.DeleteFunc(w.timers, func(b *timer) bool { return a == b }) }
 }
 
-// advance lets time go by, timer by timer, in whole ticks.
+// advance advances the clock tick by tick and calls the timers that are due.
 func (w *harness) advance(span int64) {
 	for end := w.now + span; w.now < end; {
 		w.now = min(w.now+w.settings.Tick, end)
@@ -211,34 +217,34 @@
 	}
 }
 
-// arrive admits a request of a class with so many slots, expected work (ns) and time left (ns).
-func (w *harness) arrive(class int, slots float64, work, left int64) *Request {
-	request := &Request{Class: w.settings.Classes[class], Slots: slots, ExpectedWork: work, Deadline: w.now + left}
+// arrive admits a request of a class with the given slots, expected work (ns) and remaining time (ns).
+func (w *harness) arrive(class int, slots float64, work, remaining int64) *Request {
+	request := &Request{Class: w.settings.Classes[class], Slots: slots, ExpectedWork: work, Deadline: w.now + remaining}
 	w.admit(request)
 	return request
 }
 
-// admit has a request arrive and the queue processed.
+// admit reports the arrival of a request and processes the queue.
 func (w *harness) admit(request *Request) {
 	w.requests = append(w.requests, request)
 	w.d.Arrive(request)
 	w.d.ProcessQueue()
 }
 
-// keyed is a request of the first class with an affinity key.
-func (w *harness) keyed(key uint64, work, left int64) *Request {
+// keyedRequest returns a request of the first class with an affinity key.
+func (w *harness) keyedRequest(key uint64, work, remaining int64) *Request {
 	class := w.settings.Classes[0]
-	return &Request{Class: class, Slots: 1, ExpectedWork: work, Deadline: w.now + left, AffinityKey: key}
+	return &Request{Class: class, Slots: 1, ExpectedWork: work, Deadline: w.now + remaining, AffinityKey: key}
 }
 
-// undrawn is a request of the first class that never arrived, for calls of draw.
-func undrawn(settings *Settings) *Request {
+// unqueuedRequest returns a request of the first class that did not arrive, for direct calls of draw.
+func unqueuedRequest(settings *Settings) *Request {
 	return &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e8, keyState: unlimitedKey}
 }
 
-// endAttempt gives an attempt an outcome, as the bench would.
+// endAttempt reports the outcome of an attempt.
 func (w *harness) endAttempt(attempt *Attempt, o Outcome) {
-	w.open = slices.DeleteFunc(w.open, func(q *Attempt) bool { return q == attempt })
+	w.inFlight = slices.DeleteFunc(w.inFlight, func(q *Attempt) bool { return q == attempt })
 	if o == Rejected || o == ConnectFailed || o == NotSent {
 		w.mayRun[attempt] = false
 	}
@@ -249,10 +255,11 @@
 	w.d.ProcessQueue()
 }
 
-// completeAll lets all jobs that are out start and end well at once, and what they make room for.
+// completeAll starts all attempts in flight and ends them with success, including those that start
+// meanwhile.
 func (w *harness) completeAll() {
-	for len(w.open) > 0 {
-		w.d.AttemptStarted(w.open[0])
-		w.endAttempt(w.open[0], Succeeded)
+	for len(w.inFlight) > 0 {
+		w.d.AttemptStarted(w.inFlight[0])
+		w.endAttempt(w.inFlight[0], Succeeded)
 	}
 }
--- a/dispatch/hedging_test.go
+++ b/dispatch/hedging_test.go
@@ -4,63 +4,64 @@
 
 import "testing"
 
-// Copies must not take the room of requests that wait for it.
+// TestNoHedgeWhileRequestsWait checks that hedges do not use capacity that waiting requests need.
 func TestNoHedgeWhileRequestsWait(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(2, false)
 	w.arrive(0, 1, 1e8, 5e9)
 	w.d.queue.requests = []*Request{{Class: w.settings.Classes[0]}}
-	if w.d.hedge(w.open[0].Request); len(w.open) != 1 {
-		t.Fatal("a hedge went out while a request waited")
+	if w.d.hedge(w.inFlight[0].Request); len(w.inFlight) != 1 {
+		t.Fatal("hedge sent while a request was queued")
 	}
 	w.d.queue.requests = nil
 	w.d.promptStarts[ownZone] = decayingRatio{20, 0.5, w.now}
-	if w.d.hedge(w.open[0].Request); len(w.open) != 1 {
-		t.Fatal("a hedge went out though none of those left should find room")
+	if w.d.hedge(w.inFlight[0].Request); len(w.inFlight) != 1 {
+		t.Fatal("hedge sent although almost no start was prompt")
 	}
 	w.settings.LoadReports = true
 	w.d.promptStarts[ownZone] = decayingRatio{10, 6, w.now}
-	if w.d.hedge(w.open[0].Request); len(w.open) != 1 {
-		t.Fatal("a hedge went out though four starts in ten were late, as other nodes' requests wait")
+	if w.d.hedge(w.inFlight[0].Request); len(w.inFlight) != 1 {
+		t.Fatal("hedge sent although 4 of 10 starts were late, so that requests of other nodes wait")
 	}
 	w.d.promptStarts[ownZone].hits = 10
-	if w.d.hedge(w.open[0].Request); len(w.open) != 2 {
-		t.Fatal("no hedge though there is room")
+	if w.d.hedge(w.inFlight[0].Request); len(w.inFlight) != 2 {
+		t.Fatal("no hedge sent although all starts were prompt")
 	}
 }
 
-// TestLateAttemptIsCanceled: where hedges are not allowed, an attempt that does not start is canceled once the
-// endpoint list tells of load, or its server stands still, and only then goes elsewhere; where neither holds it
-// stays, and a non-idempotent request always.
+// TestLateAttemptIsCanceled checks attempts without a start if hedging is not allowed. Such an attempt is
+// canceled only if the endpoint list reports load or if its server makes no progress, and the request then
+// goes to another server. Otherwise it stays, and a non-idempotent request always stays.
 func TestLateAttemptIsCanceled(t *testing.T) {
 	for name, c := range map[string]struct {
-		scheme      int
-		live, still bool
-		want        int
+		class         int
+		live, stalled bool
+		want          int
 	}{
-		"list tells load": {0, true, false, 2}, "stands still": {0, false, true, 2}, "waits": {0, false, false, 1},
-		"once-only": {2, true, true, 1}, "referenced": {3, true, false, 2},
+		"list reports load": {0, true, false, 2}, "stalled": {0, false, true, 2}, "waits": {0, false, false, 1},
+		"non-idempotent": {2, true, true, 1}, "idempotent in zone": {3, true, false, 2},
 	} {
 		settings := testSettings()
 		settings.AllowHedging, settings.LiveCapacity = false, c.live
 		w := newHarness(t, 5, settings)
 		w.addServers(8, false)
-		request := w.arrive(c.scheme, 1, 1e8, 4e9)
-		attempt := w.open[0]
-		if c.still {
+		request := w.arrive(c.class, 1, 1e8, 4e9)
+		attempt := w.inFlight[0]
+		if c.stalled {
 			w.d.AttemptStarted(attempt)
 			w.advance(35e8)
 		} else {
 			w.advance(3e8)
 		}
 		if len(request.Attempts) > 1 {
-			t.Fatalf("%s: two attempts out", name)
+			t.Fatalf("%s: second attempt started before the first one ended", name)
 		}
 		if w.canceled > 0 {
 			w.endAttempt(attempt, Canceled)
 		}
 		if len(request.Attempts) != c.want || c.want > 1 && request.Attempts[1].Server == attempt.Server {
-			t.Errorf("%s: %d attempts, want %d", name, len(request.Attempts), c.want)
+			t.Errorf("%s: got %d attempts, want %d, the second at another server",
+				name, len(request.Attempts), c.want)
 		}
 	}
 }
--- a/dispatch/idempotency_test.go
+++ b/dispatch/idempotency_test.go
@@ -4,19 +4,21 @@
 
 import "testing"
 
+// TestRetryStaysInDedupGroup checks that a retry goes to the cell of the first attempt, and that after the
+// deduplication window the request is compensated without a further attempt.
 func TestRetryStaysInDedupGroup(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(4, false)
 	request := w.arrive(1, 1, 1e8, 9e9)
-	w.endAttempt(w.open[0], ConnectionLost)
+	w.endAttempt(w.inFlight[0], ConnectionLost)
 	if len(request.Attempts) != 2 || request.Attempts[0].Server.cell != request.Attempts[1].Server.cell {
-		t.Fatal("not sent again within its cell")
+		t.Fatal("request was not sent again within the cell of its first attempt")
 	}
 	w.advance(w.settings.Classes[1].DedupWindow)
-	for len(w.open) > 0 {
-		w.endAttempt(w.open[0], ConnectionLost)
+	for len(w.inFlight) > 0 {
+		w.endAttempt(w.inFlight[0], ConnectionLost)
 	}
 	if !request.Done || w.finals[request] != 1 {
-		t.Fatal("past its deduplication window it must be reversed at once")
+		t.Fatal("request was not compensated at once after its deduplication window")
 	}
 }
--- a/dispatch/outcome_test.go
+++ b/dispatch/outcome_test.go
@@ -4,32 +4,35 @@
 
 import "testing"
 
-// TestCanceledAttemptKeepsItsSlots: a job that was canceled may run all the same, so its place counts as taken
-// for as long as one runs; what ended otherwise leaves at once.
-func TestCanceledAttemptKeepsItsSlots(t *testing.T) {
+// TestCanceledAttemptKeepsSlotsReserved checks that the slots of a canceled attempt stay reserved for an
+// expected running time, since it may still run. The slots of attempts with another outcome are released at
+// once.
+func TestCanceledAttemptKeepsSlotsReserved(t *testing.T) {
 	for _, o := range []Outcome{Canceled, Failed} {
 		w := newHarness(t, 1, testSettings())
 		w.addServers(1, false)
 		w.arrive(0, 1, 2e8, 4e9)
-		server := w.open[0].Server
+		server := w.inFlight[0].Server
 		w.d.Finish(w.requests[0])
 		w.finals[w.requests[0]] = 1
-		w.endAttempt(w.open[0], o)
-		if kept := server.slotsInFlight == 1; kept != (o == Canceled) {
-			t.Errorf("%v: %v slots are taken", o, server.slotsInFlight)
+		w.endAttempt(w.inFlight[0], o)
+		if reserved := server.slotsInFlight == 1; reserved != (o == Canceled) {
+			t.Errorf("%v: %v slots reserved after the outcome, want 1 only if canceled",
+				o, server.slotsInFlight)
 		}
 		w.advance(19e7)
-		if kept := server.slotsInFlight == 1; kept != (o == Canceled) {
-			t.Errorf("%v: %v slots are taken just before it would have run", o, server.slotsInFlight)
+		if reserved := server.slotsInFlight == 1; reserved != (o == Canceled) {
+			t.Errorf("%v: %v slots reserved shortly before the expected end, want 1 only if canceled",
+				o, server.slotsInFlight)
 		}
 		if w.advance(2e8); server.slotsInFlight != 0 {
-			t.Errorf("%v: %v slots are taken for good", o, server.slotsInFlight)
+			t.Errorf("%v: %v slots reserved after the expected end, want 0", o, server.slotsInFlight)
 		}
 	}
 }
 
-// TestTimeoutEndsRequest: the time-out says that the client has given up; the request gets its answer then and
-// goes nowhere again.
+// TestTimeoutEndsRequest checks that a time-out means that the client has given up: the request gets its
+// final answer and is not sent again.
 func TestTimeoutEndsRequest(t *testing.T) {
 	for i := range 5 {
 		w := newHarness(t, 3, clockSettings())
@@ -39,7 +42,8 @@
 		n := len(request.Attempts)
 		w.endAttempt(request.Attempts[0], TimedOut)
 		if w.advance(1e8); !request.Done || len(request.Attempts) != n {
-			t.Errorf("class %d: over %v, %d attempts, %d before", i, request.Done, len(request.Attempts), n)
+			t.Errorf("class %d: done is %v, want true; got %d attempts, want %d",
+				i, request.Done, len(request.Attempts), n)
 		}
 	}
 }
--- a/dispatch/probes_test.go
+++ b/dispatch/probes_test.go
@@ -4,8 +4,8 @@
 
 import "testing"
 
-// TestCapacityProbes: a request goes to the server that tells of room for it, slots and memory, and not to
-// those that tell of none; where nobody answers it goes out all the same, before it is hopeless.
+// TestCapacityProbes checks that a request goes to the server that reports enough slots and memory, and not
+// to those that report too little. If no server answers, the request is sent before it is given up.
 func TestCapacityProbes(t *testing.T) {
 	settings := testSettings()
 	settings.CapacityProbes = true
@@ -13,7 +13,8 @@
 	w.addServers(8, false)
 	request := w.arrive(0, 2, 1e8, 9e9)
 	if len(request.Attempts) > 0 || len(w.probes) != probesPerRound {
-		t.Fatalf("%d attempts, %d probes", len(request.Attempts), len(w.probes))
+		t.Fatalf("got %d attempts, want 0; got %d probes, want probesPerRound",
+			len(request.Attempts), len(w.probes))
 	}
 	request.Memory = 2
 	w.d.CapacityReported(w.probes[0], true, 1, 4)
@@ -21,23 +22,24 @@
 	w.d.CapacityReported(w.probes[2], false, 0, 0)
 	w.d.ProcessQueue()
 	if len(request.Attempts) > 0 {
-		t.Fatal("sent to a server without room")
+		t.Fatal("request sent to a server without enough capacity")
 	}
 	w.d.CapacityReported(w.probes[3], true, 2, 2)
 	w.d.ProcessQueue()
 	if len(request.Attempts) != 1 || request.Attempts[0].Server != w.probes[3] {
-		t.Fatal("not sent where there is room")
+		t.Fatal("request not sent to the server that reported enough capacity")
 	}
 	w.completeAll()
-	silent := newHarness(t, 9, settings)
-	silent.addServers(8, false)
-	request = silent.arrive(0, 1, 3e9, 9e9)
-	if silent.advance(2e9); len(request.Attempts) == 0 {
-		t.Error("no probe is answered, and the request never goes out")
+	unanswered := newHarness(t, 9, settings)
+	unanswered.addServers(8, false)
+	request = unanswered.arrive(0, 1, 3e9, 9e9)
+	if unanswered.advance(2e9); len(request.Attempts) == 0 {
+		t.Error("no probe was answered, and the request was not sent within 2 s")
 	}
 }
 
-// TestLateCapacityReports: an answer that comes when the server is gone or the request over leads to nothing.
+// TestLateCapacityReports checks that a report has no effect if it arrives after the server was removed or
+// the request ended.
 func TestLateCapacityReports(t *testing.T) {
 	settings := testSettings()
 	settings.CapacityProbes = true
@@ -56,33 +58,35 @@
 	w.d.Finish(request)
 	w.d.CapacityReported(w.endpoints[3].Server, true, 9, 9)
 	if w.d.ProcessQueue(); len(request.Attempts) > 0 {
-		t.Error("sent")
+		t.Error("request sent on a report that arrived too late")
 	}
 }
 
-// TestReportedCapacityIsTakenByChance: where starts are late though room was told of, it is taken by chance
-// only.
-func TestReportedCapacityIsTakenByChance(t *testing.T) {
+// TestReportedCapacityIsUsedAtRandom checks that reported capacity is used only with a certain probability
+// if starts are late despite reported capacity.
+func TestReportedCapacityIsUsedAtRandom(t *testing.T) {
 	settings := testSettings()
 	settings.CapacityProbes = true
-	taken := 0
+	accepted := 0
 	for seed := range uint64(100) {
 		w := newHarness(t, seed, settings)
 		w.addServers(4, false)
 		w.d.promptStarts[ownZone].total, w.d.promptStarts[ownZone].decayedAt = 9, w.now
 		request := w.arrive(0, 1, 1e8, 9e9)
 		if w.d.CapacityReported(w.probes[0], true, 9, 9); len(request.Attempts) > 0 {
-			taken++
+			accepted++
 		}
 		w.completeAll()
 	}
-	if taken > 30 || taken == 0 {
-		t.Errorf("taken by %d of 100 where one start in ten is prompt", taken)
+	if accepted > 30 || accepted == 0 {
+		t.Errorf("reported capacity used by %d of 100 requests with one of ten starts prompt, want 1 to 30",
+			accepted)
 	}
 }
 
-// TestReservationsAreNotified: reports are late, and what this node or another took since is not in them. A
-// request that found no room at first tells the others what it took; words long past change nothing.
+// TestReservationsAreNotified checks that reservations by this node and others are subtracted from reports,
+// which may be too old to include them. A request that found no capacity at first notifies the other nodes
+// of its reservation. Old reservations have no effect.
 func TestReservationsAreNotified(t *testing.T) {
 	settings := testSettings()
 	settings.CapacityProbes, settings.PeerMessages = true, true
@@ -96,27 +100,30 @@
 	first := w.arrive(0, 1, 1e8, 9e9)
 	w.d.CapacityReported(server, true, 1, 9)
 	if len(first.Attempts) != 1 || len(w.notified) > 0 {
-		t.Fatalf("%d attempts, %d told of a request that found room at once", len(first.Attempts), len(w.notified))
+		t.Fatalf(
+			"got %d attempts, want 1; got %d notifications of a request that found capacity at once, want 0",
+			len(first.Attempts), len(w.notified))
 	}
 	w.completeAll()
 	second := w.arrive(0, 1, 1e9, 9e9)
 	w.d.CapacityReported(server, true, 1, 9)
 	if len(second.Attempts) > 0 {
-		t.Fatal("the slot that this node has just taken is taken again")
+		t.Fatal("slot that this node had just reserved was used again")
 	}
 	w.advance(6 * maxReportLifetime)
 	w.d.CapacityReported(server, true, 1, 9)
 	if len(second.Attempts) != 1 || len(w.notified) != 1 {
-		t.Fatalf("%d attempts, %d told", len(second.Attempts), len(w.notified))
+		t.Fatalf("after the reservation expired: got %d attempts, want 1; got %d notifications, want 1",
+			len(second.Attempts), len(w.notified))
 	}
 	other, server := start()
 	other.d.SlotsReserved(server, w.notified[0])
-	held := other.arrive(0, 1, 1e9, 9e9)
-	if other.d.CapacityReported(server, true, 1, 9); len(held.Attempts) > 0 {
-		t.Error("a slot that another node told it has taken is taken again")
+	waiting := other.arrive(0, 1, 1e9, 9e9)
+	if other.d.CapacityReported(server, true, 1, 9); len(waiting.Attempts) > 0 {
+		t.Error("slot that another node had reserved was used again")
 	}
 	other.advance(6 * maxReportLifetime)
-	if other.d.CapacityReported(server, true, 1, 9); len(held.Attempts) != 1 {
-		t.Error("what was told once counts for ever")
+	if other.d.CapacityReported(server, true, 1, 9); len(waiting.Attempts) != 1 {
+		t.Error("reservation of another node did not expire")
 	}
 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -4,31 +4,30 @@
 
 import "testing"
 
-// TestWrongWorkHintsShedNothingNew: running times far beyond their hints make every fresh request look late.
-// One that has not waited is tried all the same; one whose wait took half of the hope it had is given up at
-// once.
-func TestWrongWorkHintsShedNothingNew(t *testing.T) {
+// TestWrongWorkHintsDoNotShedNewRequests guards against running times far above their hints that make every
+// new request look late. A request that has not waited must be sent.
+func TestWrongWorkHintsDoNotShedNewRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].LateShare = 0
 	w := newHarness(t, 3, settings)
 	w.addServers(4, false)
 	for range 40 {
 		w.arrive(0, 1, 1e9, 9e9)
-		attempt := w.open[len(w.open)-1]
+		attempt := w.inFlight[len(w.inFlight)-1]
 		w.d.AttemptStarted(attempt)
 		w.advance(24e8)
 		w.endAttempt(attempt, Succeeded)
 	}
-	fresh := w.arrive(0, 1, 1e9, 9e9)
-	if w.finals[fresh] != 0 || len(fresh.Attempts) == 0 {
-		t.Error("a fresh request is shed for its hint")
+	request := w.arrive(0, 1, 1e9, 9e9)
+	if w.finals[request] != 0 || len(request.Attempts) == 0 {
+		t.Error("new request shed because of its wrong work hint")
 	}
 }
 
-// TestFruitlessDrawsBackOff: under congestion each waiting request would look at the whole pool with every
-// event, and a node would spend all of its time on that; a large pool stopped so. What finds no room looks
-// again later and later, and finds it when there is some.
-func TestFruitlessDrawsBackOff(t *testing.T) {
+// TestDrawsWithoutServerBackOff guards against waiting requests that consider all servers at every event
+// under congestion. A node with a large pool spent all its time on that and stopped. A request without a
+// server must retry at growing intervals, and find capacity once there is some.
+func TestDrawsWithoutServerBackOff(t *testing.T) {
 	w := newHarness(t, 6, testSettings())
 	w.addServers(2, false)
 	for _, m := range w.endpoints {
@@ -40,12 +39,12 @@
 		w.d.ProcessQueue()
 	}
 	if request.failedDraws == 0 || request.failedDraws > 20 {
-		t.Errorf("looked for room %d times in 100 rounds", request.failedDraws)
+		t.Errorf("request was drawn for %d times in 100 rounds, want 1 to 20", request.failedDraws)
 	}
 	for _, m := range w.endpoints {
 		m.Server.slotsInFlight = 0
 	}
 	if w.advance(32 * w.settings.Tick); len(request.Attempts) != 1 {
-		t.Error("room is not found")
+		t.Error("request was not sent although there is capacity")
 	}
 }
--- a/dispatch/reliability_test.go
+++ b/dispatch/reliability_test.go
@@ -4,55 +4,57 @@
 
 import "testing"
 
+// TestReliability checks the effect of each outcome and of time on a server's reliability.
 func TestReliability(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(1, false)
 	server := w.endpoints[0].Server
-	near := func(want float64) {
+	checkReliability := func(want float64) {
 		t.Helper()
 		if got := server.reliability.at(w.now); got < want-0.02 || got > want+0.02 {
-			t.Fatalf("H is %v, want %v", got, want)
+			t.Fatalf("reliability is %v, want about %v", got, want)
 		}
 	}
-	again := func() {
+	prepareNextAttempt := func() {
 		server.limit = initialLimit
 		w.advance(8 * w.settings.Tick)
 	}
-	near(1)
+	checkReliability(1)
 	w.arrive(0, 1, 1e8, 2e10)
-	w.endAttempt(w.open[0], ConnectFailed)
-	near(failureFactor)
-	again()
+	w.endAttempt(w.inFlight[0], ConnectFailed)
+	checkReliability(failureFactor)
+	prepareNextAttempt()
 	before := server.reliability.at(w.now)
-	w.endAttempt(w.open[0], Rejected)
-	near(before)
-	again()
+	w.endAttempt(w.inFlight[0], Rejected)
+	checkReliability(before)
+	prepareNextAttempt()
 	before = server.reliability.at(w.now)
-	w.endAttempt(w.open[0], Succeeded)
-	near(before + successBonus)
+	w.endAttempt(w.inFlight[0], Succeeded)
+	checkReliability(before + successBonus)
 	w.advance(decayTime)
-	near(1 - (1-before-successBonus)*0.37)
-	// A kept connection that was gone shows at once; what breaks later, the server broke.
+	checkReliability(1 - (1-before-successBonus)*0.37)
+	// An idle connection that was closed fails at once. A later failure is the server's.
 	for _, took := range []int64{0, 1e9} {
-		again()
+		prepareNextAttempt()
 		w.arrive(0, 1, 1e8, 2e10)
-		attempt := w.open[len(w.open)-1]
+		attempt := w.inFlight[len(w.inFlight)-1]
 		w.now += took
 		w.d.Advance(w.now)
 		before = server.reliability.at(w.now)
 		w.endAttempt(attempt, StaleConnection)
-		near(before * map[int64]float64{0: 1, 1e9: failureFactor}[took])
+		checkReliability(before * map[int64]float64{0: 1, 1e9: failureFactor}[took])
 	}
 }
 
-// TestServerCounts: what drains and the outliers are left out, but outliers count again once none else remains.
+// TestServerCounts checks that draining servers and outliers count as excluded, and that outliers no longer
+// do when there are no other servers.
 func TestServerCounts(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(6, false)
 	check := func(want int) {
 		t.Helper()
-		if known, excluded := w.d.ServerCounts(); known != 6 || excluded != want {
-			t.Errorf("%d known, %d excluded, want %d", known, excluded, want)
+		if listed, excluded := w.d.ServerCounts(); listed != 6 || excluded != want {
+			t.Errorf("got %d listed servers, want 6; got %d excluded, want %d", listed, excluded, want)
 		}
 	}
 	check(0)
@@ -68,9 +70,9 @@
 	check(1)
 }
 
-// TestOutlierScore: a server that many say is bad is left out while others remain, but for a second after an
-// own job ended well there; when nothing is said any more it is drawn again. What others say is older than what
-// this node sees.
+// TestOutlierScore checks that a server that many nodes report as unreliable is excluded while others
+// remain, except for a second after a success at this node, since the reports are older than that. Without
+// reports it is used again.
 func TestOutlierScore(t *testing.T) {
 	settings := testSettings()
 	w := newHarness(t, 1, settings)
@@ -79,12 +81,12 @@
 		m.Zone, m.MachineType = 0, 0
 	}
 	w.updateEndpoints(true)
-	said := w.endpoints[0].Server
-	used := func(span int64) (count int) {
+	reported := w.endpoints[0].Server
+	countAttempts := func(span int64) (count int) {
 		for end := w.now + span; w.now < end; w.advance(1e7) {
 			w.arrive(0, 1, 1e6, 5e9)
-			for _, attempt := range w.open {
-				if attempt.Server == said {
+			for _, attempt := range w.inFlight {
+				if attempt.Server == reported {
 					count++
 				}
 			}
@@ -92,29 +94,29 @@
 		}
 		return count
 	}
-	if used(2e9) == 0 {
-		t.Fatal("it is not used at all")
+	if countAttempts(2e9) == 0 {
+		t.Fatal("server without reports was not used")
 	}
-	said.OutlierScore = 1
-	used(11e8) // what it did well a moment ago counts for a second after the last of it
-	for n := 0; n < 100 && w.now-said.idleUntil+settings.IdleTimeout <= ownResultLifetime; n++ {
+	reported.OutlierScore = 1
+	countAttempts(11e8) // a success counts for a second
+	for n := 0; n < 100 && w.now-reported.idleUntil+settings.IdleTimeout <= ownResultLifetime; n++ {
 		w.advance(1e8)
 	}
-	if n := used(1e9); n > 0 {
-		t.Errorf("%d jobs though many say that it is bad", n)
+	if n := countAttempts(1e9); n > 0 {
+		t.Errorf("got %d attempts at a server that many nodes report as unreliable, want 0", n)
 	}
-	said.idleUntil = w.now + settings.IdleTimeout
-	if used(5e8) == 0 {
-		t.Error("an own job that ended well does not count")
+	reported.idleUntil = w.now + settings.IdleTimeout
+	if countAttempts(5e8) == 0 {
+		t.Error("server was not used right after a success at this node")
 	}
-	said.OutlierScore = 0
-	if used(1e9) == 0 {
-		t.Error("it is not used again")
+	reported.OutlierScore = 0
+	if countAttempts(1e9) == 0 {
+		t.Error("server was not used again after the reports ended")
 	}
 }
 
-// TestServerClockAhead: a server whose own clock runs ahead rejects requests or fails them though it is well;
-// they go elsewhere, and one such error takes it out of nobody's draw for good.
+// TestServerClockAhead checks a server whose clock is ahead, which rejects or fails requests although it is
+// healthy. The requests go to other servers, and such errors do not exclude it permanently.
 func TestServerClockAhead(t *testing.T) {
 	w := newHarness(t, 4, clockSettings())
 	w.addServers(4, false)
@@ -138,11 +140,11 @@
 		w.advance(1e7)
 	}
 	if served < 195 {
-		t.Errorf("%d of 200 served", served)
+		t.Errorf("%d of 200 requests served, want at least 195", served)
 	}
 	w.advance(decayTime)
 	if w.d.outlier(ahead) {
-		t.Error("left out for good")
+		t.Error("server is still an outlier after decayTime")
 	}
 	w.checkAllAnswered()
 }
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// FuzzRules drives the module through random legal histories; every action is held against the four rules.
+// FuzzRules drives the dispatcher through random valid histories. Every action is checked against the four
+// rules.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(24) {
 		f.Add(seed, uint8(seed*11))
@@ -28,27 +29,28 @@
 			w.randomStep()
 		}
 		w.checkAllAnswered()
-		for len(w.open) > 0 {
-			w.endAttempt(w.open[0], Canceled)
+		for len(w.inFlight) > 0 {
+			w.endAttempt(w.inFlight[0], Canceled)
 		}
-		w.advance(6e9) // what was canceled may run for a while
+		w.advance(6e9) // the slots of canceled attempts stay reserved for a while
 		for _, m := range w.endpoints {
 			if server := m.Server; server.slotsInFlight != 0 || server.startedSlots != 0 {
-				t.Fatalf("server keeps %v slots, %v at work", server.slotsInFlight, server.startedSlots)
+				t.Fatalf("server has %v slots in flight and %v started after all attempts ended, want 0",
+					server.slotsInFlight, server.startedSlots)
 			}
 		}
 	})
 }
 
-// randomStep does one random legal thing.
+// randomStep performs one random valid step.
 func (w *harness) randomStep() {
 	switch n := w.IntN(20); {
 	case n < 6:
 		w.arrive(w.IntN(len(w.settings.Classes)), float64(int(1)<<w.IntN(3)), 1e7+w.Int64N(6e8), w.Int64N(5e9)+2e7)
-	case n < 10 && len(w.open) > 0:
-		w.endAttempt(w.open[w.IntN(len(w.open))], Outcome(w.IntN(int(StaleConnection)+1)))
-	case n < 14 && len(w.open) > 0:
-		attempt := w.open[w.IntN(len(w.open))]
+	case n < 10 && len(w.inFlight) > 0:
+		w.endAttempt(w.inFlight[w.IntN(len(w.inFlight))], Outcome(w.IntN(int(StaleConnection)+1)))
+	case n < 14 && len(w.inFlight) > 0:
+		attempt := w.inFlight[w.IntN(len(w.inFlight))]
 		if busy := attempt.Server.startedSlots; busy+attempt.Request.Slots <= testSlots {
 			w.d.AttemptStarted(attempt)
 		}
@@ -78,12 +80,13 @@
 	}
 }
 
-// checkAllAnswered lets all expire and counts what was never answered.
+// checkAllAnswered advances past all deadlines and checks that each request has exactly one final answer.
 func (w *harness) checkAllAnswered() {
 	w.advance(6e9)
 	for _, request := range w.requests {
 		if w.finals[request] != 1 {
-			w.Fatalf("rule 1: request of class %d has %d final answers", request.Class.Index, w.finals[request])
+			w.Fatalf("rule 1: request of class %d has %d final answers, want 1",
+				request.Class.Index, w.finals[request])
 		}
 	}
 }
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -7,33 +7,35 @@
 	"testing"
 )
 
+// TestDrawFollowsWeight checks that draws are in proportion to weights and exclude an outlier.
 func TestDrawFollowsWeight(t *testing.T) {
 	settings := testSettings()
-	settings.Classes = settings.Classes[:1] // no other is bound to one of the two kinds
+	settings.Classes = settings.Classes[:1] // no other class requires one of the two machine types
 	w := newHarness(t, 1, settings)
 	w.addServers(2, false)
-	good, bad := w.endpoints[0].Server, w.endpoints[1].Server
-	good.scores.count, good.scores.sum, bad.scores.count, bad.scores.sum = 50, 475, 50, 125
+	preferred, other := w.endpoints[0].Server, w.endpoints[1].Server
+	preferred.scores.count, preferred.scores.sum, other.scores.count, other.scores.sum = 50, 475, 50, 125
 	count := 0
 	for range 4000 {
-		if w.d.draw(undrawn(w.settings), 1)[0] == good {
+		if w.d.draw(unqueuedRequest(w.settings), 1)[0] == preferred {
 			count++
 		}
 	}
-	if count < 3000 || count > 3220 { // 3111 by the scores and what its kind adds
-		t.Fatalf("%d of 4000 draws for 0.78 of the weight", count)
+	if count < 3000 || count > 3220 { // 3111 expected from the scores and the machine type's mean
+		t.Fatalf("server with 0.78 of the weight got %d of 4000 draws, want 3000 to 3220", count)
 	}
-	bad.reliability = reliability{0.05, w.now}
+	other.reliability = reliability{0.05, w.now}
 	for range 100 {
-		if w.d.draw(undrawn(w.settings), 1)[0] == bad {
-			t.Fatal("drawn below the least H though another remains")
+		if w.d.draw(unqueuedRequest(w.settings), 1)[0] == other {
+			t.Fatal("draw selected an outlier although another server remains")
 		}
 	}
 }
 
-// A zone that cannot carry its own traffic must not drown while others idle.
-func TestCongestedZoneIsLeft(t *testing.T) {
-	settings, far := testSettings(), 0
+// TestCongestedZoneIsAvoided guards against a zone that is overloaded by its own traffic while servers of
+// other zones are idle.
+func TestCongestedZoneIsAvoided(t *testing.T) {
+	settings, otherZone := testSettings(), 0
 	settings.CrossZoneCost = 0.1
 	w := newHarness(t, 1, settings)
 	w.addServers(8, false)
@@ -48,47 +50,48 @@
 		m.Server.limit = initialLimit
 	}
 	for range 200 {
-		far += w.d.draw(undrawn(settings), 1)[0].zone
+		otherZone += w.d.draw(unqueuedRequest(settings), 1)[0].zone
 	}
-	if far < 80 {
-		t.Fatalf("%d of 200 went to the zone with room", far)
+	if otherZone < 80 {
+		t.Fatalf("%d of 200 draws selected the zone with capacity, want at least 80", otherZone)
 	}
 }
 
-// A quiet node must keep to servers that were prompt, and leave one that was late.
+// TestIdleConnectionsAreReused checks that a node with little traffic keeps to servers that were prompt, and
+// leaves those that were late.
 func TestIdleConnectionsAreReused(t *testing.T) {
-	settings, met := testSettings(), map[*Server]bool{}
+	settings, used := testSettings(), map[*Server]bool{}
 	settings.IdleTimeout = 5e9
 	w := newHarness(t, 1, settings)
 	w.addServers(8, false)
 	for range 40 {
-		met[w.arrive(0, 1, 1e8, 5e9).Attempts[0].Server] = true
+		used[w.arrive(0, 1, 1e8, 5e9).Attempts[0].Server] = true
 		w.completeAll()
 		w.advance(1e9)
 	}
-	if len(met) > 2 {
-		t.Fatalf("%d of 8 servers met", len(met))
+	if len(used) > 2 {
+		t.Fatalf("%d of 8 servers used, want at most 2", len(used))
 	}
-	for server := range met {
+	for server := range used {
 		server.limit = 0.5
 	}
-	again := 0
+	reused := 0
 	for range 40 {
-		if met[w.d.draw(undrawn(settings), 1)[0]] {
-			again++
+		if used[w.d.draw(unqueuedRequest(settings), 1)[0]] {
+			reused++
 		}
 	}
-	if again > 20 {
-		t.Fatalf("%d of 40 kept to servers that were late", again)
+	if reused > 20 {
+		t.Fatalf("%d of 40 draws selected servers that were late, want at most 20", reused)
 	}
 }
 
-// TestLiveCapacityCounts: a server whose weight on the endpoint list has fallen with its load is drawn that
-// much less.
-func TestLiveCapacityCounts(t *testing.T) {
+// TestLiveCapacityLowersWeight checks that a server whose capacity in the endpoint list has fallen with its
+// load is drawn correspondingly less often.
+func TestLiveCapacityLowersWeight(t *testing.T) {
 	units := func(i int) float64 { return []float64{0.5, 4}[i%2] }
 	low, high := 0, 0
-	for server, n := range countServersMet(t, func(int) uint64 { return 0 }, units) {
+	for server, n := range countServersUsed(t, func(int) uint64 { return 0 }, units) {
 		for i := range 20 {
 			if server.Hash == HashName("e"+strconv.Itoa(i)) && i%2 == 0 {
 				low += n
@@ -98,21 +101,22 @@
 		}
 	}
 	if high < 3*low {
-		t.Errorf("%d requests to the loaded, %d to the others", low, high)
+		t.Errorf("%d requests sent to loaded servers, %d to the others, want at least 3 times as many",
+			low, high)
 	}
 }
 
-// TestRequiredMachineTypeIsSpared: where one machine type runs a class alone, classes that run anywhere leave
-// it room.
+// TestRequiredMachineTypeIsSpared checks that if a class requires one machine type, other classes leave
+// capacity there.
 func TestRequiredMachineTypeIsSpared(t *testing.T) {
-	needed := func(schemes []*Class) (n int) {
+	countRequiredType := func(schemes []*Class) (n int) {
 		settings := testSettings()
 		settings.Classes = schemes
 		w := newHarness(t, 8, settings)
 		w.addServers(12, false)
 		for range 600 {
 			w.arrive(0, 1, 1e8, 9e9)
-			if w.open[0].Server.machineType == 1 {
+			if w.inFlight[0].Server.machineType == 1 {
 				n++
 			}
 			w.completeAll()
@@ -120,36 +124,40 @@
 		return n
 	}
 	all := testSettings().Classes
-	bound, free := needed(all), needed(all[:3])
-	if bound > free*3/4 {
-		t.Errorf("%d of 600 go to the kind that another class needs, %d where none does", bound, free)
+	withRequired, withoutRequired := countRequiredType(all), countRequiredType(all[:3])
+	if withRequired > withoutRequired*3/4 {
+		t.Errorf(
+			"%d of 600 requests sent to a machine type that another class requires, want at most 3/4 of the %d without such a class",
+			withRequired, withoutRequired)
 	}
 }
 
-// TestZoneCrossingCost: zones count alike where crossing costs less than a late answer; the own zone goes first
-// where it is expensive.
+// TestZoneCrossingCost checks that zones are equal if crossing them costs less than a late answer, and that
+// the node's own zone comes first if crossing is expensive.
 func TestZoneCrossingCost(t *testing.T) {
-	away := func(price float64) (n int) {
+	countCrossings := func(price float64) (n int) {
 		settings := testSettings()
 		settings.CrossZoneCost = price
 		w := newHarness(t, 8, settings)
 		w.addServers(8, false)
 		for range 200 {
 			w.arrive(0, 1, 1e8, 9e9)
-			if w.open[0].Server.zone != 0 {
+			if w.inFlight[0].Server.zone != 0 {
 				n++
 			}
 			w.completeAll()
 		}
 		return n
 	}
-	if cheap, costly := away(0.01), away(0.1); cheap < 60 || costly > 10 {
-		t.Errorf("%d of 200 cross where it is cheap, %d where it is dear", cheap, costly)
+	if cheap, expensive := countCrossings(0.01), countCrossings(0.1); cheap < 60 || expensive > 10 {
+		t.Errorf(
+			"%d of 200 requests cross zones at a low cost, want at least 60; %d at a high cost, want at most 10",
+			cheap, expensive)
 	}
 }
 
-// TestDistantServersComeLast: servers beyond this node's part get work only when those of its part can't take
-// it, nearer ones first; a request that has preferred servers goes by these.
+// TestDistantServersComeLast checks that servers outside this node's subset are used only if those in it
+// cannot serve a request, nearer ones first. Requests with preferred servers ignore the distance.
 func TestDistantServersComeLast(t *testing.T) {
 	settings := testSettings()
 	w := newHarness(t, 1, settings)
@@ -157,27 +165,27 @@
 	for i, m := range w.endpoints {
 		m.Server.Distance = i / 3
 	}
-	used := func(key uint64) (used [3]int) {
+	attemptsByDistance := func(key uint64) (counts [3]int) {
 		for range 60 {
-			request := w.keyed(key, 1e7, 5e9)
+			request := w.keyedRequest(key, 1e7, 5e9)
 			w.admit(request)
-			for _, attempt := range w.open {
-				used[attempt.Server.Distance]++
+			for _, attempt := range w.inFlight {
+				counts[attempt.Server.Distance]++
 			}
 			w.completeAll()
 			w.advance(1e8)
 		}
-		return used
+		return counts
 	}
-	if u := used(0); u[0] != 60 {
-		t.Errorf("%v", u)
+	if u := attemptsByDistance(0); u[0] != 60 {
+		t.Errorf("attempts by distance: %v, want all 60 at distance 0", u)
 	}
 	for _, m := range w.endpoints[:3] {
 		m.State = Draining
 	}
 	w.updateEndpoints(true)
-	if u := used(0); u[1] != 60 {
-		t.Errorf("with the near ones drained: %v", u)
+	if u := attemptsByDistance(0); u[1] != 60 {
+		t.Errorf("attempts by distance after distance 0 drained: %v, want all 60 at distance 1", u)
 	}
 	for i, m := range w.endpoints {
 		m.State, m.Server.Distance = Up, 0
@@ -186,14 +194,15 @@
 		}
 	}
 	w.updateEndpoints(true)
-	if preferred := used(7); preferred[2] == 0 {
-		t.Errorf("with preferred servers: %v", preferred)
+	if counts := attemptsByDistance(7); counts[2] == 0 {
+		t.Errorf("attempts by distance with an affinity key: %v, want some at distance 2", counts)
 	}
-	// The few nodes that may send to a server in slow start are not those that it is near to.
+	// The few nodes that may send to a server in slow start are not those whose subset contains it.
 	w.endpoints[3].StartedAt = w.now - 1
 	w.updateEndpoints(true)
 	w.advance(2 * settings.OverloadWindow)
-	if cold := used(0); cold[2] == 0 {
-		t.Errorf("far and cold, and in turn: %v", cold)
+	if counts := attemptsByDistance(0); counts[2] == 0 {
+		t.Errorf("attempts by distance with a distant server in slow start: %v, want some at distance 2",
+			counts)
 	}
 }
--- a/dispatch/servicemodel_test.go
+++ b/dispatch/servicemodel_test.go
@@ -9,42 +9,43 @@
 	"strconv"
 )
 
-// serviceModel is many nodes before servers that serve in order, and clients that come again: what congestion
-// needs to feed itself. A job that is canceled runs all the same, as the settings do not tell whether it does.
+// serviceModel is a number of nodes, servers with FIFO queues, and clients that retry, which is what
+// sustained congestion requires. A canceled attempt still runs, since the settings do not say whether it
+// does.
 type serviceModel struct {
 	*rand.Rand
-	settings   *Settings
-	now        int64
-	nodes      []*modelNode
-	workers    []*queueingServer
-	timers     []*timer
-	fails      func(t *Request, e int) bool // whether a job ends at once with an error there
-	work       func() int64
-	lockedKey  uint64 // what is about it takes turns at one lock, in its slot, for hold each
-	lockTime   int64
-	unlockedAt int64 // when the last one in turn leaves it
-	missed     int   // requests of other keys that were not served in time
-	others     int
-	offered    [200]int // by second
-	inTime     [200]int
+	settings        *Settings
+	now             int64
+	nodes           []*modelNode
+	workers         []*queueingServer
+	timers          []*timer
+	fails           func(t *Request, e int) bool // whether a request fails at once at a server
+	work            func() int64
+	lockedKey       uint64 // requests of this key wait in their slot for one lock and use it for lockTime each
+	lockTime        int64
+	unlockedAt      int64 // when the last waiting request releases the lock
+	otherKeysMissed int   // number of them that were not served in time
+	otherKeys       int
+	offered         [200]int // requests by second
+	inTime          [200]int
 }
 
 // queueingServer is a server with slots and a queue.
 type queueingServer struct {
 	slots    int
 	running  int
-	slowdown int64 // times that a job takes
+	slowdown int64 // factor on running times
 	queue    []func()
 }
 
-// modelNode is the Actions of one node.
+// modelNode implements the Actions of one node.
 type modelNode struct {
 	*serviceModel
 	d        *Dispatcher
 	servers  []*Server
 	sentAt   map[*Attempt]int64
-	done     map[*Request]func(work int64) // with the time it ran for; 0: not served
-	attempts int                           // attempts, ever
+	done     map[*Request]func(work int64) // called with the running time; 0: not served
+	attempts int                           // total attempts
 	shed     int
 }
 
@@ -58,11 +59,11 @@
 		if !attempt.InFlight {
 			return
 		}
-		over := request.Done || o == Succeeded
+		requestEnded := request.Done || o == Succeeded
 		if o == Succeeded && !request.Done {
 			n.done[request](work)
 		}
-		n.d.AttemptEnded(attempt, o, n.now-n.sentAt[attempt], over)
+		n.d.AttemptEnded(attempt, o, n.now-n.sentAt[attempt], requestEnded)
 	}
 	if n.fails != nil && n.fails(request, i) {
 		n.after(2e6, func() { end(Failed) })
@@ -116,14 +117,14 @@
 
 func (n *modelNode) ProbeCapacity(*Server) {}
 
-func (n *modelNode) Schedule(after int64, then func()) (forget func()) {
-	a := n.after(max(after, 1), then)
+func (n *modelNode) Schedule(after int64, call func()) (cancel func()) {
+	a := n.after(max(after, 1), call)
 	return func() { a.call = func() {} }
 }
 
-// after has something happen later, with the clock of all nodes set.
-func (h *serviceModel) after(span int64, then func()) *timer {
-	a := &timer{h.now + span, then}
+// after schedules a call, with the clock of all nodes set to its time.
+func (h *serviceModel) after(span int64, call func()) *timer {
+	a := &timer{h.now + span, call}
 	i, _ := slices.BinarySearchFunc(h.timers, a.at+1, func(b *timer, at int64) int { return cmp.Compare(b.at, at) })
 	h.timers = slices.Insert(h.timers, i, a)
 	return a
@@ -140,19 +141,20 @@
 		own.NodeIndex, own.Nodes = i, nodes
 		n := &modelNode{serviceModel: h, sentAt: map[*Attempt]int64{}, done: map[*Request]func(int64){}}
 		n.d = New(&own, h.Uint64(), n, h.now)
-		var members []Endpoint
+		var endpoints []Endpoint
 		for j := range workers {
 			n.servers = append(n.servers, &Server{Hash: HashName("e" + strconv.Itoa(j))})
-			members = append(members, Endpoint{Server: n.servers[j], Capacity: 1})
+			endpoints = append(endpoints, Endpoint{Server: n.servers[j], Capacity: 1})
 		}
-		n.d.UpdateEndpoints(true, members)
+		n.d.UpdateEndpoints(true, endpoints)
 		h.nodes = append(h.nodes, n)
 	}
 	return h
 }
 
-// arrive takes a request; where it is not served in time its client comes again after a while, so many times.
-func (h *serviceModel) arrive(again int, first int64, key uint64) {
+// arrive starts a request. If it is not served in time, its client retries after a pause, up to the given
+// number of times.
+func (h *serviceModel) arrive(retries int, first int64, key uint64) {
 	n, class := h.nodes[h.IntN(len(h.nodes))], h.settings.Classes[0]
 	request := &Request{Class: class, Slots: 1, AffinityKey: key, Deadline: first + class.MaxDeadline}
 	if n := uint64(len(h.settings.Tenants)); n > 0 {
@@ -161,17 +163,17 @@
 	from := first - 1e12
 	n.done[request] = func(work int64) {
 		inTime := work > 0 && h.now-first <= class.LatencyObjective+int64(class.ObjectivePerWork)*work
-		if request.Tenant != int(h.lockedKey) && key != h.lockedKey && (inTime || work > 0 || again == 0) {
-			if h.others++; !inTime {
-				h.missed++
+		if request.Tenant != int(h.lockedKey) && key != h.lockedKey && (inTime || work > 0 || retries == 0) {
+			if h.otherKeys++; !inTime {
+				h.otherKeysMissed++
 			}
 		}
 		if delete(n.done, request); inTime {
 			h.inTime[from/1e9]++
-		} else if work == 0 && again > 0 {
+		} else if work == 0 && retries > 0 {
 			h.after(3e7+h.Int64N(3e7), func() {
 				if h.now < first+class.MaxDeadline {
-					h.arrive(again-1, first, key)
+					h.arrive(retries-1, first, key)
 				}
 			})
 		}
@@ -179,7 +181,7 @@
 	n.d.Arrive(request)
 }
 
-// advance lets time go by at a rate of requests a second; key gives what each is about.
+// advance advances the clock with the given number of requests per second; key returns the key of each.
 func (h *serviceModel) advance(span int64, rate float64, key func() uint64) {
 	end := h.now + span
 	var next func()
@@ -210,7 +212,7 @@
 	}
 }
 
-// servedShare is the part that was served in time of what came in seconds from to.
+// servedShare is the share of the requests that arrived in the given seconds that were served in time.
 func (h *serviceModel) servedShare(from, to int) float64 {
 	offered, inTime := 0, 0
 	for i := from; i < to; i++ {
--- a/dispatch/slowstart_cluster_test.go
+++ b/dispatch/slowstart_cluster_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// TestSlowStartBudgetOfAllNodes: two machine types, requests of which nothing is told beforehand, and nodes
-// that learn what they take from their own few. All machines are swapped for new ones at once, at more load
-// than they can take, while some of the nodes start again and know nothing; some hear of it late. In no window
-// does a server in slow start get more than N + 2 root N + 2 jobs of mean work from all nodes together, N being
-// what the settings allow it then; and the cold are used.
+// TestSlowStartBudgetOfAllNodes checks the slow start budget with two machine types, requests without work
+// hints, and nodes that estimate the work only from their own few requests. All servers are replaced at once
+// at more load than they can handle, while some nodes restart without any record. In no window may a server
+// in slow start receive more than N + 2*sqrt(N) + 2 requests of mean work from all nodes together, where N
+// is what the settings allow it at that time. The servers in slow start must be used.
 func TestSlowStartBudgetOfAllNodes(t *testing.T) {
 	for _, nodes := range []int{2, 5, 20, 30, 300} {
-		for _, mean := range []float64{1.6e9, 1e8, 2.5e7} { // N of some 4 to 300 at the coldest
+		for _, mean := range []float64{1.6e9, 1e8, 2.5e7} { // N is about 4 to 300 at the minimum capacity
 			for seed := range uint64(2) {
 				name := fmt.Sprintf("%d nodes, mean %.0f ms, seed %d", nodes, mean/1e6, seed)
 				h := newCluster(seed, nodes, 6)
@@ -26,20 +26,20 @@
 					h.work = func() int64 { return int64(mean * math.Exp(h.NormFloat64()*0.66-0.22)) }
 				}
 				h.settings.Classes[0].LatencyObjective, h.settings.Classes[0].MaxDeadline = int64(2*mean), 0
-				can := 0.0
+				capacity := 0.0
 				for _, v := range h.speed {
-					can += v * h.slots / mean * float64(h.settings.Tick) // jobs a tick
+					capacity += v * h.slots / mean * float64(h.settings.Tick) // requests per tick
 				}
 				h.clientTimeout = int64(20 * mean)
-				h.advance(int64(max(30*mean, 3e9)), 2, 0.7*can/float64(nodes))
+				h.advance(int64(max(30*mean, 3e9)), 2, 0.7*capacity/float64(nodes))
 				h.restartServers(0, 1)
 				h.sent = make([][]timedAmount, len(h.startedAt))
 				for range 4 {
-					h.advance(h.settings.SlowStart/8, 2, 2*can/float64(nodes))
+					h.advance(h.settings.SlowStart/8, 2, 2*capacity/float64(nodes))
 					for range max(nodes/10, 1) {
-						again := *h.settings
-						again.NodeIndex = h.IntN(nodes)
-						h.startNode(&again)
+						restarted := *h.settings
+						restarted.NodeIndex = h.IntN(nodes)
+						h.startNode(&restarted)
 					}
 				}
 				worst, most, used := 0.0, 0.0, 0.0
@@ -62,25 +62,28 @@
 				for _, v := range h.speed {
 					all += v * h.slots * (h.settings.SlowStartShare + (1-h.settings.SlowStartShare)/4) * float64(span)
 				}
-				t.Logf("%s: %.2f of the bound, %.2f of N, %.2f of what they can do", name, worst, most, used/all)
+				t.Logf("%s: %.2f of the bound, %.2f of N, %.2f of the capacity used",
+					name, worst, most, used/all)
 				if worst > 1 {
-					t.Errorf("%s: %.2f of what a server in slow start bears", name, worst)
+					t.Errorf("%s: a server in slow start received %.2f of its bound, want at most 1",
+						name, worst)
 				}
 			}
 		}
 	}
 }
 
-// FuzzSlowStartBudget has all nodes at their worst: much more work than the servers can take, all of which are
-// cold, some nodes started again meanwhile, no two of one mind about how large requests and servers are, and
-// stamps off. What all send together stays within the budget, in any window, refused or not.
+// FuzzSlowStartBudget runs all nodes under the most adverse conditions: much more work than the servers can
+// handle, all servers in slow start, some nodes restarted meanwhile, different estimates of the sizes of
+// requests and servers at each node, and errors of the start times. What all nodes send together, including
+// rejected requests, must stay within the budget in every window.
 func FuzzSlowStartBudget(f *testing.F) {
 	for seed := range uint64(10) {
 		f.Add(seed, uint16(1+seed*seed*3/2), seed%2 == 0)
 	}
-	f.Fuzz(func(t *testing.T, seed uint64, nodes uint16, hasty bool) {
+	f.Fuzz(func(t *testing.T, seed uint64, nodes uint16, rejecting bool) {
 		h := newCluster(seed, 1+int(nodes)%500, 1+int(seed%3))
-		h.rejecting = hasty
+		h.rejecting = rejecting
 		h.settings.StartTimeError = []int64{0, h.settings.OverloadWindow, h.settings.SlowStart}[seed%3]
 		for _, n := range h.nodes {
 			n.d.settings.StartTimeError = h.settings.StartTimeError
@@ -90,21 +93,21 @@
 		h.restartServers(int64(seed%2)*h.settings.SlowStart/3, 1+int(seed/2)%4)
 		for range 5 {
 			h.advance(h.settings.OverloadWindow/2, size, min(800/float64(len(h.nodes)), 1)/4)
-			again := *h.settings
-			again.NodeIndex = h.IntN(len(h.nodes))
-			h.startNode(&again)
+			restarted := *h.settings
+			restarted.NodeIndex = h.IntN(len(h.nodes))
+			h.startNode(&restarted)
 		}
 		h.checkInvariants(t)
 		if worst := h.maxBudgetShare(); worst > 1 {
-			t.Fatalf("%.2f of a slow start budget was sent by %d nodes", worst, len(h.nodes))
+			t.Fatalf("%.2f of a slow start budget was sent by %d nodes, want at most 1", worst, len(h.nodes))
 		} else {
-			t.Logf("%.2f by %d nodes, size %d ms", worst, len(h.nodes), size/1e6)
+			t.Logf("%.2f of a slow start budget sent by %d nodes, size %d ms", worst, len(h.nodes), size/1e6)
 		}
 	})
 }
 
-// TestManyNodesUseSlowStart: of eighty nodes none has a part as large as a request, yet a pool that was swapped
-// for new servers is used, and no node has it for itself.
+// TestManyNodesUseSlowStart checks that a pool of new servers is used by eighty nodes although no node's
+// part of the budget is as large as one request, and that the budget holds.
 func TestManyNodesUseSlowStart(t *testing.T) {
 	h := newCluster(5, 80, 3)
 	h.advance(h.settings.OverloadWindow, 1e8, 0)
@@ -117,11 +120,14 @@
 			work += c.amount
 		}
 	}
-	// what they can do meanwhile, if they warm as late as the settings allow
-	able := 3 * h.slots * capacityShare(h.settings, h.settings.SlowStart/4) * float64(h.settings.SlowStart/2)
-	if used := work / able; used < 0.3 || h.maxBudgetShare() > 1 {
-		t.Errorf("%.2f of servers in slow start is used, at most %.2f of a budget", used, h.maxBudgetShare())
+	// capacity of the servers in that time, if they warm up as late as the settings allow
+	capacity := 3 * h.slots * capacityShare(h.settings, h.settings.SlowStart/4) * float64(h.settings.SlowStart/2)
+	if used := work / capacity; used < 0.3 || h.maxBudgetShare() > 1 {
+		t.Errorf(
+			"%.2f of the slow start capacity used, want at least 0.3; at most %.2f of a budget sent, want at most 1",
+			used, h.maxBudgetShare())
 	} else {
-		t.Logf("%.2f used, %.2f of a budget", used, h.maxBudgetShare())
+		t.Logf("%.2f of the slow start capacity used, at most %.2f of a budget sent",
+			used, h.maxBudgetShare())
 	}
 }
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -4,6 +4,7 @@
 
 import "testing"
 
+// TestSlowStartBudget checks the number of attempts that a server in slow start receives in one window.
 func TestSlowStartBudget(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(1, false)
@@ -16,40 +17,42 @@
 		w.completeAll()
 	}
 	if n := len(w.slowStartWork[w.endpoints[0].Server]); n < 3 || n > 5 {
-		t.Fatalf("%d attempts of 0.1 s", n)
+		t.Fatalf("got %d attempts with 0.1 s of work each in one window, want 3 to 5", n)
 	}
 }
 
-// A node killed and started again may have used up its part just before; it can't know.
+// TestRestartedNodeWaitsForNextTurn guards against a restarted node that exceeds its part of the budget: it
+// may have used it up before the restart and has no record of that.
 func TestRestartedNodeWaitsForNextTurn(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(1, false)
 	w.endpoints[0].StartedAt = w.now
 	w.updateEndpoints(true)
 	w.arrive(0, 1, 1e8, 9e9)
-	if w.advance(w.settings.OverloadWindow / 8); len(w.open) > 0 {
-		t.Fatal("sent to a server in slow start right after the start")
+	if w.advance(w.settings.OverloadWindow / 8); len(w.inFlight) > 0 {
+		t.Fatal("attempt sent to a server in slow start right after the node's start")
 	}
 	w.advance(w.settings.OverloadWindow)
-	if w.arrive(0, 1, 1e8, 9e9); len(w.open) == 0 {
-		t.Fatal("nothing is sent to it later")
+	if w.arrive(0, 1, 1e8, 9e9); len(w.inFlight) == 0 {
+		t.Fatal("no attempt sent to the server in slow start after the next turn began")
 	}
 }
 
-// TestStartTimeOff: a start that is stamped in the future is one all the same: what is sent to it counts, and
-// it gets no more than its budget; stamped earlier it stays cold for as long as it may be.
-func TestStartTimeOff(t *testing.T) {
-	for _, off := range []int64{-1, 1} {
+// TestStartTimeErrorWithinBudget checks a server with an error of its reported start time. If the reported
+// time is in the future, requests to it count from the actual start and stay within the budget. If it is too
+// early, the server stays in slow start for as long as it may actually be.
+func TestStartTimeErrorWithinBudget(t *testing.T) {
+	for _, sign := range []int64{-1, 1} {
 		settings := clockSettings()
 		settings.StartTimeError = 4e9
 		w := newHarness(t, 5, settings)
 		w.addServers(2, false)
 		w.advance(2 * settings.OverloadWindow)
 		server := w.endpoints[0].Server
-		w.endpoints[0].StartedAt, w.d.machineTypes[0].maxSlots = w.now+off*settings.StartTimeError, testSlots
+		w.endpoints[0].StartedAt, w.d.machineTypes[0].maxSlots = w.now+sign*settings.StartTimeError, testSlots
 		w.updateEndpoints(false)
-		born, sent := w.now, []timedAmount{}
-		for w.now < born+settings.SlowStart-settings.StartTimeError {
+		start, sent := w.now, []timedAmount{}
+		for w.now < start+settings.SlowStart-settings.StartTimeError {
 			for range 8 {
 				for _, attempt := range w.arrive(0, 1, 1e8, 2e9).Attempts {
 					if attempt.Server == server {
@@ -59,7 +62,7 @@
 			}
 			w.completeAll()
 			w.advance(2e7)
-			share := capacityShare(settings, w.now-born)
+			share := capacityShare(settings, w.now-start)
 			sum := 0.0
 			for _, c := range sent {
 				if w.now-c.at <= settings.OverloadWindow {
@@ -67,18 +70,22 @@
 				}
 			}
 			if budget := settings.OverloadFactor * share * testSlots * float64(settings.OverloadWindow); sum > budget {
-				t.Fatalf("stamped %d s off: %.2f of its budget after %d ms", off*4, sum/budget, (w.now-born)/1e6)
+				t.Fatalf("start time error %d s: %.2f of the budget sent after %d ms, want at most 1",
+					sign*4, sum/budget, (w.now-start)/1e6)
 			}
 		}
 		if len(sent) == 0 || w.d.settings.warmUpFactor(server, w.now) == 1 {
 			warm := w.d.settings.warmUpFactor(server, w.now)
-			t.Errorf("stamped %d s off: %d sent, %.2f of its capacity", off*4, len(sent), warm)
+			t.Errorf(
+				"start time error %d s: %d attempts sent, want more than 0; warm-up factor %.2f, want less than 1",
+				sign*4, len(sent), warm)
 		}
 	}
 }
 
-// TestSlowStartOwner: without this node's part of the budget nothing goes to the cold, and one that takes it
-// over uses it from the next turn on; in the present one another process may have sent all of it.
+// TestSlowStartOwner checks that a process without this node's quota of the slow start budget sends nothing
+// to servers in slow start. A process that takes the quota over uses it from the next turn on, since another
+// process may have used up the current one.
 func TestSlowStartOwner(t *testing.T) {
 	settings := testSettings()
 	settings.Nodes, settings.SlowStart = 1, 100e9
@@ -95,28 +102,28 @@
 		for end := w.now + span; w.now < end; w.advance(2e7) {
 			w.arrive(0, 1, 2e7, 4e8)
 			w.completeAll()
-			for len(w.open) > 0 {
-				w.endAttempt(w.open[0], Succeeded)
+			for len(w.inFlight) > 0 {
+				w.endAttempt(w.inFlight[0], Succeeded)
 			}
 		}
 		return sent() - before
 	}
 	if n := within(8*turn + turn/4); n > 0 {
-		t.Errorf("%d sent on another process's budget", n)
+		t.Errorf("%d attempts sent from another process's budget, want 0", n)
 	}
 	w.d.SetSlowStartOwner(true)
 	if n := within(turn / 2); n > 0 {
-		t.Errorf("%d sent right after the budget was taken over", n)
+		t.Errorf("%d attempts sent in the turn in which the budget was taken over, want 0", n)
 	}
 	if within(2*turn) == 0 {
-		t.Error("the budget is not used")
+		t.Error("no attempt sent within two turns after the budget was taken over")
 	}
 }
 
-// TestLateUpdateOfAStart: a node has sent much to a server that had started anew, and hears of the start then.
-// What it sent since counts as if it had known.
-func TestLateUpdateOfAStart(t *testing.T) {
-	for _, heard := range []bool{false, true} {
+// TestLateUpdateOfServerStart checks a node that sends requests to a restarted server before it receives the
+// update with the restart. The requests since the start count as if the update had arrived in time.
+func TestLateUpdateOfServerStart(t *testing.T) {
+	for _, busy := range []bool{false, true} {
 		settings := testSettings()
 		settings.Nodes, settings.Classes = 1, settings.Classes[:1]
 		w := newHarness(t, 1, settings)
@@ -125,7 +132,7 @@
 		since := w.now
 		w.advance(settings.Tick)
 		for range 40 {
-			if heard {
+			if busy {
 				w.arrive(0, 1, 5e7, 1e9)
 			}
 			w.completeAll()
@@ -138,28 +145,31 @@
 			w.arrive(0, 1, 5e7, 1e9)
 			w.completeAll()
 		}
-		if sent := len(w.sentAt) - before; (sent == 0) != heard {
-			t.Errorf("%d sent, %d before the news", sent, before)
+		if sent := len(w.sentAt) - before; (sent == 0) != busy {
+			t.Errorf(
+				"%d attempts sent after the update, %d before it; want some only if none was sent before",
+				sent, before)
 		}
 	}
 }
 
-// TestLoadReportsTellSlots: a node that never has more than one request at a server learns from load reports
-// how large it is, and with that how much a server in slow start can take.
-func TestLoadReportsTellSlots(t *testing.T) {
-	part := func(free float64) float64 {
+// TestLoadReportsRevealSlots checks that a node that never has more than one request at a server uses load
+// reports to estimate the server's slots, and from them its capacity in slow start.
+func TestLoadReportsRevealSlots(t *testing.T) {
+	turnBudget := func(free float64) float64 {
 		w := newHarness(t, 1, testSettings())
 		w.addServers(1, false)
 		w.advance(w.settings.OverloadWindow)
 		w.arrive(0, 1, 1e8, 9e9)
-		w.open[0].FreeSlots = free
+		w.inFlight[0].FreeSlots = free
 		w.completeAll()
 		w.endpoints[0].StartedAt = w.now
 		w.updateEndpoints(true)
-		part := w.d.currentTurn(w.endpoints[0].Server).nodeBudget
-		return part
+		budget := w.d.currentTurn(w.endpoints[0].Server).nodeBudget
+		return budget
 	}
-	if untold, told := part(0), part(4); told <= untold {
-		t.Errorf("%v untold, %v told", untold, told)
+	if withoutReport, withReport := turnBudget(0), turnBudget(4); withReport <= withoutReport {
+		t.Errorf("turn budget %v without a report, %v with a report of 4 free slots, want it larger",
+			withoutReport, withReport)
 	}
 }
--- a/dispatch/supervision_test.go
+++ b/dispatch/supervision_test.go
@@ -4,7 +4,8 @@
 
 import "testing"
 
-// Where late answers earn nothing, an idempotent request that waits at a server beyond hope is shed then.
+// TestLateWaitAtServerIsShed checks that an idempotent request that waits at a server is shed when it can no
+// longer be answered in time, if late answers earn nothing.
 func TestLateWaitAtServerIsShed(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(1, false)
@@ -12,25 +13,25 @@
 	request := w.arrive(0, 1, 1e8, 5e9)
 	w.advance(2e9)
 	if !request.Done || w.canceled != 1 {
-		t.Fatal("still waiting after four times its latency objective")
+		t.Fatal("request still waits at its server after four times its latency objective")
 	}
 }
 
-// TestHeldUpNodeBlamesNoServer finds its timers and the notes of its servers all at once, and blames nobody for
-// it.
-func TestHeldUpNodeBlamesNoServer(t *testing.T) {
+// TestStalledNodeBlamesNoServer checks a node that was stalled and finds due timers and the servers' reports
+// at the same time. It must not attribute its own delay to the servers.
+func TestStalledNodeBlamesNoServer(t *testing.T) {
 	w := newHarness(t, 4, testSettings())
 	w.addServers(1, false)
 	server := w.endpoints[0].Server
 	w.arrive(0, 1, 3e9, 9e9)
-	running := w.open[0]
+	running := w.inFlight[0]
 	w.d.AttemptStarted(running)
 	w.advance(2e8)
 	w.d.AttemptProgressed(running)
 	w.arrive(0, 1, 3e9, 9e9)
-	waiting := w.open[1]
+	waiting := w.inFlight[1]
 	limit := server.limit
-	w.now += 2e9 // the node has no turn
+	w.now += 2e9 // the node is stalled
 	w.d.Advance(w.now)
 	due := w.timers
 	w.timers = nil
@@ -45,7 +46,8 @@
 	w.d.AttemptStarted(waiting)
 	w.d.ProcessQueue()
 	w.advance(1e8)
-	if server.reliability.at(w.now) < 1 || server.limit < limit || len(w.open) != 2 {
-		t.Errorf("H %v, limit %v of %v, %d out", server.reliability.at(w.now), server.limit, limit, len(w.open))
+	if server.reliability.at(w.now) < 1 || server.limit < limit || len(w.inFlight) != 2 {
+		t.Errorf("reliability %v, want 1; limit %v, want at least %v; %d attempts in flight, want 2",
+			server.reliability.at(w.now), server.limit, limit, len(w.inFlight))
 	}
 }
