--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -26,7 +26,8 @@
 	for node := range 6 {
 		w := newHarness(t, uint64(node), settings)
 		for _, m := range endpoints {
-			w.endpoints = append(w.endpoints, &Endpoint{Server: &Server{Hash: m.Server.Hash}, Capacity: m.Capacity})
+			w.endpoints = append(w.endpoints,
+				&Endpoint{Server: &Server{Hash: m.Server.Hash}, Capacity: m.Capacity})
 		}
 		w.updateEndpoints(true)
 		for i := range 100 {
@@ -57,14 +58,15 @@
 	tenth := func(i int) uint64 { return []uint64{7, uint64(1000 + i)}[min(i%10, 1)] }
 	if one := maxRequests(countServersUsed(t, tenth, nil)); one < 46 {
 		t.Errorf(
-			"a tenth of all requests have one key: the most used server got %d of 600 requests, want at least 46",
+			"a tenth of the requests have one key: one server got at most %d of 600 requests, want at least 46",
 			one)
 	}
 	if all := maxRequests(countServersUsed(t, func(int) uint64 { return 7 }, nil)); all > 150 {
-		t.Errorf("all requests have one key: the most used server got %d of 600 requests, want at most 150",
+		t.Errorf("all requests have one key: one server got %d of 600 requests, want at most 150",
 			all)
 	}
-	if met := countServersUsed(t, func(int) uint64 { return 0 }, nil); len(met) < 20 || maxRequests(met) > 90 {
+	if met := countServersUsed(t, func(int) uint64 { return 0 }, nil); len(met) < 20 ||
+		maxRequests(met) > 90 {
 		t.Errorf(
 			"no keys: %d of 20 servers used, want 20; the most used got %d of 600 requests, want at most 90",
 			len(met), maxRequests(met))
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -24,7 +24,8 @@
 	d := New(settings, 1, actions, 1e12)
 	var endpoints []Endpoint
 	for i := range servers {
-		endpoints = append(endpoints, Endpoint{Server: &Server{Tag: fmt.Sprint(i)}, Zone: i % 3, MachineType: i % 2})
+		endpoints = append(endpoints,
+			Endpoint{Server: &Server{Tag: fmt.Sprint(i)}, Zone: i % 3, MachineType: i % 2})
 	}
 	d.UpdateEndpoints(true, endpoints)
 	return d, actions, settings
@@ -38,7 +39,8 @@
 			b.ReportAllocs()
 			for now := int64(1e12); b.Loop(); now += 1e6 {
 				d.Advance(now)
-				request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: now + 3e9}
+				request := &Request{
+					Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: now + 3e9}
 				d.Arrive(request)
 				d.ProcessQueue()
 				d.AttemptStarted(actions.attempt)
@@ -60,7 +62,8 @@
 					server.limit = 0
 				}
 				for range waiting {
-					d.Arrive(&Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9})
+					d.Arrive(&Request{
+						Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: 1e12 + 3e9})
 				}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -104,7 +104,8 @@
 	var slowStarting []Endpoint
 	for i, server := range d.servers.all {
 		if i%2 == 0 {
-			slowStarting = append(slowStarting, Endpoint{Server: server, StartedAt: d.now - 2e9 - int64(i)*1e6})
+			slowStarting = append(slowStarting,
+				Endpoint{Server: server, StartedAt: d.now - 2e9 - int64(i)*1e6})
 		}
 	}
 	d.UpdateEndpoints(false, slowStarting)
@@ -115,10 +116,11 @@
 		}
 	}
 	drawn := d.draw(request, 1)
-	if permitted == 0 || permitted > 320 || countConsidered(d) > 2*maxSample+permitted || d.settings.warmUpFactor(drawn[0], d.now) == 1 {
+	if permitted == 0 || permitted > 320 || countConsidered(d) > 2*maxSample+permitted ||
+		d.settings.warmUpFactor(drawn[0], d.now) == 1 {
 		warm := d.settings.warmUpFactor(drawn[0], d.now)
 		t.Errorf(
-			"%d servers in slow start are permitted, want 1 to 320; the drawn one has %v of its capacity, want less than 1",
+			"%d servers in slow start permitted, want 1 to 320; the drawn one has %v of its capacity, want < 1",
 			permitted, warm)
 	}
 	settings.Nodes = 1 // it is always this node's turn
--- a/dispatch/cluster_test.go
+++ b/dispatch/cluster_test.go
@@ -65,8 +65,9 @@
 	}
 	n.sent[i] = append(n.sent[i], timedAmount{n.now, work})
 	n.inFlight, n.sentAt[attempt] = append(n.inFlight, attempt), n.now
-	n.record(invariants.Event{Kind: invariants.AttemptSent, Request: attempt.Request.Tag, Attempt: attempt.Number,
-		Server: strconv.Itoa(i), Work: work / 1e9})
+	n.record(invariants.Event{Kind: invariants.AttemptSent, Request: attempt.Request.Tag,
+		Attempt: attempt.Number,
+		Server:  strconv.Itoa(i), Work: work / 1e9})
 }
 
 // runtimeOf is the running time of an attempt without queueing.
@@ -153,7 +154,8 @@
 func (n *clusterNode) updateEndpoints() {
 	var endpoints []Endpoint
 	for i, server := range n.servers {
-		endpoints = append(endpoints, Endpoint{Server: server, StartedAt: n.startedAt[i] + n.startTimeError[i]})
+		endpoints = append(endpoints,
+			Endpoint{Server: server, StartedAt: n.startedAt[i] + n.startTimeError[i]})
 	}
 	n.d.UpdateEndpoints(true, endpoints)
 }
@@ -166,11 +168,13 @@
 		h.startTimeError[i] = h.Int64N(2*h.settings.StartTimeError+1) - h.settings.StartTimeError
 	}
 	for _, i := range h.Perm(len(h.startedAt)) {
-		h.record(invariants.Event{Kind: invariants.ServerStarted, Server: strconv.Itoa(i), StartedAt: h.startedAt[i]})
+		h.record(invariants.Event{
+			Kind: invariants.ServerStarted, Server: strconv.Itoa(i), StartedAt: h.startedAt[i]})
 	}
 	for _, n := range h.nodes {
 		n.updateEndpoints()
-		n.d.machineTypes[0].maxSlots = h.slots - float64(h.IntN(slotVariation)) // nodes observed different numbers of slots
+		// Nodes observed different numbers of slots.
+		n.d.machineTypes[0].maxSlots = h.slots - float64(h.IntN(slotVariation))
 	}
 }
 
@@ -193,9 +197,11 @@
 				request := &Request{Tag: strconv.Itoa(h.accepted), Class: h.settings.Classes[0], Slots: 1,
 					ExpectedWork: size/2 + h.Int64N(size), Deadline: h.now + 1e9}
 				if h.work != nil {
-					request.ExpectedWork, request.Deadline, h.workOf[request] = 0, h.now+h.clientTimeout, h.work()
+					request.ExpectedWork, request.Deadline, h.workOf[request] =
+						0, h.now+h.clientTimeout, h.work()
 				}
-				h.record(invariants.Event{Kind: invariants.RequestAccepted, Node: strconv.Itoa(n.d.settings.NodeIndex),
+				h.record(invariants.Event{Kind: invariants.RequestAccepted,
+					Node:    strconv.Itoa(n.d.settings.NodeIndex),
 					Request: request.Tag, Class: "s", Deadline: request.Deadline})
 				n.d.Arrive(request)
 			}
@@ -209,10 +215,12 @@
 					n.record(invariants.Event{Kind: invariants.AttemptEnded, Request: attempt.Request.Tag,
 						Attempt: attempt.Number, Result: o.String()})
 					if o == Succeeded && !attempt.Request.Done {
-						n.record(invariants.Event{Kind: invariants.RequestAnswered, Request: attempt.Request.Tag,
-							Result: "settled"})
+						n.record(invariants.Event{Kind: invariants.RequestAnswered,
+							Request: attempt.Request.Tag,
+							Result:  "settled"})
 					}
-					n.d.AttemptEnded(attempt, o, h.now-n.sentAt[attempt], attempt.Request.Done || o == Succeeded)
+					n.d.AttemptEnded(attempt, o, h.now-n.sentAt[attempt],
+						attempt.Request.Done || o == Succeeded)
 				}
 			}
 			n.d.ProcessQueue()
@@ -232,9 +240,11 @@
 				}
 			}
 			age := max(first.at-h.startedAt[i], 0) // capacity at the window's start: the least in it
-			capacity := h.settings.SlowStartShare + (1-h.settings.SlowStartShare)*float64(age)/float64(h.settings.SlowStart)
+			capacity := h.settings.SlowStartShare +
+				(1-h.settings.SlowStartShare)*float64(age)/float64(h.settings.SlowStart)
 			if first.at >= h.startedAt[i] && last.at < h.startedAt[i]+h.settings.SlowStart {
-				highest = max(highest, sum/(h.settings.OverloadFactor*capacity*h.slots*float64(h.settings.OverloadWindow)))
+				highest = max(highest,
+					sum/(h.settings.OverloadFactor*capacity*h.slots*float64(h.settings.OverloadWindow)))
 			}
 		}
 	}
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -45,8 +45,9 @@
 var unlimitedKey = &keyState{concurrencyLimit: concurrencyLimit{limit: math.Inf(1)}}
 
 func testSettings() *Settings {
-	return &Settings{Nodes: 2, Tick: 4e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 4, AllowCancel: true,
-		AllowHedging: true, MaxRetryAfter: 2e9, SlowStartShare: 0.2, SlowStart: 10e9, OverloadWindow: 2e9,
+	return &Settings{Nodes: 2, Tick: 4e6, StartNotices: true, ProgressInterval: 1e9, MaxAttempts: 4,
+		AllowCancel: true, AllowHedging: true, MaxRetryAfter: 2e9, SlowStartShare: 0.2, SlowStart: 10e9,
+		OverloadWindow: 2e9,
 		OverloadFactor: 3, UnpolledEventAge: 8e9, MaxPollInterval: 6e9, Classes: []*Class{
 			{LatencyObjective: 3e8, ObjectivePerWork: 2, Weight: 3, LateShare: 0.3, MachineType: -1},
 			{Index: 1, LatencyObjective: 2e8, ObjectivePerWork: 2, Weight: 8, MachineType: -1,
@@ -60,7 +61,8 @@
 }
 
 func newHarness(t *testing.T, seed uint64, settings *Settings) *harness {
-	w := &harness{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), settings: settings, now: 1e12, finals: map[*Request]int{},
+	w := &harness{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), settings: settings, now: 1e12,
+		finals: map[*Request]int{},
 		mayRun: map[*Attempt]bool{}, sentAt: map[*Attempt]int64{}, unavailable: map[*Server]bool{},
 		slowStartWork: map[*Server][]timedAmount{}}
 	w.d = New(settings, seed, w, w.now)
@@ -219,7 +221,8 @@
 
 // arrive admits a request of a class with the given slots, expected work (ns) and remaining time (ns).
 func (w *harness) arrive(class int, slots float64, work, remaining int64) *Request {
-	request := &Request{Class: w.settings.Classes[class], Slots: slots, ExpectedWork: work, Deadline: w.now + remaining}
+	request := &Request{
+		Class: w.settings.Classes[class], Slots: slots, ExpectedWork: work, Deadline: w.now + remaining}
 	w.admit(request)
 	return request
 }
--- a/dispatch/hedging_test.go
+++ b/dispatch/hedging_test.go
@@ -38,7 +38,8 @@
 		live, stalled bool
 		want          int
 	}{
-		"list reports load": {0, true, false, 2}, "stalled": {0, false, true, 2}, "waits": {0, false, false, 1},
+		"list reports load": {0, true, false, 2}, "stalled": {0, false, true, 2},
+		"waits":          {0, false, false, 1},
 		"non-idempotent": {2, true, true, 1}, "idempotent in zone": {3, true, false, 2},
 	} {
 		settings := testSettings()
--- a/dispatch/limits_test.go
+++ b/dispatch/limits_test.go
@@ -52,7 +52,7 @@
 		}
 		if w.completeAll(); late == (server.limit >= before) {
 			t.Fatalf(
-				"late start %t: limit is %v, was %v before the rejection; want it restored only after a prompt start",
+				"late start %t: limit is %v, %v before the rejection; want it restored only by a prompt start",
 				late, server.limit, before)
 		}
 	}
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -18,7 +18,7 @@
 		shed, attempts := unread > settings.DrainGrace/8, len(request.Attempts)
 		if request.Done != shed || shed && (request.Reason != Overloaded || attempts > 0) {
 			t.Errorf(
-				"unread for %d ms: done is %v with %d attempts, reason %v; want it shed only if unread for over 250 ms",
+				"unread for %d ms: done is %v, %d attempts, reason %v; want it shed only if unread for over 250 ms",
 				unread/1e6, request.Done, attempts, request.Reason)
 		}
 	}
@@ -31,7 +31,8 @@
 		w := newHarness(t, 1, testSettings())
 		w.addServers(4, false)
 		class := w.settings.Classes[0]
-		request := &Request{Class: class, Slots: 1, Deadline: w.now + class.LatencyObjective + 1, UnreadTime: unread}
+		request := &Request{
+			Class: class, Slots: 1, Deadline: w.now + class.LatencyObjective + 1, UnreadTime: unread}
 		w.requests = append(w.requests, request)
 		w.d.Arrive(request)
 		if w.d.ProcessQueue(); request.Done || len(request.Attempts) != 1 {
@@ -77,7 +78,7 @@
 		early := request.Done
 		if w.advance(3 * w.settings.Tick); early || !request.Done {
 			t.Errorf(
-				"delay %d ms: done %v before the decision time, want false; %v after it, want true; reason %v",
+				"delay %d ms: done is %v before the decision, want false; %v after it, want true; reason %v",
 				delay/1e6, early, request.Done, request.Reason)
 		}
 	}
--- a/dispatch/polling_test.go
+++ b/dispatch/polling_test.go
@@ -58,20 +58,21 @@
 		}
 		if _, last := failPolls(1); last > c.bound/2 || c.unpolledEventAge == 0 && last > 5e8 {
 			t.Errorf(
-				"%+v: after one failure the last poll is after %d ms, want at most half of the bound, and 500 ms without event age",
+				"%+v: last poll %d ms after one failure, want up to bound/2, or 500 ms without event age",
 				c, last/1e6)
 		}
 		if later, last := failPolls(6); later > 25 || last > c.bound || last < c.bound/2 {
 			t.Errorf(
-				"%+v: after six failures %d of 80 polls in a sixteenth of the time, want at most 25; the last after %d ms, want half to all of the bound",
+				"%+v: six failures: %d of 80 polls in bound/16, want up to 25; last after %d ms, want bound/2 to bound",
 				c, later, last/1e6)
 		}
 		for _, node := range h.nodes {
 			node.updateEndpoints()
 		}
-		if first, last := failPolls(1); last > c.bound/2 || c.unpolledEventAge == 0 && last > 5e8 || c.cost == 0 && first > 35 {
+		if first, last := failPolls(1); last > c.bound/2 || c.unpolledEventAge == 0 && last > 5e8 ||
+			c.cost == 0 && first > 35 {
 			t.Errorf(
-				"%+v: after a list the last poll is after %d ms, want as after one failure; %d of 80 in a sixteenth of the time, want at most 35",
+				"%+v: last poll %d ms after a list, want up to bound/2; %d of 80 in bound/16, want up to 35",
 				c, last/1e6, first)
 		}
 	}
--- a/dispatch/recovery_test.go
+++ b/dispatch/recovery_test.go
@@ -26,7 +26,7 @@
 		before, during, after := h.servedShare(5, 10), h.servedShare(12, 20)/0.7, h.servedShare(25, 34)
 		if after < 0.95*before || before < 0.9 || during < 0.5 {
 			t.Errorf(
-				"seed %d: share served before %.2f, want 0.9; during %.2f, want 0.5; after %.2f, want 95%% of before",
+				"seed %d: served %.2f before, want 0.9; %.2f during, want 0.5; %.2f after, want 95%% of before",
 				seed, before, during, after)
 		}
 	}
@@ -39,7 +39,8 @@
 	for seed := range uint64(4) {
 		settings := modelSettings()
 		if seed > 1 {
-			settings.Tenants, settings.OverQuotaWeight = []*Tenant{{Quota: 0.375}, {Quota: 0.25}, {Quota: 0.375}}, 1
+			settings.Tenants, settings.OverQuotaWeight =
+				[]*Tenant{{Quota: 0.375}, {Quota: 0.25}, {Quota: 0.375}}, 1
 		}
 		settings.Classes[0].LatencyObjective, settings.Classes[0].MaxDeadline = 8e8, 8e9
 		h := newServiceModel(seed, 5, 16, 6, settings)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -46,7 +46,8 @@
 func (w *harness) randomStep() {
 	switch n := w.IntN(20); {
 	case n < 6:
-		w.arrive(w.IntN(len(w.settings.Classes)), float64(int(1)<<w.IntN(3)), 1e7+w.Int64N(6e8), w.Int64N(5e9)+2e7)
+		w.arrive(w.IntN(len(w.settings.Classes)), float64(int(1)<<w.IntN(3)),
+			1e7+w.Int64N(6e8), w.Int64N(5e9)+2e7)
 	case n < 10 && len(w.inFlight) > 0:
 		w.endAttempt(w.inFlight[w.IntN(len(w.inFlight))], Outcome(w.IntN(int(StaleConnection)+1)))
 	case n < 14 && len(w.inFlight) > 0:
--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -13,20 +13,21 @@
 	settings.Classes = settings.Classes[:1] // no other class requires one of the two machine types
 	w := newHarness(t, 1, settings)
 	w.addServers(2, false)
-	preferred, other := w.endpoints[0].Server, w.endpoints[1].Server
-	preferred.scores.count, preferred.scores.sum, other.scores.count, other.scores.sum = 50, 475, 50, 125
+	highScored, lowScored := w.endpoints[0].Server, w.endpoints[1].Server
+	highScored.scores.count, highScored.scores.sum, lowScored.scores.count, lowScored.scores.sum =
+		50, 475, 50, 125
 	count := 0
 	for range 4000 {
-		if w.d.draw(unqueuedRequest(w.settings), 1)[0] == preferred {
+		if w.d.draw(unqueuedRequest(w.settings), 1)[0] == highScored {
 			count++
 		}
 	}
 	if count < 3000 || count > 3220 { // 3111 expected from the scores and the machine type's mean
 		t.Fatalf("server with 0.78 of the weight got %d of 4000 draws, want 3000 to 3220", count)
 	}
-	other.reliability = reliability{0.05, w.now}
+	lowScored.reliability = reliability{0.05, w.now}
 	for range 100 {
-		if w.d.draw(unqueuedRequest(w.settings), 1)[0] == other {
+		if w.d.draw(unqueuedRequest(w.settings), 1)[0] == lowScored {
 			t.Fatal("draw selected an outlier although another server remains")
 		}
 	}
@@ -127,7 +128,7 @@
 	withRequired, withoutRequired := countRequiredType(all), countRequiredType(all[:3])
 	if withRequired > withoutRequired*3/4 {
 		t.Errorf(
-			"%d of 600 requests sent to a machine type that another class requires, want at most 3/4 of the %d without such a class",
+			"%d of 600 requests sent to a required machine type, want at most 3/4 of the %d if none requires it",
 			withRequired, withoutRequired)
 	}
 }
@@ -151,7 +152,7 @@
 	}
 	if cheap, expensive := countCrossings(0.01), countCrossings(0.1); cheap < 60 || expensive > 10 {
 		t.Errorf(
-			"%d of 200 requests cross zones at a low cost, want at least 60; %d at a high cost, want at most 10",
+			"%d of 200 requests cross zones at low cost, want at least 60; %d at high cost, want at most 10",
 			cheap, expensive)
 	}
 }
--- a/dispatch/servicemodel_test.go
+++ b/dispatch/servicemodel_test.go
@@ -21,7 +21,7 @@
 	timers          []*timer
 	fails           func(t *Request, e int) bool // whether a request fails at once at a server
 	work            func() int64
-	lockedKey       uint64 // requests of this key wait in their slot for one lock and use it for lockTime each
+	lockedKey       uint64 // its requests wait in their slot for one lock and use it for lockTime
 	lockTime        int64
 	unlockedAt      int64 // when the last waiting request releases the lock
 	otherKeysMissed int   // number of them that were not served in time
@@ -82,7 +82,8 @@
 			n.d.AttemptStarted(attempt)
 		}
 		took, o := work*w.slowdown, Succeeded
-		locked := request.AffinityKey == n.lockedKey || request.AffinityKey == 0 && request.Tenant == int(n.lockedKey)
+		locked := request.AffinityKey == n.lockedKey ||
+			request.AffinityKey == 0 && request.Tenant == int(n.lockedKey)
 		if n.lockedKey > 0 && locked {
 			if wait := max(n.unlockedAt-n.now, 0); wait > 3*request.Class.LatencyObjective/2 {
 				took, o = 2e6, Failed
@@ -125,7 +126,8 @@
 // after schedules a call, with the clock of all nodes set to its time.
 func (h *serviceModel) after(span int64, call func()) *timer {
 	a := &timer{h.now + span, call}
-	i, _ := slices.BinarySearchFunc(h.timers, a.at+1, func(b *timer, at int64) int { return cmp.Compare(b.at, at) })
+	i, _ := slices.BinarySearchFunc(h.timers, a.at+1,
+		func(b *timer, at int64) int { return cmp.Compare(b.at, at) })
 	h.timers = slices.Insert(h.timers, i, a)
 	return a
 }
@@ -160,7 +162,7 @@
 	if n := uint64(len(h.settings.Tenants)); n > 0 {
 		request.AffinityKey, request.Tenant = 0, int(key%n)
 	}
-	from := first - 1e12
+	sinceStart := first - 1e12
 	n.done[request] = func(work int64) {
 		inTime := work > 0 && h.now-first <= class.LatencyObjective+int64(class.ObjectivePerWork)*work
 		if request.Tenant != int(h.lockedKey) && key != h.lockedKey && (inTime || work > 0 || retries == 0) {
@@ -169,7 +171,7 @@
 			}
 		}
 		if delete(n.done, request); inTime {
-			h.inTime[from/1e9]++
+			h.inTime[sinceStart/1e9]++
 		} else if work == 0 && retries > 0 {
 			h.after(3e7+h.Int64N(3e7), func() {
 				if h.now < first+class.MaxDeadline {
@@ -222,8 +224,9 @@
 }
 
 func modelSettings() *Settings {
-	return &Settings{Nodes: 5, Tick: 5e6, StartNotices: true, MaxAttempts: 6, AllowCancel: true, Classes: []*Class{
-		{LatencyObjective: 2e8, ObjectivePerWork: 2, MaxDeadline: 5e9, Weight: 1, MachineType: -1}}}
+	return &Settings{Nodes: 5, Tick: 5e6, StartNotices: true, MaxAttempts: 6, AllowCancel: true,
+		Classes: []*Class{
+			{LatencyObjective: 2e8, ObjectivePerWork: 2, MaxDeadline: 5e9, Weight: 1, MachineType: -1}}}
 }
 
 func noKey() uint64 { return 0 }
--- a/dispatch/slowstart_cluster_test.go
+++ b/dispatch/slowstart_cluster_test.go
@@ -26,23 +26,23 @@
 					h.work = func() int64 { return int64(mean * math.Exp(h.NormFloat64()*0.66-0.22)) }
 				}
 				h.settings.Classes[0].LatencyObjective, h.settings.Classes[0].MaxDeadline = int64(2*mean), 0
-				capacity := 0.0
+				requestsPerTick := 0.0
 				for _, v := range h.speed {
-					capacity += v * h.slots / mean * float64(h.settings.Tick) // requests per tick
+					requestsPerTick += v * h.slots / mean * float64(h.settings.Tick) // requests per tick
 				}
 				h.clientTimeout = int64(20 * mean)
-				h.advance(int64(max(30*mean, 3e9)), 2, 0.7*capacity/float64(nodes))
+				h.advance(int64(max(30*mean, 3e9)), 2, 0.7*requestsPerTick/float64(nodes))
 				h.restartServers(0, 1)
 				h.sent = make([][]timedAmount, len(h.startedAt))
 				for range 4 {
-					h.advance(h.settings.SlowStart/8, 2, 2*capacity/float64(nodes))
+					h.advance(h.settings.SlowStart/8, 2, 2*requestsPerTick/float64(nodes))
 					for range max(nodes/10, 1) {
 						restarted := *h.settings
 						restarted.NodeIndex = h.IntN(nodes)
 						h.startNode(&restarted)
 					}
 				}
-				worst, most, used := 0.0, 0.0, 0.0
+				worst, mostOfN, used := 0.0, 0.0, 0.0
 				for i, sends := range h.sent {
 					for from, first := range sends {
 						sum := 0.0
@@ -54,16 +54,17 @@
 						}
 						capacity := h.warmUpShare(i, first.at) * h.slots * h.speed[i] / mean
 						n := h.settings.OverloadFactor * capacity * float64(h.settings.OverloadWindow)
-						worst, most = max(worst, sum/(n+2*math.Sqrt(n)+2)), max(most, sum/n)
+						worst, mostOfN = max(worst, sum/(n+2*math.Sqrt(n)+2)), max(mostOfN, sum/n)
 						used += first.amount
 					}
 				}
 				span, all := 4*h.settings.SlowStart/8, 0.0
 				for _, v := range h.speed {
-					all += v * h.slots * (h.settings.SlowStartShare + (1-h.settings.SlowStartShare)/4) * float64(span)
+					all += v * h.slots *
+						(h.settings.SlowStartShare + (1-h.settings.SlowStartShare)/4) * float64(span)
 				}
 				t.Logf("%s: %.2f of the bound, %.2f of N, %.2f of the capacity used",
-					name, worst, most, used/all)
+					name, worst, mostOfN, used/all)
 				if worst > 1 {
 					t.Errorf("%s: a server in slow start received %.2f of its bound, want at most 1",
 						name, worst)
@@ -121,10 +122,11 @@
 		}
 	}
 	// capacity of the servers in that time, if they warm up as late as the settings allow
-	capacity := 3 * h.slots * capacityShare(h.settings, h.settings.SlowStart/4) * float64(h.settings.SlowStart/2)
+	capacity := 3 * h.slots * capacityShare(h.settings, h.settings.SlowStart/4) *
+		float64(h.settings.SlowStart/2)
 	if used := work / capacity; used < 0.3 || h.maxBudgetShare() > 1 {
 		t.Errorf(
-			"%.2f of the slow start capacity used, want at least 0.3; at most %.2f of a budget sent, want at most 1",
+			"%.2f of the slow start capacity used, want at least 0.3; %.2f of a budget sent, want at most 1",
 			used, h.maxBudgetShare())
 	} else {
 		t.Logf("%.2f of the slow start capacity used, at most %.2f of a budget sent",
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -69,7 +69,8 @@
 					sum += c.amount
 				}
 			}
-			if budget := settings.OverloadFactor * share * testSlots * float64(settings.OverloadWindow); sum > budget {
+			if budget := settings.OverloadFactor * share * testSlots *
+				float64(settings.OverloadWindow); sum > budget {
 				t.Fatalf("start time error %d s: %.2f of the budget sent after %d ms, want at most 1",
 					sign*4, sum/budget, (w.now-start)/1e6)
 			}
@@ -77,7 +78,7 @@
 		if len(sent) == 0 || w.d.settings.warmUpFactor(server, w.now) == 1 {
 			warm := w.d.settings.warmUpFactor(server, w.now)
 			t.Errorf(
-				"start time error %d s: %d attempts sent, want more than 0; warm-up factor %.2f, want less than 1",
+				"start time error %d s: %d attempts sent, want over 0; warm-up factor %.2f, want less than 1",
 				sign*4, len(sent), warm)
 		}
 	}
