--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// countServersUsed counts the requests that each server receives from six nodes with different seeds. All
-// requests have affinity keys; units, if not nil, gives the servers' capacities.
+// countServersUsed counts the requests that each server receives from six nodes with different seeds. key
+// gives the affinity key of each request (0: none); units, if not nil, gives the servers' capacities.
 func countServersUsed(t *testing.T, key func(i int) uint64, units func(i int) float64) map[*Server]int {
 	t.Helper()
 	settings := testSettings()
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -53,7 +53,7 @@
 }
 
 // TestLongListDrawsInProportion checks that each server's probability is in proportion to its weight in a
-// long list, as it is in a short one.
+// long list, as the design requires and as it is in a short one.
 func TestLongListDrawsInProportion(t *testing.T) {
 	const draws = 40000
 	d, _, request := newLongList(t)
