--- a/dispatch/arrival_test.go
+++ b/dispatch/arrival_test.go
@@ -43,7 +43,7 @@
 		}
 		if prompt == 0 && shed < 20 || prompt > 0 && shed > 2 {
 			t.Fatalf(
-				"%d of 40 requests over quota shed with %v of 400 starts prompt, want at least 20 if 0, else up to 2",
+				"%d of 40 requests over quota shed with %v of 400 starts prompt, want 20 or more if 0, else 0 to 2",
 				shed, prompt)
 		}
 	}
@@ -57,7 +57,7 @@
 	request := w.arrive(2, 1, 1e9, 5e9)
 	w.d.SetDeadline(request, w.now+4e8)
 	if w.advance(4e8); w.finals[request] != 1 {
-		t.Fatal("request not answered exactly once by its new deadline")
+		t.Fatalf("request has %d final answers at its new deadline, want 1", w.finals[request])
 	}
 	w.checkAllAnswered()
 }
--- a/dispatch/candidates_test.go
+++ b/dispatch/candidates_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if d.draw(request, 1); countConsidered(d) > 2*maxSample {
-		t.Errorf("draw considered %d servers, want at most 2*maxSample", countConsidered(d))
+		t.Errorf("draw considered %d servers, want at most %d", countConsidered(d), 2*maxSample)
 	}
 	if d.candidates[0].idleUntil == 0 {
 		t.Error("draw selected a server without an idle connection")
@@ -47,8 +47,8 @@
 	}
 	if drawn := d.draw(request, 1); len(drawn) > 0 || countConsidered(d) > 2*maxSample {
 		t.Errorf(
-			"no server has capacity: one was drawn, or %d servers were considered, want at most 2*maxSample",
-			countConsidered(d))
+			"no server has capacity: %d drawn, want 0; %d considered, want at most %d",
+			len(drawn), countConsidered(d), 2*maxSample)
 	}
 }
 
@@ -125,7 +125,7 @@
 	}
 	settings.Nodes = 1 // it is always this node's turn
 	if d.draw(request, 1); countConsidered(d) > 2*maxSample {
-		t.Errorf("one node: draw considered %d servers, want at most 2*maxSample", countConsidered(d))
+		t.Errorf("one node: draw considered %d servers, want at most %d", countConsidered(d), 2*maxSample)
 	}
 	d.UpdateEndpoints(true, slowStarting[:10])
 	if n := len(d.servers.all) + len(d.withIdleConnection.all) + len(d.inSlowStart.all); n != 20 {
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -103,7 +103,8 @@
 	case w.finals[request] > 0:
 		w.Fatal("rule 1: attempt started for a request that has its final answer")
 	case attempt.Number >= w.settings.MaxAttempts:
-		w.Fatal("attempt started over the maximum number of attempts")
+		w.Fatalf("started attempt number %d (from 0), want less than %d",
+			attempt.Number, w.settings.MaxAttempts)
 	}
 	if w.unavailable[attempt.Server] {
 		w.Fatal("rule 3: attempt started at a draining or removed server")
@@ -169,10 +170,10 @@
 func (w *harness) recordFinal(request *Request) {
 	w.Helper()
 	if w.finals[request]++; w.finals[request] > 1 {
-		w.Fatal("rule 1: request has two final answers")
+		w.Fatalf("rule 1: request has %d final answers, want 1", w.finals[request])
 	}
 	if w.now > request.Deadline {
-		w.Fatal("rule 1: final answer after the deadline")
+		w.Fatalf("rule 1: final answer %d ms after the deadline", (w.now-request.Deadline)/1e6)
 	}
 }
 
--- a/dispatch/hedging_test.go
+++ b/dispatch/hedging_test.go
@@ -11,21 +11,22 @@
 	w.arrive(0, 1, 1e8, 5e9)
 	w.d.queue.requests = []*Request{{Class: w.settings.Classes[0]}}
 	if w.d.hedge(w.inFlight[0].Request); len(w.inFlight) != 1 {
-		t.Fatal("hedge sent while a request was queued")
+		t.Fatalf("a request is queued: got %d attempts in flight, want 1", len(w.inFlight))
 	}
 	w.d.queue.requests = nil
 	w.d.promptStarts[ownZone] = decayingRatio{20, 0.5, w.now}
 	if w.d.hedge(w.inFlight[0].Request); len(w.inFlight) != 1 {
-		t.Fatal("hedge sent although almost no start was prompt")
+		t.Fatalf("almost no start was prompt: got %d attempts in flight, want 1", len(w.inFlight))
 	}
 	w.settings.LoadReports = true
 	w.d.promptStarts[ownZone] = decayingRatio{10, 6, w.now}
 	if w.d.hedge(w.inFlight[0].Request); len(w.inFlight) != 1 {
-		t.Fatal("hedge sent although 4 of 10 starts were late, so that requests of other nodes wait")
+		t.Fatalf("4 of 10 starts late, as requests of other nodes wait: got %d attempts in flight, want 1",
+			len(w.inFlight))
 	}
 	w.d.promptStarts[ownZone].hits = 10
 	if w.d.hedge(w.inFlight[0].Request); len(w.inFlight) != 2 {
-		t.Fatal("no hedge sent although all starts were prompt")
+		t.Fatalf("all starts were prompt: got %d attempts in flight, want 2", len(w.inFlight))
 	}
 }
 
--- a/dispatch/idempotency_test.go
+++ b/dispatch/idempotency_test.go
@@ -12,13 +12,14 @@
 	request := w.arrive(1, 1, 1e8, 9e9)
 	w.endAttempt(w.inFlight[0], ConnectionLost)
 	if len(request.Attempts) != 2 || request.Attempts[0].Server.cell != request.Attempts[1].Server.cell {
-		t.Fatal("request was not sent again within the cell of its first attempt")
+		t.Fatalf("got %d attempts, want 2 in the same cell", len(request.Attempts))
 	}
 	w.advance(w.settings.Classes[1].DedupWindow)
 	for len(w.inFlight) > 0 {
 		w.endAttempt(w.inFlight[0], ConnectionLost)
 	}
 	if !request.Done || w.finals[request] != 1 {
-		t.Fatal("request was not compensated at once after its deduplication window")
+		t.Fatalf("after its deduplication window: done is %v, want true; got %d final answers, want 1",
+			request.Done, w.finals[request])
 	}
 }
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -57,7 +57,7 @@
 	}
 	w.arrive(0, 1, 1e7, 5e9)
 	if w.advance(1e8); len(w.inFlight) != 1 {
-		t.Error("attempt started while the endpoint list may be stale")
+		t.Errorf("endpoint list may be stale: got %d attempts in flight, want 1", len(w.inFlight))
 	}
 	w.d.SetSchedulingDelay(0)
 	if w.advance(1e8); len(w.inFlight) != 2 || !w.d.MaySend(decided) {
--- a/dispatch/probes_test.go
+++ b/dispatch/probes_test.go
@@ -13,8 +13,8 @@
 	w.addServers(8, false)
 	request := w.arrive(0, 2, 1e8, 9e9)
 	if len(request.Attempts) > 0 || len(w.probes) != probesPerRound {
-		t.Fatalf("got %d attempts, want 0; got %d probes, want probesPerRound",
-			len(request.Attempts), len(w.probes))
+		t.Fatalf("got %d attempts, want 0; got %d probes, want %d",
+			len(request.Attempts), len(w.probes), probesPerRound)
 	}
 	request.Memory = 2
 	w.d.CapacityReported(w.probes[0], true, 1, 4)
@@ -22,12 +22,12 @@
 	w.d.CapacityReported(w.probes[2], false, 0, 0)
 	w.d.ProcessQueue()
 	if len(request.Attempts) > 0 {
-		t.Fatal("request sent to a server without enough capacity")
+		t.Fatalf("no server has enough capacity: got %d attempts, want 0", len(request.Attempts))
 	}
 	w.d.CapacityReported(w.probes[3], true, 2, 2)
 	w.d.ProcessQueue()
 	if len(request.Attempts) != 1 || request.Attempts[0].Server != w.probes[3] {
-		t.Fatal("request not sent to the server that reported enough capacity")
+		t.Fatalf("got %d attempts, want 1 at the server that reported enough capacity", len(request.Attempts))
 	}
 	w.completeAll()
 	unanswered := newHarness(t, 9, settings)
@@ -58,7 +58,7 @@
 	w.d.Finish(request)
 	w.d.CapacityReported(w.endpoints[3].Server, true, 9, 9)
 	if w.d.ProcessQueue(); len(request.Attempts) > 0 {
-		t.Error("request sent on a report that arrived too late")
+		t.Errorf("reports arrived too late: got %d attempts, want 0", len(request.Attempts))
 	}
 }
 
@@ -108,7 +108,8 @@
 	second := w.arrive(0, 1, 1e9, 9e9)
 	w.d.CapacityReported(server, true, 1, 9)
 	if len(second.Attempts) > 0 {
-		t.Fatal("slot that this node had just reserved was used again")
+		t.Fatalf("slot reserved by this node: got %d attempts of another request, want 0",
+			len(second.Attempts))
 	}
 	w.advance(6 * maxReportLifetime)
 	w.d.CapacityReported(server, true, 1, 9)
@@ -120,10 +121,10 @@
 	other.d.SlotsReserved(server, w.notified[0])
 	waiting := other.arrive(0, 1, 1e9, 9e9)
 	if other.d.CapacityReported(server, true, 1, 9); len(waiting.Attempts) > 0 {
-		t.Error("slot that another node had reserved was used again")
+		t.Errorf("slot reserved by another node: got %d attempts, want 0", len(waiting.Attempts))
 	}
 	other.advance(6 * maxReportLifetime)
 	if other.d.CapacityReported(server, true, 1, 9); len(waiting.Attempts) != 1 {
-		t.Error("reservation of another node did not expire")
+		t.Errorf("reservation of another node expired: got %d attempts, want 1", len(waiting.Attempts))
 	}
 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -45,6 +45,6 @@
 		m.Server.slotsInFlight = 0
 	}
 	if w.advance(32 * w.settings.Tick); len(request.Attempts) != 1 {
-		t.Error("request was not sent although there is capacity")
+		t.Errorf("servers have capacity: got %d attempts, want 1", len(request.Attempts))
 	}
 }
--- a/dispatch/reliability_test.go
+++ b/dispatch/reliability_test.go
@@ -144,7 +144,8 @@
 	}
 	w.advance(decayTime)
 	if w.d.outlier(ahead) {
-		t.Error("server is still an outlier after decayTime")
+		t.Errorf("server is an outlier after %v s, want none; reliability %v",
+			decayTime/1e9, ahead.reliability.at(w.now))
 	}
 	w.checkAllAnswered()
 }
--- a/dispatch/scores_test.go
+++ b/dispatch/scores_test.go
@@ -15,7 +15,7 @@
 	recordResult(fast, 1, false)
 	recordResult(medium, 2, false)
 	if fast.scores.count+medium.scores.count != 0 {
-		t.Fatal("result scored with fewer than two other results")
+		t.Fatalf("with one other result: got %d scores, want 0", fast.scores.count+medium.scores.count)
 	}
 	for range 60 {
 		recordResult(slow, 3, false)
@@ -24,11 +24,13 @@
 	}
 	const n = scoreWindowSize
 	if fast.scores.sum != 10*n || medium.scores.sum != 6*n || slow.scores.sum != 2*n {
-		t.Fatalf("got sums of scores %d, %d, %d, want 500, 300, 100",
-			fast.scores.sum, medium.scores.sum, slow.scores.sum)
+		t.Fatalf("got sums of scores %d, %d, %d, want %d, %d, %d",
+			fast.scores.sum, medium.scores.sum, slow.scores.sum,
+			10*n, 6*n, 2*n)
 	}
 	recordResult(fast, 0, true)
 	if fast.scores.sum != 10*(scoreWindowSize-1) {
-		t.Fatalf("sum of scores after a failed request is %d, want 490", fast.scores.sum)
+		t.Fatalf("sum of scores after a failed request is %d, want %d",
+			fast.scores.sum, 10*(scoreWindowSize-1))
 	}
 }
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -30,7 +30,8 @@
 	w.updateEndpoints(true)
 	w.arrive(0, 1, 1e8, 9e9)
 	if w.advance(w.settings.OverloadWindow / 8); len(w.inFlight) > 0 {
-		t.Fatal("attempt sent to a server in slow start right after the node's start")
+		t.Fatalf("right after the node's start: got %d attempts at a server in slow start, want 0",
+			len(w.inFlight))
 	}
 	w.advance(w.settings.OverloadWindow)
 	if w.arrive(0, 1, 1e8, 9e9); len(w.inFlight) == 0 {
--- a/dispatch/supervision_test.go
+++ b/dispatch/supervision_test.go
@@ -13,7 +13,8 @@
 	request := w.arrive(0, 1, 1e8, 5e9)
 	w.advance(2e9)
 	if !request.Done || w.canceled != 1 {
-		t.Fatal("request still waits at its server after four times its latency objective")
+		t.Fatalf("after 4 latency objectives: done is %v, want true; got %d canceled attempts, want 1",
+			request.Done, w.canceled)
 	}
 }
 
