--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -48,8 +48,8 @@
 // servers at all nodes, that a key that all requests use is spread over more servers, and that requests
 // without a key use all servers.
 func TestAffinityKeysShareServers(t *testing.T) {
-	maxRequests := func(met map[*Server]int) (n int) {
-		for _, count := range met {
+	maxRequests := func(used map[*Server]int) (n int) {
+		for _, count := range used {
 			n = max(n, count)
 		}
 		return n
@@ -65,14 +65,14 @@
 		t.Errorf("all requests have one key: one server got %d of 600 requests, want at most 150",
 			all)
 	}
-	if met := countServersUsed(t, func(int) uint64 { return 0 }, nil); len(met) < 20 ||
-		maxRequests(met) > 90 {
+	if used := countServersUsed(t, func(int) uint64 { return 0 }, nil); len(used) < 20 ||
+		maxRequests(used) > 90 {
 		t.Errorf(
 			"no keys: %d of 20 servers used, want 20; the most used got %d of 600 requests, want at most 90",
-			len(met), maxRequests(met))
+			len(used), maxRequests(used))
 	}
-	if met := countServersUsed(t, rare, nil); len(met) < 15 {
-		t.Errorf("half of the requests have rare keys: %d of 20 servers used, want at least 15", len(met))
+	if used := countServersUsed(t, rare, nil); len(used) < 15 {
+		t.Errorf("half of the requests have rare keys: %d of 20 servers used, want at least 15", len(used))
 	}
 }
 
--- a/dispatch/arrival.go
+++ b/dispatch/arrival.go
@@ -59,8 +59,7 @@
 	request.size = max(request.Slots, 1) * float64(work)
 	d.sizes.add(request.size / second)
 	d.largeSize = d.sizes.quantile(highQuantile, 0) * second
-	// While a longer-lived report would still count, many requests of a few milliseconds would start and
-	// end.
+	// A report with a longer lifetime would still be valid after many short requests have started and ended.
 	d.reportLifetime = min(maxReportLifetime, int64(d.largeSize))
 }
 
--- a/dispatch/arrival_test.go
+++ b/dispatch/arrival_test.go
@@ -56,8 +56,8 @@
 	w.addServers(2, false)
 	request := w.arrive(2, 1, 1e9, 5e9)
 	w.d.SetDeadline(request, w.now+4e8)
-	if w.advance(4e8); w.finals[request] != 1 {
-		t.Fatalf("request has %d final answers at its new deadline, want 1", w.finals[request])
+	if w.advance(4e8); w.finalAnswers[request] != 1 {
+		t.Fatalf("request has %d final answers at its new deadline, want 1", w.finalAnswers[request])
 	}
 	w.checkAllAnswered()
 }
--- a/dispatch/completion.go
+++ b/dispatch/completion.go
@@ -4,7 +4,7 @@
 
 // ClientClosed ends a request whose client has closed the connection, or has shut down its sending side and
 // may still read the final answer.
-func (d *Dispatcher) ClientClosed(request *Request) { d.giveUp(request, ClientGone) }
+func (d *Dispatcher) ClientClosed(request *Request) { d.giveUp(request, ClientDisconnected) }
 
 // Finish ends a request that has its final answer, or whose client has disconnected.
 func (d *Dispatcher) Finish(request *Request) {
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -23,7 +23,7 @@
 	timers        []*timer
 	inFlight      []*Attempt
 	requests      []*Request
-	finals        map[*Request]int
+	finalAnswers  map[*Request]int
 	mayRun        map[*Attempt]bool // no outcome proves that it did not run
 	sentAt        map[*Attempt]int64
 	canceled      int
@@ -62,8 +62,8 @@
 
 func newHarness(t *testing.T, seed uint64, settings *Settings) *harness {
 	w := &harness{T: t, Rand: rand.New(rand.NewPCG(seed, 1)), settings: settings, now: 1e12,
-		finals: map[*Request]int{},
-		mayRun: map[*Attempt]bool{}, sentAt: map[*Attempt]int64{}, unavailable: map[*Server]bool{},
+		finalAnswers: map[*Request]int{},
+		mayRun:       map[*Attempt]bool{}, sentAt: map[*Attempt]int64{}, unavailable: map[*Server]bool{},
 		slowStartWork: map[*Server][]timedAmount{}}
 	w.d = New(settings, seed, w, w.now)
 	return w
@@ -100,7 +100,7 @@
 	w.Helper()
 	request := attempt.Request
 	switch {
-	case w.finals[request] > 0:
+	case w.finalAnswers[request] > 0:
 		w.Fatal("rule 1: attempt started for a request that has its final answer")
 	case attempt.Number >= w.settings.MaxAttempts:
 		w.Fatalf("started attempt number %d (from 0), want less than %d",
@@ -169,8 +169,8 @@
 
 func (w *harness) recordFinal(request *Request) {
 	w.Helper()
-	if w.finals[request]++; w.finals[request] > 1 {
-		w.Fatalf("rule 1: request has %d final answers, want 1", w.finals[request])
+	if w.finalAnswers[request]++; w.finalAnswers[request] > 1 {
+		w.Fatalf("rule 1: request has %d final answers, want 1", w.finalAnswers[request])
 	}
 	if w.now > request.Deadline {
 		w.Fatalf("rule 1: final answer %d ms after the deadline", (w.now-request.Deadline)/1e6)
@@ -252,10 +252,10 @@
 	if o == Rejected || o == ConnectFailed || o == NotSent {
 		w.mayRun[attempt] = false
 	}
-	if o == Succeeded && w.finals[attempt.Request] == 0 {
+	if o == Succeeded && w.finalAnswers[attempt.Request] == 0 {
 		w.recordFinal(attempt.Request)
 	}
-	w.d.AttemptEnded(attempt, o, w.now-w.sentAt[attempt], w.finals[attempt.Request] > 0)
+	w.d.AttemptEnded(attempt, o, w.now-w.sentAt[attempt], w.finalAnswers[attempt.Request] > 0)
 	w.d.ProcessQueue()
 }
 
--- a/dispatch/idempotency_test.go
+++ b/dispatch/idempotency_test.go
@@ -18,8 +18,8 @@
 	for len(w.inFlight) > 0 {
 		w.endAttempt(w.inFlight[0], ConnectionLost)
 	}
-	if !request.Done || w.finals[request] != 1 {
+	if !request.Done || w.finalAnswers[request] != 1 {
 		t.Fatalf("after its deduplication window: done is %v, want true; got %d final answers, want 1",
-			request.Done, w.finals[request])
+			request.Done, w.finalAnswers[request])
 	}
 }
--- a/dispatch/outcome_test.go
+++ b/dispatch/outcome_test.go
@@ -14,7 +14,7 @@
 		w.arrive(0, 1, 2e8, 4e9)
 		server := w.inFlight[0].Server
 		w.d.Finish(w.requests[0])
-		w.finals[w.requests[0]] = 1
+		w.finalAnswers[w.requests[0]] = 1
 		w.endAttempt(w.inFlight[0], o)
 		if reserved := server.slotsInFlight == 1; reserved != (o == Canceled) {
 			t.Errorf("%v: %v slots reserved after the outcome, want 1 only if canceled",
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -30,9 +30,9 @@
 // measures it; the value is used until the next call.
 func (d *Dispatcher) SetSchedulingDelay(delay int64) { d.schedulingDelay = delay }
 
-// maxUnreadTime is the longest time (ns) for which a request may lie unread if it can still be served within
-// the remaining time to its deadline, and if updates of the endpoint list still arrive within the drain
-// grace. Either may wait for half of its time in total over all its steps.
+// maxUnreadTime is the longest time (ns) for which a request with the given remaining time may be unread if
+// it is still to be served before its deadline, and if updates of the endpoint list are to be applied within
+// the drain grace. All steps of either together may wait for half of its time.
 func (d *Dispatcher) maxUnreadTime(remaining int64) int64 {
 	longest := remaining / (2 * requestSteps)
 	if d.settings.DrainGrace > 0 {
--- a/dispatch/probes_test.go
+++ b/dispatch/probes_test.go
@@ -54,7 +54,7 @@
 	for _, m := range w.endpoints[:3] {
 		w.d.CapacityReported(m.Server, true, 9, 9)
 	}
-	w.finals[request] = 1
+	w.finalAnswers[request] = 1
 	w.d.Finish(request)
 	w.d.CapacityReported(w.endpoints[3].Server, true, 9, 9)
 	if w.d.ProcessQueue(); len(request.Attempts) > 0 {
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -19,7 +19,7 @@
 		w.endAttempt(attempt, Succeeded)
 	}
 	request := w.arrive(0, 1, 1e9, 9e9)
-	if w.finals[request] != 0 || len(request.Attempts) == 0 {
+	if w.finalAnswers[request] != 0 || len(request.Attempts) == 0 {
 		t.Error("new request shed because of its wrong work hint")
 	}
 }
--- a/dispatch/quotas_test.go
+++ b/dispatch/quotas_test.go
@@ -80,11 +80,11 @@
 	request := w.arrive(0, 1, 1e8, 20e9)
 	w.endAttempt(w.inFlight[0], Rejected)
 	start := w.now
-	for w.finals[request] == 0 && w.now-start < 20e9 {
+	for w.finalAnswers[request] == 0 && w.now-start < 20e9 {
 		w.advance(1e7)
 	}
-	if took := w.now - start; len(request.Attempts) != 1 || w.finals[request] != 1 || took > 2e9 {
+	if took := w.now - start; len(request.Attempts) != 1 || w.finalAnswers[request] != 1 || took > 2e9 {
 		t.Errorf("got %d attempts, want 1; got %d answers, want 1, after %d ms, want at most 2000 ms",
-			len(request.Attempts), w.finals[request], took/1e6)
+			len(request.Attempts), w.finalAnswers[request], took/1e6)
 	}
 }
--- a/dispatch/reliability_test.go
+++ b/dispatch/reliability_test.go
@@ -124,7 +124,7 @@
 	served := 0
 	for range 200 {
 		request := w.arrive(0, 1, 5e7, 25e8)
-		for w.finals[request] == 0 && !request.Done {
+		for w.finalAnswers[request] == 0 && !request.Done {
 			attempt := request.Attempts[len(request.Attempts)-1]
 			if o := Rejected; attempt.Server == ahead {
 				if w.IntN(2) == 0 {
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -24,7 +24,7 @@
 	Reason       Reason // why it was shed or failed; NoReason before that
 
 	arrivedAt      int64
-	objectiveAt    int64 // clock time by which its latency objective is met
+	objectiveAt    int64 // clock time of its latency objective
 	priorityWeight float64
 	size           float64 // slots times expected work, ns
 	expectedValue  float64 // expected priority weight per unit of size; the sort key of the queue
@@ -44,27 +44,27 @@
 
 // The reasons to shed or fail a request.
 const (
-	NoReason          Reason = iota
-	DeadlineReached          // its deadline was reached
-	AttemptsExhausted        // the maximum number of attempts is reached, or it must not be sent again
-	QueueTimeout             // it waited for a server for so long that it is unlikely to end in time
-	LateAtServer             // it waits at a server, and a late answer earns nothing
-	ClientTimeout            // an attempt ran until the client gave up
-	FailsEverywhere          // it failed at two servers, and retries of such requests rarely succeed
-	Overloaded               // this process is short of processor time
-	ClientGone               // its client closed the connection, or shut down its sending side
+	NoReason           Reason = iota
+	DeadlineReached           // its deadline was reached
+	AttemptsExhausted         // the maximum number of attempts is reached, or it must not be sent again
+	QueueTimeout              // it waited for a server for so long that it is unlikely to end in time
+	LateAtServer              // it waits at a server, and a late answer earns nothing
+	ClientTimeout             // an attempt ran until the client gave up
+	FailsEverywhere           // it failed at two servers, and retries of such requests rarely succeed
+	Overloaded                // this process is short of processor time
+	ClientDisconnected        // its client closed the connection, or shut down its sending side
 )
 
 var reasonTexts = [...]string{
-	NoReason:          "",
-	DeadlineReached:   "deadline",
-	AttemptsExhausted: "no attempt left",
-	QueueTimeout:      "no hope",
-	LateAtServer:      "late at a server",
-	ClientTimeout:     "client's time is over",
-	FailsEverywhere:   "errs anywhere",
-	Overloaded:        "overloaded",
-	ClientGone:        "client has gone",
+	NoReason:           "",
+	DeadlineReached:    "deadline",
+	AttemptsExhausted:  "no attempt left",
+	QueueTimeout:       "no hope",
+	LateAtServer:       "late at a server",
+	ClientTimeout:      "client's time is over",
+	FailsEverywhere:    "errs anywhere",
+	Overloaded:         "overloaded",
+	ClientDisconnected: "client has gone",
 }
 
 // String returns the reason's text in logs, by which reasons are counted.
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -63,8 +63,8 @@
 		}
 		w.updateEndpoints(w.IntN(3) == 0)
 	case n == 15 && len(w.requests) > 0:
-		if request := w.requests[w.IntN(len(w.requests))]; w.finals[request] == 0 && w.IntN(4) == 0 {
-			w.finals[request] = 1
+		if request := w.requests[w.IntN(len(w.requests))]; w.finalAnswers[request] == 0 && w.IntN(4) == 0 {
+			w.finalAnswers[request] = 1
 			w.d.Finish(request)
 		}
 	case n == 17 && len(w.probes) > 0:
@@ -85,9 +85,9 @@
 func (w *harness) checkAllAnswered() {
 	w.advance(6e9)
 	for _, request := range w.requests {
-		if w.finals[request] != 1 {
+		if w.finalAnswers[request] != 1 {
 			w.Fatalf("rule 1: request of class %d has %d final answers, want 1",
-				request.Class.Index, w.finals[request])
+				request.Class.Index, w.finalAnswers[request])
 		}
 	}
 }
