--- a/dispatch/selection_test.go
+++ b/dispatch/selection_test.go
@@ -36,7 +36,7 @@
 // TestCongestedZoneIsAvoided guards against a zone that is overloaded by its own traffic while servers of
 // other zones are idle.
 func TestCongestedZoneIsAvoided(t *testing.T) {
-	settings, otherZone := testSettings(), 0
+	settings, otherZoneDraws := testSettings(), 0
 	settings.CrossZoneCost = 0.1
 	w := newHarness(t, 1, settings)
 	w.addServers(8, false)
@@ -51,10 +51,10 @@
 		m.Server.limit = initialLimit
 	}
 	for range 200 {
-		otherZone += w.d.draw(unqueuedRequest(settings), 1)[0].zone
+		otherZoneDraws += w.d.draw(unqueuedRequest(settings), 1)[0].zone
 	}
-	if otherZone < 80 {
-		t.Fatalf("%d of 200 draws selected the zone with capacity, want at least 80", otherZone)
+	if otherZoneDraws < 80 {
+		t.Fatalf("%d of 200 draws selected the zone with capacity, want at least 80", otherZoneDraws)
 	}
 }
 
@@ -110,9 +110,9 @@
 // TestRequiredMachineTypeIsSpared checks that if a class requires one machine type, other classes leave
 // capacity there.
 func TestRequiredMachineTypeIsSpared(t *testing.T) {
-	countRequiredType := func(schemes []*Class) (n int) {
+	countRequiredType := func(classes []*Class) (n int) {
 		settings := testSettings()
-		settings.Classes = schemes
+		settings.Classes = classes
 		w := newHarness(t, 8, settings)
 		w.addServers(12, false)
 		for range 600 {
--- a/dispatch/slowstart_cluster_test.go
+++ b/dispatch/slowstart_cluster_test.go
@@ -28,7 +28,7 @@
 				h.settings.Classes[0].LatencyObjective, h.settings.Classes[0].MaxDeadline = int64(2*mean), 0
 				requestsPerTick := 0.0
 				for _, v := range h.speed {
-					requestsPerTick += v * h.slots / mean * float64(h.settings.Tick) // requests per tick
+					requestsPerTick += v * h.slots / mean * float64(h.settings.Tick)
 				}
 				h.clientTimeout = int64(20 * mean)
 				h.advance(int64(max(30*mean, 3e9)), 2, 0.7*requestsPerTick/float64(nodes))
