--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package metrics counts what became of the requests of one process, for the operators' page on figures.
+// Package metrics counts the requests of one process by their result, for operators.
 package metrics
 
 import (
@@ -9,56 +9,58 @@
 	"sync"
 )
 
-// ClassCounts is what became of the requests of one class.
+// ClassCounts counts the finished requests of one class by their result.
 type ClassCounts struct {
-	Served   int64 `json:"served"`  // a server's result was passed on
-	Rejected int64 `json:"refused"` // shed, by this process or for want of its connections
-	Failed   int64 `json:"failed"`  // ended in any other way
+	Served   int64 `json:"served"`  // a server's result was returned to the client
+	Rejected int64 `json:"refused"` // shed by this process, or rejected at its connection limit
+	Failed   int64 `json:"failed"`  // any other result, or no response
 }
 
-// Snapshot holds all figures of one moment, in the form that operators get.
+// Snapshot contains all metrics at one moment, in the form sent to operators.
 type Snapshot struct {
-	Requests        map[string]ClassCounts `json:"requests"` // by the name of the class
+	Requests        map[string]ClassCounts `json:"requests"` // by class name
 	InFlight        int64                  `json:"in_flight"`
 	Attempts        int64                  `json:"attempts"`
 	ServersKnown    int                    `json:"executors_known"`
 	ServersExcluded int                    `json:"executors_excluded"`
-	Fleet           any                    `json:"fleet,omitempty"` // status of budgets held with other nodes; nil: none
+	Fleet           any                    `json:"fleet,omitempty"` // fleet status; nil if none
 }
 
-// JSON returns the figures as one line, without its end.
+// JSON returns the metrics as one line of JSON without a newline.
 func (s *Snapshot) JSON() ([]byte, error) { return json.Marshal(s) }
 
-// Counters counts for one process, from zero at its start. Its methods are safe for concurrent use.
+// Counters counts the requests and attempts of one process since its start. Its methods are safe for
+// concurrent use.
 type Counters struct {
 	classNames []string
 
-	mu       sync.Mutex    // guards what follows
-	ended    []ClassCounts // by class
+	mu       sync.Mutex    // guards the fields below
+	finished []ClassCounts // by class index
 	inFlight int64
 	attempts int64
 }
 
-// New returns counters for the classes with these names, which are numbered in that order.
+// New returns counters for the classes with the given names. A class index is a position in classNames.
 func New(classNames []string) *Counters {
-	return &Counters{classNames: classNames, ended: make([]ClassCounts, len(classNames))}
+	return &Counters{classNames: classNames, finished: make([]ClassCounts, len(classNames))}
 }
 
-// RequestStarted counts a request of a class as in flight. The caller has to call ended once, with the HTTP status of
-// the answer or 0 where there was none; a request whose end is not told stays in flight for good.
-func (c *Counters) RequestStarted(class int) (ended func(status int)) {
+// RequestStarted counts a request of a class as in flight. The caller must call recordEnd exactly once, with
+// the HTTP status of the response, or 0 if there was none. Without that call the request counts as in flight
+// permanently.
+func (c *Counters) RequestStarted(class int) (recordEnd func(status int)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight++
 	return func(status int) { c.requestEnded(class, status) }
 }
 
-// requestEnded counts a request by the status of its answer.
+// requestEnded counts a finished request by the HTTP status of its response.
 func (c *Counters) requestEnded(class, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight--
-	counts := &c.ended[class]
+	counts := &c.finished[class]
 	switch status {
 	case http.StatusOK:
 		counts.Served++
@@ -69,14 +71,14 @@
 	}
 }
 
-// AttemptSent counts a request to a server whose last byte was written.
+// AttemptSent counts an attempt whose last byte was written to its server.
 func (c *Counters) AttemptSent() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.attempts++
 }
 
-// Snapshot returns the counts as they stand. The caller adds the figures that other parts of the node own.
+// Snapshot returns the current counts. The caller adds the metrics that other parts of the node maintain.
 func (c *Counters) Snapshot() *Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +88,7 @@
 		Attempts: c.attempts,
 	}
 	for i, name := range c.classNames {
-		s.Requests[name] = c.ended[i]
+		s.Requests[name] = c.finished[i]
 	}
 	return s
 }
