--- a/internal/transport/client_conn.go
+++ b/internal/transport/client_conn.go
@@ -49,7 +49,7 @@
 			return 0, c.readAhead.waitForClose(raw)
 		}
 	}
-	if n := c.head.takeHeldBack(b); n > 0 {
+	if n := c.head.readWithheld(b); n > 0 {
 		return n, nil
 	}
 	n, err := c.readNext(b)
@@ -62,7 +62,7 @@
 
 // readNext reads what came behind the previous request, or else from the socket.
 func (c *clientConn) readNext(b []byte) (int, error) {
-	n, err := c.readAhead.take(b)
+	n, err := c.readAhead.readBuffered(b)
 	if n > 0 || err != nil {
 		return n, err
 	}
@@ -120,9 +120,9 @@
 // lastResponseSent reports whether the connection only waits for its client to close. The caller holds budget.mu.
 func (c *clientConn) lastResponseSent() bool { return c.openedAt.IsZero() }
 
-// expendable reports whether a pending connection can be closed without the loss of a request. The caller holds
+// evictable reports whether a pending connection can be closed without the loss of a request. The caller holds
 // budget.mu.
-func (c *clientConn) expendable() bool {
+func (c *clientConn) evictable() bool {
 	if c.lastResponseSent() {
 		return true
 	}
--- a/internal/transport/connection_budget.go
+++ b/internal/transport/connection_budget.go
@@ -52,8 +52,8 @@
 	mu            sync.Mutex
 	changed       sync.Cond      // signaled when a place or the last active request may be gone
 	total         int            // connections of both sides
-	maxHeld       [2]int         // connections by side
-	held          [2]int         // places in use by side
+	maxInUse      [2]int         // connections by side
+	inUse         [2]int         // places in use by side
 	maxPending    int            // pending connections, but for those within evictionGrace
 	evictionGrace time.Duration  // see defaultEvictionGrace
 	rejectReserve int            // of the clients' places, kept for clients that can only be rejected
@@ -87,7 +87,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.total = max(sockets-reservedDescriptors, minBudget)
-	b.maxHeld = [2]int{b.fraction(maxSideFraction), b.fraction(maxSideFraction)}
+	b.maxInUse = [2]int{b.fraction(maxSideFraction), b.fraction(maxSideFraction)}
 	b.maxPending = b.fraction(maxPendingFraction)
 	b.rejectReserve = b.fraction(rejectReserveFraction)
 	for b.excess() > 0 && b.idle[serverSide].Len() > 0 {
@@ -100,18 +100,18 @@
 }
 
 // fraction returns a part of the budget in connections, at least one. The caller holds mu.
-func (b *ConnectionBudget) fraction(of float64) int {
-	return max(int(of*float64(b.total)), 1)
+func (b *ConnectionBudget) fraction(ratio float64) int {
+	return max(int(ratio*float64(b.total)), 1)
 }
 
 // excess returns how many connections are held beyond the budget and not about to close. The caller holds mu.
 func (b *ConnectionBudget) excess() int {
-	return b.held[clientSide] + b.held[serverSide] - b.reclaiming - b.total
+	return b.inUse[clientSide] + b.inUse[serverSide] - b.reclaiming - b.total
 }
 
 // available returns how many more places a side may take. The caller holds mu.
 func (b *ConnectionBudget) available(side connectionSide) int {
-	return min(b.maxHeld[side]-b.held[side], b.total-b.held[clientSide]-b.held[serverSide])
+	return min(b.maxInUse[side]-b.inUse[side], b.total-b.inUse[clientSide]-b.inUse[serverSide])
 }
 
 // acquire takes a place and reports whether there was one. Where none is left, an idle or a pending connection is
@@ -120,7 +120,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if side == clientSide {
-		b.limitPending()
+		b.enforcePendingLimit()
 	}
 	if b.available(side) <= 0 {
 		b.makeRoom(side)
@@ -128,7 +128,7 @@
 	if b.available(side) <= 0 {
 		return false
 	}
-	b.held[side]++
+	b.inUse[side]++
 	return true
 }
 
@@ -137,21 +137,21 @@
 // the next.
 func (b *ConnectionBudget) acceptClient(conn net.Conn) *clientConn {
 	for !b.acquire(clientSide) {
-		b.waitForPlace(clientSide)
+		b.waitForPermit(clientSide)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.onlyReserveLeft() {
+	if b.onlyReserveRemains() {
 		b.reclaimIdleClient()
 	}
 	c := newClientConn(conn, b)
-	c.rejectOnly = b.onlyReserveLeft()
+	c.rejectOnly = b.onlyReserveRemains()
 	c.moveTo(&b.pending, c)
 	return c
 }
 
-// waitForPlace returns when a place may be available.
-func (b *ConnectionBudget) waitForPlace(side connectionSide) {
+// waitForPermit returns when a place may be available.
+func (b *ConnectionBudget) waitForPermit(side connectionSide) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.available(side) <= 0 {
@@ -159,8 +159,8 @@
 	}
 }
 
-// onlyReserveLeft reports whether no more than the places for clients to be rejected can be had. The caller holds mu.
-func (b *ConnectionBudget) onlyReserveLeft() bool {
+// onlyReserveRemains reports whether no more than the places for clients to be rejected can be had. The caller holds mu.
+func (b *ConnectionBudget) onlyReserveRemains() bool {
 	return b.available(clientSide)+b.reclaiming+b.pending.Len() < b.rejectReserve
 }
 
@@ -173,7 +173,7 @@
 
 // releaseLocked gives a place back. The caller holds mu.
 func (b *ConnectionBudget) releaseLocked(side connectionSide) {
-	b.held[side]--
+	b.inUse[side]--
 	b.changed.Broadcast()
 }
 
--- a/internal/transport/connection_budget_test.go
+++ b/internal/transport/connection_budget_test.go
@@ -26,7 +26,7 @@
 	})
 	quick := startFakeServer(t, respondWith(chunkedHead+updateLine("done")+chunkedEnd, true))
 	budget, client := newTestClient()
-	budget.maxHeld[serverSide] = 1
+	budget.maxInUse[serverSide] = 1
 	if got := forward(t.Context(), client, quick.Addr().String()); got.outcome != dispatch.Succeeded {
 		t.Fatalf("%+v", got)
 	}
@@ -51,7 +51,7 @@
 func TestUnusedConnectionIsEvicted(t *testing.T) {
 	e := startFakeServer(t, respondWith(chunkedHead+updateLine("done")+chunkedEnd, true))
 	budget, client := newTestClient()
-	budget.maxHeld[serverSide] = 1
+	budget.maxInUse[serverSide] = 1
 	if _, err := client.transport.DialContext(t.Context(), "tcp", e.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 func TestShortOfDescriptors(t *testing.T) {
 	taken, hold := make(chan struct{}), make(chan struct{})
 	budget := NewConnectionBudget(1024)
-	budget.maxHeld[clientSide], budget.rejectReserve = 2, 1
+	budget.maxInUse[clientSide], budget.rejectReserve = 2, 1
 	_, address := startServer(t, budget, func(context.Context, *protocol.Request) *protocol.Response {
 		taken <- struct{}{}
 		<-hold
@@ -85,7 +85,7 @@
 // TestIdleClientsAreReclaimed: a connection that rests is closed for a new one, which is served.
 func TestIdleClientsAreReclaimed(t *testing.T) {
 	budget := NewConnectionBudget(1024)
-	budget.maxHeld[clientSide], budget.rejectReserve = 3, 2
+	budget.maxInUse[clientSide], budget.rejectReserve = 3, 2
 	_, address := startServer(t, budget, succeed)
 	for range 20 {
 		c := dialAndWrite(t, address, requestHead+"b")
@@ -115,7 +115,7 @@
 	budget.Resize(reservedDescriptors + 10)
 	for start, held := time.Now(), 20; held > 10 && time.Since(start) < 2*time.Second; time.Sleep(time.Millisecond) {
 		budget.mu.Lock()
-		held = budget.held[clientSide]
+		held = budget.inUse[clientSide]
 		budget.mu.Unlock()
 	}
 	budget.Resize(reservedDescriptors + 100)
--- a/internal/transport/connection_wait.go
+++ b/internal/transport/connection_wait.go
@@ -4,11 +4,11 @@
 
 import "context"
 
-// waitForNoClients returns when no client connection is left, or when the context ends.
-func (b *ConnectionBudget) waitForNoClients(ctx context.Context) {
+// waitForClientsClosed returns when no client connection is left, or when the context ends.
+func (b *ConnectionBudget) waitForClientsClosed(ctx context.Context) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waitUntil(ctx, func() bool { return b.held[clientSide] == 0 })
+	b.waitUntil(ctx, func() bool { return b.inUse[clientSide] == 0 })
 }
 
 // waitForRequests returns when no client's request is left, no client connection that was told to close, and no
@@ -20,14 +20,14 @@
 	defer b.mu.Unlock()
 	b.waitUntil(ctx, func() bool { return b.active+b.lingering+b.reclaiming == 0 })
 	b.closed = true
-	if b.unanswered() > 0 {
+	if b.unansweredRequests() > 0 {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// unanswered returns the number of whole requests that have no response yet. The caller holds mu.
-func (b *ConnectionBudget) unanswered() int {
+// unansweredRequests returns the number of whole requests that have no response yet. The caller holds mu.
+func (b *ConnectionBudget) unansweredRequests() int {
 	count := b.active
 	for element := b.pending.Front(); element != nil; element = element.Next() {
 		if element.Value.(*clientConn).active {
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -48,8 +48,8 @@
 
 // Poll gets the whole endpoint list, or waits for changes since a version. The first poll for changes does not wait, so
 // that a process that takes over soon knows whether its list is the current one. Polls must be made one at a time.
-func (d *DiscoveryClient) Poll(ctx context.Context, since int64, whole bool) (*protocol.EndpointList, error) {
-	if whole {
+func (d *DiscoveryClient) Poll(ctx context.Context, since int64, full bool) (*protocol.EndpointList, error) {
+	if full {
 		return d.pollList(ctx)
 	}
 	return d.pollChanges(ctx, since)
--- a/internal/transport/eviction.go
+++ b/internal/transport/eviction.go
@@ -11,16 +11,16 @@
 	// defaultEvictionGrace is how long a pending connection is left alone while there are places: a node that is short
 	// of processor time accepts many connections before it reads the requests that wait on them.
 	defaultEvictionGrace = 100 * time.Millisecond
-	// evictionScanLimit is how many pending connections are looked at for one to evict; each costs a system call.
+	// evictionScanLimit is how many pending connections are examined at for one to evict; each costs a system call.
 	evictionScanLimit = 32
 )
 
-// longPast is a read deadline that ends a read at once.
-var longPast = time.Unix(1, 0)
+// expiredDeadline is a read deadline that ends a read at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// limitPending evicts pending connections beyond their limit, before a new one comes. More than one may have to go,
+// enforcePendingLimit evicts pending connections beyond their limit, before a new one comes. More than one may have to go,
 // since those accepted before had not been read when the next ones came. The caller holds mu.
-func (b *ConnectionBudget) limitPending() {
+func (b *ConnectionBudget) enforcePendingLimit() {
 	for range maxEvictionsPerAccept {
 		if b.pending.Len() < b.maxPending {
 			return
@@ -39,7 +39,7 @@
 // makeRoom closes one connection, or tells one to close, so that a side may get a place. Idle connections to servers go
 // first, then idle clients, then pending ones. The caller holds mu.
 func (b *ConnectionBudget) makeRoom(side connectionSide) {
-	belowMax := b.held[side] < b.maxHeld[side]
+	belowMax := b.inUse[side] < b.maxInUse[side]
 	switch {
 	case b.idle[serverSide].Len() > 0 && (side == serverSide || belowMax):
 		b.evictIdleServer()
@@ -64,13 +64,13 @@
 }
 
 // evictionCandidate returns the oldest pending connection that can be closed without loss: it has its response, has
-// sent nothing, or no more than part of a request head. It returns nil where there is none among those looked at. A
+// sent nothing, or no more than part of a request head. It returns nil where there is none among those examined at. A
 // connection with unread bytes stays, since at a process that is behind whole requests wait there. The caller holds
 // mu.
 func (b *ConnectionBudget) evictionCandidate() *clientConn {
 	element := b.pending.Front()
-	for looked := 0; element != nil && looked < evictionScanLimit; looked++ {
-		if c := element.Value.(*clientConn); c.expendable() {
+	for examined := 0; element != nil && examined < evictionScanLimit; examined++ {
+		if c := element.Value.(*clientConn); c.evictable() {
 			return c
 		}
 		element = element.Next()
@@ -85,27 +85,27 @@
 		return
 	}
 	c.reclaimed = true
-	b.closeToMakeRoom(c)
+	b.evict(c)
 }
 
 // evictClient closes a pending client connection without waiting for the client. The caller holds mu.
 func (b *ConnectionBudget) evictClient(c *clientConn) {
 	c.lingerStarted = true
-	b.closeToMakeRoom(&c.trackedConn)
+	b.evict(&c.trackedConn)
 }
 
-// closeToMakeRoom closes a connection and logs it. The caller holds mu, which is released meanwhile.
-func (b *ConnectionBudget) closeToMakeRoom(c *trackedConn) {
+// evict closes a connection and logs it. The caller holds mu, which is released meanwhile.
+func (b *ConnectionBudget) evict(c *trackedConn) {
 	c.removeFromList()
-	held := b.held
+	inUse := b.inUse
 	total := b.total
 	b.mu.Unlock()
 	defer b.mu.Lock()
 	b.log.Debug().
 		Stringer("side", c.side).
 		Str("executor", c.address).
-		Int("clients", held[clientSide]).
-		Int("executors", held[serverSide]).
+		Int("clients", inUse[clientSide]).
+		Int("executors", inUse[serverSide]).
 		Int("most", total).
 		Msg("connection closed to make room")
 	_ = c.closeAndRelease() // its place is free whatever the close reports
@@ -125,17 +125,17 @@
 	c.removeFromList()
 	c.reclaimed = true
 	b.reclaiming++
-	c.socket.SetReadDeadline(longPast)
+	c.socket.SetReadDeadline(expiredDeadline)
 }
 
 // reclaimSilent tells client connections to close that have not sent a byte for a time since they were opened.
-func (b *ConnectionBudget) reclaimSilent(after time.Duration) {
+func (b *ConnectionBudget) reclaimSilent(minAge time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for element := b.pending.Front(); element != nil; {
 		c := element.Value.(*clientConn)
 		element = element.Next() // reclaim removes c from the list
-		if !c.active && !c.lastResponseSent() && time.Since(c.openedAt) >= after {
+		if !c.active && !c.lastResponseSent() && time.Since(c.openedAt) >= minAge {
 			b.reclaim(&c.trackedConn)
 		}
 	}
--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -43,8 +43,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.held[clientSide] > d.maxPending+3 {
-		t.Errorf("%d places are held", d.held[clientSide])
+	if d.inUse[clientSide] > d.maxPending+3 {
+		t.Errorf("%d places are held", d.inUse[clientSide])
 	}
 }
 
--- a/internal/transport/read_ahead.go
+++ b/internal/transport/read_ahead.go
@@ -43,8 +43,8 @@
 	readError         error // how the client's sending ended; nil: it has not
 }
 
-// take reads what came behind the previous request. It returns no bytes and no error where nothing did.
-func (r *readAhead) take(b []byte) (int, error) {
+// readBuffered reads what came behind the previous request. It returns no bytes and no error where nothing did.
+func (r *readAhead) readBuffered(b []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := copy(b, r.buffer)
@@ -129,12 +129,12 @@
 
 // store keeps as many bytes as there is room for. Once one was discarded none is kept any more. The caller holds mu.
 func (r *readAhead) store(b []byte) {
-	kept := 0
+	stored := 0
 	if r.discardedBytes == 0 {
-		kept = max(min(len(b), readAheadLimit-len(r.buffer)), 0)
+		stored = max(min(len(b), readAheadLimit-len(r.buffer)), 0)
 	}
-	r.buffer = append(r.buffer, b[:kept]...)
-	r.discardedBytes += len(b) - kept
+	r.buffer = append(r.buffer, b[:stored]...)
+	r.discardedBytes += len(b) - stored
 }
 
 // clientClosed reports whether the client of the request being served has closed its side. It looks at the socket
--- a/internal/transport/request_head.go
+++ b/internal/transport/request_head.go
@@ -7,8 +7,8 @@
 // contentLengthPrefix is how a header line begins that tells a body's length, in lower case.
 const contentLengthPrefix = "content-length:"
 
-// notMatching says that the current header line does not begin like contentLengthPrefix.
-const notMatching = -1
+// noMatch says that the current header line does not begin like contentLengthPrefix.
+const noMatch = -1
 
 // requestHeadScanner scans the heads of one client's requests for what http.Server does not report: whether a
 // request with a chunked body has a Content-Length too.
@@ -20,15 +20,15 @@
 	mu               sync.Mutex
 	headComplete     bool   // the end of the head was seen
 	bodyBytes        int64  // bytes of the body that were passed on
-	heldBack         []byte // bytes of the body that came together with the end of the head
-	matched          int    // bytes of the current line that match contentLengthPrefix, or notMatching
+	withheld         []byte // bytes of the body that came together with the end of the head
+	matched          int    // bytes of the current line that match contentLengthPrefix, or noMatch
 	lineNotEmpty     bool   // the current line has more than its end
 	sawContentLength bool   // the head has a Content-Length
 	outOfSync        bool   // where heads begin is not known any more
 }
 
 // scan takes bytes that were read, and returns how many of them are to be passed on now. A head is passed on
-// without what follows it, which takeHeldBack returns.
+// without what follows it, which readWithheld returns.
 func (h *requestHeadScanner) scan(b []byte) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -39,7 +39,7 @@
 	for i, char := range b {
 		h.scanByte(char)
 		if h.headComplete {
-			h.heldBack = append(h.heldBack, b[i+1:]...)
+			h.withheld = append(h.withheld, b[i+1:]...)
 			return i + 1
 		}
 	}
@@ -57,23 +57,23 @@
 		h.lineNotEmpty = false
 	default:
 		h.lineNotEmpty = true
-		h.match(char)
+		h.matchByte(char)
 	}
 }
 
-// match compares one byte of a line with contentLengthPrefix. The caller holds mu.
-func (h *requestHeadScanner) match(char byte) {
-	if h.matched == notMatching {
+// matchByte compares one byte of a line with contentLengthPrefix. The caller holds mu.
+func (h *requestHeadScanner) matchByte(char byte) {
+	if h.matched == noMatch {
 		return
 	}
 	if lowerCase(char) != contentLengthPrefix[h.matched] {
-		h.matched = notMatching
+		h.matched = noMatch
 		return
 	}
 	h.matched++
 	if h.matched == len(contentLengthPrefix) {
 		h.sawContentLength = true
-		h.matched = notMatching
+		h.matched = noMatch
 	}
 }
 
@@ -85,14 +85,14 @@
 	return char
 }
 
-// takeHeldBack reads what scan held back.
-func (h *requestHeadScanner) takeHeldBack(b []byte) int {
+// readWithheld reads what scan held back.
+func (h *requestHeadScanner) readWithheld(b []byte) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := copy(b, h.heldBack)
-	h.heldBack = h.heldBack[n:]
-	if len(h.heldBack) == 0 {
-		h.heldBack = nil // frees the memory
+	n := copy(b, h.withheld)
+	h.withheld = h.withheld[n:]
+	if len(h.withheld) == 0 {
+		h.withheld = nil // frees the memory
 	}
 	h.bodyBytes += int64(n)
 	return n
@@ -117,7 +117,7 @@
 func (h *requestHeadScanner) reset(body int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.outOfSync = h.outOfSync || h.bodyBytes != body || len(h.heldBack) > 0
+	h.outOfSync = h.outOfSync || h.bodyBytes != body || len(h.withheld) > 0
 	h.headComplete = false
 	h.sawContentLength = false
 	h.lineNotEmpty = false
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -102,8 +102,8 @@
 	f.Fuzz(func(t *testing.T, text string, seed uint64) {
 		chance, h, out, seen := rand.New(rand.NewPCG(seed, 5)), requestHeadScanner{}, "", false
 		buffer := make([]byte, 64)
-		for left := text; len(left) > 0 || len(h.heldBack) > 0; {
-			if n := h.takeHeldBack(buffer[:1+chance.IntN(63)]); n > 0 {
+		for left := text; len(left) > 0 || len(h.withheld) > 0; {
+			if n := h.readWithheld(buffer[:1+chance.IntN(63)]); n > 0 {
 				out += string(buffer[:n])
 				continue
 			}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -157,8 +157,8 @@
 // closed no more than its sending side.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, conn *clientConn, request *protocol.Request) {
 	status := 0
-	ended := s.counters.RequestStarted(request.Class)
-	defer func() { ended(status) }()
+	recordEnd := s.counters.RequestStarted(request.Class)
+	defer func() { recordEnd(status) }()
 	if !s.budget.establish(conn) {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/transport/server_client.go
+++ b/internal/transport/server_client.go
@@ -159,7 +159,7 @@
 	for {
 		update, err := updates.Next()
 		if err != nil {
-			return e.brokenOff(ctx, err)
+			return e.abort(ctx, err)
 		}
 		if update.Final() {
 			return finalResult(update)
@@ -168,10 +168,10 @@
 	}
 }
 
-// brokenOff closes the connection and returns the result of an attempt whose response ended early. The request may
+// abort closes the connection and returns the result of an attempt whose response ended early. The request may
 // be sent again as soon as the result is known, and must not be out twice. http.Transport would close the
 // connection a little later.
-func (e *exchange) brokenOff(ctx context.Context, cause error) protocol.AttemptResult {
+func (e *exchange) abort(ctx context.Context, cause error) protocol.AttemptResult {
 	_ = e.conn.Close() // the connection is given up whatever this reports
 	outcome, ended := contextOutcome(ctx)
 	if !ended {
--- a/internal/transport/server_client_test.go
+++ b/internal/transport/server_client_test.go
@@ -56,11 +56,11 @@
 	address := l.Addr().String()
 	l.Close()
 	d, x := newTestClient()
-	before := d.held
+	before := d.inUse
 	if got := forward(t.Context(), x, address); got.outcome != dispatch.ConnectFailed {
 		t.Errorf("%+v", got)
 	}
-	if d.held != before {
+	if d.inUse != before {
 		t.Error("a place in the budget is gone")
 	}
 }
@@ -87,9 +87,9 @@
 	}
 	d := NewConnectionBudget(1024)
 	x := NewServerClient(d, 50*time.Millisecond, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
-	before, start := d.held, time.Now()
+	before, start := d.inUse, time.Now()
 	got := forward(t.Context(), x, address)
-	if took := time.Since(start); got.outcome != dispatch.ConnectFailed || took > time.Second || d.held != before {
+	if took := time.Since(start); got.outcome != dispatch.ConnectFailed || took > time.Second || d.inUse != before {
 		t.Errorf("%+v after %s", got, took)
 	}
 }
@@ -138,7 +138,7 @@
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				// A busy machine may not have come to a connection by then; the place is that of the attempt at one.
-				if came > 0 && d.held[serverSide] > 0 {
+				if came > 0 && d.inUse[serverSide] > 0 {
 					t.Errorf("%s: the connection is open still", name)
 				}
 			})
--- a/internal/transport/server_dialer.go
+++ b/internal/transport/server_dialer.go
@@ -13,14 +13,14 @@
 
 // Reasons for which a connection was not tried, or tells nothing about its server.
 var (
-	errNoDescriptor = errors.New("no file descriptor left")
-	errSendDenied   = errors.New("no quota left for this server")
-	errDialDelayed  = errors.New("no connection in time, while this process was late itself")
+	errLocalResources = errors.New("no file descriptor left")
+	errSendDenied     = errors.New("no quota left for this server")
+	errDialDelayed    = errors.New("no connection in time, while this process was late itself")
 )
 
 // isLocalFailure reports whether an error has its cause on this node, so that the server is not to blame.
 func isLocalFailure(err error) bool {
-	return errors.Is(err, errNoDescriptor) || errors.Is(err, errSendDenied) || errors.Is(err, errDialDelayed)
+	return errors.Is(err, errLocalResources) || errors.Is(err, errSendDenied) || errors.Is(err, errDialDelayed)
 }
 
 // localResourceErrors are what the operating system reports where this machine is short of something. They must not
@@ -45,7 +45,7 @@
 // dial opens a connection and marks it as idle, as the request that it is for may have found another meanwhile.
 func (d *serverDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if !d.budget.acquire(serverSide) {
-		return nil, errNoDescriptor
+		return nil, errLocalResources
 	}
 	conn, err := d.dialAllowed(ctx, network, address)
 	if err != nil {
@@ -74,7 +74,7 @@
 	defer cancel()
 	conn, err := d.dialContext(ctx, network, address)
 	if isLocalResourceError(err) {
-		return nil, fmt.Errorf("%w: %w", errNoDescriptor, err)
+		return nil, fmt.Errorf("%w: %w", errLocalResources, err)
 	}
 	if isTimeout(err) && d.schedulingDelay() > d.timeout {
 		return nil, errDialDelayed
--- a/internal/transport/server_dialer_test.go
+++ b/internal/transport/server_dialer_test.go
@@ -33,14 +33,14 @@
 		if got := forward(t.Context(), x, "127.0.0.1:9"); got.outcome != want {
 			t.Errorf("%v: %v in place of %v", cause, got.outcome, want)
 		}
-		if d.held[serverSide] != 0 {
+		if d.inUse[serverSide] != 0 {
 			t.Errorf("%v: a place is kept", cause)
 		}
 	}
 }
 
 // TestLateDialIsNotTheServersFault: a connection that is not there in time is its server's fault, but at a process that
-// is behind, which may have looked too late. Otherwise all servers would lose their reliability while a node is
+// is behind, which may have examined too late. Otherwise all servers would lose their reliability while a node is
 // short of processor time.
 func TestLateDialIsNotTheServersFault(t *testing.T) {
 	for lag, want := range map[time.Duration]dispatch.Outcome{
--- a/internal/transport/server_phase.go
+++ b/internal/transport/server_phase.go
@@ -111,14 +111,14 @@
 // takenOver says that another process of this node accepts clients on the same socket. Then this one stops accepting at
 // once. Otherwise it accepts for most of the time, since clients would have nowhere to go while other nodes are down or
 // restart as well.
-func (s *Server) Stop(within time.Duration, takenOver bool) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+func (s *Server) Stop(timeout time.Duration, takenOver bool) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	s.beginStop()
 	if takenOver {
-		s.handOver(ctx, within)
+		s.handOver(ctx, timeout)
 	} else {
-		time.Sleep(acceptTimeAfterStop(within))
+		time.Sleep(acceptTimeAfterStop(timeout))
 	}
 	s.closeIdleConnections()
 	s.listener.Close()
@@ -133,16 +133,16 @@
 }
 
 // acceptTimeAfterStop returns how long requests are accepted after the order to stop within a time.
-func acceptTimeAfterStop(within time.Duration) time.Duration {
-	accept := time.Duration(stopAcceptFraction * float64(within))
-	return max(accept, min(minAcceptAfterStop, within))
+func acceptTimeAfterStop(timeout time.Duration) time.Duration {
+	accept := time.Duration(stopAcceptFraction * float64(timeout))
+	return max(accept, min(minAcceptAfterStop, timeout))
 }
 
 // handOver stops accepting, and keeps idle connections for a while: each response ends its own.
-func (s *Server) handOver(ctx context.Context, within time.Duration) {
+func (s *Server) handOver(ctx context.Context, timeout time.Duration) {
 	s.closeAfterResponse.Store(true)
 	s.listener.Close()
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(handoverIdleFraction*float64(within)))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(handoverIdleFraction*float64(timeout)))
 	defer cancel()
-	s.budget.waitForNoClients(ctx)
+	s.budget.waitForClientsClosed(ctx)
 }
--- a/internal/transport/server_phase_test.go
+++ b/internal/transport/server_phase_test.go
@@ -127,7 +127,7 @@
 		t.Error(err)
 	}
 	expectClose(t, "silent", silent, time.Second)
-	if held := lockedCount(s.budget, &s.budget.held[clientSide]); held > 0 {
+	if held := lockedCount(s.budget, &s.budget.inUse[clientSide]); held > 0 {
 		t.Errorf("%d connections at the end", held)
 	}
 }
--- a/internal/transport/tracked_conn.go
+++ b/internal/transport/tracked_conn.go
@@ -29,10 +29,10 @@
 
 // moveTo puts the connection at the end of a list of the budget. value is the connection as that list holds it. The
 // caller holds budget.mu.
-func (c *trackedConn) moveTo(to *list.List, value any) {
+func (c *trackedConn) moveTo(target *list.List, value any) {
 	c.removeFromList()
-	c.list = to
-	c.element = to.PushBack(value)
+	c.list = target
+	c.element = target.PushBack(value)
 	if c.side == serverSide {
 		c.budget.idleByAddress[c.address]++
 	}
@@ -47,12 +47,12 @@
 	c.list = nil
 	c.element = nil
 	if c.side == serverSide {
-		c.budget.forgetIdle(c.address)
+		c.budget.decrementIdle(c.address)
 	}
 }
 
-// forgetIdle counts one idle connection to a server less. The caller holds mu.
-func (b *ConnectionBudget) forgetIdle(address string) {
+// decrementIdle counts one idle connection to a server less. The caller holds mu.
+func (b *ConnectionBudget) decrementIdle(address string) {
 	b.idleByAddress[address]--
 	if b.idleByAddress[address] == 0 {
 		delete(b.idleByAddress, address)
