--- a/internal/transport/client_conn.go
+++ b/internal/transport/client_conn.go
@@ -14,24 +14,26 @@
 
 // clientConn is a connection that a client opened.
 //
-// http.Server reads from it, and sees a request's bytes only through Read. So Read tells the budget of a request's
-// first byte, long before the library reports that the connection is active, and looks at the request's head.
+// http.Server receives a request's bytes only through Read. Read therefore reports a request's first byte to
+// the budget long before the library reports the connection as active, and scans the request's head.
 type clientConn struct {
 	net.Conn
 	trackedConn
-	rejectOnly bool // its requests can only be rejected
+	rejectOnly bool // every request is rejected
 
-	// openedAt is when the connection was accepted; zero once its last response was sent. Guarded by budget.mu.
+	// openedAt is when the connection was accepted; zero once its last response was sent. Guarded by
+	// budget.mu.
 	openedAt time.Time
-	// lingerStarted says that the client has been given its time to read the last response. Guarded by budget.mu.
+	// lingerStarted is set once the wait for the client to read the last response has begun, or must not
+	// begin. Guarded by budget.mu.
 	lingerStarted bool
 
 	head            requestHeadScanner
 	readAhead       readAhead
-	responseStarted atomic.Bool // something was written
+	responseStarted atomic.Bool // at least one write was attempted
 }
 
-// newClientConn returns a client connection that was accepted now and is on no list of the budget yet.
+// newClientConn wraps a newly accepted connection. It is on no list of the budget yet.
 func newClientConn(conn net.Conn, budget *ConnectionBudget) *clientConn {
 	return &clientConn{
 		Conn:        conn,
@@ -40,9 +42,9 @@
 	}
 }
 
-// Read reads what the client sent. While a request is being served, http.Server reads one byte beyond it to learn
-// that the client has closed; that call returns when the client has, and what comes before is kept for the next
-// request.
+// Read reads from the client. While a request is being served, http.Server reads one byte beyond it to detect
+// that the client has closed. That call returns only when the client has closed; data received before that is
+// buffered for the next request.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 1 && c.head.isComplete() {
 		if raw, err := rawConn(c.Conn); err == nil {
@@ -60,7 +62,7 @@
 	return n, err
 }
 
-// readNext reads what came behind the previous request, or else from the socket.
+// readNext reads data that was buffered behind the previous request, or from the socket if there is none.
 func (c *clientConn) readNext(b []byte) (int, error) {
 	n, err := c.readAhead.readBuffered(b)
 	if n > 0 || err != nil {
@@ -68,8 +70,8 @@
 	}
 	n, err = c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.isReclaimed() {
-		// The deadline may have been set by reclaim. A request that came before the close would be lost, as the
-		// deadline hides it.
+		// The deadline may have been set by reclaim. It hides a request that arrived before the close, which
+		// would be lost without this read.
 		if n = readNonBlocking(c.Conn, b); n > 0 {
 			err = nil
 		}
@@ -77,13 +79,13 @@
 	return n, err
 }
 
-// readNonBlocking reads what a connection's socket holds already, whatever the read deadline.
+// readNonBlocking reads data that is already in the socket's receive buffer, regardless of the read deadline.
 func readNonBlocking(c net.Conn, b []byte) (n int) {
 	raw, err := rawConn(c)
 	if err != nil {
 		return 0
 	}
-	err = raw.Control(func(fd uintptr) { n, _ = unix.Read(int(fd), b) }) // an error is as good as no byte
+	err = raw.Control(func(fd uintptr) { n, _ = unix.Read(int(fd), b) }) // an error counts as no data
 	if err != nil {
 		return 0
 	}
@@ -96,8 +98,8 @@
 	return c.Conn.Write(b)
 }
 
-// SetReadDeadline does nothing on a connection that was told to close: http.Server sets its limit for idle connections
-// just after it has reported one as idle, which would undo the deadline that reclaim has set.
+// SetReadDeadline has no effect on a reclaimed connection. http.Server sets its idle time-out just after it
+// reports a connection as idle, which would overwrite the deadline set by reclaim.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.budget.mu.Lock()
 	defer c.budget.mu.Unlock()
@@ -107,20 +109,21 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Close waits for the client to read the last response, and closes the connection.
+// Close waits for the client to read the last response, then closes the connection.
 func (c *clientConn) Close() error {
 	c.linger()
 	return c.closeAndRelease()
 }
 
-// clientClosed reports whether the client of the request being served has closed its side, as far as this machine knows
-// at this moment.
+// clientClosed reports whether the client of the request being served has closed its side, as far as the
+// kernel of this machine has been notified.
 func (c *clientConn) clientClosed() bool { return c.readAhead.clientClosed(c.Conn) }
 
-// lastResponseSent reports whether the connection only waits for its client to close. The caller holds budget.mu.
+// lastResponseSent reports whether the last response was sent and only the client's close is pending. The
+// caller holds budget.mu.
 func (c *clientConn) lastResponseSent() bool { return c.openedAt.IsZero() }
 
-// evictable reports whether a pending connection can be closed without the loss of a request. The caller holds
+// evictable reports whether a pending connection can be closed without losing a request. The caller holds
 // budget.mu.
 func (c *clientConn) evictable() bool {
 	if c.lastResponseSent() {
@@ -130,7 +133,7 @@
 	return !requestComplete && !c.hasUnreadData()
 }
 
-// hasUnreadData reports whether the socket holds bytes that nobody has read.
+// hasUnreadData reports whether the socket's receive buffer has unread bytes.
 func (c *clientConn) hasUnreadData() (unread bool) {
 	raw, err := rawConn(c.Conn)
 	if err != nil {
--- a/internal/transport/connection_budget.go
+++ b/internal/transport/connection_budget.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 )
 
-// connectionSide says who a connection leads to.
+// connectionSide is the kind of peer of a connection.
 type connectionSide int
 
 const (
@@ -19,55 +19,58 @@
 	serverSide
 )
 
-// String returns the name that log lines give the side.
+// String returns the side's name in log lines.
 func (s connectionSide) String() string { return [...]string{"clients", "executors"}[s] }
 
 const (
-	// reservedDescriptors are kept for what has no place in the budget: standard files, the poller, the listener,
-	// discovery, files of the runtime and a new connection that waits for its place.
+	// reservedDescriptors is the number of file descriptors for uses outside the budget: standard files, the
+	// poller, the listener, discovery, files of the runtime and an accepted connection that waits for its
+	// permit.
 	reservedDescriptors = 16
-	// minBudget is the least number of connections that a budget allows, however few descriptors there are.
+	// minBudget is the minimum number of connections in a budget, regardless of the number of descriptors.
 	minBudget = 4
-	// maxSideFraction is the part of the budget that one side may hold. Each request of a client needs one connection
-	// to that client and one or, with a hedge, two to servers.
+	// maxSideFraction is the maximum fraction of the budget for one side. Each client request needs one
+	// connection to the client and one connection to a server, or two with a hedge.
 	maxSideFraction = 0.6
-	// maxPendingFraction is the part of the budget that pending client connections may hold.
+	// maxPendingFraction is the maximum fraction of the budget for pending client connections.
 	maxPendingFraction = 0.25
-	// rejectReserveFraction is the part of the budget that is kept for clients that can only be rejected.
+	// rejectReserveFraction is the fraction of the budget reserved for clients whose requests are only
+	// rejected.
 	rejectReserveFraction = maxSideFraction / 8
-	// maxEvictionsPerAccept is how many pending connections a new one may evict.
+	// maxEvictionsPerAccept is the maximum number of pending connections evicted for one new connection.
 	maxEvictionsPerAccept = 8
 )
 
-// ConnectionBudget accounts for the file descriptors that connections use. A connection takes one place when it
-// comes up and gives it back when it is closed. Where no place is left, the longest idle connection is closed
-// first.
+// ConnectionBudget limits the file descriptors used by connections. Each connection acquires one permit when
+// it is established and releases it when it is closed. If no permit is available, the connection that has
+// been idle longest is closed first.
 //
-// A client connection is pending until its first whole request has been read, and again while it lingers after its
-// last response. Pending connections have a limit of their own and evict each other: otherwise connections that are
-// opened by the hundred and send nothing, or half of a request, would crowd out clients that work.
+// A client connection is pending until its first complete request has been read, and again while it lingers
+// after its last response. Pending connections have a separate limit and evict each other. Otherwise
+// hundreds of connections that send nothing, or only part of a request, would displace clients that send
+// complete requests.
 type ConnectionBudget struct {
 	log zerolog.Logger
 
 	mu            sync.Mutex
-	changed       sync.Cond      // signaled when a place or the last active request may be gone
-	total         int            // connections of both sides
-	maxInUse      [2]int         // connections by side
-	inUse         [2]int         // places in use by side
-	maxPending    int            // pending connections, but for those within evictionGrace
+	changed       sync.Cond      // signaled when the condition of a waiter may have become true
+	total         int            // maximum permits of both sides
+	maxInUse      [2]int         // maximum permits by side
+	inUse         [2]int         // permits in use by side
+	maxPending    int            // limit of pending connections; those within evictionGrace may exceed it
 	evictionGrace time.Duration  // see defaultEvictionGrace
-	rejectReserve int            // of the clients' places, kept for clients that can only be rejected
-	idle          [2]list.List   // of *trackedConn by side, the longest idle first
-	idleByAddress map[string]int // idle connections to servers
-	pending       list.List      // of *clientConn, the oldest first
-	reclaiming    int            // client connections that were told to close and have not closed yet
-	active        int            // client connections with a request on them
+	rejectReserve int            // client permits reserved for clients whose requests are only rejected
+	idle          [2]list.List   // of *trackedConn by side, longest idle first
+	idleByAddress map[string]int // number of idle connections by server address
+	pending       list.List      // of *clientConn, oldest first
+	reclaiming    int            // client connections that were reclaimed and have not closed yet
+	active        int            // client connections with a request in progress
 	lingering     int            // client connections that wait for the client to read its response and close
-	idleDisabled  bool           // idle client connections are closed at once
-	closed        bool           // no further request is taken
+	idleDisabled  bool           // idle client connections are closed immediately
+	closed        bool           // no further request is accepted
 }
 
-// NewConnectionBudget returns a budget for a process that may hold that many file descriptors.
+// NewConnectionBudget returns a budget for a process that may open the given number of file descriptors.
 func NewConnectionBudget(sockets int) *ConnectionBudget {
 	b := &ConnectionBudget{
 		log:           zerolog.Nop(),
@@ -79,10 +82,11 @@
 	return b
 }
 
-// SetLogger sets where evictions are logged. It must be called before the node serves.
+// SetLogger sets the logger for evictions. It must be called before the node serves requests.
 func (b *ConnectionBudget) SetLogger(log zerolog.Logger) { b.log = log }
 
-// Resize sets how many file descriptors this process may hold. Idle connections beyond that are closed.
+// Resize sets the number of file descriptors that this process may open. Idle connections in excess are
+// closed.
 func (b *ConnectionBudget) Resize(sockets int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,23 +103,24 @@
 	b.changed.Broadcast()
 }
 
-// fraction returns a part of the budget in connections, at least one. The caller holds mu.
+// fraction returns a fraction of the budget in connections, at least one. The caller holds mu.
 func (b *ConnectionBudget) fraction(ratio float64) int {
 	return max(int(ratio*float64(b.total)), 1)
 }
 
-// excess returns how many connections are held beyond the budget and not about to close. The caller holds mu.
+// excess returns the number of connections above the budget, without those being reclaimed. The caller holds
+// mu.
 func (b *ConnectionBudget) excess() int {
 	return b.inUse[clientSide] + b.inUse[serverSide] - b.reclaiming - b.total
 }
 
-// available returns how many more places a side may take. The caller holds mu.
+// available returns the number of permits that a side can still acquire. The caller holds mu.
 func (b *ConnectionBudget) available(side connectionSide) int {
 	return min(b.maxInUse[side]-b.inUse[side], b.total-b.inUse[clientSide]-b.inUse[serverSide])
 }
 
-// acquire takes a place and reports whether there was one. Where none is left, an idle or a pending connection is
-// closed to make room.
+// acquire acquires a permit and reports whether one was available. If none is, it first tries to free one by
+// closing an idle or a pending connection.
 func (b *ConnectionBudget) acquire(side connectionSide) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -132,9 +137,9 @@
 	return true
 }
 
-// acceptClient waits for a place for a new client connection and returns it as a pending one. Where so many clients
-// are connected that only the reserve is left, it is marked to be rejected; an idle connection is told to close for
-// the next.
+// acceptClient waits for a permit for a new client connection and returns the connection as pending. If only
+// the reserve remains, it marks the connection as reject-only and reclaims an idle connection for the next
+// client.
 func (b *ConnectionBudget) acceptClient(conn net.Conn) *clientConn {
 	for !b.acquire(clientSide) {
 		b.waitForPermit(clientSide)
@@ -150,7 +155,7 @@
 	return c
 }
 
-// waitForPermit returns when a place may be available.
+// waitForPermit returns when a permit may be available.
 func (b *ConnectionBudget) waitForPermit(side connectionSide) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -159,25 +164,26 @@
 	}
 }
 
-// onlyReserveRemains reports whether no more than the places for clients to be rejected can be had. The caller holds mu.
+// onlyReserveRemains reports whether the client permits that are available, or can be freed, have fallen
+// below rejectReserve. The caller holds mu.
 func (b *ConnectionBudget) onlyReserveRemains() bool {
 	return b.available(clientSide)+b.reclaiming+b.pending.Len() < b.rejectReserve
 }
 
-// release gives back a place that no connection came up for.
+// release releases a permit for which no connection was established.
 func (b *ConnectionBudget) release(side connectionSide) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.releaseLocked(side)
 }
 
-// releaseLocked gives a place back. The caller holds mu.
+// releaseLocked releases a permit. The caller holds mu.
 func (b *ConnectionBudget) releaseLocked(side connectionSide) {
 	b.inUse[side]--
 	b.changed.Broadcast()
 }
 
-// IdleConnections returns the number of connections to a server that could be used at once.
+// IdleConnections returns the number of idle connections to a server.
 func (b *ConnectionBudget) IdleConnections(address string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/transport/connection_state.go
+++ b/internal/transport/connection_state.go
@@ -4,8 +4,9 @@
 
 import "time"
 
-// establish ends the time as a pending connection, with its first whole request. It reports false where the request
-// must not be served: the connection was closed meanwhile, or the server has ended.
+// establish removes a connection from the pending list once its first complete request was read. It returns
+// false if the request must not be served because the connection was closed in the meantime or the server has
+// stopped.
 func (b *ConnectionBudget) establish(c *clientConn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -15,7 +16,7 @@
 	return !c.closed && !b.closed
 }
 
-// markActive marks a connection as in use, and returns the number of this use for markIdle.
+// markActive marks a connection as in use and returns the number of this use, which markIdle requires.
 func (b *ConnectionBudget) markActive(c *trackedConn) (use int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -28,8 +29,8 @@
 	return c.uses
 }
 
-// markIdle marks a connection as idle after a use. Where it has been used again since, nothing happens: http.Transport
-// reports late that a connection is idle, and by then the next request may have it.
+// markIdle marks a connection as idle after a use. It does nothing if the connection has been used again
+// since: http.Transport reports late that a connection is idle, and the next request may already be using it.
 func (b *ConnectionBudget) markIdle(c *trackedConn, use int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,7 +44,8 @@
 	}
 }
 
-// clearState ends whatever a connection is counted as, but for a pending one. The caller holds mu.
+// clearState clears the active, idle or reclaimed state of a connection. A pending connection stays pending.
+// The caller holds mu.
 func (b *ConnectionBudget) clearState(c *trackedConn) {
 	if c.active {
 		c.active = false
@@ -64,13 +66,13 @@
 	}
 }
 
-// limitRequestRead gives the client requestReadTimeout from now on to send the rest of its request. The limit of
-// the HTTP server would start some bytes later. The caller holds budget.mu.
+// limitRequestRead sets a read deadline of requestReadTimeout from now for the rest of the client's request.
+// The read time-out of http.Server would start some bytes later. The caller holds budget.mu.
 func (c *trackedConn) limitRequestRead() {
 	c.socket.SetReadDeadline(time.Now().Add(requestReadTimeout))
 }
 
-// disableIdle closes idle client connections, now and from now on.
+// disableIdle closes all idle client connections, and those that become idle later.
 func (b *ConnectionBudget) disableIdle() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,7 +82,7 @@
 	}
 }
 
-// enableIdle lets client connections be idle again.
+// enableIdle reverts disableIdle: client connections may be idle again.
 func (b *ConnectionBudget) enableIdle() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -13,13 +13,14 @@
 	"fernrail/internal/protocol"
 )
 
-// firstWatchWait is how long discovery is told to wait in the first poll for changes.
+// firstWatchWait is the long-poll time-out sent to discovery in the first poll for changes.
 const firstWatchWait = time.Millisecond
 
 var (
-	// errDiscoveryTimeout says that discovery sent nothing, or nothing more, for as long as it is waited for.
-	errDiscoveryTimeout = errors.New("no response from discovery in time")
-	// errListTooLarge says that an endpoint list is longer than protocol.MaxEndpointListBytes.
+	// errDiscoveryTimeout is returned if discovery sent no response, or only part of one, before the
+	// time-out.
+	errDiscoveryTimeout = errors.New("discovery poll timed out")
+	// errListTooLarge is returned for an endpoint list longer than protocol.MaxEndpointListBytes.
 	errListTooLarge = errors.New("endpoint list too large")
 )
 
@@ -28,10 +29,10 @@
 	address       string
 	names         *protocol.Names
 	transport     http.RoundTripper
-	polledChanges bool // it has been polled for changes
+	polledChanges bool // at least one poll for changes was made
 }
 
-// NewDiscoveryClient returns a client of the discovery service at an address.
+// NewDiscoveryClient returns a client for the discovery service at an address.
 func NewDiscoveryClient(address string, names *protocol.Names) *DiscoveryClient {
 	return &DiscoveryClient{
 		address: address,
@@ -39,15 +40,17 @@
 		transport: &http.Transport{
 			DisableCompression: true,
 			MaxConnsPerHost:    1,
-			// Polls follow at once, so a connection that is idle for longer is to an agent that is not polled any more.
+			// Each poll follows the previous one immediately, so a connection that is idle for longer belongs
+			// to an agent that is no longer polled.
 			IdleConnTimeout:        protocol.WatchWait,
 			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		},
 	}
 }
 
-// Poll gets the whole endpoint list, or waits for changes since a version. The first poll for changes does not wait, so
-// that a process that takes over soon knows whether its list is the current one. Polls must be made one at a time.
+// Poll gets the full endpoint list, or waits for changes since a version. The first poll for changes does not
+// wait, so that a process that takes over finds out quickly whether its list is current. Polls must not be
+// concurrent.
 func (d *DiscoveryClient) Poll(ctx context.Context, since int64, full bool) (*protocol.EndpointList, error) {
 	if full {
 		return d.pollList(ctx)
@@ -55,9 +58,10 @@
 	return d.pollChanges(ctx, since)
 }
 
-// pollList gets the whole list. Discovery is given up when it sends nothing for protocol.WatchSilence, or goes on
-// sending for longer than protocol.WatchWait. A limit for the whole response alone would never let a list of
-// thousands of endpoints through that takes its time to come.
+// pollList gets the full list. The poll fails if discovery sends nothing for protocol.WatchSilence, or if the
+// response takes longer than the larger of protocol.WatchSilence and protocol.WatchWait. If
+// protocol.WatchSilence applied to the whole response, a list of thousands of endpoints that arrives slowly
+// would never be accepted.
 func (d *DiscoveryClient) pollList(ctx context.Context) (*protocol.EndpointList, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -85,7 +89,7 @@
 
 func (d *DiscoveryClient) target() string { return "http://" + d.address + "/api/targets" }
 
-// get sends a poll and decodes its response. onProgress is called each time a part of the body was read.
+// get sends a poll and decodes its response. It calls onProgress after each read of a part of the body.
 func (d *DiscoveryClient) get(ctx context.Context, target string, onProgress func()) (*protocol.EndpointList, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
@@ -110,7 +114,7 @@
 	return protocol.DecodeEndpointList(text, d.names)
 }
 
-// progressReader calls onProgress each time something has been read.
+// progressReader calls onProgress after each read that returned data.
 type progressReader struct {
 	io.Reader
 	onProgress func()
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package transport owns every TCP connection of a node: the HTTP server that clients reach, the connections to the
-// pool's servers, and the discovery client.
+// Package transport manages the HTTP connections of a node: the HTTP server for clients, the connections to
+// the servers of the pool, and the discovery client.
 //
-// Clients and servers share one budget of file descriptors, the ConnectionBudget. Each connection is wrapped as a
-// clientConn or a serverConn, which holds one place of the budget until it is closed.
+// Client and server connections share one budget of file descriptors, the ConnectionBudget. Each connection
+// is wrapped as a clientConn or a serverConn, which uses one permit of the budget until it is closed.
 package transport
--- a/internal/transport/eviction.go
+++ b/internal/transport/eviction.go
@@ -8,18 +8,20 @@
 )
 
 const (
-	// defaultEvictionGrace is how long a pending connection is left alone while there are places: a node that is short
-	// of processor time accepts many connections before it reads the requests that wait on them.
+	// defaultEvictionGrace is how long a new pending connection is protected from eviction while permits are
+	// available: a node that is short of CPU time accepts many connections before it reads their requests.
 	defaultEvictionGrace = 100 * time.Millisecond
-	// evictionScanLimit is how many pending connections are examined at for one to evict; each costs a system call.
+	// evictionScanLimit is the maximum number of pending connections examined for eviction; each may cost a
+	// system call.
 	evictionScanLimit = 32
 )
 
-// expiredDeadline is a read deadline that ends a read at once.
+// expiredDeadline is a read deadline in the past, which ends a read immediately.
 var expiredDeadline = time.Unix(1, 0)
 
-// enforcePendingLimit evicts pending connections beyond their limit, before a new one comes. More than one may have to go,
-// since those accepted before had not been read when the next ones came. The caller holds mu.
+// enforcePendingLimit evicts pending connections above their limit before a new one is added. It may have to
+// evict several: connections accepted earlier had not been read yet and could not be evicted when the next
+// ones were accepted. The caller holds mu.
 func (b *ConnectionBudget) enforcePendingLimit() {
 	for range maxEvictionsPerAccept {
 		if b.pending.Len() < b.maxPending {
@@ -36,8 +38,8 @@
 	}
 }
 
-// makeRoom closes one connection, or tells one to close, so that a side may get a place. Idle connections to servers go
-// first, then idle clients, then pending ones. The caller holds mu.
+// makeRoom closes or reclaims one connection so that a side can acquire a permit. Idle server connections are
+// closed first, then idle client connections, then pending ones. The caller holds mu.
 func (b *ConnectionBudget) makeRoom(side connectionSide) {
 	belowMax := b.inUse[side] < b.maxInUse[side]
 	switch {
@@ -52,7 +54,8 @@
 	}
 }
 
-// evictPending evicts the pending connection that is missed least. The caller holds mu.
+// evictPending evicts the pending connection that evictionCandidate selects. If it selects none, the oldest
+// pending connection is evicted. The caller holds mu.
 func (b *ConnectionBudget) evictPending() {
 	c := b.evictionCandidate()
 	if c == nil {
@@ -63,10 +66,10 @@
 	}
 }
 
-// evictionCandidate returns the oldest pending connection that can be closed without loss: it has its response, has
-// sent nothing, or no more than part of a request head. It returns nil where there is none among those examined at. A
-// connection with unread bytes stays, since at a process that is behind whole requests wait there. The caller holds
-// mu.
+// evictionCandidate returns the oldest pending connection that can be closed without losing a request: its
+// last response was sent, or the client has sent nothing or only part of a request head. It returns nil if
+// none of the oldest evictionScanLimit connections qualifies. A connection with unread bytes does not
+// qualify, because on an overloaded process these can be a complete request. The caller holds mu.
 func (b *ConnectionBudget) evictionCandidate() *clientConn {
 	element := b.pending.Front()
 	for examined := 0; element != nil && examined < evictionScanLimit; examined++ {
@@ -78,7 +81,7 @@
 	return nil
 }
 
-// evictIdleServer closes the longest idle connection to a server, if there is one. The caller holds mu.
+// evictIdleServer closes the server connection that has been idle longest, if any. The caller holds mu.
 func (b *ConnectionBudget) evictIdleServer() {
 	c := frontOf[*trackedConn](&b.idle[serverSide])
 	if c == nil {
@@ -94,7 +97,7 @@
 	b.evict(&c.trackedConn)
 }
 
-// evict closes a connection and logs it. The caller holds mu, which is released meanwhile.
+// evict closes a connection and logs the eviction. The caller holds mu, which is released during the close.
 func (b *ConnectionBudget) evict(c *trackedConn) {
 	c.removeFromList()
 	inUse := b.inUse
@@ -108,19 +111,19 @@
 		Int("executors", inUse[serverSide]).
 		Int("most", total).
 		Msg("connection closed to make room")
-	_ = c.closeAndRelease() // its place is free whatever the close reports
+	_ = c.closeAndRelease() // the permit is released even if the close fails
 }
 
-// reclaimIdleClient tells the longest idle client connection to close, if there is one. The caller holds mu.
+// reclaimIdleClient reclaims the client connection that has been idle longest, if any. The caller holds mu.
 func (b *ConnectionBudget) reclaimIdleClient() {
 	if c := frontOf[*trackedConn](&b.idle[clientSide]); c != nil {
 		b.reclaim(c)
 	}
 }
 
-// reclaim has the HTTP server close a client connection that has no request on it. Closing it here would lose a request
-// that is being read at this moment. So only its read is ended: if the first bytes of a request have come by then, the
-// request is served instead. The caller holds mu.
+// reclaim makes the HTTP server close a client connection that has no request in progress. Closing it here
+// would lose a request that is being read at this moment. Therefore only the pending read is ended: if the
+// first bytes of a request have arrived by then, the request is served instead. The caller holds mu.
 func (b *ConnectionBudget) reclaim(c *trackedConn) {
 	c.removeFromList()
 	c.reclaimed = true
@@ -128,7 +131,7 @@
 	c.socket.SetReadDeadline(expiredDeadline)
 }
 
-// reclaimSilent tells client connections to close that have not sent a byte for a time since they were opened.
+// reclaimSilent reclaims client connections that were opened at least minAge ago and have sent no byte.
 func (b *ConnectionBudget) reclaimSilent(minAge time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,7 +144,7 @@
 	}
 }
 
-// frontOf returns the value at the front of a list, nil where the list is empty.
+// frontOf returns the value at the front of a list, or nil if the list is empty.
 func frontOf[C *trackedConn | *clientConn](l *list.List) C {
 	front := l.Front()
 	if front == nil {
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -12,20 +12,21 @@
 	"fernrail/internal/protocol"
 )
 
-// exchange is one request to a server and its response. It records which connection http.Transport gives the request.
+// exchange is one request to a server and its response. It records the connection that http.Transport assigns
+// to the request.
 type exchange struct {
-	attempt         *protocol.Attempt // nil: a probe
+	attempt         *protocol.Attempt // nil for a probe
 	schedulingDelay func() time.Duration
 
-	conn *serverConn // nil: the request got none
-	use  int         // how often conn had been used with this request
-	// unexpectedResponse says that the response was there before the request's first byte was written: a second
-	// response to an earlier request. http.Transport takes it for the response to this one. Where it is a
-	// rejection, a job that runs would be sent again.
+	conn *serverConn // nil if no connection was assigned
+	use  int         // number of uses of conn, this request included
+	// unexpectedResponse is set if the response arrived before the request's first byte was written. It is a
+	// second response to an earlier request, which http.Transport treats as the response to this one. If it
+	// is a rejection, a job that is running would be sent again.
 	unexpectedResponse bool
 }
 
-// clientTrace returns the hooks by which http.Transport reports on the exchange. They run in the goroutine of
+// clientTrace returns the hooks that http.Transport calls during the exchange. They run in the goroutine of
 // RoundTrip, or before it returns.
 func (e *exchange) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
@@ -41,7 +42,8 @@
 	}
 }
 
-// start prepares the connection for the request, and the request for the time that is left when it goes out.
+// start prepares the connection for the request, and sets the request's remaining time at the moment it is
+// sent.
 func (e *exchange) start(conn *serverConn) {
 	e.conn = conn
 	e.use = conn.budget.markActive(&conn.trackedConn)
@@ -53,13 +55,15 @@
 	conn.beginExchange(e.attempt.Gate)
 }
 
-// reused reports whether the connection had served another request before.
+// reused reports whether the connection was used for another request before.
 func (e *exchange) reused() bool { return e.use > 1 }
 
-// failureOutcome returns the outcome of an attempt that got no response, by what is proved of it. A connection that was
-// idle may have been closed by the server, or by what stands between, which is no fault of the server.
+// failureOutcome returns the outcome of an attempt without a response, depending on what is proved about how
+// much of it was sent. A connection that was idle may have been closed by the server or by a middlebox, which
+// is not a failure of the server.
 func (e *exchange) failureOutcome(ctx context.Context, err error) dispatch.Outcome {
-	// http.Transport calls GotConn before it writes to the connection, so without one nothing was sent.
+	// http.Transport calls GotConn before it writes to the connection, so without a connection nothing was
+	// sent.
 	if e.conn == nil && isLocalFailure(err) {
 		return dispatch.NotSent
 	}
@@ -82,8 +86,8 @@
 	}
 }
 
-// contextOutcome returns the outcome of an attempt that the node has stopped waiting for; ended is false where it
-// has not.
+// contextOutcome returns the outcome of an attempt whose context has ended. ended is false if the context has
+// not ended.
 func contextOutcome(ctx context.Context) (outcome dispatch.Outcome, ended bool) {
 	err := ctx.Err()
 	switch {
--- a/internal/transport/lingering_close.go
+++ b/internal/transport/lingering_close.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// lingerTimeout is how long a client connection that ends with a response waits for the client to close.
+	// lingerTimeout is how long a connection waits for the client to close after its last response.
 	lingerTimeout = 500 * time.Millisecond
-	// lingerLimit is how many bytes are discarded meanwhile.
+	// lingerLimit is the maximum number of bytes discarded during that wait.
 	lingerLimit = 256 << 10
 )
 
-// halfCloser is a connection of which one direction can be closed.
+// halfCloser is a connection whose sending direction can be closed alone.
 type halfCloser interface {
 	CloseWrite() error
 }
 
-// linger waits for the client to close first, where the connection ends with a response. A close while unread bytes
-// are in the socket would be a reset, which destroys a response that the client has not read yet. The connection is
-// pending meanwhile and may be evicted.
+// linger waits for the client to close first if the connection ends with a response. Closing a socket with
+// unread bytes sends a reset, which destroys a response that the client has not read yet. The connection is
+// pending during the wait and may be evicted.
 func (c *clientConn) linger() {
 	conn, ok := c.Conn.(halfCloser)
 	if !ok || !c.startLinger() {
@@ -29,13 +29,14 @@
 	}
 	defer c.stopLinger()
 	if conn.CloseWrite() != nil {
-		return // the client has gone
+		return // the client has disconnected
 	}
 	c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
-	_, _ = io.CopyN(io.Discard, c.Conn, lingerLimit) // every way in which this ends is the end of the wait
+	_, _ = io.CopyN(io.Discard, c.Conn, lingerLimit) // EOF, an error, the deadline or the limit ends the wait
 }
 
-// startLinger reports whether the connection has to linger, and counts it as lingering if so.
+// startLinger reports whether the connection has to linger. If so, it counts the connection as lingering and
+// pending.
 func (c *clientConn) startLinger() bool {
 	c.budget.mu.Lock()
 	defer c.budget.mu.Unlock()
@@ -57,16 +58,16 @@
 	c.budget.changed.Broadcast()
 }
 
-// becomePendingAgain makes the connection, whose last response was sent, one that may be evicted. The caller holds
-// budget.mu.
+// becomePendingAgain makes a connection whose last response was sent pending, so that it may be evicted. The
+// caller holds budget.mu.
 func (c *clientConn) becomePendingAgain() {
 	c.openedAt = time.Time{}
 	c.moveTo(&c.budget.pending, c)
 }
 
-// CloseWrite ends the sending side. http.Server calls it after the response to a request that it did not read to
-// its end, and goes on reading for a while, since a reset would destroy the response. The connection may be evicted
-// meanwhile.
+// CloseWrite closes the sending direction. http.Server calls it after the response to a request that it did
+// not read completely, and continues reading for a while, since a reset would destroy the response. The
+// connection may be evicted during that time.
 func (c *clientConn) CloseWrite() error {
 	c.budget.mu.Lock()
 	if !c.closed {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -13,24 +13,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Waits after an accept that failed: the first one, and the longest, since clients that connect wait meanwhile.
+// Backoff after a failed accept. The maximum is short because connecting clients wait during the backoff.
 const (
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 100 * time.Millisecond
 )
 
-// budgetListener gives each connection that it accepts a place in the budget.
+// budgetListener acquires a permit of the budget for each connection that it accepts.
 type budgetListener struct {
 	net.Listener
 	budget *ConnectionBudget
 	log    zerolog.Logger
 }
 
-// Accept waits for a client. Only the end of the listener is returned as an error: http.Server ends on errors that
-// it does not take for temporary, such as ENOBUFS, and the process would end with it.
+// Accept waits for a client. It returns an error only if the listener was closed: http.Server stops serving
+// on errors that it does not treat as temporary, such as ENOBUFS, and the process would end with it.
 //
-// Accepting waits for a place in the budget. A connection that were left in the kernel's queue could hold a
-// request; those beyond the limit are accepted, answered and closed at once.
+// Accept waits for a permit of the budget. A connection left in the kernel's accept queue could contain a
+// request, so connections above the limit are accepted, answered with a rejection and closed.
 func (l *budgetListener) Accept() (net.Conn, error) {
 	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		conn, err := l.Listener.Accept()
@@ -45,10 +45,11 @@
 	}
 }
 
-// inheritedListener is a listening socket that other processes hold as well.
+// inheritedListener is a listening socket that is shared with other processes.
 type inheritedListener struct{ *net.TCPListener }
 
-// InheritListener takes over a listening socket by its descriptor. Only this process's copy of it is ever closed.
+// InheritListener returns a listener for the inherited descriptor of a listening socket. It closes only this
+// process's copies of the descriptor.
 func InheritListener(descriptor int) (net.Listener, error) {
 	file := os.NewFile(uintptr(descriptor), "inherited listener")
 	defer file.Close()
@@ -64,14 +65,15 @@
 	return inheritedListener{tcp}, nil
 }
 
-// Accept makes the socket non-blocking before it waits. That is a property of the socket, not of its holder: another
-// process may have made it block for all, and this one could not stop until one more client came.
+// Accept sets the socket to non-blocking mode before it waits. The mode belongs to the shared socket: another
+// process may have set it to blocking for all, and this process could then not stop until one more client
+// connected.
 func (l inheritedListener) Accept() (net.Conn, error) {
 	l.setNonblock()
 	return l.TCPListener.Accept()
 }
 
-// setNonblock ignores errors: what is wrong with the socket is reported by the accept that follows.
+// setNonblock ignores errors: the accept that follows reports a faulty socket.
 func (l inheritedListener) setNonblock() {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/transport/read_ahead.go
+++ b/internal/transport/read_ahead.go
@@ -16,34 +16,38 @@
 )
 
 const (
-	// readAheadLimit is how many bytes behind a request are kept while it is served: a whole next request. Bytes beyond
-	// that are discarded, since the client's close is behind them, and the connection ends with the response.
+	// readAheadLimit is the number of bytes buffered behind a request while it is served: one complete next
+	// request. Bytes above the limit are discarded, because the client's close can only be detected behind
+	// them. The connection then ends with the response.
 	readAheadLimit = protocol.MaxBodyBytes + 32<<10
-	// readAheadChunk is how many bytes are read before other work gets its turn.
+	// readAheadChunk is the number of bytes read before other goroutines can run.
 	readAheadChunk = 64 << 10
 	// readAheadBuffer is the size of a single read, in bytes.
 	readAheadBuffer = 1 << 10
-	// floodThreshold is how many bytes may be discarded before reads are floodPause apart, so that a client that never
-	// stops sending does not keep a processor busy.
+	// floodThreshold is the number of discarded bytes above which reads pause for floodPause, so that a
+	// client that never stops sending does not use a full CPU.
 	floodThreshold = 4 << 20
 	floodPause     = 50 * time.Millisecond
 )
 
-// errReadAheadOverflow says that a client sent more behind a request than is kept, so that its next request is lost.
-var errReadAheadOverflow = errors.New("more came behind a request than is kept")
+// errReadAheadOverflow is returned if a client sent more than readAheadLimit bytes behind a request, so that
+// its next request is lost.
+var errReadAheadOverflow = errors.New("data behind a request exceeds the read-ahead limit")
 
-// readAhead reads what a client sends while its request is being served, to find out when the client closes.
+// readAhead reads what a client sends while its request is being served, to detect that the client closes.
 //
-// http.Server stops looking at the first byte that comes behind a request, and would not learn of a close after that.
+// http.Server stops its check at the first byte behind a request and would not detect a close after that
+// byte.
 type readAhead struct {
 	mu                sync.Mutex
 	requestInProgress bool
-	buffer            []byte // what came behind the request and was not taken yet
+	buffer            []byte // data received behind the request and not read by http.Server yet
 	discardedBytes    int
-	readError         error // how the client's sending ended; nil: it has not
+	readError         error // io.EOF or the error that ended the client's data; nil: more may follow
 }
 
-// readBuffered reads what came behind the previous request. It returns no bytes and no error where nothing did.
+// readBuffered reads data that was received behind the previous request. It returns no bytes and no error if
+// there is none.
 func (r *readAhead) readBuffered(b []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,23 +62,23 @@
 	return n, nil
 }
 
-// beginRequest is called when a request is about to be served. From then on clientClosed can tell; http.Server calls
-// waitForClose by then or soon after.
+// beginRequest is called when a request is about to be served. From then on clientClosed reads the socket.
+// http.Server has called waitForClose by then, or calls it soon after.
 func (r *readAhead) beginRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requestInProgress = true
 }
 
-// endRequest is called when http.Server does not need to know of a close any more.
+// endRequest is called when http.Server no longer needs to detect a close.
 func (r *readAhead) endRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requestInProgress = false
 }
 
-// waitForClose returns when the client has closed, however much it sent before, or when the read deadline passes, by
-// which http.Server ends the call.
+// waitForClose returns when the client has closed, regardless of how much data it sent before, or when the
+// read deadline passes. http.Server uses the deadline to end the call.
 func (r *readAhead) waitForClose(raw syscall.RawConn) error {
 	defer r.endRequest()
 	for {
@@ -91,22 +95,23 @@
 	}
 }
 
-// progress reports whether the client sends without end, and how its sending ended, if it has.
+// progress reports whether the client has exceeded floodThreshold, and the read error if the client's data
+// has ended.
 func (r *readAhead) progress() (flooded bool, closed error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.discardedBytes > floodThreshold, r.readError
 }
 
-// readSocket is fill for syscall.RawConn.
+// readSocket adapts fill to syscall.RawConn.
 func (r *readAhead) readSocket(fd uintptr) (done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fill(int(fd))
 }
 
-// fill reads what the socket holds, up to readAheadChunk bytes. It returns false where there is nothing more to
-// read and the client has not closed. The caller holds mu.
+// fill reads from the socket up to readAheadChunk bytes. It returns false if the socket has no more data and
+// the client has not closed. The caller holds mu.
 func (r *readAhead) fill(fd int) (done bool) {
 	b := make([]byte, readAheadBuffer)
 	for total := 0; r.readError == nil && total < readAheadChunk; {
@@ -127,7 +132,8 @@
 	return true
 }
 
-// store keeps as many bytes as there is room for. Once one was discarded none is kept any more. The caller holds mu.
+// store buffers bytes up to readAheadLimit and discards the rest. After the first discarded byte, all later
+// bytes are discarded. The caller holds mu.
 func (r *readAhead) store(b []byte) {
 	stored := 0
 	if r.discardedBytes == 0 {
@@ -137,15 +143,16 @@
 	r.discardedBytes += len(b) - stored
 }
 
-// clientClosed reports whether the client of the request being served has closed its side. It looks at the socket
-// itself: at a node that is short of processor time, word of the close may still wait there, and a request that
-// nobody waits for would be forwarded.
+// clientClosed reports whether the client of the request being served has closed its side. It reads the
+// socket directly: on a node that is short of CPU time, the close may not have been read from it yet, and a
+// request whose client has disconnected would be forwarded.
 func (r *readAhead) clientClosed(c net.Conn) bool {
 	raw, err := rawConn(c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil && r.requestInProgress {
-		// An error means that this node has closed the connection, which says nothing of the client.
+		// An error means that this node has closed the connection, which is no evidence of a close by the
+		// client.
 		_ = raw.Control(func(fd uintptr) { r.fill(int(fd)) })
 	}
 	return r.readError != nil
--- a/internal/transport/request_head.go
+++ b/internal/transport/request_head.go
@@ -4,31 +4,31 @@
 
 import "sync"
 
-// contentLengthPrefix is how a header line begins that tells a body's length, in lower case.
+// contentLengthPrefix is the start of a Content-Length header line, in lower case.
 const contentLengthPrefix = "content-length:"
 
-// noMatch says that the current header line does not begin like contentLengthPrefix.
+// noMatch means that the current header line does not start with contentLengthPrefix.
 const noMatch = -1
 
-// requestHeadScanner scans the heads of one client's requests for what http.Server does not report: whether a
-// request with a chunked body has a Content-Length too.
+// requestHeadScanner scans the heads of the requests on one connection for a fact that http.Server does not
+// report: whether a request with a chunked body also has a Content-Length.
 //
-// http.Server drops that length unseen, while a proxy in front of this node may have gone by it, so that a second
-// request could be smuggled in the body. Bodies may hold any text, heads of requests among them, and are not
-// scanned.
+// http.Server drops that header silently, while a proxy in front of this node may have used it, so that a
+// second request could be smuggled in the body. Bodies may contain any text, including request heads, and are
+// not scanned.
 type requestHeadScanner struct {
 	mu               sync.Mutex
-	headComplete     bool   // the end of the head was seen
+	headComplete     bool   // the end of the head was scanned
 	bodyBytes        int64  // bytes of the body that were passed on
-	withheld         []byte // bytes of the body that came together with the end of the head
+	withheld         []byte // bytes of the body that were read together with the end of the head
 	matched          int    // bytes of the current line that match contentLengthPrefix, or noMatch
-	lineNotEmpty     bool   // the current line has more than its end
+	lineNotEmpty     bool   // the current line has characters other than its line ending
 	sawContentLength bool   // the head has a Content-Length
-	outOfSync        bool   // where heads begin is not known any more
+	outOfSync        bool   // the position of the next head is unknown
 }
 
-// scan takes bytes that were read, and returns how many of them are to be passed on now. A head is passed on
-// without what follows it, which readWithheld returns.
+// scan processes bytes that were read and returns how many of them are to be passed on now. A head is passed
+// on without the bytes that follow it; readWithheld returns those.
 func (h *requestHeadScanner) scan(b []byte) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,7 +46,7 @@
 	return len(b)
 }
 
-// scanByte takes one byte of a head. The caller holds mu.
+// scanByte processes one byte of a head. The caller holds mu.
 func (h *requestHeadScanner) scanByte(char byte) {
 	switch {
 	case char == '\r':
@@ -77,7 +77,7 @@
 	}
 }
 
-// lowerCase returns an ASCII letter in lower case, and any other byte as it is.
+// lowerCase returns an ASCII letter in lower case, and any other byte unchanged.
 func lowerCase(char byte) byte {
 	if 'A' <= char && char <= 'Z' {
 		return char + 'a' - 'A'
@@ -85,7 +85,7 @@
 	return char
 }
 
-// readWithheld reads what scan held back.
+// readWithheld reads the bytes that scan did not pass on.
 func (h *requestHeadScanner) readWithheld(b []byte) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -98,22 +98,24 @@
 	return n
 }
 
-// hasContentLength reports whether the request has a Content-Length, as far as is known.
+// hasContentLength reports whether the request has a Content-Length, or whether that is unknown because the
+// scanner is out of sync.
 func (h *requestHeadScanner) hasContentLength() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sawContentLength || h.outOfSync
 }
 
-// isComplete reports whether all of a request's head has been read.
+// isComplete reports whether a request's head has been read completely.
 func (h *requestHeadScanner) isComplete() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.headComplete
 }
 
-// reset expects the head of another request, after a body of that many bytes. Where more has come already, or the
-// body was chunked, a head may have begun unseen.
+// reset prepares for the head of the next request after a body of the given number of bytes. If the number of
+// bytes read differs, or the body was chunked, the next head may have started unnoticed, and the scanner is
+// out of sync.
 func (h *requestHeadScanner) reset(body int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	// requestReadTimeout is how long a client may take to send a request: its first from when it connects, later
-	// ones from their first byte on. Clients that do not finish have to be closed within 3 s, also by a node that
-	// is short of processor time.
+	// requestReadTimeout is how long a client may take to send a request. It starts when the client connects
+	// for the first request, and with the first byte for later ones. Connections with an unfinished request
+	// must be closed within 3 s, even by a node that is short of CPU time.
 	requestReadTimeout = 2 * time.Second
-	// clientIdleTimeout is how long a client may keep a connection without a request on it.
+	// clientIdleTimeout is how long a client connection may be idle between requests.
 	clientIdleTimeout = 2 * time.Minute
 	// responseWriteTimeout is how long a client may take to read its response.
 	responseWriteTimeout = 5 * time.Second
 	// maxRequestHeaderBytes limits the head of a request.
 	maxRequestHeaderBytes = 16 << 10
-	// libraryLogBurst is how many log lines of net/http are written per libraryLogPeriod. They have no level by which
-	// they could be cut, and bad clients by the thousand would flood the log.
+	// libraryLogBurst is the maximum number of log lines of net/http per libraryLogPeriod. These lines have
+	// no level to filter by, and thousands of faulty clients would flood the log.
 	libraryLogBurst  = 20
 	libraryLogPeriod = time.Second
 )
 
-// readyPath is where load balancers ask whether clients may come.
+// readyPath is the readiness path for load balancers.
 const readyPath = "/-/ready"
 
-// ServeFunc serves one request. It returns the one final response, or nil if the client has left.
+// ServeFunc serves one request. It returns the final response, or nil if the client has disconnected.
 type ServeFunc func(ctx context.Context, request *protocol.Request) *protocol.Response
 
-// Server is the HTTP server that clients reach.
+// Server is the HTTP server for clients.
 type Server struct {
 	budget   *ConnectionBudget
 	names    *protocol.Names
@@ -51,16 +51,16 @@
 	http     *http.Server
 	listener net.Listener
 
-	closeAfterResponse atomic.Bool // each response ends its connection
+	closeAfterResponse atomic.Bool // close each connection after its next response
 
 	mu         sync.Mutex
 	phase      serverPhase
-	unready    bool        // clients are told not to come
-	sweepTimer *time.Timer // while draining
+	unready    bool        // readiness is denied since a drain
+	sweepTimer *time.Timer // for sweepSilent, while draining
 }
 
-// NewServer returns a server that passes requests to serve. Its connections take their places from the budget. It
-// is ready for clients when it listens, does not drain, and ready reports true.
+// NewServer returns a server that passes requests to serve. Its connections use permits of the budget. It is
+// ready for clients while it listens, is not draining, and ready returns true.
 func NewServer(
 	budget *ConnectionBudget,
 	names *protocol.Names,
@@ -89,20 +89,20 @@
 	return s
 }
 
-// libraryLogger returns the logger of net/http.
+// libraryLogger returns the rate-limited logger for net/http.
 func libraryLogger(logger zerolog.Logger) *log.Logger {
 	sampler := &zerolog.BurstSampler{Burst: libraryLogBurst, Period: libraryLogPeriod}
 	return log.New(logger.With().Str("part", "net/http").Logger().Sample(sampler), "", 0)
 }
 
-// connContextKey is the key of a request's connection in its context.
+// connContextKey is the context key of a request's connection.
 type connContextKey struct{}
 
 func contextWithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// connStateChanged is called by http.Server.
+// connStateChanged is the ConnState hook of http.Server.
 func (s *Server) connStateChanged(c net.Conn, state http.ConnState) {
 	if state == http.StateIdle {
 		conn := c.(*clientConn)
@@ -110,7 +110,8 @@
 	}
 }
 
-// Start starts to serve. An error that ends this before Stop is sent on the channel.
+// Start starts to serve in the background. The returned channel receives the error with which serving ends.
+// Before Stop, that error is a failure.
 func (s *Server) Start(l net.Listener) <-chan error {
 	s.mu.Lock()
 	s.phase = phaseServing
@@ -139,8 +140,8 @@
 	s.serveRequest(w, r, conn, request)
 }
 
-// serveReady answers whether clients may come. The connection ends, since whoever asks would else keep a client's
-// place.
+// serveReady responds to a readiness check and closes the connection. An open connection would use a permit
+// that a client needs.
 func (s *Server) serveReady(w http.ResponseWriter) {
 	closeConnectionAfter(w)
 	if s.Ready() {
@@ -150,11 +151,11 @@
 	}
 }
 
-// serveRequest serves a request and counts how it ends. One that is neither answered nor left by its client has failed.
+// serveRequest serves a request and counts how it ends. A request without a response counts as failed.
 //
-// Where there is no response it panics with http.ErrAbortHandler, which closes the connection. A handler that
-// returns without a response would have sent status 200, as a result that no server made, to a client that has
-// closed no more than its sending side.
+// If there is no response, it panics with http.ErrAbortHandler, which closes the connection. If a handler
+// returns without a response, http.Server sends status 200. A client that has closed only its sending
+// direction would receive that as a result that no server produced.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, conn *clientConn, request *protocol.Request) {
 	status := 0
 	recordEnd := s.counters.RequestStarted(request.Class)
@@ -172,7 +173,7 @@
 		closeConnectionAfter(w)
 	}
 	conn.head.reset(r.ContentLength)
-	// The deadline can't be set on a closed connection alone, and the write reports that.
+	// Setting the deadline fails only on a closed connection, and the write reports that.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	if !response.ClientClosed {
 		status = response.Status
@@ -180,7 +181,7 @@
 	writeResponse(w, response)
 }
 
-// respond returns the response to a request, nil where there is none.
+// respond returns the response to a request, or nil if there is none.
 func (s *Server) respond(ctx context.Context, conn *clientConn, request *protocol.Request) *protocol.Response {
 	if conn.rejectOnly {
 		s.log.Warn().Msg("connection limit reached; rejecting the client")
@@ -191,13 +192,13 @@
 
 // endsConnection reports whether the connection is closed after the response.
 func (s *Server) endsConnection(r *http.Request, conn *clientConn, response *protocol.Response) bool {
-	chunked := r.TransferEncoding != nil // where the next request begins is not known
+	chunked := r.TransferEncoding != nil // the start of the next request is unknown
 	return conn.rejectOnly || chunked || s.closeAfterResponse.Load() ||
 		response.ClientClosed || response.Status == http.StatusConflict
 }
 
-// closeConnectionAfter has the connection closed after the response.
+// closeConnectionAfter makes http.Server close the connection after the response.
 func closeConnectionAfter(w http.ResponseWriter) { w.Header().Set("Connection", "close") }
 
-// writeResponse writes a response. An error means that the client has gone, and nothing is left to do.
+// writeResponse writes a response. An error means that the client has disconnected and needs no handling.
 func writeResponse(w http.ResponseWriter, response *protocol.Response) { _ = response.Write(w) }
--- a/internal/transport/server_client.go
+++ b/internal/transport/server_client.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	// responseTailTimeout is how long the end of a response is waited for once its last line is in, so that the
-	// connection can be used again.
+	// responseTailTimeout is how long to wait for the end of a response after its final line, so that the
+	// connection can be reused.
 	responseTailTimeout = time.Second
-	// responseTailLimit is how many bytes are read meanwhile; more than that is not worth a connection.
+	// responseTailLimit is the maximum number of bytes read in that time. Reading more costs more than a new
+	// connection.
 	responseTailLimit = 4096
 	// maxResponseHeaderBytes limits the head of a response.
 	maxResponseHeaderBytes = 16 << 10
-	// serverWriteBuffer is the size in bytes that most requests fit into, so that they go out in one write.
+	// serverWriteBuffer is large enough, in bytes, that most requests are sent in one write.
 	serverWriteBuffer = 8 << 10
-	serverReadBuffer  = 4 << 10
-	// unlimitedIdleConns leaves the limit to the connection budget.
+	serverReadBuffer  = 4 << 10 // bytes
+	// unlimitedIdleConns disables the limit of http.Transport; the connection budget sets the limit.
 	unlimitedIdleConns = 1 << 20
 )
 
-// errUnexpectedResponse says that a response was there before its request.
-var errUnexpectedResponse = errors.New("a response to an earlier request")
+// errUnexpectedResponse is returned if a response arrived before its request was sent.
+var errUnexpectedResponse = errors.New("response received before its request was sent")
 
-// ServerClient forwards attempts and probes to the servers of the pool, on connections that it keeps open.
+// ServerClient sends attempts and probes to the servers of the pool and reuses its connections.
 type ServerClient struct {
 	transport      *http.Transport
 	dialer         *serverDialer
@@ -42,9 +43,10 @@
 	requestWritten func()
 }
 
-// NewServerClient returns a client whose connections take their places from a budget. dialTimeout is how long a
-// connection may take to come up, idleTimeout how long servers keep an unused one, reportKeys the names of the
-// values in their load reports. requestWritten is called for each attempt when its last byte was written.
+// NewServerClient returns a client whose connections use permits of a budget. dialTimeout limits how long a
+// connection may take to be established. idleTimeout is how long servers keep an unused connection open.
+// reportKeys are the names of the values in their load reports. requestWritten is called for each attempt
+// after its last byte was written.
 func NewServerClient(
 	budget *ConnectionBudget,
 	dialTimeout, idleTimeout time.Duration,
@@ -69,7 +71,8 @@
 func newServerTransport(dialer *serverDialer, idleTimeout time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext: dialer.dial,
-		// A request that is written to a connection as the server closes it may have run. So this side closes first.
+		// A request that is written while the server closes the connection may have run. So this side closes
+		// first.
 		IdleConnTimeout:        max(idleTimeout-idleTimeout/5, time.Millisecond),
 		MaxIdleConnsPerHost:    unlimitedIdleConns,
 		DisableCompression:     true,
@@ -79,18 +82,18 @@
 	}
 }
 
-// SetSchedulingDelay sets how the process's own delay is known, in nanoseconds. It must be called before the node
-// serves.
+// SetSchedulingDelay sets a function that returns the scheduling delay of this process in nanoseconds. It
+// must be called before the node serves requests.
 func (c *ServerClient) SetSchedulingDelay(delay func() int64) {
 	c.dialer.schedulingDelay = func() time.Duration { return time.Duration(delay()) }
 }
 
-// SetDialGate sets a function that is asked before each new connection to a server, at the moment at which it would be
-// opened. It must be called before the node serves.
+// SetDialGate sets a function that is called immediately before each dial to a server and reports whether it
+// may be made. It must be called before the node serves requests.
 func (c *ServerClient) SetDialGate(mayDial func(address string) bool) { c.dialer.mayDial = mayDial }
 
-// Forward carries one attempt to its end. It reports starts and progress by onUpdate, and the end by onEnd, once,
-// before it reads the rest of the response.
+// Forward sends one attempt and reads its response. It calls onUpdate for each start or progress update, and
+// onEnd exactly once with the result, before it reads the rest of the response.
 func (c *ServerClient) Forward(
 	ctx context.Context,
 	attempt *protocol.Attempt,
@@ -136,7 +139,8 @@
 	return response, nil
 }
 
-// statusResult returns the result that a response's status alone gives; ended is false where the body tells it.
+// statusResult returns the result of a response if its status alone determines it. Otherwise ended is false,
+// and the body determines the result.
 func statusResult(response *http.Response) (result protocol.AttemptResult, ended bool) {
 	switch {
 	case protocol.IsRejection(response):
@@ -148,7 +152,7 @@
 	}
 }
 
-// readUpdates reads the lines of a response up to the final one and returns what that says.
+// readUpdates reads the lines of a response up to the final one and returns the result that it reports.
 func (c *ServerClient) readUpdates(
 	ctx context.Context,
 	e *exchange,
@@ -168,11 +172,11 @@
 	}
 }
 
-// abort closes the connection and returns the result of an attempt whose response ended early. The request may
-// be sent again as soon as the result is known, and must not be out twice. http.Transport would close the
-// connection a little later.
+// abort closes the connection and returns the result of an attempt whose response ended early. The request
+// may be sent again as soon as the result is reported, and must not be in flight twice. http.Transport would
+// close the connection slightly too late.
 func (e *exchange) abort(ctx context.Context, cause error) protocol.AttemptResult {
-	_ = e.conn.Close() // the connection is given up whatever this reports
+	_ = e.conn.Close() // the connection is not used again even if the close fails
 	outcome, ended := contextOutcome(ctx)
 	if !ended {
 		outcome = dispatch.ConnectionLost
@@ -180,7 +184,7 @@
 	return protocol.AttemptResult{Outcome: outcome, Cause: cause}
 }
 
-// finalResult returns the result that the final line of a response gives.
+// finalResult returns the result that the final line of a response reports.
 func finalResult(update protocol.JobUpdate) protocol.AttemptResult {
 	switch update.State {
 	case protocol.Done:
@@ -198,14 +202,15 @@
 	}
 }
 
-// drainBody reads a response to its end, which gives its connection back for the next request.
+// drainBody reads a response to its end, so that its connection can be reused for the next request.
 func drainBody(body io.Reader, cancel context.CancelFunc) {
 	stop := time.AfterFunc(responseTailTimeout, cancel)
 	defer stop.Stop()
-	_, _ = io.CopyN(io.Discard, body, responseTailLimit) // without the end the connection is closed, which is no fault
+	// If the end is not reached, the connection is closed, which is no error.
+	_, _ = io.CopyN(io.Discard, body, responseTailLimit)
 }
 
-// Probe asks a server for its load.
+// Probe requests the load report of a server.
 func (c *ServerClient) Probe(ctx context.Context, address string) (protocol.LoadReport, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -222,7 +227,7 @@
 	}
 	defer response.Body.Close()
 	if e.unexpectedResponse {
-		_ = e.conn.Close() // what else is on it belongs to other requests
+		_ = e.conn.Close() // further data on it belongs to other requests
 		return protocol.LoadReport{}, errUnexpectedResponse
 	}
 	return c.readReport(response)
@@ -235,7 +240,7 @@
 		return protocol.LoadReport{}, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return protocol.LoadReport{}, fmt.Errorf("response to a probe: %s", response.Status)
+		return protocol.LoadReport{}, fmt.Errorf("probe response has status %s", response.Status)
 	}
 	return protocol.DecodeLoadReport(text, c.reportKeys)
 }
--- a/internal/transport/server_conn.go
+++ b/internal/transport/server_conn.go
@@ -10,28 +10,29 @@
 	"fernrail/internal/protocol"
 )
 
-// The states of an exchange on a connection to a server. What is read before the last of these belongs to an earlier
-// exchange.
+// The states of an exchange on a connection to a server. Data read before exchangeRequestStarted belongs to
+// an earlier exchange.
 const (
-	exchangeAssigned        int32 = iota // the connection was given to a request
+	exchangeAssigned        int32 = iota // the connection was assigned to a request
 	exchangeRequestStarted               // the request's first byte is being written
-	exchangeResponseStarted              // something has been read since
+	exchangeResponseStarted              // data has been read since
 )
 
-// serverConn is a connection to a server of the pool. It keeps what proves that a request was never sent whole.
+// serverConn is a connection to a server of the pool. It records the evidence that a request was not sent
+// completely.
 type serverConn struct {
 	net.Conn
 	trackedConn
 	exchangeState atomic.Int32
 
-	writeMu        sync.Mutex        // also held during a write
-	writeStarted   bool              // a write since the connection was given to the request
-	writeTruncated bool              // a write did not take all its bytes
-	writeDenied    bool              // a write was not made, as the gate did not allow it
-	sendGate       protocol.SendGate // asked before the first write; nil: none
+	writeMu        sync.Mutex        // also locked during a write
+	writeStarted   bool              // a write was made since the connection was assigned to the request
+	writeTruncated bool              // a write wrote fewer bytes than requested
+	writeDenied    bool              // the gate denied the request's first write
+	sendGate       protocol.SendGate // checked before the first write; may be nil
 }
 
-// newServerConn returns a connection that is not in use and not idle yet.
+// newServerConn wraps a connection to a server. It is neither in use nor idle yet.
 func newServerConn(conn net.Conn, budget *ConnectionBudget, address string) *serverConn {
 	return &serverConn{
 		Conn:        conn,
@@ -39,7 +40,7 @@
 	}
 }
 
-// Read notes the first bytes that come after a request was started.
+// Read records that the response has started when it reads the first bytes after the start of a request.
 func (c *serverConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -48,9 +49,9 @@
 	return n, err
 }
 
-// Write asks the send gate before a request's first byte: a process that was stopped since it decided to send could
-// otherwise use quota whose lease has run out. Requests are written in order, so one that was cut short was not written
-// to its end.
+// Write checks the send gate before a request's first byte: a process that was suspended after it decided to
+// send could otherwise use quota whose lease has expired. Bytes are written in order, so after a truncated
+// write the request was not written completely.
 func (c *serverConn) Write(b []byte) (int, error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -68,7 +69,7 @@
 	return n, err
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection and releases its permit.
 func (c *serverConn) Close() error { return c.closeAndRelease() }
 
 // beginExchange prepares the connection for a new request.
@@ -82,22 +83,23 @@
 	c.exchangeState.Store(exchangeAssigned)
 }
 
-// wasDenied reports whether the request was held back by the send gate.
+// wasDenied reports whether the send gate denied the request.
 func (c *serverConn) wasDenied() bool {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	return c.writeDenied
 }
 
-// closeAndCheckUnsent closes the connection, and reports whether the last byte of the request with this use was never
-// written to it, and whether the connection was closed to make room.
+// closeAndCheckUnsent closes the connection. unsent reports whether it is proved that the last byte of the
+// request with this use number was never written. reclaimed reports whether the connection was closed to make
+// room.
 //
-// That a write has not been seen yet proves nothing, since http.Transport may write while this looks. So the
-// connection is closed first, which lets nothing more through, and a write under way is waited for. http.Transport
-// also gives a connection back before it hands a response on, so that a later use may have it by now; then nothing
-// is proved.
+// The absence of a write proves nothing while http.Transport may still write. So the connection is closed
+// first, which prevents further writes, and a write in progress is waited for. http.Transport also returns a
+// connection to its pool before it returns the response, so a later use may have the connection by now; then
+// nothing is proved.
 func (c *serverConn) closeAndCheckUnsent(use int) (unsent, reclaimed bool) {
-	_ = c.Close() // nothing is written after it, whatever it reports
+	_ = c.Close() // no write succeeds after it, even if it returns an error
 	c.writeMu.Lock()
 	unsent = !c.writeStarted || c.writeTruncated
 	c.writeMu.Unlock()
--- a/internal/transport/server_dialer.go
+++ b/internal/transport/server_dialer.go
@@ -11,20 +11,23 @@
 	"time"
 )
 
-// Reasons for which a connection was not tried, or tells nothing about its server.
+// Errors of dials that were not attempted, or whose failure is no evidence against the server.
 var (
-	errLocalResources = errors.New("no file descriptor left")
-	errSendDenied     = errors.New("no quota left for this server")
-	errDialDelayed    = errors.New("no connection in time, while this process was late itself")
+	errLocalResources = errors.New("local connection resources exhausted")
+	errSendDenied     = errors.New("no quota available for this server")
+	errDialDelayed    = errors.New("dial timed out while this process was delayed")
 )
 
-// isLocalFailure reports whether an error has its cause on this node, so that the server is not to blame.
+// isLocalFailure reports whether an error is caused by this node and must not count against the server.
 func isLocalFailure(err error) bool {
-	return errors.Is(err, errLocalResources) || errors.Is(err, errSendDenied) || errors.Is(err, errDialDelayed)
+	return errors.Is(err, errLocalResources) ||
+		errors.Is(err, errSendDenied) ||
+		errors.Is(err, errDialDelayed)
 }
 
-// localResourceErrors are what the operating system reports where this machine is short of something. They must not
-// count against a server: for a moment without ports or descriptors all servers would lose their reliability.
+// localResourceErrors are the errors that the operating system returns if this machine is out of a resource.
+// They must not count against a server: a moment without ports or descriptors would lower the reliability of
+// all servers.
 var localResourceErrors = []error{
 	syscall.EMFILE,
 	syscall.ENFILE,
@@ -36,13 +39,14 @@
 // serverDialer opens connections to servers within the budget.
 type serverDialer struct {
 	budget          *ConnectionBudget
-	timeout         time.Duration // for a connection to come up
+	timeout         time.Duration // limit for establishing a connection
 	mayDial         func(address string) bool
-	schedulingDelay func() time.Duration // how long work of this process waits until it runs
+	schedulingDelay func() time.Duration // how long a ready goroutine of this process waits until it runs
 	dialContext     func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// dial opens a connection and marks it as idle, as the request that it is for may have found another meanwhile.
+// dial opens a connection and marks it as idle, because its request may have been assigned another connection
+// in the meantime.
 func (d *serverDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if !d.budget.acquire(serverSide) {
 		return nil, errLocalResources
@@ -57,8 +61,8 @@
 	return c, nil
 }
 
-// dialAllowed opens a connection if the gate allows it, which limits how many connections all nodes together open to a
-// server that has just come back.
+// dialAllowed opens a connection if the dial gate allows it. The gate limits how many connections all nodes
+// together open to a server that has just become available again.
 func (d *serverDialer) dialAllowed(ctx context.Context, network, address string) (net.Conn, error) {
 	if !d.mayDial(address) {
 		return nil, errSendDenied
@@ -66,8 +70,9 @@
 	return d.dialServer(ctx, network, address)
 }
 
-// dialServer opens a connection. A process that is behind sees it later than it came up, and would blame the
-// server. So it waits longer by its own delay, but no more than twice the timeout.
+// dialServer opens a connection. A delayed process detects an established connection late, and would count
+// the delay against the server. So the time-out is extended by the scheduling delay, up to twice the
+// time-out.
 func (d *serverDialer) dialServer(ctx context.Context, network, address string) (net.Conn, error) {
 	allowance := min(d.schedulingDelay(), d.timeout)
 	ctx, cancel := context.WithTimeout(ctx, d.timeout+allowance)
@@ -82,7 +87,7 @@
 	return conn, err
 }
 
-// isLocalResourceError reports whether a connection failed for want of something that this machine is short of.
+// isLocalResourceError reports whether a dial failed because this machine is out of a resource.
 func isLocalResourceError(err error) bool {
 	for _, local := range localResourceErrors {
 		if errors.Is(err, local) {
@@ -92,7 +97,7 @@
 	return false
 }
 
-// isTimeout reports whether a connection did not come up in time.
+// isTimeout reports whether a dial timed out.
 func isTimeout(err error) bool {
 	var netError net.Error
 	return errors.As(err, &netError) && netError.Timeout()
--- a/internal/transport/server_dialer_test.go
+++ b/internal/transport/server_dialer_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestLateDialIsNotTheServersFault: a connection that is not there in time is its server's fault, but at a process that
-// is behind, which may have examined too late. Otherwise all servers would lose their reliability while a node is
+// is behind, which may have looked too late. Otherwise all servers would lose their reliability while a node is
 // short of processor time.
 func TestLateDialIsNotTheServersFault(t *testing.T) {
 	for lag, want := range map[time.Duration]dispatch.Outcome{
--- a/internal/transport/server_phase.go
+++ b/internal/transport/server_phase.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// minAcceptAfterStop is how long new connections are accepted after the order to stop, at the least.
+	// minAcceptAfterStop is the minimum time during which new connections are accepted after Stop is called.
 	minAcceptAfterStop = 500 * time.Millisecond
-	// stopAcceptFraction is the part of the time to stop in which requests are still accepted; the rest is for their
-	// responses.
+	// stopAcceptFraction is the fraction of the stop time-out during which requests are still accepted. The
+	// rest is for their responses.
 	stopAcceptFraction = 0.9
-	// handoverIdleFraction is the part of the time to stop in which idle connections are kept where another process has
-	// taken over. A client that has not used its connection by then can open one there; a request that came later would
-	// have little time left.
+	// handoverIdleFraction is the fraction of the stop time-out during which idle connections stay open after
+	// another process has taken over. A client that has not used its connection by then can connect to that
+	// process. A later request would have little time left here.
 	handoverIdleFraction = 0.75
-	// silentConnTimeout is how long a connection may go without its first byte during a drain. New ones still come for
-	// about 200 ms, and the requests that they were opened for come with them.
+	// silentConnTimeout is how long a connection may stay without its first byte during a drain. New
+	// connections still arrive for about 200 ms, and the requests for which they were opened arrive with
+	// them.
 	silentConnTimeout = 700 * time.Millisecond
-	// silentSweepInterval is the time between two looks at such connections.
+	// silentSweepInterval is the time between two checks for such connections.
 	silentSweepInterval = 100 * time.Millisecond
 )
 
-// serverPhase is what a server does with clients.
+// serverPhase is the phase of a server's life cycle.
 type serverPhase int
 
 const (
 	phaseNotListening serverPhase = iota
 	phaseServing
-	phaseDraining // may be told to serve again
+	phaseDraining // Activate returns to phaseServing
 	phaseStopping
 )
 
 var (
-	errNotListening = errors.New("this process takes no clients yet")
+	errNotListening = errors.New("this process does not accept clients yet")
 	errStopping     = errors.New("this process is stopping")
 )
 
-// Ready reports whether clients may come.
+// Ready reports whether the server is ready for clients.
 func (s *Server) Ready() bool { return s.acceptsClients() && s.ready() }
 
 func (s *Server) acceptsClients() bool {
@@ -49,8 +50,9 @@
 	return s.phase != phaseNotListening && !s.unready
 }
 
-// Drain sends clients away: the server is not ready, every response ends its connection, and idle connections are
-// closed. Requests that come all the same are served. It fails where the server does not listen yet or is stopping.
+// Drain makes clients move to other nodes: the server reports that it is not ready, closes each connection
+// after its response and closes idle connections. Requests that still arrive are served. Drain fails if the
+// server does not listen yet or is stopping.
 func (s *Server) Drain() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,14 +70,14 @@
 	return nil
 }
 
-// closeIdleConnections closes connections between requests, now and from now on.
+// closeIdleConnections closes idle client connections, and from now on each connection after its response.
 func (s *Server) closeIdleConnections() {
 	s.closeAfterResponse.Store(true)
 	s.budget.disableIdle()
 }
 
-// sweepSilent closes connections that were opened and send nothing. A client that takes this node for one without
-// requests may send its first one just then, so they are given silentConnTimeout.
+// sweepSilent reclaims connections without a first byte. A client that regards this node as unloaded may be
+// about to send its first request, so each connection has silentConnTimeout for its first byte.
 func (s *Server) sweepSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +87,7 @@
 	}
 }
 
-// Activate ends a drain. It fails where the server does not listen yet or is stopping.
+// Activate ends a drain. It fails if the server does not listen yet or is stopping.
 func (s *Server) Activate() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,13 +106,13 @@
 	return nil
 }
 
-// Stop ends the server within a time. Requests that were accepted are answered first, and connections close between
-// requests; it returns an error where requests are left unanswered. http.Server.Shutdown would close connections whose
-// next request is just being read.
+// Stop stops the server within a time-out. Accepted requests are answered first, and connections are closed
+// between requests. It returns an error if requests remain unanswered. http.Server.Shutdown is not used
+// because it would close connections whose next request is being read.
 //
-// takenOver says that another process of this node accepts clients on the same socket. Then this one stops accepting at
-// once. Otherwise it accepts for most of the time, since clients would have nowhere to go while other nodes are down or
-// restart as well.
+// takenOver means that another process of this node accepts clients on the same socket. Then this process
+// stops accepting immediately. Otherwise it accepts for most of the time-out, since clients would have no
+// node to connect to while other nodes are down or restart as well.
 func (s *Server) Stop(timeout time.Duration, takenOver bool) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -132,13 +134,14 @@
 	s.phase = phaseStopping
 }
 
-// acceptTimeAfterStop returns how long requests are accepted after the order to stop within a time.
+// acceptTimeAfterStop returns how long requests are accepted after a call of Stop with the given time-out.
 func acceptTimeAfterStop(timeout time.Duration) time.Duration {
 	accept := time.Duration(stopAcceptFraction * float64(timeout))
 	return max(accept, min(minAcceptAfterStop, timeout))
 }
 
-// handOver stops accepting, and keeps idle connections for a while: each response ends its own.
+// handOver stops accepting and closes each connection after its next response. Idle connections stay open
+// until handoverIdleFraction of the time-out has passed.
 func (s *Server) handOver(ctx context.Context, timeout time.Duration) {
 	s.closeAfterResponse.Store(true)
 	s.listener.Close()
--- a/internal/transport/tracked_conn.go
+++ b/internal/transport/tracked_conn.go
@@ -9,26 +9,26 @@
 	"syscall"
 )
 
-// trackedConn is the place that a connection holds in the budget. It is the common part of clientConn and serverConn.
+// trackedConn is the state of a connection in the budget. It is embedded in clientConn and serverConn.
 type trackedConn struct {
 	socket  net.Conn
 	budget  *ConnectionBudget
 	side    connectionSide
 	address string // of the server; empty for a client
 
-	// All below are guarded by budget.mu.
-	list    *list.List    // of the budget, that this connection is on; nil: none
+	// The fields below are guarded by budget.mu.
+	list    *list.List    // list of the budget that contains this connection; nil if none
 	element *list.Element // of list
-	active  bool          // a client's request is on it
-	uses    int           // how often it has been used
-	closed  bool          // its place was given back
-	// reclaimed says that the budget wants the place back: a client connection was told to close, a connection to a
-	// server was closed, when it may just have been taken for a request.
+	active  bool          // a client request is in progress
+	uses    int           // number of requests that have used the connection
+	closed  bool          // closed or being closed; its permit is released once
+	// reclaimed means that the budget needs the permit back. The read of a client connection was ended so
+	// that it closes. A server connection was closed, possibly just after it was assigned to a request.
 	reclaimed bool
 }
 
-// moveTo puts the connection at the end of a list of the budget. value is the connection as that list holds it. The
-// caller holds budget.mu.
+// moveTo moves the connection to the end of a list of the budget. value is the connection with the element
+// type of that list. The caller holds budget.mu.
 func (c *trackedConn) moveTo(target *list.List, value any) {
 	c.removeFromList()
 	c.list = target
@@ -38,7 +38,7 @@
 	}
 }
 
-// removeFromList takes the connection off the list that it is on. The caller holds budget.mu.
+// removeFromList removes the connection from the list that contains it, if any. The caller holds budget.mu.
 func (c *trackedConn) removeFromList() {
 	if c.list == nil {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// decrementIdle counts one idle connection to a server less. The caller holds mu.
+// decrementIdle decrements the number of idle connections to a server. The caller holds mu.
 func (b *ConnectionBudget) decrementIdle(address string) {
 	b.idleByAddress[address]--
 	if b.idleByAddress[address] == 0 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// closeAndRelease closes the connection and then gives its place back. Whoever waits for the last connection must
-// not go on while it is still open.
+// closeAndRelease closes the connection and then releases its permit. The order matters: a waiter for the
+// last connection must not continue while that connection is still open.
 func (c *trackedConn) closeAndRelease() error {
 	first := c.markClosed()
 	err := c.socket.Close()
@@ -73,7 +73,7 @@
 	return err
 }
 
-// markClosed reports whether the connection had not been closed before.
+// markClosed marks the connection as closed and reports whether it was not closed before.
 func (c *trackedConn) markClosed() (first bool) {
 	c.budget.mu.Lock()
 	defer c.budget.mu.Unlock()
@@ -83,17 +83,17 @@
 	return first
 }
 
-// isReclaimed reports whether the budget wants the connection's place back.
+// isReclaimed reports whether the budget has reclaimed the connection.
 func (c *trackedConn) isReclaimed() bool {
 	c.budget.mu.Lock()
 	defer c.budget.mu.Unlock()
 	return c.reclaimed
 }
 
-// errNoSocket says that a connection is not one of the operating system, such as a pipe in a test.
-var errNoSocket = errors.New("the connection has no socket")
+// errNoSocket is returned for a connection without an operating-system socket, such as a pipe in a test.
+var errNoSocket = errors.New("connection has no operating-system socket")
 
-// rawConn returns the socket of a connection.
+// rawConn returns the raw network connection of a socket.
 func rawConn(c net.Conn) (syscall.RawConn, error) {
 	if s, ok := c.(syscall.Conn); ok {
 		return s.SyscallConn()
