--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -90,7 +90,11 @@
 func (d *DiscoveryClient) target() string { return "http://" + d.address + "/api/targets" }
 
 // get sends a poll and decodes its response. It calls onProgress after each read of a part of the body.
-func (d *DiscoveryClient) get(ctx context.Context, target string, onProgress func()) (*protocol.EndpointList, error) {
+func (d *DiscoveryClient) get(
+	ctx context.Context,
+	target string,
+	onProgress func(),
+) (*protocol.EndpointList, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return nil, err
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -156,7 +156,12 @@
 // If there is no response, it panics with http.ErrAbortHandler, which closes the connection. If a handler
 // returns without a response, http.Server sends status 200. A client that has closed only its sending
 // direction would receive that as a result that no server produced.
-func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, conn *clientConn, request *protocol.Request) {
+func (s *Server) serveRequest(
+	w http.ResponseWriter,
+	r *http.Request,
+	conn *clientConn,
+	request *protocol.Request,
+) {
 	status := 0
 	recordEnd := s.counters.RequestStarted(request.Class)
 	defer func() { recordEnd(status) }()
@@ -182,7 +187,11 @@
 }
 
 // respond returns the response to a request, or nil if there is none.
-func (s *Server) respond(ctx context.Context, conn *clientConn, request *protocol.Request) *protocol.Response {
+func (s *Server) respond(
+	ctx context.Context,
+	conn *clientConn,
+	request *protocol.Request,
+) *protocol.Response {
 	if conn.rejectOnly {
 		s.log.Warn().Msg("connection limit reached; rejecting the client")
 		return &protocol.Response{Status: http.StatusServiceUnavailable}
