--- a/internal/metrics/stored_test.go
+++ b/internal/metrics/stored_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestStoredReply: operators' tools read the reply to telemetry. One that an earlier release, be9205f, gave is read
-// with the same figures, and the same figures are written with the same bytes.
+// TestStoredReply checks that the telemetry reply of an earlier release, be9205f, is decoded to the same
+// values, and that these values are encoded to the same bytes. Tools of operators read this reply.
 func TestStoredReply(t *testing.T) {
 	stored, err := os.ReadFile("testdata/telemetry.json")
 	if err != nil {
--- a/internal/transport/attempt_fault_test.go
+++ b/internal/transport/attempt_fault_test.go
@@ -10,31 +10,32 @@
 	"time"
 )
 
-// attemptFault is what becomes of an attempt on its way: it has the server's end of the connection and what came
-// on it so far.
+// attemptFault is a fault of a server or of its connection that one attempt meets.
 type attemptFault struct {
-	dialError     error // no connection
-	neverConnects bool  // a connection that never comes up
-	readBytes     int   // of the request, read before the connection is closed; -1: all
-	// respond writes before the connection is closed; gone waits until the node has closed it.
-	respond          func(c net.Conn, id string, gone func() bool)
-	mayRun           bool // the job may have run by what the protocol says
-	reusedConnection bool // on a connection that served a job before
+	dialError     error // error of the dial
+	neverConnects bool  // the dial does not finish until it times out
+	readBytes     int   // bytes of the request read before the connection is closed; -1: all
+	// respond writes to c before the server closes it. waitForClose returns when the node has closed the
+	// connection, or sent more data, and reports whether it was closed.
+	respond          func(c net.Conn, id string, waitForClose func() bool)
+	mayRun           bool // by the protocol, the job may have run
+	reusedConnection bool // the connection was used for another job before
 }
 
-// respond writes a text with the request's id in place of j. The id has one letter too, since chunks have lengths.
+// respond writes a text with the request's id in place of j. The id must have one letter too, because the
+// chunk lengths are fixed.
 func respond(text string) func(net.Conn, string, func() bool) {
 	return func(c net.Conn, id string, _ func() bool) {
 		io.WriteString(c, strings.ReplaceAll(text, `"j"`, `"`+id+`"`))
 	}
 }
 
-// respondAndStall says something and then nothing until the node gives up.
+// respondAndStall writes a text and then waits until the node closes the connection.
 func respondAndStall(text string) func(net.Conn, string, func() bool) {
-	return func(c net.Conn, id string, gone func() bool) { respond(text)(c, id, nil); gone() }
+	return func(c net.Conn, id string, waitForClose func() bool) { respond(text)(c, id, nil); waitForClose() }
 }
 
-// attemptFaults are the outcomes that transport can tell.
+// attemptFaults are the faults that this package distinguishes.
 var attemptFaults = map[string]attemptFault{
 	"not dialled":            {dialError: errors.New("refused")},
 	"never comes up":         {neverConnects: true},
@@ -160,16 +161,18 @@
 	},
 }
 
-func respondForever(first, again string) func(net.Conn, string, func() bool) {
+// respondForever writes a first text and then repeats another one until the node closes the connection.
+func respondForever(first, repeated string) func(net.Conn, string, func() bool) {
 	return func(c net.Conn, id string, _ func() bool) {
-		text := strings.ReplaceAll(again, `"j"`, `"`+id+`"`)
+		text := strings.ReplaceAll(repeated, `"j"`, `"`+id+`"`)
 		for _, err := io.WriteString(c, first); err == nil; _, err = io.WriteString(c, text) {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// singleByteConn reads no more than it is asked for, where it matters what was read.
+// singleByteConn reads one byte at a time if single is set, so that no bytes beyond the requested ones are
+// read.
 type singleByteConn struct {
 	net.Conn
 	single bool
@@ -182,8 +185,8 @@
 	return b.Conn.Read(p)
 }
 
-// arrival is one request whose last byte has come.
+// arrival is one request that a server has received completely.
 type arrival struct {
-	id  string
-	bad bool // it meets the fault
+	id     string
+	faulty bool // the request meets the fault
 }
--- a/internal/transport/client_close_test.go
+++ b/internal/transport/client_close_test.go
@@ -18,7 +18,7 @@
 	"fernrail/internal/routing"
 )
 
-// listSource gives one list after the other, and then none.
+// listSource is an endpoint source that returns the lists sent on the channel.
 type listSource chan *protocol.EndpointList
 
 func (l listSource) Poll(ctx context.Context, _ int64, _ bool) (*protocol.EndpointList, error) {
@@ -30,29 +30,29 @@
 	}
 }
 
-// closeSignal says whether a request's context ends when its client closes.
+// closeSignal selects whether a request's context ends when its client closes.
 type closeSignal int
 
 const (
 	closeSignaled    closeSignal = iota
-	closeNotSignaled             // as at a node where word of the close waits behind other work
+	closeNotSignaled             // as on a node that is too busy to process the close
 )
 
 // testNode is a node on loopback with its router.
 type testNode struct {
-	address string
-	budget  *ConnectionBudget
-	client  *ServerClient
-	lists   listSource
-	gone    chan struct{} // one entry for each request whose client is known to have closed
+	address      string
+	budget       *ConnectionBudget
+	client       *ServerClient
+	lists        listSource
+	disconnected chan struct{} // one entry for each request whose client was detected as closed
 }
 
-// startNode starts a node to which servers at these addresses are listed.
-func startNode(t *testing.T, hears closeSignal, addresses ...string) testNode {
+// startNode starts a node whose endpoint list has servers at the given addresses.
+func startNode(t *testing.T, signal closeSignal, addresses ...string) testNode {
 	t.Helper()
 	c := loadConfig(t, nodeSettings)
 	budget, client := newTestClient()
-	lists, gone := make(listSource), make(chan struct{}, 99)
+	lists, disconnected := make(listSource), make(chan struct{}, 99)
 	n := routing.New(routing.Config{
 		Settings:         c.Settings,
 		Seed:             1,
@@ -62,22 +62,22 @@
 		EndpointSource:   lists,
 		Log:              zerolog.Nop(),
 	})
-	follow, stop := context.WithCancel(t.Context())
+	watchCtx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
-	go n.WatchEndpoints(follow)
-	s, address := startServer(t, budget, func(ctx context.Context, q *protocol.Request) *protocol.Response {
-		defer context.AfterFunc(ctx, func() { gone <- struct{}{} })() // no answer of the node's own ends it
-		if hears == closeNotSignaled {
+	go n.WatchEndpoints(watchCtx)
+	s, address := startServer(t, budget, func(ctx context.Context, request *protocol.Request) *protocol.Response {
+		defer context.AfterFunc(ctx, func() { disconnected <- struct{}{} })() // not called after a response
+		if signal == closeNotSignaled {
 			ctx = context.WithoutCancel(ctx)
 		}
-		a := n.Serve(ctx, q)
+		a := n.Serve(ctx, request)
 		if a == nil || a.ClientClosed {
-			gone <- struct{}{}
+			disconnected <- struct{}{}
 		}
 		return a
 	})
 	s.names = c.Names
-	return testNode{address: address, budget: budget, client: client, lists: lists, gone: gone}
+	return testNode{address: address, budget: budget, client: client, lists: lists, disconnected: disconnected}
 }
 
 // endpointList lists servers as ready, each with its address as its ID.
@@ -92,17 +92,17 @@
 const jobRequest = "POST /a HTTP/1.1\r\nHost: h\r\n" +
 	"X-Call-Id: j\r\nX-Call-Class: a\r\nX-Budget-Ms: 60000\r\nContent-Length: 1\r\n\r\nb"
 
-// nextJobRequest is one of another client.
+// nextJobRequest is the request k of another client.
 var nextJobRequest = strings.Replace(jobRequest, "Id: j", "Id: k", 1)
 
-// doneResponse is the answer to who comes next, k.
+// doneResponse is the response to nextJobRequest.
 var doneResponse = chunkedHead + strings.Replace(updateLine("done"), `"j"`, `"k"`, 1) + chunkedEnd
 
-// clientCloses are the ways in which a client closes or cancels while its request waits.
+// clientCloses are the ways in which a client can close its connection while its request is in flight.
 var clientCloses = map[string]func(c *net.TCPConn){
 	"closed":                        func(c *net.TCPConn) { c.Close() },
 	"reset":                         func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-	"its sending shut":              func(c *net.TCPConn) { c.CloseWrite() },
+	"half-closed":                   func(c *net.TCPConn) { c.CloseWrite() },
 	"closed behind a stray byte":    func(c *net.TCPConn) { io.WriteString(c, "\n"); c.Close() },
 	"closed behind another request": func(c *net.TCPConn) { io.WriteString(c, jobRequest); c.Close() },
 	"closed behind 20 more requests": func(c *net.TCPConn) {
@@ -116,18 +116,18 @@
 	},
 }
 
-// TestNothingIsSentForAClosedClient: a client closes, in any way, while its request waits for a server, for a
-// connection or between two attempts. Not a byte of it is sent from then on, and its place is free again.
+// TestNoAttemptAfterClientClose checks that nothing of a request is sent to a server after its client has
+// closed, in any way, while the request waits for a server, for a connection or for the end of an attempt.
 //
-// net/http stops looking for the close at the first byte that comes behind a request.
-func TestNothingIsSentForAClosedClient(t *testing.T) {
-	for how, closing := range clientCloses {
+// net/http stops detecting a close at the first byte behind a request.
+func TestNoAttemptAfterClientClose(t *testing.T) {
+	for name, closeClient := range clientCloses {
 		for _, state := range []string{"no server", "a connection comes up", "an attempt is out"} {
-			t.Run(how+", "+state, func(t *testing.T) {
-				arrived, hold := make(chan struct{}, 9), make(chan struct{})
+			t.Run(name+", "+state, func(t *testing.T) {
+				attempted, release := make(chan struct{}, 9), make(chan struct{})
 				first := startFakeServer(t, func(c net.Conn, _ int) bool {
-					arrived <- struct{}{}
-					<-hold // rejected when its client has gone
+					attempted <- struct{}{}
+					<-release // rejects the attempt only after its client has closed
 					io.WriteString(c, rejection)
 					return true
 				})
@@ -137,7 +137,7 @@
 					known = nil
 				}
 				node := startNode(t, closeSignaled, known...)
-				address, budget, client, gone := node.address, node.budget, node.client, node.gone
+				address, budget, client, disconnected := node.address, node.budget, node.client, node.disconnected
 				dialing, dial := make(chan struct{}, 9), make(chan struct{})
 				client.SetDialGate(func(string) bool {
 					if state == "a connection comes up" {
@@ -151,20 +151,20 @@
 				case "a connection comes up":
 					waitFor(t, "a dial", dialing)
 				case "an attempt is out":
-					waitFor(t, "an attempt", arrived)
+					waitFor(t, "an attempt", attempted)
 				default:
 					waitUntil(t, "a request at work", func() bool {
 						return lockedCount(budget, &budget.active) > pendingCount(budget)
 					})
 				}
-				closing(c)
-				waitFor(t, "that the client has gone", gone)
+				closeClient(c)
+				waitFor(t, "that the client has gone", disconnected)
 				close(dial)
-				close(hold)
-				for version := range int64(2) { // the second is asked for when the first has been taken
+				close(release)
+				for version := range int64(2) { // the second is polled for after the first was applied
 					node.lists <- endpointList(2+version, first.Addr().String(), other.Addr().String())
 				}
-				// Who comes next is served, which tells that all before has been decided on.
+				// A response to the next client proves that all earlier requests were decided.
 				next := dialAndWrite(t, address, nextJobRequest)
 				if a := readResponse(t, next); a.StatusCode != http.StatusOK {
 					t.Error(a.Status)
@@ -183,22 +183,24 @@
 	}
 }
 
-// TestClientIsCheckedBeforeTheFirstByte: word of a close is held back for good; the look at the client's socket
-// before an attempt's first byte holds the job back all the same, and ends it.
+// TestClientCloseIsCheckedBeforeFirstByte checks that an attempt is not sent if its client has closed, even
+// if the close never ends the request's context: the node reads the client's socket before the attempt's
+// first byte.
 //
-// Otherwise a busy node, at which that word waits behind other work, would start jobs for clients that left long ago.
-func TestClientIsCheckedBeforeTheFirstByte(t *testing.T) {
-	for how, closing := range clientCloses {
-		t.Run(how, func(t *testing.T) {
+// Otherwise a busy node, which processes closes late, would start jobs for clients that have long
+// disconnected.
+func TestClientCloseIsCheckedBeforeFirstByte(t *testing.T) {
+	for name, closeClient := range clientCloses {
+		t.Run(name, func(t *testing.T) {
 			e := startFakeServer(t, respondWith(doneResponse, true))
 			node := startNode(t, closeNotSignaled, e.Addr().String())
-			address, client, gone := node.address, node.client, node.gone
+			address, client, disconnected := node.address, node.client, node.disconnected
 			dialing, dial := make(chan struct{}, 9), make(chan struct{})
 			client.SetDialGate(func(string) bool { dialing <- struct{}{}; <-dial; return true })
 			c := dialAndWrite(t, address, jobRequest).(*net.TCPConn)
 			waitFor(t, "a dial", dialing)
-			closing(c)
-			waitFor(t, "that the client has gone", gone)
+			closeClient(c)
+			waitFor(t, "that the client has gone", disconnected)
 			close(dial)
 			if a := readResponse(t, dialAndWrite(t, address, nextJobRequest)); a.StatusCode != http.StatusOK {
 				t.Error(a.Status)
@@ -210,11 +212,12 @@
 	}
 }
 
-// TestClosedBeforeItIsRead: a request and its client's close are in the socket before the node reads either.
-func TestClosedBeforeItIsRead(t *testing.T) {
+// TestClientCloseBeforeRequestIsRead checks that the node still serves the next client after it received
+// requests together with the close of their client, before it has read either.
+func TestClientCloseBeforeRequestIsRead(t *testing.T) {
 	e := startFakeServer(t, respondWith(doneResponse, true))
 	node := startNode(t, closeNotSignaled, e.Addr().String())
-	address, gone := node.address, node.gone
+	address, disconnected := node.address, node.disconnected
 	for range 50 {
 		dialAndWrite(t, address, jobRequest).Close()
 	}
@@ -222,24 +225,25 @@
 		t.Error(a.Status)
 	}
 	select {
-	case <-gone:
+	case <-disconnected:
 	default:
 	}
 }
 
-// TestHalfClosedClientGetsNoResult: a client that closes its sending side counts as gone, and no attempt begins
-// for it. It may still read: it gets one final refusal, and then the end.
+// TestHalfClosedClientIsRejected checks that a client that closes its sending direction counts as
+// disconnected: no attempt is sent for it. It may still read, so it receives one final rejection and then the
+// end of the connection.
 //
-// A request that was read and ends without a response is lost, and a handler that returns without one has sent
-// status 200, as a result that no server made.
-func TestHalfClosedClientGetsNoResult(t *testing.T) {
+// Without a response the request would be lost. If the handler returned without one, net/http would send
+// status 200, as a result that no server produced.
+func TestHalfClosedClientIsRejected(t *testing.T) {
 	for state, known := range map[string][]string{"waits": nil, "is read after that": {"127.0.0.1:9"}} {
 		node := startNode(t, closeSignaled, known...)
-		address, gone := node.address, node.gone
+		address, disconnected := node.address, node.disconnected
 		c := dialAndWrite(t, address, "").(*net.TCPConn)
 		io.WriteString(c, jobRequest)
 		c.CloseWrite()
-		waitFor(t, "that the client has gone", gone)
+		waitFor(t, "that the client has gone", disconnected)
 		text, err := io.ReadAll(c)
 		responses := strings.Count(string(text), "HTTP/1.1")
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 503 ") || responses != 1 {
--- a/internal/transport/connection_budget_test.go
+++ b/internal/transport/connection_budget_test.go
@@ -15,13 +15,14 @@
 	"fernrail/internal/protocol"
 )
 
-// TestBudget: the longest idle connection gives way; without one the attempt is never sent.
-func TestBudget(t *testing.T) {
-	hold := make(chan struct{})
-	defer close(hold)
+// TestIdleServerConnectionIsEvictedForAnother checks that an idle connection is closed if another server
+// needs its permit, and that an attempt is not sent if no permit and no idle connection is available.
+func TestIdleServerConnectionIsEvictedForAnother(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
 	slow := startFakeServer(t, func(c net.Conn, _ int) bool {
 		io.WriteString(c, chunkedHead+updateLine("started"))
-		<-hold
+		<-release
 		return false
 	})
 	quick := startFakeServer(t, respondWith(chunkedHead+updateLine("done")+chunkedEnd, true))
@@ -31,9 +32,9 @@
 		t.Fatalf("%+v", got)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	out := make(chan forwardResult)
-	go func() { out <- forward(ctx, client, slow.Addr().String()) }()
-	<-quick.closed // gave way
+	results := make(chan forwardResult)
+	go func() { results <- forward(ctx, client, slow.Addr().String()) }()
+	<-quick.closed // the idle connection was evicted
 	for {
 		if _, requests := slow.counts(); requests == 1 {
 			break
@@ -44,10 +45,11 @@
 		t.Errorf("%+v", got)
 	}
 	cancel()
-	<-out
+	<-results
 }
 
-// TestUnusedConnectionIsEvicted: one whose request found another meanwhile was never used, and must not keep its place.
+// TestUnusedConnectionIsEvicted checks that a dialed connection that no request has used can be evicted. Such
+// a connection results if its request is assigned another one during the dial; its permit must not be lost.
 func TestUnusedConnectionIsEvicted(t *testing.T) {
 	e := startFakeServer(t, respondWith(chunkedHead+updateLine("done")+chunkedEnd, true))
 	budget, client := newTestClient()
@@ -60,29 +62,30 @@
 	}
 }
 
-// TestShortOfDescriptors: a connection beyond the budget is answered at once, not left unread.
-func TestShortOfDescriptors(t *testing.T) {
-	taken, hold := make(chan struct{}), make(chan struct{})
+// TestConnectionAboveLimitIsRejected checks that a request on a client connection above the limit is rejected
+// immediately and not left unread.
+func TestConnectionAboveLimitIsRejected(t *testing.T) {
+	started, release := make(chan struct{}), make(chan struct{})
 	budget := NewConnectionBudget(1024)
 	budget.maxInUse[clientSide], budget.rejectReserve = 2, 1
 	_, address := startServer(t, budget, func(context.Context, *protocol.Request) *protocol.Response {
-		taken <- struct{}{}
-		<-hold
+		started <- struct{}{}
+		<-release
 		return &protocol.Response{Status: 200}
 	})
 	first := dialAndWrite(t, address, requestHead+"b")
-	<-taken
+	<-started
 	second := dialAndWrite(t, address, requestHead+"b")
 	if got := readResponse(t, second); got.StatusCode != 503 || !got.Close {
 		t.Errorf("%+v", got)
 	}
-	close(hold)
+	close(release)
 	if got := readResponse(t, first); got.StatusCode != 200 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// TestIdleClientsAreReclaimed: a connection that rests is closed for a new one, which is served.
+// TestIdleClientsAreReclaimed checks that an idle client connection is closed for a new one, which is served.
 func TestIdleClientsAreReclaimed(t *testing.T) {
 	budget := NewConnectionBudget(1024)
 	budget.maxInUse[clientSide], budget.rejectReserve = 3, 2
@@ -92,35 +95,36 @@
 		if got := readResponse(t, c); got.StatusCode != 200 {
 			t.Fatal(got)
 		}
-		// A connection that was told to close and has not yet holds its place; on a loaded machine the next client
-		// could come before that, and would be rejected.
-		for rests := false; !rests; time.Sleep(time.Millisecond) {
+		// A reclaimed connection uses its permit until it is closed. On a loaded machine the next client
+		// could connect before that and would be rejected.
+		for idle := false; !idle; time.Sleep(time.Millisecond) {
 			budget.mu.Lock()
-			rests = budget.idle[clientSide].Len() > 0 && budget.reclaiming == 0
+			idle = budget.idle[clientSide].Len() > 0 && budget.reclaiming == 0
 			budget.mu.Unlock()
 		}
 	}
 }
 
-// TestResize: what is idle goes when the budget shrinks, and all may come back when it grows.
-func TestResize(t *testing.T) {
+// TestResizeClosesExcessIdleConnections checks that idle client connections above a reduced budget are
+// closed, and that the others are served after the budget has grown again.
+func TestResizeClosesExcessIdleConnections(t *testing.T) {
 	budget := NewConnectionBudget(reservedDescriptors + 100)
 	_, address := startServer(t, budget, succeed)
-	var kept []net.Conn
+	var connections []net.Conn
 	for range 20 {
 		c := dialAndWrite(t, address, requestHead+"b")
 		readResponse(t, c)
-		kept = append(kept, c)
+		connections = append(connections, c)
 	}
 	budget.Resize(reservedDescriptors + 10)
-	for start, held := time.Now(), 20; held > 10 && time.Since(start) < 2*time.Second; time.Sleep(time.Millisecond) {
+	for start, inUse := time.Now(), 20; inUse > 10 && time.Since(start) < 2*time.Second; time.Sleep(time.Millisecond) {
 		budget.mu.Lock()
-		held = budget.inUse[clientSide]
+		inUse = budget.inUse[clientSide]
 		budget.mu.Unlock()
 	}
 	budget.Resize(reservedDescriptors + 100)
 	closed := 0
-	for _, c := range kept {
+	for _, c := range connections {
 		io.WriteString(c, requestHead+"b")
 		if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			closed++
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -13,32 +13,32 @@
 	"fernrail/internal/protocol"
 )
 
-// TestDrain: clients are told not to come, those that come all the same are served, and every connection ends by
-// itself: kept ones at once, busy ones with their answer, and those that never say a word soon. Then all is as
-// before.
-func TestDrain(t *testing.T) {
-	taken, hold := make(chan struct{}), make(chan struct{})
-	d := NewConnectionBudget(1024)
-	s, address := startServer(t, d, func(_ context.Context, q *protocol.Request) *protocol.Response {
-		if string(q.Body) == "l" {
-			taken <- struct{}{}
-			<-hold
+// TestDrainClosesConnectionsAndActivateReverts checks that during a drain the node is not ready, late clients
+// are still served, and every connection closes: idle ones immediately, busy ones with their response, and
+// silent ones after a short time. After Activate the node serves as before.
+func TestDrainClosesConnectionsAndActivateReverts(t *testing.T) {
+	started, release := make(chan struct{}), make(chan struct{})
+	budget := NewConnectionBudget(1024)
+	s, address := startServer(t, budget, func(_ context.Context, request *protocol.Request) *protocol.Response {
+		if string(request.Body) == "l" {
+			started <- struct{}{}
+			<-release
 		}
 		return &protocol.Response{Status: 200, Body: "r"}
 	})
 	for round := range 5 {
-		var kept []net.Conn
+		var idle []net.Conn
 		for range 10 {
 			c := dialAndWrite(t, address, requestHead+"b")
 			if got := readResponse(t, c); got.StatusCode != 200 || got.Close {
 				t.Fatalf("round %d: %+v", round, got)
 			}
-			kept = append(kept, c)
+			idle = append(idle, c)
 		}
 		silent := dialAndWrite(t, address, "")
 		half := dialAndWrite(t, address, requestHead[:30])
 		busy := dialAndWrite(t, address, requestHead+"l")
-		<-taken
+		<-started
 		if !isReady(t, address) {
 			t.Fatal("not ready")
 		}
@@ -54,7 +54,7 @@
 		if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 || !got.Close {
 			t.Errorf("a late client: %+v", got)
 		}
-		for _, c := range kept {
+		for _, c := range idle {
 			expectClose(t, "kept", c, time.Second)
 		}
 		expectClose(t, "silent", silent, 1500*time.Millisecond)
@@ -62,10 +62,10 @@
 		if got := readResponse(t, half); got.StatusCode != 200 || !got.Close {
 			t.Errorf("a slow client: %+v", got)
 		}
-		if took := time.Since(start); took > 2*time.Second {
-			t.Errorf("empty after %s", took)
+		if elapsed := time.Since(start); elapsed > 2*time.Second {
+			t.Errorf("empty after %s", elapsed)
 		}
-		hold <- struct{}{}
+		release <- struct{}{}
 		if got := readResponse(t, busy); got.StatusCode != 200 || !got.Close {
 			t.Errorf("a long job: %+v", got)
 		}
@@ -80,40 +80,41 @@
 	}
 }
 
-// TestNoJobIsLostByADrain: clients that go on sending on their kept connections, while the node drains and serves again
-// and again, get an answer to each request or a close with nothing of it begun, which they send once more.
-func TestNoJobIsLostByADrain(t *testing.T) {
+// TestDrainLosesNoRequest checks that clients that keep sending on their connections while the node
+// repeatedly drains and activates receive a response to each request, or a close without any part of a
+// response. After a close they send the request again on a new connection, where it must succeed.
+func TestDrainLosesNoRequest(t *testing.T) {
 	s, address := startServer(t, NewConnectionBudget(1024), succeed)
 	stop, ended := make(chan struct{}), make(chan int)
 	for client := range uint64(8) {
 		go func() {
-			chance, again, c := rand.New(rand.NewPCG(client, 9)), 0, net.Conn(nil)
-			defer func() { ended <- again }()
+			random, retries, c := rand.New(rand.NewPCG(client, 9)), 0, net.Conn(nil)
+			defer func() { ended <- retries }()
 			for i := 0; ; i++ {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				fresh := c == nil
-				if fresh {
+				isNew := c == nil
+				if isNew {
 					c = dialAndWrite(t, address, "")
 				}
-				writeInPieces(c, requestHead+"b", chance)
+				writeInPieces(c, requestHead+"b", random)
 				text := make([]byte, 1<<10)
 				n, err := c.Read(text)
 				switch {
 				case n > 0 && string(text[9:12]) == "200":
-					if chance.IntN(3) == 0 || string(text[17:24]) == "Connect" { // told to close, or by itself
+					if random.IntN(3) == 0 || string(text[17:24]) == "Connect" { // by choice, or as the response requires
 						c.Close()
 						c = nil
 					}
-				case fresh:
+				case isNew:
 					t.Errorf("a new connection: %q, %v", text[:n], err)
 					return
 				default:
 					c.Close()
-					c, again = nil, again+1
+					c, retries = nil, retries+1
 				}
 			}
 		}()
--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// TestPendingConnectionsAreEvicted: connections that say nothing, or never stop, take each other's places and not
-// those of clients that work; what a connection got an error for is one of them while it lingers.
+// TestPendingConnectionsAreEvicted checks that connections with no request, part of a request or an oversized
+// one evict each other and not connections with complete requests. A connection that lingers after an error
+// response is pending as well.
 func TestPendingConnectionsAreEvicted(t *testing.T) {
-	d := NewConnectionBudget(64)
-	d.evictionGrace = 0
-	_, address := startServer(t, d, succeed)
-	kept := dialAndWrite(t, address, requestHead+"b")
-	if got := readResponse(t, kept); got.StatusCode != 200 {
+	budget := NewConnectionBudget(64)
+	budget.evictionGrace = 0
+	_, address := startServer(t, budget, succeed)
+	established := dialAndWrite(t, address, requestHead+"b")
+	if got := readResponse(t, established); got.StatusCode != 200 {
 		t.Fatal(got)
 	}
 	unfinished := []string{"", requestHead[:40], strings.Replace(requestHead, ": 1", ": 90000000", 1)}
@@ -30,54 +31,54 @@
 	if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 {
 		t.Error(got)
 	}
-	io.WriteString(kept, requestHead+"b")
-	if got := readResponse(t, kept); got.StatusCode != 200 {
+	io.WriteString(established, requestHead+"b")
+	if got := readResponse(t, established); got.StatusCode != 200 {
 		t.Error(got)
 	}
 	start := time.Now()
-	for _, c := range silent[:100-2*d.maxPending] {
+	for _, c := range silent[:100-2*budget.maxPending] {
 		io.Copy(io.Discard, c) // until it is closed
 	}
-	if took := time.Since(start); took > time.Second {
-		t.Errorf("the last was kept for %s", took)
+	if elapsed := time.Since(start); elapsed > time.Second {
+		t.Errorf("the last was kept for %s", elapsed)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.inUse[clientSide] > d.maxPending+3 {
-		t.Errorf("%d places are held", d.inUse[clientSide])
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
+	if budget.inUse[clientSide] > budget.maxPending+3 {
+		t.Errorf("%d places are held", budget.inUse[clientSide])
 	}
 }
 
-// TestUnreadRequestsAreNotEvicted: new connections come to a process that has not read what lies in the sockets of
-// older ones. One that has sent nothing gives way, and none whose request waits there while there are places.
-// At a process that is behind these wait the longest, and would be closed without a response.
+// TestUnreadRequestsAreNotEvicted checks that a new connection evicts one that has sent nothing, and not one
+// with an unread request in its socket, while permits are available. On an overloaded process the connections
+// with unread requests are the oldest, and would be closed without a response.
 func TestUnreadRequestsAreNotEvicted(t *testing.T) {
-	d := NewConnectionBudget(64)
-	d.evictionGrace = 0
+	budget := NewConnectionBudget(64)
+	budget.evictionGrace = 0
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	var all []*clientConn
-	come := func(text string) *clientConn {
+	connect := func(text string) *clientConn {
 		dialAndWrite(t, l.Addr().String(), text)
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		fresh := d.acceptClient(c)
-		t.Cleanup(func() { fresh.Close() })
-		all = append(all, fresh)
-		waitUntil(t, "its bytes", func() bool { return text == "" || fresh.hasUnreadData() })
-		return fresh
+		accepted := budget.acceptClient(c)
+		t.Cleanup(func() { accepted.Close() })
+		all = append(all, accepted)
+		waitUntil(t, "its bytes", func() bool { return text == "" || accepted.hasUnreadData() })
+		return accepted
 	}
-	for range d.maxPending - 1 {
-		come(requestHead + "b")
+	for range budget.maxPending - 1 {
+		connect(requestHead + "b")
 	}
-	silent := come("")
+	silent := connect("")
 	for range 4 {
-		come(requestHead + "b")
+		connect(requestHead + "b")
 	}
 	for i, c := range all {
 		if c.closed != (c == silent) {
@@ -86,13 +87,14 @@
 	}
 }
 
-// TestNewConnectionsAreServed: clients that all come at once are not taken for such as say nothing.
-func TestNewConnectionsAreServed(t *testing.T) {
-	d := NewConnectionBudget(64)
-	d.evictionGrace = time.Minute
-	_, address := startServer(t, d, succeed)
+// TestSimultaneousConnectionsAreServed checks that clients that connect at the same time, and more of them
+// than the pending limit, are not evicted as silent within the eviction grace.
+func TestSimultaneousConnectionsAreServed(t *testing.T) {
+	budget := NewConnectionBudget(64)
+	budget.evictionGrace = time.Minute
+	_, address := startServer(t, budget, succeed)
 	var all []net.Conn
-	for range 2 * d.maxPending {
+	for range 2 * budget.maxPending {
 		all = append(all, dialAndWrite(t, address, requestHead))
 	}
 	for _, c := range all {
@@ -103,10 +105,11 @@
 	}
 }
 
-// TestReclaimSparesARequestBeingRead: a connection told to make room whose next request is being read serves it first.
-func TestReclaimSparesARequestBeingRead(t *testing.T) {
-	d := NewConnectionBudget(1024)
-	_, address := startServer(t, d, succeed)
+// TestReclaimServesRequestBeingRead checks that a connection whose next request is being read while idle
+// connections are reclaimed serves that request.
+func TestReclaimServesRequestBeingRead(t *testing.T) {
+	budget := NewConnectionBudget(1024)
+	_, address := startServer(t, budget, succeed)
 	c := dialAndWrite(t, address, requestHead+"b")
 	if got := readResponse(t, c); got.StatusCode != 200 {
 		t.Fatal(got)
@@ -114,68 +117,70 @@
 	half := len(requestHead) / 2
 	io.WriteString(c, requestHead[:half])
 	for read := 0; read == 0; time.Sleep(time.Millisecond) { // until its first bytes are read
-		d.mu.Lock()
-		read = 1 - d.idle[clientSide].Len()
-		d.mu.Unlock()
+		budget.mu.Lock()
+		read = 1 - budget.idle[clientSide].Len()
+		budget.mu.Unlock()
 	}
-	d.disableIdle()
+	budget.disableIdle()
 	io.WriteString(c, requestHead[half:]+"b")
 	if got := readResponse(t, c); got.StatusCode != 200 {
 		t.Error(got)
 	}
 }
 
-// TestReclaimIsNotUndone: the server sets its limit for idle connections after it has called one idle.
-func TestReclaimIsNotUndone(t *testing.T) {
-	d := NewConnectionBudget(64)
-	near, far := net.Pipe()
-	c := newClientConn(near, d)
-	d.markIdle(&c.trackedConn, d.markActive(&c.trackedConn))
-	d.disableIdle()
+// TestIdleTimeoutDoesNotUndoReclaim checks that a later SetReadDeadline does not overwrite the deadline of a
+// reclaim: http.Server sets its idle time-out only after it has reported a connection as idle.
+func TestIdleTimeoutDoesNotUndoReclaim(t *testing.T) {
+	budget := NewConnectionBudget(64)
+	local, peer := net.Pipe()
+	c := newClientConn(local, budget)
+	budget.markIdle(&c.trackedConn, budget.markActive(&c.trackedConn))
+	budget.disableIdle()
 	start := time.Now()
 	c.SetReadDeadline(start.Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(start) > 2*time.Second {
 		t.Fatal(err, time.Since(start))
 	}
-	d.markActive(&c.trackedConn) // had its request's first byte come before
-	go far.Write([]byte("x"))
-	if _, err := c.Read(make([]byte, 1)); err != nil || d.reclaiming != 0 {
-		t.Error(err, d.reclaiming)
+	budget.markActive(&c.trackedConn) // as if the request's first byte had arrived before the reclaim
+	go peer.Write([]byte("x"))
+	if _, err := c.Read(make([]byte, 1)); err != nil || budget.reclaiming != 0 {
+		t.Error(err, budget.reclaiming)
 	}
 }
 
-// TestReclaimServesARequestThatArrived: a request that is there when its connection is waked to be closed is served.
-func TestReclaimServesARequestThatArrived(t *testing.T) {
-	d := NewConnectionBudget(1024)
+// TestReclaimServesArrivedRequest checks that a request that is in the socket when the read of a reclaimed
+// connection ends is read and served.
+func TestReclaimServesArrivedRequest(t *testing.T) {
+	budget := NewConnectionBudget(1024)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	client := dialAndWrite(t, l.Addr().String(), "")
-	far, err := l.Accept()
+	peer, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := d.acceptClient(far)
-	d.mu.Lock()
-	d.reclaim(&c.trackedConn)
-	d.mu.Unlock()
+	c := budget.acceptClient(peer)
+	budget.mu.Lock()
+	budget.reclaim(&c.trackedConn)
+	budget.mu.Unlock()
 	buffer := make([]byte, 10)
 	if n, err := c.Read(buffer); n != 0 || err == nil {
 		t.Errorf("%d bytes from a silent connection, %v", n, err)
 	}
 	io.WriteString(client, "POST")
 	n, start := 0, time.Now()
-	for n == 0 && time.Since(start) < 2*time.Second { // until the bytes have come
+	for n == 0 && time.Since(start) < 2*time.Second { // until the bytes have arrived
 		n, err = c.Read(buffer)
 	}
 	if string(buffer[:n]) != "POST" || err != nil {
 		t.Errorf("%q, %v", buffer[:n], err)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if c.reclaimed || d.reclaiming != 0 || !c.active {
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
+	if c.reclaimed || budget.reclaiming != 0 || !c.active {
 		t.Error("a connection with a request on it is still to go")
 	}
 }
--- a/internal/transport/fake_agent_poll_test.go
+++ b/internal/transport/fake_agent_poll_test.go
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// poll is one call for the list, or for changes of it.
+// poll is one poll for the full list, or for changes since a version.
 type poll struct {
-	since    int64 // by the agent's own count
-	whole    bool
-	deadline time.Time     // of its wait for changes
-	gone     chan struct{} // closed when the caller has given up
-	next     chan struct{} // closed when the caller has given up, or has its response and polls again
+	since     int64 // version without the agent's baseVersion
+	full      bool
+	deadline  time.Time     // end of its wait for changes
+	abandoned chan struct{} // closed when the caller has closed the connection
+	done      chan struct{} // closed when the caller has closed the connection or sends the next poll
 }
 
 // readPoll reads the next poll on a connection.
-func (a *fakeAgent) readPoll(in *bufio.Reader) (*poll, error) {
-	r, err := http.ReadRequest(in)
+func (a *fakeAgent) readPoll(reader *bufio.Reader) (*poll, error) {
+	r, err := http.ReadRequest(reader)
 	if err != nil {
 		return nil, err
 	}
 	query := r.URL.Query()
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
 	p := &poll{
-		since: since - a.baseVersion,
-		whole: err != nil,
-		gone:  make(chan struct{}),
-		next:  make(chan struct{}),
+		since:     since - a.baseVersion,
+		full:      err != nil,
+		abandoned: make(chan struct{}),
+		done:      make(chan struct{}),
 	}
 	wait := time.Duration(0)
 	if ms, err := strconv.Atoi(query.Get("timeout_ms")); err == nil {
@@ -42,10 +42,10 @@
 	}
 	p.deadline = time.Now().Add(wait)
 	go func() {
-		if _, err := in.Peek(1); err != nil {
-			close(p.gone)
+		if _, err := reader.Peek(1); err != nil {
+			close(p.abandoned)
 		}
-		close(p.next)
+		close(p.done)
 	}()
 	return p, nil
 }
@@ -53,43 +53,43 @@
 // serve answers polls on one connection, one after the other.
 func (a *fakeAgent) serve(c net.Conn) {
 	defer c.Close()
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	for {
-		p, err := a.readPoll(in)
+		p, err := a.readPoll(reader)
 		if err != nil {
 			return
 		}
-		a.world.mu.Lock()
+		a.sim.mu.Lock()
 		a.openPolls[c] = p.deadline
-		a.world.mu.Unlock()
+		a.sim.mu.Unlock()
 		text, fault := a.awaitResponse(c, p)
 		io.WriteString(c, text)
-		if text == "" || fault == "half" {
+		if text == "" || fault == "truncated" {
 			return
 		}
 		select {
-		case <-p.next:
-		case <-p.gone:
+		case <-p.done:
+		case <-p.abandoned:
 		}
 	}
 }
 
-// awaitResponse returns the response to a poll when there is one, and the fault that it has. It returns none when the
-// caller has given up.
+// awaitResponse waits for the response to a poll and returns it with its fault. It returns no text when the
+// caller has closed the connection.
 func (a *fakeAgent) awaitResponse(c net.Conn, p *poll) (text, fault string) {
 	for {
-		a.world.mu.Lock()
-		if _, open := a.openPolls[c]; !open { // never answered
-			a.world.mu.Unlock()
-			<-p.gone
+		a.sim.mu.Lock()
+		if _, open := a.openPolls[c]; !open { // lost: never answered
+			a.sim.mu.Unlock()
+			<-p.abandoned
 			return "", ""
 		}
-		down, changed := a.downUntil, a.changed
-		fresh := p.whole || a.version > p.since
-		if down == nil && (fresh || !time.Now().Before(p.deadline)) {
+		down, changed := a.outageEnded, a.changed
+		hasUpdate := p.full || a.version > p.since
+		if down == nil && (hasUpdate || !time.Now().Before(p.deadline)) {
 			text, fault = a.respond(c, p)
 		}
-		a.world.mu.Unlock()
+		a.sim.mu.Unlock()
 		if text != "" {
 			return text, fault
 		}
@@ -101,34 +101,34 @@
 		case <-changed:
 		case <-down:
 		case <-wait:
-		case <-p.gone:
-			a.world.mu.Lock()
+		case <-p.abandoned:
+			a.sim.mu.Lock()
 			delete(a.openPolls, c)
-			a.world.mu.Unlock()
+			a.sim.mu.Unlock()
 			return "", ""
 		}
 	}
 }
 
-// respond returns the response to a poll, with the next fault, and records what the node is notified of by it.
-// Under mu.
+// respond returns the response to a poll, with the next fault, and records the notifications that it
+// contains. The caller holds world.mu.
 func (a *fakeAgent) respond(c net.Conn, p *poll) (text, fault string) {
-	body := a.list(p.since, p.whole)
+	body := a.list(p.since, p.full)
 	fault = a.takeFault()
 	delete(a.openPolls, c)
-	if fault == "" && a.world.conns[c] {
-		a.recordSent(p.since, p.whole)
+	if fault == "" && a.sim.conns[c] {
+		a.recordSent(p.since, p.full)
 	}
 	sent := body
 	switch fault {
 	case "busy":
 		return busyResponse, fault
-	case "half":
+	case "truncated":
 		sent = body[:len(body)/2]
 	case "garbage":
 		body = "<html>"
 		sent = body
-	case "old": // all as it was at the start
+	case "stale": // a stale list with all servers in their initial state
 		version := strconv.FormatInt(a.baseVersion+a.version, 10)
 		body = strings.NewReplacer("Terminating", "Ready", "Gone", "Ready", version, "1").Replace(body)
 		sent = body
@@ -136,14 +136,15 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), sent), fault
 }
 
-// takeFault returns the fault of the next response. A second refusal in a row is none. Under mu.
+// takeFault returns and clears the fault of the next response. It returns no fault instead of a second
+// consecutive "busy". The caller holds world.mu.
 func (a *fakeAgent) takeFault() string {
 	fault := a.nextFault
 	a.nextFault = ""
-	refused := fault == "busy" && !a.lastWasBusy
-	if fault == "busy" && !refused {
+	busy := fault == "busy" && !a.lastFaultWasBusy
+	if fault == "busy" && !busy {
 		fault = ""
 	}
-	a.lastWasBusy = refused
+	a.lastFaultWasBusy = busy
 	return fault
 }
--- a/internal/transport/fake_agent_test.go
+++ b/internal/transport/fake_agent_test.go
@@ -10,120 +10,124 @@
 	"fernrail/internal/invariants"
 )
 
-// endpointChange is one version of the list.
+// endpointChange is the change of one server's state that makes one version of the list.
 type endpointChange struct {
-	at    time.Time // when the agent had it
+	at    time.Time // when the agent learned of it
 	id    string
 	state string
 }
 
-// newFakeAgent returns an agent that knows of no servers.
-func newFakeAgent(world *simulation) *fakeAgent {
+// newFakeAgent returns an agent with an empty endpoint list.
+func newFakeAgent(sim *simulation) *fakeAgent {
 	return &fakeAgent{
-		world:         world,
+		sim:           sim,
 		changed:       make(chan struct{}),
 		openPolls:     map[net.Conn]time.Time{},
 		assumedEvents: map[int64][]int{},
 	}
 }
 
-// fakeAgent is a discovery agent that nodes poll for the endpoint list. All but its base version is guarded by
-// world.mu.
+// fakeAgent is a discovery agent that nodes poll for the endpoint list. All fields except baseVersion are
+// guarded by sim.mu.
 //
-// A change that the agent has, and that no poll has brought to the node, counts as notified after some time by the
-// rules of the pages. Such events are recorded ahead and retracted where the change is sent before, or cannot be
-// asked for.
+// By the specified rules, the node counts as notified of a change some time after the agent has it, even if
+// no poll has delivered it. Such assumed events are recorded in advance. They are retracted if the change is
+// sent earlier, or if the agent cannot be polled.
 type fakeAgent struct {
-	world         *simulation
-	baseVersion   int64 // what its versions are counted from
+	sim           *simulation
+	baseVersion   int64 // offset of its versions on the wire
 	version       int64
-	changes       []endpointChange // by version, from 1 on
-	sentVersion   int64            // the last version that was written to the present process
-	assumedEvents map[int64][]int  // events that count as notified and were not sent yet, by version
-	downUntil     chan struct{}
-	pollFate      pollFate // while it is down
-	missedChanges []endpointChange
-	assumedAt     time.Time // by then what calls that are never answered miss counts as notified
+	changes       []endpointChange // of versions 1, 2 and so on
+	sentVersion   int64            // last version written to the current process
+	assumedEvents map[int64][]int  // indexes in sim.events of assumed notifications, by version
+	outageEnded   chan struct{}
+	pollFate      pollFate         // of the current outage
+	missedChanges []endpointChange // that were made during the current outage
+	assumedAt     time.Time        // from when changes missed by lost polls count as notified
 	changed       chan struct{}
-	openPolls     map[net.Conn]time.Time // out, by when their wait is over
-	nextFault     string                 // the next answer, in place of one that makes sense
-	// lastWasBusy says that the last response was a refusal; two in a row, after a long wait each, would be an
-	// overloaded discovery.
-	lastWasBusy bool
+	openPolls     map[net.Conn]time.Time // waiting polls, with the end of their wait
+	nextFault     string                 // fault of the next response; empty for none
+	// lastFaultWasBusy is set if the last response had the fault "busy". Two in a row, each after a long
+	// wait, would simulate an overloaded discovery.
+	lastFaultWasBusy bool
 }
 
-// drainStates are the names that the checker has for the states of the list.
+// drainStates maps the states of the endpoint list to the names that the checker uses.
 var drainStates = map[string]string{"Ready": "up", "Terminating": "draining", "Gone": "gone"}
 
-// notified is the event that a node was notified of a server's state.
+// notified returns the event that a node was notified of a server's state.
 func notified(id, state string) invariants.Event {
 	return invariants.Event{Kind: invariants.EndpointNotified, Server: id, Result: drainStates[state]}
 }
 
-// assumeNotified has the node count as notified of one version, no earlier than a moment. Under mu.
-func (a *fakeAgent) assumeNotified(v int64, least time.Time) {
-	if a != a.world.currentAgent {
+// assumeNotified records that the node counts as notified of one version, at the earliest time or later. The
+// caller holds sim.mu.
+func (a *fakeAgent) assumeNotified(v int64, earliest time.Time) {
+	if a != a.sim.currentAgent {
 		return
 	}
 	n := a.changes[v-1]
 	at := n.at
-	for _, bound := range []time.Time{least, a.world.currentSince, a.assumedAt} {
+	for _, bound := range []time.Time{earliest, a.sim.currentSince, a.assumedAt} {
 		if bound.After(at) {
 			at = bound
 		}
 	}
-	a.assumedEvents[v] = append(a.assumedEvents[v], len(a.world.events))
-	a.world.record(at, notified(n.id, n.state))
+	a.assumedEvents[v] = append(a.assumedEvents[v], len(a.sim.events))
+	a.sim.record(at, notified(n.id, n.state))
 }
 
-// assumeAllNotified tells of all that the present process has not heard.
+// assumeAllNotified calls assumeNotified for all versions that were not sent to the current process. The
+// caller holds sim.mu.
 func (a *fakeAgent) assumeAllNotified() {
-	for v := a.sentVersion + 1; v <= a.version && a.downUntil == nil; v++ {
+	for v := a.sentVersion + 1; v <= a.version && a.outageEnded == nil; v++ {
 		if a.assumedEvents[v] == nil {
 			a.assumeNotified(v, time.Now())
 		}
 	}
 }
 
-// retractAssumed takes back what counts as notified and was not sent: the agent can't be asked any more. What it has
-// when it can counts then.
+// retractAssumed retracts the assumed notifications because the agent can no longer be polled. Its changes
+// count as notified after it can be polled again. The caller holds sim.mu.
 func (a *fakeAgent) retractAssumed() {
 	for _, events := range a.assumedEvents {
 		for _, i := range events {
-			a.world.events[i].Kind = ""
+			a.sim.events[i].Kind = ""
 		}
 	}
 	clear(a.assumedEvents)
 }
 
-// recordSent records that the node was sent a response, at this moment.
-func (a *fakeAgent) recordSent(since int64, whole bool) {
+// recordSent records the notifications of a response that is sent to the node now, and retracts the later
+// assumed ones. The caller holds sim.mu.
+func (a *fakeAgent) recordSent(since int64, full bool) {
 	latest := map[string]string{}
 	for v, n := range a.changes {
-		if whole || int64(v) >= since {
+		if full || int64(v) >= since {
 			latest[n.id] = n.state
 		}
 	}
 	now := time.Now()
 	for v, events := range a.assumedEvents {
 		for _, i := range events {
-			if a.world.events[i].At > int64(now.Sub(a.world.started)) {
-				a.world.events[i].Kind = ""
+			if a.sim.events[i].At > int64(now.Sub(a.sim.started)) {
+				a.sim.events[i].Kind = ""
 			}
 		}
 		delete(a.assumedEvents, v)
 	}
 	for _, id := range serverIDs {
-		if state := latest[id]; state != "" && a == a.world.currentAgent {
-			a.world.record(now, notified(id, state))
+		if state := latest[id]; state != "" && a == a.sim.currentAgent {
+			a.sim.record(now, notified(id, state))
 		}
 	}
 	a.sentVersion, a.assumedAt = a.version, time.Time{}
 }
 
-// addChange has an agent know of a change, now or when it is back. Under mu.
+// addChange adds a change to the agent's list, immediately or after the current outage. The caller holds
+// sim.mu.
 func (a *fakeAgent) addChange(id, state string) {
-	if a.downUntil != nil {
+	if a.outageEnded != nil {
 		a.missedChanges = append(a.missedChanges, endpointChange{id: id, state: state})
 		return
 	}
@@ -133,58 +137,58 @@
 	a.wakePolls()
 }
 
-// wakePolls has polls that wait look again. Under mu.
+// wakePolls makes waiting polls check for a response again. The caller holds sim.mu.
 func (a *fakeAgent) wakePolls() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// pollFate is what becomes of polls that wait while an agent is down.
+// pollFate selects what happens to polls that wait while an agent is down.
 type pollFate int
 
 const (
-	pollsAreAnswered pollFate = iota // when it is back
-	pollsAreLost
+	pollsAnsweredLater pollFate = iota // after the outage
+	pollsLost
 )
 
-// goDown has the agent answer nothing until comeBack. Under mu.
-func (a *fakeAgent) goDown(fate pollFate) {
-	if a.downUntil != nil {
+// startOutage makes the agent answer no polls until endOutage. The caller holds sim.mu.
+func (a *fakeAgent) startOutage(fate pollFate) {
+	if a.outageEnded != nil {
 		return
 	}
 	a.retractAssumed()
-	a.downUntil = make(chan struct{})
+	a.outageEnded = make(chan struct{})
 	a.pollFate = fate
-	if fate == pollsAreLost {
+	if fate == pollsLost {
 		a.loseOpenPolls()
 	}
 }
 
-// loseOpenPolls has the calls that are out never answered.
+// loseOpenPolls makes the agent never answer the polls that are waiting now. The caller holds sim.mu.
 func (a *fakeAgent) loseOpenPolls() {
 	for c, over := range a.openPolls {
-		late := time.Now().Add(silentPollGrace)
-		if afterWait := over.Add(pollWaitGrace); afterWait.After(late) {
-			late = afterWait
+		notifiedBy := time.Now().Add(silentPollGrace)
+		if waitEnd := over.Add(pollWaitGrace); waitEnd.After(notifiedBy) {
+			notifiedBy = waitEnd
 		}
-		if late.After(a.assumedAt) {
-			a.assumedAt = late
+		if notifiedBy.After(a.assumedAt) {
+			a.assumedAt = notifiedBy
 		}
 		delete(a.openPolls, c)
 	}
 	a.wakePolls()
 }
 
-// comeBack ends the time in which the agent is down; it knows then of all that changed meanwhile. Under mu.
-func (a *fakeAgent) comeBack() {
-	if a.downUntil == nil {
+// endOutage ends an outage and adds the changes that were made during it. The caller holds sim.mu.
+func (a *fakeAgent) endOutage() {
+	if a.outageEnded == nil {
 		return
 	}
-	if a.pollFate == pollsAreLost {
+	if a.pollFate == pollsLost {
 		a.loseOpenPolls()
 	}
-	close(a.downUntil)
-	a.downUntil = nil
+	close(a.outageEnded)
+	a.outageEnded = nil
 	a.assumeAllNotified()
 	for _, n := range a.missedChanges {
 		a.addChange(n.id, n.state)
@@ -193,30 +197,32 @@
 	a.wakePolls()
 }
 
-// becomeCurrent has the node be at this place from now on; what it has counts from a moment on.
+// becomeCurrent makes this agent the node's current one. Its changes count as notified from the given time
+// on. The caller holds sim.mu.
 func (a *fakeAgent) becomeCurrent(since time.Time) {
-	a.world.currentAgent.retractAssumed()
-	if a != a.world.currentAgent {
+	a.sim.currentAgent.retractAssumed()
+	if a != a.sim.currentAgent {
 		a.sentVersion = 0
 		clear(a.assumedEvents)
 	}
-	a.world.currentAgent, a.world.currentSince = a, since
+	a.sim.currentAgent, a.sim.currentSince = a, since
 	a.assumeAllNotified()
 }
 
-// list is the endpoint list, or what has changed since a version, as discovery sends it. Under mu.
-func (a *fakeAgent) list(since int64, whole bool) string {
+// list returns the full endpoint list, or the changes since a version, as discovery sends it. The caller
+// holds sim.mu.
+func (a *fakeAgent) list(since int64, full bool) string {
 	l := struct {
 		Version int64            `json:"version"`
 		Full    bool             `json:"full"`
 		Servers []map[string]any `json:"servers"`
-	}{a.baseVersion + a.version, whole, []map[string]any{}}
+	}{a.baseVersion + a.version, full, []map[string]any{}}
 	latest := map[string]string{}
 	for _, n := range a.changes[min(max(since, 0), a.version):] {
 		latest[n.id] = n.state
 	}
 	for _, id := range serverIDs {
-		if state, changed := latest[id]; changed && (!whole || state != "Gone") {
+		if state, changed := latest[id]; changed && (!full || state != "Gone") {
 			l.Servers = append(l.Servers, map[string]any{
 				"id": id, "addr": id + ":1", "zone": "home", "kind": "toy", "state": state,
 			})
--- a/internal/transport/fake_server_test.go
+++ b/internal/transport/fake_server_test.go
@@ -17,56 +17,57 @@
 	"fernrail/internal/protocol"
 )
 
-// fakeServer is a server on loopback: it reads each request that comes and lets a script answer it.
+// fakeServer is a server on loopback that reads each request and lets a script respond to it.
 type fakeServer struct {
 	net.Listener
 	mu         sync.Mutex
 	accepted   int
 	requests   int
-	requestIDs []string      // of the requests
+	requestIDs []string      // in the order of arrival
 	closed     chan struct{} // one entry for each connection that the node closed
 }
 
-func (e *fakeServer) counts() (accepted, requests int) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.accepted, e.requests
+func (s *fakeServer) counts() (accepted, requests int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.accepted, s.requests
 }
 
-// startFakeServer starts a server that answers the nth request by a script. One that returns false ends the connection.
+// startFakeServer starts a server that calls a script to respond to the nth request. The server closes the
+// connection if the script returns false.
 func startFakeServer(t *testing.T, script func(c net.Conn, nth int) bool) *fakeServer {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &fakeServer{Listener: l, closed: make(chan struct{}, 100)}
-	t.Cleanup(func() { l.Close() })
+	server := &fakeServer{Listener: listener, closed: make(chan struct{}, 100)}
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			e.mu.Lock()
-			e.accepted++
-			e.mu.Unlock()
+			server.mu.Lock()
+			server.accepted++
+			server.mu.Unlock()
 			go func() {
 				defer c.Close()
-				for in := bufio.NewReader(c); ; {
-					r, err := http.ReadRequest(in)
+				for reader := bufio.NewReader(c); ; {
+					r, err := http.ReadRequest(reader)
 					if err == nil {
 						_, err = io.Copy(io.Discard, r.Body)
 					}
 					if err != nil {
-						e.closed <- struct{}{}
+						server.closed <- struct{}{}
 						return
 					}
-					e.mu.Lock()
-					e.requests++
-					e.requestIDs = append(e.requestIDs, r.Header.Get("X-Call-Id"))
-					n := e.requests
-					e.mu.Unlock()
+					server.mu.Lock()
+					server.requests++
+					server.requestIDs = append(server.requestIDs, r.Header.Get("X-Call-Id"))
+					n := server.requests
+					server.mu.Unlock()
 					if !script(c, n) {
 						return
 					}
@@ -74,39 +75,40 @@
 			}()
 		}
 	}()
-	return e
+	return server
 }
 
 const (
 	chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunkedEnd  = "0\r\n\r\n"
-	// rejection is the response of a server that has no room.
+	// rejection is the response of a server without a free slot.
 	rejection = "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// chunk is one line as a chunk of a body.
+// chunk returns one line as a chunk of a body.
 func chunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
 
-// updateLine is a line of a response that tells of a job in a state.
+// updateLine returns a chunk with a job update in the given state.
 func updateLine(state string) string {
 	return chunk(`{"id":"j","from":"s","state":"` + state + `","share":0.5,"result":"r"}`)
 }
 
-// respondWith answers every request with the same text, and keeps the connection or ends it.
-func respondWith(text string, keep bool) func(net.Conn, int) bool {
-	return func(c net.Conn, _ int) bool { io.WriteString(c, text); return keep }
+// respondWith returns a script that responds to every request with the same text, and then keeps the
+// connection open or closes it.
+func respondWith(text string, keepOpen bool) func(net.Conn, int) bool {
+	return func(c net.Conn, _ int) bool { io.WriteString(c, text); return keepOpen }
 }
 
-// forwardResult is how an attempt ended, and the updates before.
+// forwardResult is the result of an attempt and the states of its updates.
 type forwardResult struct {
 	outcome dispatch.Outcome
 	result  string
 	states  []protocol.JobState
 }
 
-// forward sends one attempt to a server. then is called with its end.
-func forward(ctx context.Context, x *ServerClient, address string, then ...func()) (e forwardResult) {
-	job := &protocol.Attempt{
+// forward sends one attempt to a server. It calls the onEnd functions when the result is reported.
+func forward(ctx context.Context, client *ServerClient, address string, onEnd ...func()) (got forwardResult) {
+	attempt := &protocol.Attempt{
 		Address:  address,
 		Deadline: time.Now().Add(time.Second),
 		Request: &protocol.Request{
@@ -116,22 +118,22 @@
 			Body:   []byte("b"),
 		},
 	}
-	ends := 0
-	x.Forward(ctx, job, func(l protocol.JobUpdate) { e.states = append(e.states, l.State) },
-		func(end protocol.AttemptResult) {
-			e.outcome, e.result, ends = end.Outcome, end.Result, ends+1
-			for _, f := range then {
+	endCount := 0
+	client.Forward(ctx, attempt, func(update protocol.JobUpdate) { got.states = append(got.states, update.State) },
+		func(attemptResult protocol.AttemptResult) {
+			got.outcome, got.result, endCount = attemptResult.Outcome, attemptResult.Result, endCount+1
+			for _, f := range onEnd {
 				f()
 			}
 		})
-	if ends != 1 {
+	if endCount != 1 {
 		panic("an attempt has exactly one end")
 	}
-	return e
+	return got
 }
 
-// newTestClient returns a client that may open a thousand connections.
+// newTestClient returns a client whose budget is for 1024 file descriptors.
 func newTestClient() (*ConnectionBudget, *ServerClient) {
-	d := NewConnectionBudget(1024)
-	return d, NewServerClient(d, time.Second, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
+	budget := NewConnectionBudget(1024)
+	return budget, NewServerClient(budget, time.Second, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
 }
--- a/internal/transport/fault_pool_test.go
+++ b/internal/transport/fault_pool_test.go
@@ -13,28 +13,29 @@
 	"time"
 )
 
-// faultPool is the servers of a node, of which one meets a fault. All servers are alike, on pipes.
+// faultPool simulates the servers of a node over pipes. One connection or request meets a fault; otherwise
+// all servers behave alike.
 type faultPool struct {
 	fault attemptFault
 
 	mu       sync.Mutex
 	armed    bool // the next connection or request meets the fault
-	open     int  // requests that servers have now
+	open     int  // requests that servers are processing
 	maxOpen  int
 	arrivals []arrival
 	written  int // requests whose last byte was written
 }
 
-// takeFault reports whether this is what meets the fault.
+// takeFault reports whether the caller's connection or request meets the fault, and disarms the fault.
 func (p *faultPool) takeFault() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	bad := p.armed
+	faulty := p.armed
 	p.armed = false
-	return bad
+	return faulty
 }
 
-// rearm starts to count anew, with the fault ahead.
+// rearm arms the fault and resets the counts.
 func (p *faultPool) rearm() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,12 +57,12 @@
 	if meetsFault && p.takeFault() {
 		return nil, p.failDial(ctx)
 	}
-	here, there := net.Pipe()
-	go p.serve(there)
-	return here, nil
+	nodeEnd, serverEnd := net.Pipe()
+	go p.serve(serverEnd)
+	return nodeEnd, nil
 }
 
-// failDial returns the error of a connection that does not come up.
+// failDial returns the error of a failed dial, after a delay if the fault is neverConnects.
 func (p *faultPool) failDial(ctx context.Context) error {
 	if !p.fault.neverConnects {
 		return p.fault.dialError
@@ -76,26 +77,26 @@
 // serve serves the requests on a connection.
 func (p *faultPool) serve(c net.Conn) {
 	defer c.Close()
-	in := bufio.NewReader(singleByteConn{c, p.fault.readBytes >= 0})
-	for p.serveNext(c, in) {
+	reader := bufio.NewReader(singleByteConn{c, p.fault.readBytes >= 0})
+	for p.serveNext(c, reader) {
 	}
 }
 
-// serveNext serves one request, and reports whether the connection goes on.
-func (p *faultPool) serveNext(c net.Conn, in *bufio.Reader) bool {
-	f := p.fault
-	if !f.reusedConnection && f.readBytes == 0 && p.takeFault() {
+// serveNext serves one request and reports whether the connection stays open.
+func (p *faultPool) serveNext(c net.Conn, reader *bufio.Reader) bool {
+	fault := p.fault
+	if !fault.reusedConnection && fault.readBytes == 0 && p.takeFault() {
 		return false
 	}
-	if _, err := in.Peek(1); err != nil {
+	if _, err := reader.Peek(1); err != nil {
 		return false
 	}
-	bad := p.takeFault()
-	if bad && f.readBytes >= 0 {
-		io.ReadFull(in, make([]byte, f.readBytes))
+	faulty := p.takeFault()
+	if faulty && fault.readBytes >= 0 {
+		io.ReadFull(reader, make([]byte, fault.readBytes))
 		return false
 	}
-	r, err := http.ReadRequest(in)
+	r, err := http.ReadRequest(reader)
 	if err != nil {
 		return false
 	}
@@ -103,20 +104,20 @@
 		return false
 	}
 	id := r.Header.Get("X-Call-Id")
-	p.arrived(arrival{id, bad})
-	defer p.ended()
-	if !bad {
+	p.recordArrival(arrival{id, faulty})
+	defer p.recordEnd()
+	if !faulty {
 		time.Sleep(10 * time.Millisecond)
 		respond(chunkedHead+updateLine("started")+updateLine("done")+chunkedEnd)(c, id, nil)
 		return true
 	}
-	if f.respond != nil {
-		f.respond(c, id, func() bool { _, err := in.Peek(1); return err != nil })
+	if fault.respond != nil {
+		fault.respond(c, id, func() bool { _, err := reader.Peek(1); return err != nil })
 	}
 	return false
 }
 
-func (p *faultPool) arrived(a arrival) {
+func (p *faultPool) recordArrival(a arrival) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.arrivals = append(p.arrivals, a)
@@ -124,7 +125,7 @@
 	p.maxOpen = max(p.maxOpen, p.open)
 }
 
-func (p *faultPool) ended() {
+func (p *faultPool) recordEnd() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
--- a/internal/transport/history_test.go
+++ b/internal/transport/history_test.go
@@ -18,32 +18,34 @@
 	"fernrail/internal/protocol"
 )
 
-// history is one run of the simulation: a node, its clients, and faults of discovery and changes of servers by chance.
+// history is one run of the simulation: a node, its clients, random faults of discovery and random state
+// changes of servers.
 type history struct {
 	*simulation
 	config    *config.Node
 	process   *nodeProcess
-	savedList string // that the next process knows from the start
+	savedList string // initial endpoint list of the next process
 	requests  int
 	drains    int
 }
 
-// runHistory plays one history, and returns the violations that the checker found. On one processor a seed replays
-// to the event, but where the runtime chooses among several things that one cause made ready.
-func runHistory(t *testing.T, seed uint64, steps []string) (violations []invariants.Violation, sent, drains int) {
+// runHistory runs one history and returns the violations that the checker found, and the numbers of attempts
+// and drains. It runs on one processor, where a seed replays event by event. Only the order in which the
+// runtime schedules goroutines that became ready at the same instant can differ.
+func runHistory(t *testing.T, seed uint64, steps []string) (violations []invariants.Violation, attempts, drains int) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	c := loadConfig(t, nodeSettings)
 	synctest.Test(t, func(t *testing.T) {
 		h := &history{simulation: newSimulation(t, seed), config: c}
-		h.play(steps)
-		violations, sent = h.judge()
+		h.run(steps)
+		violations, attempts = h.checkEvents()
 		drains = h.drains
 	})
-	return violations, sent, drains
+	return violations, attempts, drains
 }
 
-// play runs 800 steps of about 50 ms, and ends the process when everything has settled.
-func (h *history) play(steps []string) {
+// run runs 800 steps of about 50 ms, ends all outages, waits for requests to end, and kills the process.
+func (h *history) run(steps []string) {
 	for _, id := range serverIDs {
 		h.setState(id, "Ready")
 	}
@@ -57,12 +59,12 @@
 		if step%2 == 0 {
 			h.serveRequest(ctx)
 		}
-		// No two things fall into one instant but by their cause.
+		// The random delay avoids unrelated events at the same instant.
 		time.Sleep(50*time.Millisecond + time.Duration(h.rand.IntN(1e6)))
 		synctest.Wait()
 	}
 	h.mu.Lock()
-	h.eachAgent((*fakeAgent).comeBack)
+	h.eachAgent((*fakeAgent).endOutage)
 	h.mu.Unlock()
 	time.Sleep(4 * time.Second)
 	synctest.Wait()
@@ -76,19 +78,20 @@
 	do(h.agents["two:1"])
 }
 
-// setState has both agents know of a server's state.
+// setState sets a server's state and adds the change to both agents. The caller holds mu, except before the
+// first process has started.
 func (h *history) setState(id, state string) {
 	h.serverStates[id] = state
 	h.eachAgent(func(a *fakeAgent) { a.addChange(id, state) })
 }
 
-// drain has a server leave, by a state that agents know.
+// drain sets a server to a state other than Ready. The caller holds mu.
 func (h *history) drain(id, state string) {
 	h.drains++
 	h.setState(id, state)
 }
 
-// serveRequest has the present process serve one request.
+// serveRequest sends one request to the current process in the background.
 func (h *history) serveRequest(ctx context.Context) {
 	h.requests++
 	id := "t" + strconv.Itoa(h.requests)
@@ -125,7 +128,7 @@
 	}()
 }
 
-// randomStep does one of the steps, or more often nothing. Under mu.
+// randomStep runs one of the steps with probability 1/8. The caller holds mu.
 func (h *history) randomStep(steps []string) {
 	step := ""
 	if h.rand.IntN(8) == 0 {
@@ -142,45 +145,45 @@
 		if !ready {
 			h.setState(id, "Ready")
 		}
-	case "silence":
-		h.downSince = time.Now()
-		h.eachAgent(func(a *fakeAgent) { a.goDown(pollsAreAnswered) })
-	case "mute":
-		h.downSince = time.Now()
-		h.eachAgent(func(a *fakeAgent) { a.goDown(pollsAreLost) })
-	case "back":
-		h.agentsComeBack()
-	case "stick":
+	case "outage":
+		h.outageStarted = time.Now()
+		h.eachAgent(func(a *fakeAgent) { a.startOutage(pollsAnsweredLater) })
+	case "outage losing polls":
+		h.outageStarted = time.Now()
+		h.eachAgent(func(a *fakeAgent) { a.startOutage(pollsLost) })
+	case "end outage":
+		h.endAgentOutage()
+	case "lose polls":
 		h.eachAgent((*fakeAgent).loseOpenPolls)
-	case "reset":
+	case "reset polls":
 		h.resetOpenPolls()
-	case "busy", "half", "garbage", "old":
+	case "busy", "truncated", "garbage", "stale":
 		h.currentAgent.nextFault = step
-	case "late":
+	case "slow dials":
 		h.maxDialDelay = time.Duration(h.rand.Int64N(1e9))
-	case "swap":
-		if ready { // the old agent does not tell of it any more
+	case "drain and change source":
+		if ready { // the old agent no longer sends this change
 			h.currentAgent.loseOpenPolls()
 			h.drain(id, "Gone")
 		}
 		h.changeSource()
-	case "hangup":
+	case "change source":
 		h.changeSource()
-	case "hand":
+	case "save list":
 		h.savedList = h.agents["one:1"].list(0, true)
 	case "restart":
 		h.restart()
 	}
 }
 
-// agentsComeBack ends the time in which the agents are down, with changes at that moment. Most outages last longer
-// than a poll. Under mu.
-func (h *history) agentsComeBack() {
-	short := h.currentAgent.downUntil != nil && time.Since(h.downSince) < 4500*time.Millisecond
+// endAgentOutage ends an outage of the agents and drains servers at that moment. It ends most outages only
+// after they have lasted longer than a poll. The caller holds mu.
+func (h *history) endAgentOutage() {
+	short := h.currentAgent.outageEnded != nil && time.Since(h.outageStarted) < 4500*time.Millisecond
 	if short && h.rand.IntN(8) > 0 {
 		return
 	}
-	h.eachAgent((*fakeAgent).comeBack)
+	h.eachAgent((*fakeAgent).endOutage)
 	for _, id := range serverIDs[1:] {
 		if h.serverStates[id] == "Ready" && h.rand.IntN(2) == 0 {
 			h.drain(id, "Terminating")
@@ -188,7 +191,7 @@
 	}
 }
 
-// resetOpenPolls closes the connections of polls that wait. Under mu.
+// resetOpenPolls closes the connections of waiting polls. The caller holds mu.
 func (h *history) resetOpenPolls() {
 	for c := range h.currentAgent.openPolls {
 		c.Close()
@@ -196,19 +199,21 @@
 	}
 }
 
-// changeSource turns the node to one of the agents, as a new configuration does. Under mu.
+// changeSource sets one of the agents as the node's endpoint source, as a new configuration does. The caller
+// holds mu, which is released during the change.
 func (h *history) changeSource() {
-	place := "one:1"
+	address := "one:1"
 	if h.rand.IntN(2) == 0 {
-		place = "two:1"
+		address = "two:1"
 	}
-	h.agents[place].becomeCurrent(time.Now().Add(sourceChangeGrace))
+	h.agents[address].becomeCurrent(time.Now().Add(sourceChangeGrace))
 	h.mu.Unlock()
 	defer h.mu.Lock()
-	h.process.node.SetEndpointSource(h.process.discovery(place))
+	h.process.node.SetEndpointSource(h.process.discovery(address))
 }
 
-// restart kills the process and starts another that knows the saved list. Under mu.
+// restart kills the process and starts another with the saved list. The caller holds mu, which is released
+// meanwhile.
 func (h *history) restart() {
 	h.currentAgent = h.agents["one:1"]
 	h.mu.Unlock()
@@ -217,15 +222,15 @@
 	h.process = h.startProcess(h.config, h.savedList)
 }
 
-// judge has the checker look at all events, and reports its violations and how many attempts were sent.
-func (h *history) judge() (violations []invariants.Violation, sent int) {
+// checkEvents passes all events to the checker and returns its violations and the number of attempts sent.
+func (h *history) checkEvents() (violations []invariants.Violation, attempts int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sortEvents()
 	checker := invariants.New(historyRules())
 	for _, e := range h.events {
 		if e.Kind == invariants.AttemptSent {
-			sent++
+			attempts++
 		}
 		if err := checker.Add(e); err != nil {
 			h.t.Fatalf("seed %d: %v", h.seed, err)
@@ -235,11 +240,11 @@
 	for _, v := range violations {
 		h.t.Errorf("seed %d, rule %d at %.3f s: %s", h.seed, v.Rule, float64(h.events[v.Event].At)/1e9, v.Message)
 	}
-	return violations, sent
+	return violations, attempts
 }
 
-// sortEvents drops retracted events and puts the others in the order of time. Of what falls into one instant a response
-// and the end of a process are the last. Under mu.
+// sortEvents drops retracted events and sorts the others by time. Among events at the same instant, responses
+// and process ends are sorted last. The caller holds mu.
 func (h *history) sortEvents() {
 	h.events = slices.DeleteFunc(h.events, func(e invariants.Event) bool { return e.Kind == "" })
 	rank := func(e invariants.Event) int {
@@ -253,7 +258,7 @@
 	})
 }
 
-// historyRules are the rules of the pages for the simulated servers and classes.
+// historyRules returns the checker's rules for the simulated servers and classes.
 func historyRules() invariants.Rules {
 	rules := invariants.Rules{
 		DrainGrace:   int64(drainGrace),
--- a/internal/transport/lingering_close_test.go
+++ b/internal/transport/lingering_close_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestAnswersOutliveTheClose: connections that end with an answer, while bytes that nobody will read are in them,
-// end without a reset. A reset would destroy a response that the client has not read.
-func TestAnswersOutliveTheClose(t *testing.T) {
+// TestResponseIsReadableAfterClose checks that a connection that ends with a response while unread bytes are
+// in its socket is closed without a reset. A reset would destroy a response that the client has not read.
+func TestResponseIsReadableAfterClose(t *testing.T) {
 	stray := strings.Repeat("x", readAheadLimit+100<<10)
 	for what, text := range map[string]string{
 		"an answer that ends it": requestHead + "b" + stray,
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -18,7 +18,7 @@
 	"fernrail/internal/protocol"
 )
 
-// failingListener fails some accepts.
+// failingListener returns the given errors from its first accepts.
 type failingListener struct {
 	net.Listener
 	errors []error
@@ -32,9 +32,9 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptGoesOn: after any error of an accept the next client is taken. http.Server would end with an
-// error that it does not know for temporary, and the node with all its requests.
-func TestAcceptGoesOn(t *testing.T) {
+// TestAcceptContinuesAfterErrors checks that the next client is accepted after any accept error. http.Server
+// would stop on an error that it does not treat as temporary, and the node would end with all its requests.
+func TestAcceptContinuesAfterErrors(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +57,8 @@
 	}})
 	c := dialAndWrite(t, inner.Addr().String(), requestHead+"b")
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if answer, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || answer.StatusCode != http.StatusOK {
-		t.Errorf("%v, %v", answer, err)
+	if response, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || response.StatusCode != http.StatusOK {
+		t.Errorf("%v, %v", response, err)
 	}
 	select {
 	case err := <-ended:
--- a/internal/transport/notification_deadline_test.go
+++ b/internal/transport/notification_deadline_test.go
@@ -19,22 +19,23 @@
 	"fernrail/internal/routing"
 )
 
-// discoveryFault is what a discovery does with a call before it can be reached, and how often that happens.
+// discoveryFault is how a discovery service fails its first polls, and how many of them.
 type discoveryFault struct {
 	name        string
-	respond     func(c net.Conn, ended <-chan struct{}) (keep bool)
-	failedPolls int // that end so
+	respond     func(c net.Conn, disconnected <-chan struct{}) (keepOpen bool)
+	failedPolls int // number of polls that fail
 }
 
-// respondAfter is a fault that takes a while of its own, or until the caller has gone.
-func respondAfter(span time.Duration, text string, keep bool) func(net.Conn, <-chan struct{}) bool {
-	return func(c net.Conn, ended <-chan struct{}) bool {
+// respondAfter returns a fault that sends a text after a delay, unless the caller closes the connection
+// before.
+func respondAfter(delay time.Duration, text string, keepOpen bool) func(net.Conn, <-chan struct{}) bool {
+	return func(c net.Conn, disconnected <-chan struct{}) bool {
 		select {
-		case <-time.After(span):
+		case <-time.After(delay):
 			io.WriteString(c, text)
-		case <-ended:
+		case <-disconnected:
 		}
-		return keep
+		return keepOpen
 	}
 }
 
@@ -42,8 +43,8 @@
 
 func resetConnection(c net.Conn, _ <-chan struct{}) bool { c.(*net.TCPConn).SetLinger(0); return false }
 
-// trickle goes on with an answer as long as the caller takes it.
-func trickle(c net.Conn, ended <-chan struct{}) bool {
+// trickle sends a response without end until the caller closes the connection.
+func trickle(c net.Conn, disconnected <-chan struct{}) bool {
 	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	for {
 		select {
@@ -51,70 +52,71 @@
 			if _, err := io.WriteString(c, "1\r\n \r\n"); err != nil {
 				return false
 			}
-		case <-ended:
+		case <-disconnected:
 			return false
 		}
 	}
 }
 
-// halfResponse is the beginning of an endpoint list.
+// halfResponse is a truncated endpoint list.
 const halfResponse = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":"
 
 var discoveryFaults = []discoveryFault{
-	{"refused at once", respondAfter(0, busyResponse, true), 3},
-	{"refused slowly, in a row", respondAfter(3900*time.Millisecond, busyResponse, true), 3},
-	{"refused after two seconds, in a row", respondAfter(2*time.Second, busyResponse, true), 3},
-	{"half an answer", respondAfter(3900*time.Millisecond, halfResponse, false), 2},
-	{"an answer without end", trickle, 1},
-	{"an answer over the limit", func(c net.Conn, _ <-chan struct{}) bool {
+	{"503 immediately", respondAfter(0, busyResponse, true), 3},
+	{"503 after 3.9 s", respondAfter(3900*time.Millisecond, busyResponse, true), 3},
+	{"503 after 2 s", respondAfter(2*time.Second, busyResponse, true), 3},
+	{"truncated response", respondAfter(3900*time.Millisecond, halfResponse, false), 2},
+	{"endless response", trickle, 1},
+	{"response above the size limit", func(c net.Conn, _ <-chan struct{}) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat(" ", protocol.MaxEndpointListBytes+1))
 		return false
 	}, 3},
-	{"another kind of answer", respondAfter(0, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n<html>", true), 3},
+	{"response that is not a list", respondAfter(0, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n<html>", true), 3},
 	{"reset", resetConnection, 3},
 	{"silent", respondAfter(time.Hour, "", false), 2},
 }
 
-// fakeDiscovery is a discovery on loopback. News is there from a moment on, for calls that come then.
+// fakeDiscovery is a discovery service on loopback. Its first polls fail. Polls that arrive after the last
+// failing one receive a list with a draining server.
 type fakeDiscovery struct {
 	net.Listener
-	fault      *discoveryFault
-	mu         sync.Mutex
-	polls      int
-	knownSince time.Time     // from when on it can be reached
-	known      chan struct{} // closed then
+	fault          *discoveryFault
+	mu             sync.Mutex
+	polls          int
+	reachableSince time.Time     // when the last failing poll arrived
+	reachable      chan struct{} // closed at that time
 }
 
-func (p *fakeDiscovery) serve(c net.Conn) {
+func (d *fakeDiscovery) serve(c net.Conn) {
 	defer c.Close()
-	lines, ended := make(chan string, 9), make(chan struct{})
+	reads, disconnected := make(chan string, 9), make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(disconnected)
 		b := make([]byte, 4096)
 		for {
 			n, err := c.Read(b)
 			if err != nil {
 				return
 			}
-			lines <- string(b[:n])
+			reads <- string(b[:n])
 		}
 	}()
 	for {
 		select {
-		case <-ended:
+		case <-disconnected:
 			return
-		case <-lines:
+		case <-reads:
 		}
-		p.mu.Lock()
-		p.polls++
-		bad := p.polls <= p.fault.failedPolls
-		if p.polls == p.fault.failedPolls {
-			p.knownSince = time.Now()
-			close(p.known)
+		d.mu.Lock()
+		d.polls++
+		fails := d.polls <= d.fault.failedPolls
+		if d.polls == d.fault.failedPolls {
+			d.reachableSince = time.Now()
+			close(d.reachable)
 		}
-		p.mu.Unlock()
-		if bad {
-			if !p.fault.respond(c, ended) {
+		d.mu.Unlock()
+		if fails {
+			if !d.fault.respond(c, disconnected) {
 				return
 			}
 			continue
@@ -125,68 +127,69 @@
 	}
 }
 
-func startFakeDiscovery(t *testing.T, f *discoveryFault) *fakeDiscovery {
+func startFakeDiscovery(t *testing.T, fault *discoveryFault) *fakeDiscovery {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	p := &fakeDiscovery{Listener: l, fault: f, known: make(chan struct{})}
+	d := &fakeDiscovery{Listener: l, fault: fault, reachable: make(chan struct{})}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go p.serve(c)
+			go d.serve(c)
 		}
 	}()
-	return p
+	return d
 }
 
-// TestChangeIsKnownInTime: discovery fails in each way, so often that pauses are at their longest, and has news of
-// a drain that it would tell from the moment at which the last failing call has just gone out. The node knows 6 s
-// after that, with settings of short and long graces, from its first call on, and where it is turned to such a
-// place from a silent one.
-func TestChangeIsKnownInTime(t *testing.T) {
+// TestDrainIsKnownBeforeNotificationDeadline checks that a node knows of a drain within
+// protocol.NotificationDeadline, 6 s, of the time from which discovery would report it. Discovery fails in
+// each way, often enough for the longest pauses between polls, and would report the drain from the moment at
+// which the last failing poll arrived. The test covers short and long drain graces, a node that polls this
+// discovery from the start, and a node whose endpoint source is changed to it from a silent one.
+func TestDrainIsKnownBeforeNotificationDeadline(t *testing.T) {
 	t.Parallel()
 	for i := range discoveryFaults {
 		for _, grace := range []string{"100000000", "2000000000", "60000000000"} {
-			for _, turned := range []bool{false, true} {
-				// The longest waits are those of a long grace, after calls that took long and after such that did not.
-				if turned && grace != "2000000000" || len(grace) > 10 && i%4 > 0 {
+			for _, sourceChanged := range []bool{false, true} {
+				// The longest waits occur with a long grace, after slow failures and after fast ones.
+				if sourceChanged && grace != "2000000000" || len(grace) > 10 && i%4 > 0 {
 					continue
 				}
 				fault := &discoveryFaults[i]
-				name := fmt.Sprint(fault.name, ", grace ", grace, ", turned ", turned)
+				name := fmt.Sprint(fault.name, ", grace ", grace, ", source changed ", sourceChanged)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					checkNotificationDeadline(t, fault, grace, turned)
+					checkNotificationDeadline(t, fault, grace, sourceChanged)
 				})
 			}
 		}
 	}
 }
 
-// checkNotificationDeadline starts a node that polls a discovery with a fault, from its first poll on or, turned,
-// after it has polled a silent one. grace is Rules.DrainGrace in nanoseconds.
-func checkNotificationDeadline(t *testing.T, fault *discoveryFault, grace string, turned bool) {
+// checkNotificationDeadline starts a node that polls a discovery with a fault, either from its first poll on
+// or, if sourceChanged is set, after it has polled a silent one. grace is Rules.DrainGrace in nanoseconds.
+func checkNotificationDeadline(t *testing.T, fault *discoveryFault, grace string, sourceChanged bool) {
 	t.Helper()
 	c := loadConfig(t, strings.Replace(nodeSettings, `Grace":2000000000`, `Grace":`+grace, 1))
 	discovery := startFakeDiscovery(t, fault)
 	first := discovery
-	if turned {
+	if sourceChanged {
 		silent := &discoveryFault{respond: respondAfter(time.Hour, "", false), failedPolls: 1}
 		first = startFakeDiscovery(t, silent)
 	}
 	_, client := newTestClient()
-	known := endpointList(1, "h:1")
-	known.Endpoints[0].ID = "e"
+	initialList := endpointList(1, "h:1")
+	initialList.Endpoints[0].ID = "e"
 	source := NewDiscoveryClient(first.Addr().String(), c.Names)
 	node := routing.New(routing.Config{
 		Settings:         c.Settings,
 		Seed:             1,
-		InitialEndpoints: known,
+		InitialEndpoints: initialList,
 		Forwarder:        client,
 		ProbeTimeout:     time.Second,
 		EndpointSource:   source,
@@ -195,18 +198,18 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go node.WatchEndpoints(ctx)
-	if turned {
-		waitFor(t, "a call at the first place", first.known)
+	if sourceChanged {
+		waitFor(t, "a call at the first place", first.reachable)
 		node.SetEndpointSource(NewDiscoveryClient(discovery.Addr().String(), c.Names))
 	}
 	select {
-	case <-discovery.known:
+	case <-discovery.reachable:
 	case <-time.After(time.Minute):
 		t.Fatal("too few calls")
 	}
 	for node.Endpoints()[0].State != dispatch.Draining {
-		if late := time.Since(discovery.knownSince); late > protocol.NotificationDeadline {
-			t.Fatalf("not known after %s", late)
+		if sinceReachable := time.Since(discovery.reachableSince); sinceReachable > protocol.NotificationDeadline {
+			t.Fatalf("not known after %s", sinceReachable)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/transport/notification_test.go
+++ b/internal/transport/notification_test.go
@@ -6,43 +6,44 @@
 	"testing"
 )
 
-// notificationSteps are the ways in which a node is notified that a server leaves, each with the steps that history
-// draws.
+// notificationSteps are the ways in which a node is notified of a drain, each with the steps that a history
+// draws from. A step listed twice is drawn twice as often.
 var notificationSteps = map[string][]string{
-	"watch answered":                {"drain", "return"},
-	"watch that falls silent":       {"drain", "return", "stick"},
-	"watch that is reset":           {"drain", "return", "reset"},
-	"agent silent, calls mended":    {"drain", "return", "return", "return", "silence", "back"},
-	"agent silent, calls lost":      {"drain", "return", "return", "return", "mute", "back"},
-	"agent that is busy":            {"drain", "return", "silence", "back", "busy"},
-	"agent that talks nonsense":     {"drain", "drain", "return", "half", "garbage", "old"},
-	"new process on an old list":    {"drain", "return", "hand", "restart"},
-	"new process, agent silent":     {"drain", "return", "restart", "silence", "back"},
-	"new configuration":             {"drain", "return", "return", "hangup", "swap"},
-	"new configuration, old silent": {"drain", "return", "hangup", "hangup", "silence", "back"},
-	"connections that come up late": {"drain", "return", "late"},
+	"poll answered":                     {"drain", "return"},
+	"poll lost":                         {"drain", "return", "lose polls"},
+	"poll reset":                        {"drain", "return", "reset polls"},
+	"outage, polls answered later":      {"drain", "return", "return", "return", "outage", "end outage"},
+	"outage, polls lost":                {"drain", "return", "return", "return", "outage losing polls", "end outage"},
+	"agent responds 503":                {"drain", "return", "outage", "end outage", "busy"},
+	"agent sends faulty lists":          {"drain", "drain", "return", "truncated", "garbage", "stale"},
+	"new process with a stale list":     {"drain", "return", "save list", "restart"},
+	"new process during an outage":      {"drain", "return", "restart", "outage", "end outage"},
+	"new configuration":                 {"drain", "return", "return", "change source", "drain and change source"},
+	"new configuration, old agent down": {"drain", "return", "change source", "change source", "outage", "end outage"},
+	"slow dials":                        {"drain", "return", "slow dials"},
 	"all": {
-		"drain", "drain", "return", "return", "stick", "reset", "silence", "mute", "back", "back", "half", "garbage",
-		"old", "late", "hand", "restart", "hangup",
+		"drain", "drain", "return", "return", "lose polls", "reset polls", "outage", "outage losing polls", "end outage", "end outage", "truncated", "garbage",
+		"stale", "slow dials", "save list", "restart", "change source",
 	},
 }
 
-// TestDrainNotifications: however it is notified, a node sends nothing to what leaves once the grace is over, by
-// first bytes.
+// TestDrainNotifications checks that, however a node is notified of a drain, no first byte of a request
+// reaches the draining server after the drain grace.
 func TestDrainNotifications(t *testing.T) {
 	for name, steps := range notificationSteps {
 		t.Run(name, func(t *testing.T) {
-			// One after the other: real processes of other packages want their time meanwhile.
+			// Seeds run sequentially to leave CPU time for the real processes that tests of other packages
+			// run.
 			for seed := range uint64(6) {
-				if _, posted, drains := runHistory(t, seed, steps); posted < 50 || drains == 0 {
-					t.Errorf("seed %d: %d posted, %d drains", seed, posted, drains)
+				if _, attempts, drainCount := runHistory(t, seed, steps); attempts < 50 || drainCount == 0 {
+					t.Errorf("seed %d: %d posted, %d drains", seed, attempts, drainCount)
 				}
 			}
 		})
 	}
 }
 
-// FuzzDrainNotifications plays random histories of all of them.
+// FuzzDrainNotifications runs random histories that draw from all steps.
 func FuzzDrainNotifications(f *testing.F) {
 	for seed := range uint64(4) {
 		f.Add(100 + seed)
--- a/internal/transport/repeat_test.go
+++ b/internal/transport/repeat_test.go
@@ -19,21 +19,22 @@
 	"fernrail/internal/routing"
 )
 
-// runWithFault has one request meet a fault at whichever server it is sent to first; all later attempts are served.
-func runWithFault(t *testing.T, f attemptFault, effect dispatch.Idempotency, body string) faultRun {
+// runWithFault serves one request whose first attempt meets a fault, regardless of the server. All later
+// attempts succeed.
+func runWithFault(t *testing.T, fault attemptFault, idempotency dispatch.Idempotency, body string) faultRun {
 	t.Helper()
-	pool := &faultPool{fault: f, armed: !f.reusedConnection}
+	pool := &faultPool{fault: fault, armed: !fault.reusedConnection}
 	reportKeys := protocol.LoadReportKeys{}
 	client := NewServerClient(NewConnectionBudget(256), time.Second, time.Minute, reportKeys, pool.requestWritten)
 	client.dialer.dialContext = pool.dial
-	known := &protocol.EndpointList{
+	list := &protocol.EndpointList{
 		Complete:  true,
 		Endpoints: []protocol.Endpoint{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}},
 	}
 	node := routing.New(routing.Config{
-		Settings:         repeatSettings(effect),
+		Settings:         repeatSettings(idempotency),
 		Seed:             1,
-		InitialEndpoints: known,
+		InitialEndpoints: list,
 		Forwarder:        client,
 		ProbeTimeout:     time.Second,
 		Log:              zerolog.Nop(),
@@ -48,7 +49,7 @@
 			Header:  http.Header{"X-Call-Id": {id}, "Idempotency-Key": {id}},
 		})
 	}
-	if f.reusedConnection {
+	if fault.reusedConnection {
 		if response := serve("0"); response.Status != http.StatusOK {
 			t.Errorf("%+v", response)
 		}
@@ -56,18 +57,18 @@
 		pool.rearm()
 	}
 	response := serve("1")
-	time.Sleep(5 * time.Second) // what is out then stays out for good, and the bubble says so
+	time.Sleep(5 * time.Second) // requests still in flight then are leaked, which fails the synctest bubble
 	synctest.Wait()
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	if effect != dispatch.Idempotent && pool.maxOpen > 1 {
+	if idempotency != dispatch.Idempotent && pool.maxOpen > 1 {
 		t.Errorf("%d out at once", pool.maxOpen)
 	}
 	client.transport.CloseIdleConnections()
 	return faultRun{status: response.Status, result: response.Body, arrivals: pool.arrivals, written: pool.written}
 }
 
-// faultRun is how a request ended that met a fault.
+// faultRun is the result of a request that met a fault.
 type faultRun struct {
 	status   int
 	result   string
@@ -75,15 +76,15 @@
 	written  int // requests whose last byte was written
 }
 
-// repeatSettings allow all that a retry may need, for one class.
-func repeatSettings(effect dispatch.Idempotency) *dispatch.Settings {
+// repeatSettings returns settings with one class that allow retries, hedges and cancellation.
+func repeatSettings(idempotency dispatch.Idempotency) *dispatch.Settings {
 	class := &dispatch.Class{
 		LatencyObjective: 3e8,
 		MaxDeadline:      3e9,
 		Weight:           1,
 		LateShare:        0.5,
 		MachineType:      -1,
-		Idempotency:      effect,
+		Idempotency:      idempotency,
 		DedupWindow:      1e9,
 	}
 	return &dispatch.Settings{
@@ -101,74 +102,76 @@
 	}
 }
 
-// TestNonIdempotentIsNotRepeated: whatever becomes of an attempt, a non-idempotent request is sent again only where
-// the one before surely never ran, and is never shed where it may have; others are served elsewhere. With and
-// without a body nothing arrives that this node's router did not send: http.Transport repeats nothing by itself.
-func TestNonIdempotentIsNotRepeated(t *testing.T) {
+// TestNonIdempotentRequestIsNotRepeated checks that after any fault of an attempt, a non-idempotent request
+// is sent again only if the previous attempt provably did not run, and is not shed if it may have run. Other
+// requests are served by another server. With and without a body, servers receive only requests that this
+// node's router has sent: http.Transport must not repeat requests by itself.
+func TestNonIdempotentRequestIsNotRepeated(t *testing.T) {
 	effects := []dispatch.Idempotency{dispatch.Idempotent, dispatch.IdempotentInGroup, dispatch.NonIdempotent}
-	for name, f := range attemptFaults {
-		for _, effect := range effects {
+	for name, fault := range attemptFaults {
+		for _, idempotency := range effects {
 			for _, body := range []string{"", "body"} {
-				at := fmt.Sprintf("%s, effect %d, body %q", name, effect, body)
-				t.Run(at, func(t *testing.T) {
-					synctest.Test(t, func(t *testing.T) { checkRepeat(t, f, effect, body) })
+				testName := fmt.Sprintf("%s, idempotency %d, body %q", name, idempotency, body)
+				t.Run(testName, func(t *testing.T) {
+					synctest.Test(t, func(t *testing.T) { checkRepeat(t, fault, idempotency, body) })
 				})
 			}
 		}
 	}
 }
 
-func checkRepeat(t *testing.T, f attemptFault, effect dispatch.Idempotency, body string) {
+func checkRepeat(t *testing.T, fault attemptFault, idempotency dispatch.Idempotency, body string) {
 	t.Helper()
-	run := runWithFault(t, f, effect, body)
+	run := runWithFault(t, fault, idempotency, body)
 	status, result, arrivals, written := run.status, run.result, run.arrivals, run.written
 	want := status
 	switch {
-	case effect == dispatch.NonIdempotent && f.mayRun:
+	case idempotency == dispatch.NonIdempotent && fault.mayRun:
 		want = http.StatusInternalServerError
-	case !f.mayRun || status != http.StatusServiceUnavailable:
+	case !fault.mayRun || status != http.StatusServiceUnavailable:
 		want = http.StatusOK
 	}
 	if status != want || status == http.StatusOK && result != "r" {
 		t.Errorf("answered %d %q, want %d", status, result, want)
 	}
-	most := 2
-	if effect == dispatch.NonIdempotent && f.mayRun || f.readBytes >= 0 {
-		most = 1
+	maxArrivals := 2
+	if idempotency == dispatch.NonIdempotent && fault.mayRun || fault.readBytes >= 0 {
+		maxArrivals = 1
 	}
-	if len(arrivals) > most || effect == dispatch.NonIdempotent && len(arrivals) != most {
-		t.Errorf("%+v arrived, %d at most", arrivals, most)
+	if len(arrivals) > maxArrivals || idempotency == dispatch.NonIdempotent && len(arrivals) != maxArrivals {
+		t.Errorf("%+v arrived, %d at most", arrivals, maxArrivals)
 	}
 	if len(arrivals) != written {
 		t.Errorf("%d arrived, %d were written to the end", len(arrivals), written)
 	}
 }
 
-// TestUnexpectedResponses: servers respond twice, with a rejection behind the result. http.Transport takes it for
-// the answer to the next request on that connection, which has run all the same, and must not count as never run.
-func TestUnexpectedResponses(t *testing.T) {
+// TestUnexpectedResponseIsNoRejection checks that a second response on a connection does not count for the
+// next request. The server sends a rejection after each result. http.Transport treats it as the response to
+// the next request on that connection. That request has run, and must not count as rejected.
+func TestUnexpectedResponseIsNoRejection(t *testing.T) {
 	var mu sync.Mutex
-	e := startFakeServer(t, func(c net.Conn, n int) bool {
+	server := startFakeServer(t, func(c net.Conn, n int) bool {
 		io.WriteString(c, chunkedHead+updateLine("done")+chunkedEnd+rejection)
 		return true
 	})
-	_, x := newTestClient()
+	_, client := newTestClient()
 	var callers sync.WaitGroup
 	outcomes := map[dispatch.Outcome]int{}
 	for range 8 {
 		callers.Go(func() {
 			for range 500 {
-				o := forward(t.Context(), x, e.Addr().String()).outcome
+				outcome := forward(t.Context(), client, server.Addr().String()).outcome
 				mu.Lock()
-				outcomes[o]++
+				outcomes[outcome]++
 				mu.Unlock()
 			}
 		})
 	}
 	callers.Wait()
-	_, came := e.counts()
-	never := outcomes[dispatch.Rejected] + outcomes[dispatch.NotSent] + outcomes[dispatch.ConnectFailed]
-	if may := 8*500 - never; came > may || outcomes[dispatch.Rejected] > 0 {
-		t.Errorf("%d came, %d may have run: %v", came, may, outcomes)
+	_, requests := server.counts()
+	unsent := outcomes[dispatch.Rejected] + outcomes[dispatch.NotSent] + outcomes[dispatch.ConnectFailed]
+	if mayHaveRun := 8*500 - unsent; requests > mayHaveRun || outcomes[dispatch.Rejected] > 0 {
+		t.Errorf("%d came, %d may have run: %v", requests, mayHaveRun, outcomes)
 	}
 }
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -16,78 +16,79 @@
 	"fernrail/internal/protocol"
 )
 
-// chunkedRequest is the request ask with a body in chunks, and with further lines in its head.
-func chunkedRequest(body, further string) string {
-	first := strings.Replace(requestHead, "Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n"+further, 1)
-	return fmt.Sprintf("%s%x;part=1\r\n%s\r\n0\r\n\r\n", first, len(body), body)
+// chunkedRequest returns a request like requestHead with a chunked body and extra lines in its head.
+func chunkedRequest(body, extraLines string) string {
+	head := strings.Replace(requestHead, "Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n"+extraLines, 1)
+	return fmt.Sprintf("%s%x;part=1\r\n%s\r\n0\r\n\r\n", head, len(body), body)
 }
 
-// bodyLikeHead is a body that reads like the head of a message.
+// bodyLikeHead is a body that contains the text of a request head.
 const bodyLikeHead = "\ncontent-length: 1\r\n\r\n" +
 	"POST /pay HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
 
-// TestChunks: a request in chunks is served like any other, however it comes in pieces and whatever its body or an
-// earlier one says; one that tells a length beside is not, wherever it stands.
-func TestChunks(t *testing.T) {
+// TestChunkedRequests checks that a chunked request is served, regardless of how its bytes are divided and of
+// the text of its body or of an earlier one. A chunked request that also has a Content-Length is rejected in
+// every position.
+func TestChunkedRequests(t *testing.T) {
 	sized := strings.Replace(requestHead, "Length: 1", fmt.Sprintf("Length: %d", len(bodyLikeHead)), 1) + bodyLikeHead
-	both := chunkedRequest("b", "CONTENT-length: 1\r\n")
-	lengthFirst := strings.Replace(both, "Transfer", "Content-Length: 1\r\nTransfer", 1)
-	oldVersion := strings.Replace(chunkedRequest("b", ""), "HTTP/1.1", "HTTP/1.0", 1)
-	oddBody := chunkedRequest(bodyLikeHead, "")
-	for name, c := range map[string]struct {
+	bothLengths := chunkedRequest("b", "CONTENT-length: 1\r\n")
+	lengthFirst := strings.Replace(bothLengths, "Transfer", "Content-Length: 1\r\nTransfer", 1)
+	http10 := strings.Replace(chunkedRequest("b", ""), "HTTP/1.1", "HTTP/1.0", 1)
+	headLikeBody := chunkedRequest(bodyLikeHead, "")
+	for name, test := range map[string]struct {
 		parts []string
 		want  []int
 	}{
 		"alone":                        {[]string{chunkedRequest("b", "")}, []int{200}},
-		"odd body":                     {[]string{oddBody}, []int{200}},
-		"after an odd body":            {[]string{sized, sized, oddBody}, []int{200, 200, 200}},
-		"length beside":                {[]string{both}, []int{411}},
+		"odd body":                     {[]string{headLikeBody}, []int{200}},
+		"after an odd body":            {[]string{sized, sized, headLikeBody}, []int{200, 200, 200}},
+		"length beside":                {[]string{bothLengths}, []int{411}},
 		"length beside, first":         {[]string{lengthFirst}, []int{411}},
-		"length beside, after another": {[]string{sized, both}, []int{200, 411}},
-		"length beside, pipelined":     {[]string{sized + both}, []int{200, 411}},
+		"length beside, after another": {[]string{sized, bothLengths}, []int{200, 411}},
+		"length beside, pipelined":     {[]string{sized + bothLengths}, []int{200, 411}},
 		"odd name":                     {[]string{chunkedRequest("b", "X-Content-Length: 1\r\n")}, []int{200}},
-		"over HTTP/1.0":                {[]string{oldVersion}, []int{411}},
+		"over HTTP/1.0":                {[]string{http10}, []int{411}},
 	} {
 		for seed := range uint64(4) {
 			bodies := make(chan string, 10)
-			d := NewConnectionBudget(1024)
-			_, address := startServer(t, d, func(_ context.Context, q *protocol.Request) *protocol.Response {
-				bodies <- string(q.Body)
+			budget := NewConnectionBudget(1024)
+			_, address := startServer(t, budget, func(_ context.Context, request *protocol.Request) *protocol.Response {
+				bodies <- string(request.Body)
 				return &protocol.Response{Status: 200}
 			})
 			client := dialAndWrite(t, address, "")
-			in, answers := bufio.NewReader(client), 0
-			for _, text := range c.parts {
-				go writeInPieces(client, text, rand.New(rand.NewPCG(seed, uint64(answers))))
+			reader, responseCount := bufio.NewReader(client), 0
+			for _, text := range test.parts {
+				go writeInPieces(client, text, rand.New(rand.NewPCG(seed, uint64(responseCount))))
 				for range strings.Count(text, "X-Call-Class") {
-					r, err := http.ReadResponse(in, nil)
-					if err != nil || r.StatusCode != c.want[answers] {
-						t.Fatalf("%s, seed %d: answer %d is %+v, %v", name, seed, answers, r, err)
+					response, err := http.ReadResponse(reader, nil)
+					if err != nil || response.StatusCode != test.want[responseCount] {
+						t.Fatalf("%s, seed %d: answer %d is %+v, %v", name, seed, responseCount, response, err)
 					}
-					io.Copy(io.Discard, r.Body)
-					answers++
+					io.Copy(io.Discard, response.Body)
+					responseCount++
 				}
 			}
 			for close(bodies); len(bodies) > 0; {
-				if b := <-bodies; b != "b" && b != bodyLikeHead {
-					t.Errorf("%s: a body became %q", name, b)
+				if body := <-bodies; body != "b" && body != bodyLikeHead {
+					t.Errorf("%s: a body became %q", name, body)
 				}
 			}
 		}
 	}
 }
 
-// writeInPieces writes a text cut at places by chance.
-func writeInPieces(c net.Conn, text string, chance *rand.Rand) {
+// writeInPieces writes a text in pieces of random lengths.
+func writeInPieces(test net.Conn, text string, random *rand.Rand) {
 	for len(text) > 0 {
-		n := 1 + chance.IntN(min(len(text), 1+chance.IntN(200)))
-		io.WriteString(c, text[:n])
+		n := 1 + random.IntN(min(len(text), 1+random.IntN(200)))
+		io.WriteString(test, text[:n])
 		text = text[n:]
 	}
 }
 
-// FuzzRequestHead: however bytes are cut, a head goes on whole and nothing is changed, doubled or left behind; and a
-// length in the first head is seen if http.ReadRequest sees it.
+// FuzzRequestHead checks that the scanner passes on all bytes unchanged and exactly once, regardless of how
+// they are divided, and that it detects a Content-Length in the first head if http.ReadRequest does.
 func FuzzRequestHead(f *testing.F) {
 	for _, text := range []string{
 		requestHead + "b",
@@ -100,25 +101,25 @@
 		f.Add(text, uint64(1))
 	}
 	f.Fuzz(func(t *testing.T, text string, seed uint64) {
-		chance, h, out, seen := rand.New(rand.NewPCG(seed, 5)), requestHeadScanner{}, "", false
+		random, h, passedOn, lengthSeen := rand.New(rand.NewPCG(seed, 5)), requestHeadScanner{}, "", false
 		buffer := make([]byte, 64)
-		for left := text; len(left) > 0 || len(h.withheld) > 0; {
-			if n := h.readWithheld(buffer[:1+chance.IntN(63)]); n > 0 {
-				out += string(buffer[:n])
+		for remaining := text; len(remaining) > 0 || len(h.withheld) > 0; {
+			if n := h.readWithheld(buffer[:1+random.IntN(63)]); n > 0 {
+				passedOn += string(buffer[:n])
 				continue
 			}
-			n := copy(buffer[:1+chance.IntN(63)], left)
-			was := h.headComplete
-			left, n = left[n:], h.scan(buffer[:n])
-			if out += string(buffer[:n]); h.headComplete && !was {
-				seen = h.hasContentLength()
+			n := copy(buffer[:1+random.IntN(63)], remaining)
+			wasComplete := h.headComplete
+			remaining, n = remaining[n:], h.scan(buffer[:n])
+			if passedOn += string(buffer[:n]); h.headComplete && !wasComplete {
+				lengthSeen = h.hasContentLength()
 			}
 		}
-		if out != text {
-			t.Errorf("%q became %q", text, out)
+		if passedOn != text {
+			t.Errorf("%q became %q", text, passedOn)
 		}
-		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
-		if err == nil && len(r.Header["Content-Length"]) > 0 && !seen {
+		response, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
+		if err == nil && len(response.Header["Content-Length"]) > 0 && !lengthSeen {
 			t.Errorf("%q: its length was not seen", text)
 		}
 	})
--- a/internal/transport/server_client_test.go
+++ b/internal/transport/server_client_test.go
@@ -15,11 +15,12 @@
 	"fernrail/internal/protocol"
 )
 
-func TestOutcomesByWhatIsProved(t *testing.T) {
+// TestOutcomes checks the outcome of an attempt for each kind of response.
+func TestOutcomes(t *testing.T) {
 	started, running, failed := updateLine("started"), updateLine("running"), updateLine("failed")
 	done, lost := updateLine("done"), updateLine("lost")
 	foreign := chunk(`{"id":"k","state":"done","result":"r"}`)
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		text string
 		want dispatch.Outcome
 	}{
@@ -39,34 +40,36 @@
 		"not HTTP":             {"hello\r\n\r\n", dispatch.ConnectionLost},
 		"nothing, then closed": {"", dispatch.ConnectionLost},
 	} {
-		e := startFakeServer(t, respondWith(c.text, false))
-		_, x := newTestClient()
-		got := forward(t.Context(), x, e.Addr().String())
-		if got.outcome != c.want || (got.result == "r") != (c.want == dispatch.Succeeded) {
-			t.Errorf("%s: %+v, want %d", name, got, c.want)
+		server := startFakeServer(t, respondWith(test.text, false))
+		_, client := newTestClient()
+		got := forward(t.Context(), client, server.Addr().String())
+		if got.outcome != test.want || (got.result == "r") != (test.want == dispatch.Succeeded) {
+			t.Errorf("%s: %+v, want %d", name, got, test.want)
 		}
-		if _, requests := e.counts(); requests != 1 {
+		if _, requests := server.counts(); requests != 1 {
 			t.Errorf("%s: %d requests", name, requests)
 		}
 	}
 }
 
-func TestNoConnection(t *testing.T) {
-	l, _ := net.Listen("tcp", "127.0.0.1:0")
-	address := l.Addr().String()
-	l.Close()
-	d, x := newTestClient()
-	before := d.inUse
-	if got := forward(t.Context(), x, address); got.outcome != dispatch.ConnectFailed {
+// TestRefusedDial checks that a refused dial counts as ConnectFailed and releases its permit.
+func TestRefusedDial(t *testing.T) {
+	listener, _ := net.Listen("tcp", "127.0.0.1:0")
+	address := listener.Addr().String()
+	listener.Close()
+	budget, client := newTestClient()
+	before := budget.inUse
+	if got := forward(t.Context(), client, address); got.outcome != dispatch.ConnectFailed {
 		t.Errorf("%+v", got)
 	}
-	if d.inUse != before {
+	if budget.inUse != before {
 		t.Error("a place in the budget is gone")
 	}
 }
 
-// TestConnectionNeverComesUp: a machine that has vanished answers no dial; the wait ends by the settings' limit.
-func TestConnectionNeverComesUp(t *testing.T) {
+// TestUnansweredDialTimesOut checks that a dial to an unreachable machine, which never responds, ends with
+// the configured time-out.
+func TestUnansweredDialTimesOut(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -78,67 +81,70 @@
 	syscall.Listen(fd, 0)
 	name, _ := syscall.Getsockname(fd)
 	address := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	for range 10 { // until its queue is full and it says nothing any more
+	for range 10 { // until the accept queue is full and connects are unanswered
 		c, err := net.DialTimeout("tcp", address, 30*time.Millisecond)
 		if err != nil {
 			break
 		}
 		defer c.Close()
 	}
-	d := NewConnectionBudget(1024)
-	x := NewServerClient(d, 50*time.Millisecond, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
-	before, start := d.inUse, time.Now()
-	got := forward(t.Context(), x, address)
-	if took := time.Since(start); got.outcome != dispatch.ConnectFailed || took > time.Second || d.inUse != before {
-		t.Errorf("%+v after %s", got, took)
+	budget := NewConnectionBudget(1024)
+	client := NewServerClient(budget, 50*time.Millisecond, time.Minute,
+		protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
+	before, start := budget.inUse, time.Now()
+	got := forward(t.Context(), client, address)
+	if elapsed := time.Since(start); got.outcome != dispatch.ConnectFailed || elapsed > time.Second || budget.inUse != before {
+		t.Errorf("%+v after %s", got, elapsed)
 	}
 }
 
-// TestConnectionsAreKeptAndClosed: an answer read to its end gives its connection back, an attempt given up closes it.
-func TestConnectionsAreKeptAndClosed(t *testing.T) {
-	withdraw, told := make(chan context.CancelFunc, 1), make(chan struct{})
-	e := startFakeServer(t, func(c net.Conn, nth int) bool {
+// TestConnectionReuseAndCancel checks that a connection is reused after its response was read to the end, and
+// closed if its attempt is canceled.
+func TestConnectionReuseAndCancel(t *testing.T) {
+	cancels, reported := make(chan context.CancelFunc, 1), make(chan struct{})
+	server := startFakeServer(t, func(c net.Conn, nth int) bool {
 		if nth < 3 {
 			io.WriteString(c, chunkedHead+updateLine("done"))
-			<-told // the end of the answer comes after the last line was passed on
+			<-reported // the end of the response is sent after the final line was reported
 			io.WriteString(c, chunkedEnd)
 			return true
 		}
 		io.WriteString(c, chunkedHead+updateLine("started"))
-		(<-withdraw)()
+		(<-cancels)()
 		return true
 	})
-	d, x := newTestClient()
-	tell := func() { told <- struct{}{} }
-	forward(t.Context(), x, e.Addr().String(), tell)
-	forward(t.Context(), x, e.Addr().String(), tell)
-	if accepted, _ := e.counts(); accepted != 1 || d.idle[serverSide].Len() != 1 {
-		t.Errorf("%d connections, %d idle", accepted, d.idle[serverSide].Len())
+	budget, client := newTestClient()
+	waitForEnd := func() { reported <- struct{}{} }
+	forward(t.Context(), client, server.Addr().String(), waitForEnd)
+	forward(t.Context(), client, server.Addr().String(), waitForEnd)
+	if accepted, _ := server.counts(); accepted != 1 || budget.idle[serverSide].Len() != 1 {
+		t.Errorf("%d connections, %d idle", accepted, budget.idle[serverSide].Len())
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	withdraw <- cancel
-	if got := forward(ctx, x, e.Addr().String()); got.outcome != dispatch.Canceled {
+	cancels <- cancel
+	if got := forward(ctx, client, server.Addr().String()); got.outcome != dispatch.Canceled {
 		t.Errorf("%+v", got)
 	}
-	<-e.closed
+	<-server.closed
 }
 
-// TestClosedBeforeTheResultIsReported: once an attempt's end is known the request may be sent again, and must not
-// be out twice.
+// TestClosedBeforeTheResultIsReported checks that a failed attempt's connection is closed before its result
+// is reported. The request may be sent again from then on and must not be in flight twice.
 func TestClosedBeforeTheResultIsReported(t *testing.T) {
 	for name, text := range map[string]string{"no head": "", "no last line": chunkedHead + updateLine("started"),
 		"foreign": chunkedHead + chunk("odd")} {
 		for range 20 {
-			// All is new each time: what an earlier attempt at a connection comes to later is not this attempt's.
-			e := startFakeServer(t, respondWith(text, true))
-			d, x := newTestClient()
+			// Each round has a new server and client, so that a late dial of an earlier attempt is not
+			// counted here.
+			server := startFakeServer(t, respondWith(text, true))
+			budget, client := newTestClient()
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
-			forward(ctx, x, e.Addr().String(), func() {
-				_, came := e.counts()
-				d.mu.Lock()
-				defer d.mu.Unlock()
-				// A busy machine may not have come to a connection by then; the place is that of the attempt at one.
-				if came > 0 && d.inUse[serverSide] > 0 {
+			forward(ctx, client, server.Addr().String(), func() {
+				_, requests := server.counts()
+				budget.mu.Lock()
+				defer budget.mu.Unlock()
+				// On a busy machine the dial may not have finished. The permit then belongs to the dial.
+				if requests > 0 && budget.inUse[serverSide] > 0 {
 					t.Errorf("%s: the connection is open still", name)
 				}
 			})
@@ -147,44 +153,47 @@
 	}
 }
 
-func TestTimeOut(t *testing.T) {
-	e := startFakeServer(t, respondWith(chunkedHead+updateLine("started"), true))
-	_, x := newTestClient()
+// TestAttemptTimesOut checks that an attempt whose response stalls ends as TimedOut and closes its
+// connection.
+func TestAttemptTimesOut(t *testing.T) {
+	server := startFakeServer(t, respondWith(chunkedHead+updateLine("started"), true))
+	_, client := newTestClient()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if got := forward(ctx, x, e.Addr().String()); got.outcome != dispatch.TimedOut {
+	if got := forward(ctx, client, server.Addr().String()); got.outcome != dispatch.TimedOut {
 		t.Errorf("%+v", got)
 	}
-	<-e.closed
+	<-server.closed
 }
 
-// TestNothingIsSentAgain: the server takes a request on an idle connection and breaks it.
-// http.Transport by itself sends a request with an idempotency key again.
-func TestNothingIsSentAgain(t *testing.T) {
-	e := startFakeServer(t, func(c net.Conn, nth int) bool {
+// TestTransportDoesNotResend checks that a request is sent once if the server reads it on a reused connection
+// and closes that. By default http.Transport sends a request with an idempotency key again.
+func TestTransportDoesNotResend(t *testing.T) {
+	server := startFakeServer(t, func(c net.Conn, nth int) bool {
 		if nth == 1 {
 			io.WriteString(c, chunkedHead+updateLine("done")+chunkedEnd)
 		}
 		return nth == 1
 	})
-	_, x := newTestClient()
-	forward(t.Context(), x, e.Addr().String())
-	got := forward(t.Context(), x, e.Addr().String())
-	if accepted, requests := e.counts(); got.outcome != dispatch.StaleConnection || accepted != 1 || requests != 2 {
+	_, client := newTestClient()
+	forward(t.Context(), client, server.Addr().String())
+	got := forward(t.Context(), client, server.Addr().String())
+	if accepted, requests := server.counts(); got.outcome != dispatch.StaleConnection || accepted != 1 || requests != 2 {
 		t.Errorf("%+v, %d connections, %d requests", got, accepted, requests)
 	}
 }
 
-// TestProbe: a probe's answer is its report; refusals, silence and odd bodies are faults, and its connection is kept.
+// TestProbe checks that a probe returns the load report and reuses its connection, and that error statuses,
+// malformed bodies and missing responses are errors.
 func TestProbe(t *testing.T) {
-	_, x := newTestClient()
+	_, client := newTestClient()
 	answer := func(status, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	}
 	good := startFakeServer(t, respondWith(answer("200 OK", `{"x0":3}`), true))
 	for range 2 {
-		if l, err := x.Probe(t.Context(), good.Addr().String()); err != nil || l.FreeSlots != 3 {
-			t.Errorf("%+v %v", l, err)
+		if report, err := client.Probe(t.Context(), good.Addr().String()); err != nil || report.FreeSlots != 3 {
+			t.Errorf("%+v %v", report, err)
 		}
 	}
 	if accepted, requests := good.counts(); accepted != 1 || requests != 2 {
@@ -192,13 +201,14 @@
 	}
 	faulty := []string{answer("404 Not Found", ""), answer("503 Busy", `{"x0":3}`), answer("200 OK", "{}"), "junk"}
 	for _, text := range faulty {
-		if l, err := x.Probe(t.Context(), startFakeServer(t, respondWith(text, false)).Addr().String()); err == nil {
-			t.Errorf("%q: %+v", text, l)
+		if report, err := client.Probe(
+			t.Context(), startFakeServer(t, respondWith(text, false)).Addr().String()); err == nil {
+			t.Errorf("%q: %+v", text, report)
 		}
 	}
 	short, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 	defer cancel()
-	if _, err := x.Probe(short, startFakeServer(t, respondWith("", true)).Addr().String()); err == nil {
+	if _, err := client.Probe(short, startFakeServer(t, respondWith("", true)).Addr().String()); err == nil {
 		t.Error("a silent server told of its load")
 	}
 }
--- a/internal/transport/server_conn_test.go
+++ b/internal/transport/server_conn_test.go
@@ -8,9 +8,10 @@
 	"testing"
 )
 
-// TestUnsentProof: a write cut short, and a connection that nothing was written to, prove that a request never ran.
+// TestUnsentProof checks that a truncated write, or the absence of any write, proves that a request was not
+// sent completely, and that nothing can be written after the check.
 func TestUnsentProof(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		use  func(c *serverConn, peer net.Conn)
 		want bool
 	}{
@@ -29,14 +30,14 @@
 			c.Write([]byte("def"))
 		}, true},
 	} {
-		near, far := net.Pipe()
-		u := newServerConn(near, NewConnectionBudget(64), "")
-		u.beginExchange(nil)
-		c.use(u, far)
-		if never, _ := u.closeAndCheckUnsent(0); never != c.want {
-			t.Errorf("%s: %v", name, never)
+		local, peer := net.Pipe()
+		conn := newServerConn(local, NewConnectionBudget(64), "")
+		conn.beginExchange(nil)
+		test.use(conn, peer)
+		if unsent, _ := conn.closeAndCheckUnsent(0); unsent != test.want {
+			t.Errorf("%s: %v", name, unsent)
 		}
-		if _, err := u.Write([]byte("late")); err == nil {
+		if _, err := conn.Write([]byte("late")); err == nil {
 			t.Errorf("%s: written after the proof", name)
 		}
 	}
@@ -44,17 +45,18 @@
 
 func readByteAndClose(c net.Conn) { io.ReadFull(c, make([]byte, 1)); c.Close() }
 
-// TestMarkIdleIsOfTheLastUse: word that a connection rests comes late, when the next request has it already.
-func TestMarkIdleIsOfTheLastUse(t *testing.T) {
-	d := NewConnectionBudget(64)
-	near, _ := net.Pipe()
-	c := newServerConn(near, d, "")
-	first := d.markActive(&c.trackedConn)
-	second := d.markActive(&c.trackedConn)
-	if d.markIdle(&c.trackedConn, first); d.idle[serverSide].Len() != 0 {
+// TestMarkIdleIgnoresEarlierUse checks that a late idle report of an earlier use does not mark a connection
+// as idle that the next request is already using.
+func TestMarkIdleIgnoresEarlierUse(t *testing.T) {
+	budget := NewConnectionBudget(64)
+	local, _ := net.Pipe()
+	c := newServerConn(local, budget, "")
+	firstUse := budget.markActive(&c.trackedConn)
+	secondUse := budget.markActive(&c.trackedConn)
+	if budget.markIdle(&c.trackedConn, firstUse); budget.idle[serverSide].Len() != 0 {
 		t.Error("a connection in use counts as idle")
 	}
-	if d.markIdle(&c.trackedConn, second); d.idle[serverSide].Len() != 1 {
+	if budget.markIdle(&c.trackedConn, secondUse); budget.idle[serverSide].Len() != 1 {
 		t.Error("an idle connection is not known")
 	}
 }
--- a/internal/transport/server_helpers_test.go
+++ b/internal/transport/server_helpers_test.go
@@ -17,13 +17,13 @@
 	"fernrail/internal/protocol"
 )
 
-// startTestServer is the clients' side on a loopback address.
-func startServer(t *testing.T, d *ConnectionBudget, serve ServeFunc, adjust ...func(*http.Server)) (*Server, string) {
+// startServer starts a Server on a loopback address and returns it with its address.
+func startServer(t *testing.T, budget *ConnectionBudget, serve ServeFunc, configure ...func(*http.Server)) (*Server, string) {
 	t.Helper()
 	names := &protocol.Names{Classes: []string{"pay"}}
-	s := NewServer(d, names, serve, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
-	for _, a := range adjust {
-		a(s.http)
+	s := NewServer(budget, names, serve, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
+	for _, apply := range configure {
+		apply(s.http)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,28 +60,28 @@
 	return r
 }
 
-// succeed serves a request with a result.
+// succeed responds to any request with status 200 and a result.
 func succeed(context.Context, *protocol.Request) *protocol.Response {
 	return &protocol.Response{Status: 200, Body: "r"}
 }
 
-// isReady asks a node whether clients may come.
+// isReady makes a readiness check and reports whether the node is ready.
 func isReady(t *testing.T, address string) bool {
 	t.Helper()
 	response := readResponse(t, dialAndWrite(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"))
 	return response.StatusCode == http.StatusOK
 }
 
-// expectClose fails the test unless the connection is closed within a time, with nothing sent on it.
-func expectClose(t *testing.T, what string, c net.Conn, within time.Duration) {
+// expectClose fails the test unless the connection is closed within a time-out, with nothing sent on it.
+func expectClose(t *testing.T, what string, c net.Conn, timeout time.Duration) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(within))
+	c.SetReadDeadline(time.Now().Add(timeout))
 	if text, err := io.ReadAll(c); err != nil || len(text) > 0 {
 		t.Errorf("%s: %q, %v", what, text, err)
 	}
 }
 
-// waitFor fails the test where something does not come.
+// waitFor fails the test if the channel receives nothing within 5 s.
 func waitFor(t *testing.T, what string, c <-chan struct{}) {
 	t.Helper()
 	select {
@@ -91,24 +91,25 @@
 	}
 }
 
-// waitUntil waits for what another goroutine does.
-func waitUntil(t *testing.T, what string, is func() bool) {
+// waitUntil fails the test if a condition that another goroutine establishes does not become true within 5 s.
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for start := time.Now(); !is(); time.Sleep(time.Millisecond) {
+	for start := time.Now(); !done(); time.Sleep(time.Millisecond) {
 		if time.Since(start) > 5*time.Second {
 			t.Fatal("not seen: ", what)
 		}
 	}
 }
 
-func lockedCount(d *ConnectionBudget, figure *int) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return *figure
+// lockedCount reads one of the budget's counts under its lock.
+func lockedCount(budget *ConnectionBudget, value *int) int {
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
+	return *value
 }
 
-func pendingCount(d *ConnectionBudget) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.pending.Len()
+func pendingCount(budget *ConnectionBudget) int {
+	budget.mu.Lock()
+	defer budget.mu.Unlock()
+	return budget.pending.Len()
 }
--- a/internal/transport/server_phase_test.go
+++ b/internal/transport/server_phase_test.go
@@ -16,23 +16,24 @@
 	"github.com/rs/zerolog"
 )
 
-// TestStop: what was taken is answered, what still comes is taken for half of the time, and kept connections then close
-// between requests.
-func TestStop(t *testing.T) {
-	taken, hold := make(chan struct{}), make(chan struct{})
-	d := NewConnectionBudget(1024)
-	s, address := startServer(t, d, func(context.Context, *protocol.Request) *protocol.Response {
-		taken <- struct{}{}
-		<-hold
+// TestStopAnswersAcceptedRequests checks that accepted requests are answered before Stop returns, that
+// requests are still accepted for at least half of the time-out, and that connections close after their
+// response.
+func TestStopAnswersAcceptedRequests(t *testing.T) {
+	started, release := make(chan struct{}), make(chan struct{})
+	budget := NewConnectionBudget(1024)
+	s, address := startServer(t, budget, func(context.Context, *protocol.Request) *protocol.Response {
+		started <- struct{}{}
+		<-release
 		return &protocol.Response{Status: 200}
 	})
 	first := dialAndWrite(t, address, requestHead+"b")
-	<-taken
+	<-started
 	stopped, start := make(chan error, 1), time.Now()
 	go func() { stopped <- s.Stop(2*time.Second, false) }()
 	second := dialAndWrite(t, address, requestHead+"b")
-	<-taken
-	for { // until nothing new is taken
+	<-started
+	for { // until no new connection is accepted
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			break
@@ -40,15 +41,15 @@
 		c.Close()
 		time.Sleep(10 * time.Millisecond)
 	}
-	if took := time.Since(start); took < time.Second {
-		t.Errorf("shut after %s", took)
+	if elapsed := time.Since(start); elapsed < time.Second {
+		t.Errorf("shut after %s", elapsed)
 	}
 	select {
 	case <-stopped:
 		t.Fatal("ended with requests unanswered")
 	case <-time.After(30 * time.Millisecond):
 	}
-	close(hold)
+	close(release)
 	for _, c := range []net.Conn{first, second} {
 		if got := readResponse(t, c); got.StatusCode != 200 || !got.Close {
 			t.Errorf("%+v", got)
@@ -59,25 +60,27 @@
 	}
 }
 
-// TestStopLeavesHalfRequests: what a client never finished is no request that the node owes a response.
-func TestStopLeavesHalfRequests(t *testing.T) {
-	d := NewConnectionBudget(64)
-	s, address := startServer(t, d, succeed)
+// TestStopIgnoresIncompleteRequest checks that Stop does not report a request as unanswered that its client
+// has not sent completely.
+func TestStopIgnoresIncompleteRequest(t *testing.T) {
+	budget := NewConnectionBudget(64)
+	s, address := startServer(t, budget, succeed)
 	dialAndWrite(t, address, requestHead[:30])
 	for read := 0; read == 0; time.Sleep(time.Millisecond) { // until its first bytes are read
-		d.mu.Lock()
-		read = d.active
-		d.mu.Unlock()
+		budget.mu.Lock()
+		read = budget.active
+		budget.mu.Unlock()
 	}
 	if err := s.Stop(100*time.Millisecond, false); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestPhases: what operators ask for out of turn gets a defined answer.
-func TestPhases(t *testing.T) {
-	shut := NewServer(NewConnectionBudget(64), nil, nil, func() bool { return true }, nil, zerolog.Nop())
-	if shut.Ready() || !errors.Is(shut.Drain(), errNotListening) || !errors.Is(shut.Activate(), errNotListening) {
+// TestDrainAndActivateByPhase checks the results of Drain and Activate in phases in which operators should
+// not call them.
+func TestDrainAndActivateByPhase(t *testing.T) {
+	notListening := NewServer(NewConnectionBudget(64), nil, nil, func() bool { return true }, nil, zerolog.Nop())
+	if notListening.Ready() || !errors.Is(notListening.Drain(), errNotListening) || !errors.Is(notListening.Activate(), errNotListening) {
 		t.Error("a server that does not listen")
 	}
 	s, address := startServer(t, NewConnectionBudget(64), succeed)
@@ -98,16 +101,16 @@
 	}
 }
 
-// TestNothingIsTakenAfterTheEnd: a client's second half comes when the server has ended. It is not served, and
-// nothing is made up.
-func TestNothingIsTakenAfterTheEnd(t *testing.T) {
-	d := NewConnectionBudget(64)
-	s, address := startServer(t, d, func(context.Context, *protocol.Request) *protocol.Response {
+// TestNoRequestIsServedAfterStop checks that a request whose second half arrives after the server has stopped
+// is not served and receives no response that no server produced.
+func TestNoRequestIsServedAfterStop(t *testing.T) {
+	budget := NewConnectionBudget(64)
+	s, address := startServer(t, budget, func(context.Context, *protocol.Request) *protocol.Response {
 		t.Error("served")
 		return nil
 	})
 	c := dialAndWrite(t, address, requestHead[:30])
-	waitUntil(t, "its first bytes", func() bool { return lockedCount(d, &d.active) > 0 })
+	waitUntil(t, "its first bytes", func() bool { return lockedCount(budget, &budget.active) > 0 })
 	if err := s.Stop(50*time.Millisecond, false); err != nil {
 		t.Error(err)
 	}
@@ -117,9 +120,9 @@
 	}
 }
 
-// TestStopEndsSilentConnections: connections that never said a word are closed before the process is, or served if
-// they have. A request that were read as the process ends would be lost.
-func TestStopEndsSilentConnections(t *testing.T) {
+// TestStopClosesSilentConnections checks that connections without any data are closed before Stop returns. A
+// request that arrives on one while the process ends would be lost.
+func TestStopClosesSilentConnections(t *testing.T) {
 	s, address := startServer(t, NewConnectionBudget(64), succeed)
 	silent := dialAndWrite(t, address, "")
 	waitUntil(t, "a connection", func() bool { return pendingCount(s.budget) > 0 })
@@ -127,7 +130,7 @@
 		t.Error(err)
 	}
 	expectClose(t, "silent", silent, time.Second)
-	if held := lockedCount(s.budget, &s.budget.inUse[clientSide]); held > 0 {
-		t.Errorf("%d connections at the end", held)
+	if inUse := lockedCount(s.budget, &s.budget.inUse[clientSide]); inUse > 0 {
+		t.Errorf("%d connections at the end", inUse)
 	}
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -19,7 +19,9 @@
 	"fernrail/internal/protocol"
 )
 
-func TestServer(t *testing.T) {
+// TestResponseStatusAndClose checks the status of valid and invalid requests, and that the connection stays
+// open only after a valid one.
+func TestResponseStatusAndClose(t *testing.T) {
 	_, address := startServer(t, NewConnectionBudget(1024), succeed)
 	for text, want := range map[string]int{
 		requestHead + "b":                                             200,
@@ -36,10 +38,11 @@
 	}
 }
 
-// TestHalfARequest: one that is broken off is never served; one that never ends or begins is ended within 3 s.
-func TestHalfARequest(t *testing.T) {
-	d := NewConnectionBudget(1024)
-	_, address := startServer(t, d, func(context.Context, *protocol.Request) *protocol.Response {
+// TestIncompleteRequests checks that a truncated request is never served, and that a connection whose request
+// does not start or end is closed within 3 s.
+func TestIncompleteRequests(t *testing.T) {
+	budget := NewConnectionBudget(1024)
+	_, address := startServer(t, budget, func(context.Context, *protocol.Request) *protocol.Response {
 		t.Error("served")
 		return nil
 	})
@@ -57,45 +60,46 @@
 	parts.Wait()
 }
 
-// TestLibraryLogIsCut: a flood of bad clients must not become one of log lines.
-func TestLibraryLogIsCut(t *testing.T) {
-	var out strings.Builder
-	s := NewServer(NewConnectionBudget(64), nil, nil, nil, nil, zerolog.New(&out))
+// TestLibraryLogIsRateLimited checks that many faulty clients do not flood the log.
+func TestLibraryLogIsRateLimited(t *testing.T) {
+	var output strings.Builder
+	s := NewServer(NewConnectionBudget(64), nil, nil, nil, nil, zerolog.New(&output))
 	for range 1000 {
 		s.http.ErrorLog.Print("bad")
 	}
-	if n := strings.Count(out.String(), "\n"); n == 0 || n > 100 {
+	if n := strings.Count(output.String(), "\n"); n == 0 || n > 100 {
 		t.Errorf("%d lines", n)
 	}
 }
 
-// TestIdleClientIsKept: the time to hand a request in does not run while a connection rests.
-func TestIdleClientIsKept(t *testing.T) {
-	d := NewConnectionBudget(1024)
-	short := func(h *http.Server) { h.ReadTimeout = 20 * time.Millisecond }
-	_, address := startServer(t, d, succeed, short)
+// TestIdleConnectionStaysOpen checks that the request read time-out does not run while a connection is idle.
+func TestIdleConnectionStaysOpen(t *testing.T) {
+	budget := NewConnectionBudget(1024)
+	shorten := func(h *http.Server) { h.ReadTimeout = 20 * time.Millisecond }
+	_, address := startServer(t, budget, succeed, shorten)
 	c := dialAndWrite(t, address, requestHead+"b")
-	in := bufio.NewReader(c)
-	if r, err := http.ReadResponse(in, nil); err != nil {
+	reader := bufio.NewReader(c)
+	if r, err := http.ReadResponse(reader, nil); err != nil {
 		t.Fatal(err)
 	} else {
 		io.Copy(io.Discard, r.Body)
 	}
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if _, err := in.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if _, err := reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Error(err)
 	}
 }
 
-// TestClientLeaves: the wait for an answer ends when the client goes, and not when the time to hand in is over.
-func TestClientLeaves(t *testing.T) {
-	taken, left := make(chan struct{}), make(chan struct{})
-	d := NewConnectionBudget(1024)
-	_, address := startServer(t, d, func(ctx context.Context, _ *protocol.Request) *protocol.Response {
+// TestClientCloseCancelsRequest checks that a request's context ends when the client closes, and not when the
+// read time-out passes.
+func TestClientCloseCancelsRequest(t *testing.T) {
+	started, canceled := make(chan struct{}), make(chan struct{})
+	budget := NewConnectionBudget(1024)
+	_, address := startServer(t, budget, func(ctx context.Context, _ *protocol.Request) *protocol.Response {
 		select {
-		case taken <- struct{}{}:
+		case started <- struct{}{}:
 			<-ctx.Done()
-			close(left)
+			close(canceled)
 		case <-time.After(150 * time.Millisecond):
 			if ctx.Err() != nil {
 				t.Error("seen as left")
@@ -107,7 +111,7 @@
 		t.Error(got)
 	}
 	c := dialAndWrite(t, address, requestHead+"b")
-	<-taken
+	<-started
 	c.Close()
-	<-left
+	<-canceled
 }
--- a/internal/transport/simulation_test.go
+++ b/internal/transport/simulation_test.go
@@ -38,38 +38,42 @@
 {"Name":"b","SlaTime":300000000,"Expiry":3000000000,"Idempotency":"at_most_once"}]}}`
 
 const (
-	drainGrace        = 2*time.Second + 50*time.Millisecond // of the settings, with the slack of the pages
-	silentPollGrace   = 6 * time.Second                     // after which what a silent poll misses counts as notified
-	pollWaitGrace     = 2 * time.Second                     // the same after the end of its wait, if that is later
-	sourceChangeGrace = 4 * time.Second                     // from SIGHUP until the new agent counts
+	// drainGrace is Rules.DrainGrace of nodeSettings plus the specified slack of 50 ms.
+	drainGrace = 2*time.Second + 50*time.Millisecond
+	// silentPollGrace is the time after which changes missed by a lost poll count as notified.
+	silentPollGrace = 6 * time.Second
+	// pollWaitGrace is the same time, measured from the end of the poll's wait. The later of the two applies.
+	pollWaitGrace = 2 * time.Second
+	// sourceChangeGrace is the time from SIGHUP until the new agent's changes count as notified.
+	sourceChangeGrace = 4 * time.Second
 )
 
-// simulation is a node in the time of a synctest bubble, with discovery agents and servers over pipes. Agents are
-// silent, reset, stuck or send garbage; servers note when the first byte of each request came; the node is
-// restarted and turned to another agent. Only the simulation knows when an agent had a change, and records it as
-// the pages count it.
+// simulation is a node in a synctest bubble, with discovery agents and servers over pipes. Agents do not
+// respond, close connections, lose polls or send malformed responses. Servers record when the first byte of
+// each request arrived. The node is restarted and its endpoint source is changed. The simulation records when
+// the node counts as notified of each change by the specified rules.
 type simulation struct {
 	t  *testing.T
 	mu sync.Mutex
-	// rand draws the steps. Each other actor has a source of its own, so that the order in which they run changes
-	// nothing.
+	// rand draws the steps. Every other actor has its own random source, so that results do not depend on the
+	// order in which actors run.
 	rand          *rand.Rand
 	seed          uint64
 	dials         map[string]uint64
 	started       time.Time
 	serverStates  map[string]string
 	agents        map[string]*fakeAgent
-	currentAgent  *fakeAgent // the node's present one
-	currentSince  time.Time  // from when that counts
+	currentAgent  *fakeAgent // the node's endpoint source
+	currentSince  time.Time  // from when its changes count as notified
 	events        []invariants.Event
-	maxDialDelay  time.Duration // connections to servers take up to that
-	processNumber int           // the present process
-	downSince     time.Time     // when the agents last fell silent
+	maxDialDelay  time.Duration // maximum delay of dials to servers
+	processNumber int           // number of the current process
+	outageStarted time.Time     // when the agents' last outage started
 	attempts      map[string]int
 	conns         map[net.Conn]bool
 }
 
-// newSimulation returns a simulation with two agents, of which the node polls the first.
+// newSimulation returns a simulation with two agents. The node initially polls the agent at one:1.
 func newSimulation(t *testing.T, seed uint64) *simulation {
 	w := &simulation{
 		t:            t,
@@ -82,15 +86,15 @@
 		attempts:     map[string]int{},
 		conns:        map[net.Conn]bool{},
 	}
-	for _, place := range []string{"one:1", "two:1"} {
-		w.agents[place] = newFakeAgent(w)
+	for _, address := range []string{"one:1", "two:1"} {
+		w.agents[address] = newFakeAgent(w)
 	}
 	w.agents["one:1"].baseVersion = 1000
 	w.currentAgent = w.agents["one:1"]
 	return w
 }
 
-// record adds an event of the present process. Under mu.
+// record adds an event of the current process. The caller holds mu.
 func (w *simulation) record(at time.Time, e invariants.Event) {
 	e.At = int64(at.Sub(w.started))
 	e.Node = "n" + strconv.Itoa(w.processNumber)
@@ -99,23 +103,23 @@
 
 var serverIDs = []string{"e0", "e1", "e2", "e3", "e4"}
 
-// actorRand is that of one actor's nth act.
+// actorRand returns the random source for an actor's nth action.
 func (w *simulation) actorRand(actor string, nth uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(w.seed^dispatch.HashName(actor), nth))
 }
 
-// dial gives the other end of a pipe to an agent or a server.
+// dial returns the dial function of a process. It connects to an agent or a server over a pipe.
 func (w *simulation) dial(process int) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		w.mu.Lock()
-		a, late := w.agents[address], time.Duration(0)
+		a, delay := w.agents[address], time.Duration(0)
 		w.dials[address]++
-		if own := w.actorRand(address, w.dials[address]); a == nil && w.maxDialDelay > 0 && own.IntN(3) == 0 {
-			late = time.Duration(own.Int64N(int64(w.maxDialDelay)))
+		if random := w.actorRand(address, w.dials[address]); a == nil && w.maxDialDelay > 0 && random.IntN(3) == 0 {
+			delay = time.Duration(random.Int64N(int64(w.maxDialDelay)))
 		}
 		w.mu.Unlock()
 		select {
-		case <-time.After(late):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -124,18 +128,18 @@
 		if process != w.processNumber {
 			return nil, errors.New("this process has ended")
 		}
-		here, there := net.Pipe()
-		w.conns[there] = true
+		nodeEnd, serverEnd := net.Pipe()
+		w.conns[serverEnd] = true
 		if a != nil {
-			go a.serve(there)
+			go a.serve(serverEnd)
 		} else {
-			go w.serveServer(address[:2], there)
+			go w.serveServer(address[:2], serverEnd)
 		}
-		return here, nil
+		return nodeEnd, nil
 	}
 }
 
-// firstByteConn notes when a request's first byte came.
+// firstByteConn records when a request's first byte arrived.
 type firstByteConn struct {
 	net.Conn
 	waiting bool
@@ -150,13 +154,14 @@
 	return n, err
 }
 
-// serveServer is a server: it serves the requests on one connection, or rejects them if it is not ready.
+// serveServer simulates a server. It serves the requests on one connection, or rejects them if it is not
+// ready.
 func (w *simulation) serveServer(id string, c net.Conn) {
 	defer c.Close()
-	f := &firstByteConn{Conn: c}
-	in := bufio.NewReader(f)
+	firstByte := &firstByteConn{Conn: c}
+	in := bufio.NewReader(firstByte)
 	for {
-		f.waiting = true
+		firstByte.waiting = true
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -170,7 +175,7 @@
 		}
 		n := w.attempts[request]
 		w.attempts[request]++
-		w.record(f.at, invariants.Event{Kind: invariants.AttemptSent, Request: request, Server: id, Attempt: n})
+		w.record(firstByte.at, invariants.Event{Kind: invariants.AttemptSent, Request: request, Server: id, Attempt: n})
 		runs, result := time.Duration(5e6+w.actorRand(request, uint64(n)).Int64N(6e7)), "settled"
 		if w.serverStates[id] != "Ready" {
 			runs, result = 0, "full"
@@ -178,7 +183,8 @@
 		w.mu.Unlock()
 		time.Sleep(runs)
 		w.mu.Lock()
-		w.record(time.Now(), invariants.Event{Kind: invariants.AttemptEnded, Request: request, Attempt: n, Result: result})
+		w.record(time.Now(), invariants.Event{Kind: invariants.AttemptEnded, Request: request, Attempt: n,
+			Result: result})
 		w.mu.Unlock()
 		if result == "full" {
 			_, err = io.WriteString(c, rejection)
@@ -196,18 +202,18 @@
 
 // nodeProcess is one process of the node.
 type nodeProcess struct {
-	node *routing.Router
-	ctx  context.Context
-	kill context.CancelFunc
-	dial func(ctx context.Context, network, address string) (net.Conn, error)
-	name *protocol.Names
+	node  *routing.Router
+	ctx   context.Context
+	kill  context.CancelFunc
+	dial  func(ctx context.Context, network, address string) (net.Conn, error)
+	names *protocol.Names
 }
 
-// startProcess starts a process of the node that knows this list.
-func (w *simulation) startProcess(c *config.Node, known string) *nodeProcess {
+// startProcess starts a process of the node with an initial endpoint list.
+func (w *simulation) startProcess(c *config.Node, initialList string) *nodeProcess {
 	w.mu.Lock()
 	w.processNumber++
-	p := &nodeProcess{dial: w.dial(w.processNumber), name: c.Names}
+	p := &nodeProcess{dial: w.dial(w.processNumber), names: c.Names}
 	for _, a := range w.agents {
 		a.assumedAt, a.sentVersion = time.Time{}, 0
 		clear(a.assumedEvents)
@@ -215,9 +221,9 @@
 	w.currentAgent.becomeCurrent(time.Now())
 	w.mu.Unlock()
 	p.ctx, p.kill = context.WithCancel(w.t.Context())
-	x := NewServerClient(NewConnectionBudget(256), c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, func() {})
-	x.dialer.dialContext = p.dial
-	list, err := protocol.DecodeEndpointList([]byte(known), c.Names)
+	client := NewServerClient(NewConnectionBudget(256), c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, func() {})
+	client.dialer.dialContext = p.dial
+	list, err := protocol.DecodeEndpointList([]byte(initialList), c.Names)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -225,7 +231,7 @@
 		Settings:         c.Settings,
 		Seed:             w.rand.Uint64(),
 		InitialEndpoints: list,
-		Forwarder:        x,
+		Forwarder:        client,
 		ProbeTimeout:     c.ProbeTimeout,
 		EndpointSource:   p.discovery("one:1"),
 		Log:              zerolog.Nop(),
@@ -235,12 +241,12 @@
 }
 
 func (p *nodeProcess) discovery(address string) *DiscoveryClient {
-	d := NewDiscoveryClient(address, p.name)
+	d := NewDiscoveryClient(address, p.names)
 	d.transport.(*http.Transport).DialContext = p.dial
 	return d
 }
 
-// killProcess kills the process: its connections are reset, and it sends no more.
+// killProcess kills the process: its connections are closed, and it sends nothing afterwards.
 func (w *simulation) killProcess(p *nodeProcess) {
 	p.kill()
 	w.mu.Lock()
@@ -254,7 +260,7 @@
 	synctest.Wait()
 }
 
-// loadConfig is the configuration of a node whose file has this text.
+// loadConfig returns the configuration of a node from the text of its file.
 func loadConfig(t *testing.T, text string) *config.Node {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.json")
