--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -52,12 +52,14 @@
 			sum := snapshot.InFlight
 			for name, counts := range want {
 				if snapshot.Requests[name] != counts {
-					t.Fatalf("seed %d: %s is %+v, want %+v", seed, name, snapshot.Requests[name], counts)
+					t.Fatalf("seed %d: %s: got %+v, want %+v", seed, name, snapshot.Requests[name], counts)
 				}
 				sum += counts.Served + counts.Rejected + counts.Failed
 			}
-			if sum != int64(started) || snapshot.InFlight != int64(len(inFlight)) || snapshot.Attempts != attempts {
-				t.Fatalf("seed %d: %+v with %d started, %d open, %d attempts", seed, snapshot, started, len(inFlight), attempts)
+			if sum != int64(started) || snapshot.InFlight != int64(len(inFlight)) ||
+				snapshot.Attempts != attempts {
+				t.Fatalf("seed %d: got %+v, want %d requests started, %d in flight, %d attempts",
+					seed, snapshot, started, len(inFlight), attempts)
 			}
 		}
 	}
@@ -73,6 +75,6 @@
 		`"status":{"served":0,"refused":0,"failed":0}},` +
 		`"in_flight":0,"attempts":0,"executors_known":10,"executors_excluded":2}`
 	if err != nil || string(encoded) != want || !json.Valid(encoded) {
-		t.Errorf("%s, %v", encoded, err)
+		t.Errorf("got %s, error %v, want %s", encoded, err, want)
 	}
 }
--- a/internal/metrics/stored_test.go
+++ b/internal/metrics/stored_test.go
@@ -36,10 +36,10 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(&got, want) {
-		t.Errorf("read %+v, want %+v", got, *want)
+		t.Errorf("decoded: got %+v, want %+v", got, *want)
 	}
 	written, err := want.JSON()
 	if err != nil || string(written) != string(stored) {
-		t.Errorf("wrote %s, %v, want %s", written, err, stored)
+		t.Errorf("encoded: got %s, error %v, want %s", written, err, stored)
 	}
 }
--- a/internal/transport/attempt_fault_test.go
+++ b/internal/transport/attempt_fault_test.go
@@ -37,16 +37,16 @@
 
 // attemptFaults are the faults that this package distinguishes.
 var attemptFaults = map[string]attemptFault{
-	"not dialled":            {dialError: errors.New("refused")},
-	"never comes up":         {neverConnects: true},
-	"reset before its bytes": {},
-	"reset during its bytes": {readBytes: 20},
-	"reset after its bytes":  {readBytes: -1, mayRun: true},
+	"dial refused":              {dialError: errors.New("refused")},
+	"dial unanswered":           {neverConnects: true},
+	"closed before the request": {},
+	"closed during the request": {readBytes: 20},
+	"closed after the request":  {readBytes: -1, mayRun: true},
 	"rejected": {
 		readBytes: -1,
 		respond:   respond("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"),
 	},
-	"handed back": {
+	"returned": {
 		readBytes: -1,
 		respond:   respond(chunkedHead + updateLine("returned") + chunkedEnd),
 	},
@@ -60,7 +60,7 @@
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n"),
 	},
-	"503 without the mark": {
+	"503 without X-Rejected": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
@@ -70,28 +70,28 @@
 		mayRun:    true,
 		respond:   respond(chunkedHead + updateLine("started") + updateLine("lost") + chunkedEnd),
 	},
-	"cut in its head": {
+	"truncated head": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 200 OK\r\nTransfer-Enc"),
 	},
-	"cut after its start": {
+	"closed after started": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond(chunkedHead + updateLine("started")),
 	},
-	"cut in a line": {
+	"truncated line": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond(chunkedHead + "40\r\n{\"id\":\"j\",\"state\":\"do"),
 	},
-	"no HTTP": {readBytes: -1, mayRun: true, respond: respond("<html>\r\n\r\n")},
-	"another's id": {
+	"not HTTP": {readBytes: -1, mayRun: true, respond: respond("<html>\r\n\r\n")},
+	"update of another job": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond(chunkedHead + chunk(`{"id":"k","state":"done","result":"k"}`) + chunkedEnd),
 	},
-	"two lengths": {
+	"two Content-Lengths": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 9\r\n\r\nabcde"),
@@ -106,54 +106,54 @@
 		mayRun:    true,
 		respond:   respondForever(chunkedHead, "100\r\n"+strings.Repeat("x", 256)+"\r\n"),
 	},
-	"endless notes": {
+	"endless updates": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondForever(chunkedHead, updateLine("running")),
 	},
-	"100 and cut": {
+	"closed after 100": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 100 Continue\r\n\r\n"),
 	},
-	"103 without end": {
+	"endless 103": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondForever("", "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"),
 	},
-	"silent": {readBytes: -1, mayRun: true, respond: respondAndStall("")},
-	"silent after 100": {
+	"stalls before the head": {readBytes: -1, mayRun: true, respond: respondAndStall("")},
+	"stalls after 100": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondAndStall("HTTP/1.1 100 Continue\r\n\r\n"),
 	},
-	"silent after its head": {readBytes: -1, mayRun: true, respond: respondAndStall(chunkedHead)},
-	"silent after its start": {
+	"stalls after the head": {readBytes: -1, mayRun: true, respond: respondAndStall(chunkedHead)},
+	"stalls after started": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondAndStall(chunkedHead + updateLine("started")),
 	},
-	"silent in a line": {
+	"stalls in a line": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondAndStall(chunkedHead + "40\r\n{\"id\":\"j\""),
 	},
-	"kept, reset before its bytes": {reusedConnection: true},
-	"kept, reset during its bytes": {reusedConnection: true, readBytes: 20},
-	"kept, reset after its bytes":  {reusedConnection: true, readBytes: -1, mayRun: true},
-	"kept, cut after its start": {
+	"reused, closed before the request": {reusedConnection: true},
+	"reused, closed during the request": {reusedConnection: true, readBytes: 20},
+	"reused, closed after the request":  {reusedConnection: true, readBytes: -1, mayRun: true},
+	"reused, closed after started": {
 		reusedConnection: true,
 		readBytes:        -1,
 		mayRun:           true,
 		respond:          respond(chunkedHead + updateLine("started")),
 	},
-	"kept, silent": {
+	"reused, stalls before the head": {
 		reusedConnection: true,
 		readBytes:        -1,
 		mayRun:           true,
 		respond:          respondAndStall(""),
 	},
-	"kept, an answer to none before": {
+	"reused, update of an earlier job": {
 		reusedConnection: true,
 		readBytes:        -1,
 		mayRun:           true,
--- a/internal/transport/client_close_test.go
+++ b/internal/transport/client_close_test.go
@@ -77,7 +77,8 @@
 		return a
 	})
 	s.names = c.Names
-	return testNode{address: address, budget: budget, client: client, lists: lists, disconnected: disconnected}
+	return testNode{address: address, budget: budget, client: client, lists: lists,
+		disconnected: disconnected}
 }
 
 // endpointList lists servers as ready, each with its address as its ID.
@@ -100,17 +101,17 @@
 
 // clientCloses are the ways in which a client can close its connection while its request is in flight.
 var clientCloses = map[string]func(c *net.TCPConn){
-	"closed":                        func(c *net.TCPConn) { c.Close() },
-	"reset":                         func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-	"half-closed":                   func(c *net.TCPConn) { c.CloseWrite() },
-	"closed behind a stray byte":    func(c *net.TCPConn) { io.WriteString(c, "\n"); c.Close() },
-	"closed behind another request": func(c *net.TCPConn) { io.WriteString(c, jobRequest); c.Close() },
-	"closed behind 20 more requests": func(c *net.TCPConn) {
+	"closed":                       func(c *net.TCPConn) { c.Close() },
+	"reset":                        func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+	"half-closed":                  func(c *net.TCPConn) { c.CloseWrite() },
+	"closed after an extra byte":   func(c *net.TCPConn) { io.WriteString(c, "\n"); c.Close() },
+	"closed after another request": func(c *net.TCPConn) { io.WriteString(c, jobRequest); c.Close() },
+	"closed after 20 more requests": func(c *net.TCPConn) {
 		io.WriteString(c, strings.Repeat(jobRequest, 20))
 		c.Close()
 	},
-	"reset behind a stray byte": func(c *net.TCPConn) { io.WriteString(c, "\n"); c.SetLinger(0); c.Close() },
-	"closed behind more than is kept": func(c *net.TCPConn) {
+	"reset after an extra byte": func(c *net.TCPConn) { io.WriteString(c, "\n"); c.SetLinger(0); c.Close() },
+	"closed after more than readAheadLimit": func(c *net.TCPConn) {
 		io.WriteString(c, strings.Repeat("x", 4*readAheadLimit))
 		c.Close()
 	},
@@ -122,7 +123,7 @@
 // net/http stops detecting a close at the first byte behind a request.
 func TestNoAttemptAfterClientClose(t *testing.T) {
 	for name, closeClient := range clientCloses {
-		for _, state := range []string{"no server", "a connection comes up", "an attempt is out"} {
+		for _, state := range []string{"no server", "dial in progress", "attempt in flight"} {
 			t.Run(name+", "+state, func(t *testing.T) {
 				attempted, release := make(chan struct{}, 9), make(chan struct{})
 				first := startFakeServer(t, func(c net.Conn, _ int) bool {
@@ -140,7 +141,7 @@
 				address, budget, client, disconnected := node.address, node.budget, node.client, node.disconnected
 				dialing, dial := make(chan struct{}, 9), make(chan struct{})
 				client.SetDialGate(func(string) bool {
-					if state == "a connection comes up" {
+					if state == "dial in progress" {
 						dialing <- struct{}{}
 						<-dial
 					}
@@ -148,17 +149,17 @@
 				})
 				c := dialAndWrite(t, address, jobRequest).(*net.TCPConn)
 				switch state {
-				case "a connection comes up":
-					waitFor(t, "a dial", dialing)
-				case "an attempt is out":
-					waitFor(t, "an attempt", attempted)
+				case "dial in progress":
+					waitFor(t, "dial to a server", dialing)
+				case "attempt in flight":
+					waitFor(t, "attempt at the first server", attempted)
 				default:
-					waitUntil(t, "a request at work", func() bool {
+					waitUntil(t, "request in progress", func() bool {
 						return lockedCount(budget, &budget.active) > pendingCount(budget)
 					})
 				}
 				closeClient(c)
-				waitFor(t, "that the client has gone", disconnected)
+				waitFor(t, "detection of the client's close", disconnected)
 				close(dial)
 				close(release)
 				for version := range int64(2) { // the second is polled for after the first was applied
@@ -167,13 +168,13 @@
 				// A response to the next client proves that all earlier requests were decided.
 				next := dialAndWrite(t, address, nextJobRequest)
 				if a := readResponse(t, next); a.StatusCode != http.StatusOK {
-					t.Error(a.Status)
+					t.Errorf("next client: got status %q, want 200", a.Status)
 				}
 				for _, e := range []*fakeServer{first, other} {
 					e.mu.Lock()
 					for _, id := range e.requestIDs {
-						if id != "k" && (state != "an attempt is out" || e != first || e.requestIDs[0] != id) {
-							t.Errorf("%s was sent on for who had gone", id)
+						if id != "k" && (state != "attempt in flight" || e != first || e.requestIDs[0] != id) {
+							t.Errorf("request %q was sent to a server after its client had closed", id)
 						}
 					}
 					e.mu.Unlock()
@@ -198,15 +199,15 @@
 			dialing, dial := make(chan struct{}, 9), make(chan struct{})
 			client.SetDialGate(func(string) bool { dialing <- struct{}{}; <-dial; return true })
 			c := dialAndWrite(t, address, jobRequest).(*net.TCPConn)
-			waitFor(t, "a dial", dialing)
+			waitFor(t, "dial to a server", dialing)
 			closeClient(c)
-			waitFor(t, "that the client has gone", disconnected)
+			waitFor(t, "detection of the client's close", disconnected)
 			close(dial)
 			if a := readResponse(t, dialAndWrite(t, address, nextJobRequest)); a.StatusCode != http.StatusOK {
-				t.Error(a.Status)
+				t.Errorf("next client: got status %q, want 200", a.Status)
 			}
 			if _, requests := e.counts(); requests != 1 {
-				t.Errorf("%d requests came, of one client that was there", requests)
+				t.Errorf("server received %d requests, want 1, of the client that stayed connected", requests)
 			}
 		})
 	}
@@ -222,7 +223,7 @@
 		dialAndWrite(t, address, jobRequest).Close()
 	}
 	if a := readResponse(t, dialAndWrite(t, address, nextJobRequest)); a.StatusCode != http.StatusOK {
-		t.Error(a.Status)
+		t.Errorf("next client: got status %q, want 200", a.Status)
 	}
 	select {
 	case <-disconnected:
@@ -237,17 +238,17 @@
 // Without a response the request would be lost. If the handler returned without one, net/http would send
 // status 200, as a result that no server produced.
 func TestHalfClosedClientIsRejected(t *testing.T) {
-	for state, known := range map[string][]string{"waits": nil, "is read after that": {"127.0.0.1:9"}} {
+	for state, known := range map[string][]string{"close while waiting": nil, "close before selection": {"127.0.0.1:9"}} {
 		node := startNode(t, closeSignaled, known...)
 		address, disconnected := node.address, node.disconnected
 		c := dialAndWrite(t, address, "").(*net.TCPConn)
 		io.WriteString(c, jobRequest)
 		c.CloseWrite()
-		waitFor(t, "that the client has gone", disconnected)
+		waitFor(t, "detection of the client's close", disconnected)
 		text, err := io.ReadAll(c)
 		responses := strings.Count(string(text), "HTTP/1.1")
 		if err != nil || !strings.HasPrefix(string(text), "HTTP/1.1 503 ") || responses != 1 {
-			t.Errorf("%s: %q, %v", state, text, err)
+			t.Errorf("%s: got %q, error %v, want one response with status 503", state, text, err)
 		}
 	}
 }
--- a/internal/transport/connection_budget_test.go
+++ b/internal/transport/connection_budget_test.go
@@ -29,7 +29,7 @@
 	budget, client := newTestClient()
 	budget.maxInUse[serverSide] = 1
 	if got := forward(t.Context(), client, quick.Addr().String()); got.outcome != dispatch.Succeeded {
-		t.Fatalf("%+v", got)
+		t.Fatalf("first attempt: got %+v, want outcome %v", got, dispatch.Succeeded)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	results := make(chan forwardResult)
@@ -42,7 +42,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if got := forward(t.Context(), client, quick.Addr().String()); got.outcome != dispatch.NotSent {
-		t.Errorf("%+v", got)
+		t.Errorf("attempt without a permit: got %+v, want outcome %v", got, dispatch.NotSent)
 	}
 	cancel()
 	<-results
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	if got := forward(t.Context(), client, e.Addr().String()); got.outcome != dispatch.Succeeded {
-		t.Errorf("%+v", got)
+		t.Errorf("attempt after an unused connection: got %+v, want outcome %v", got, dispatch.Succeeded)
 	}
 }
 
@@ -77,11 +77,11 @@
 	<-started
 	second := dialAndWrite(t, address, requestHead+"b")
 	if got := readResponse(t, second); got.StatusCode != 503 || !got.Close {
-		t.Errorf("%+v", got)
+		t.Errorf("client above the limit: got status %d, close %t, want 503 and close", got.StatusCode, got.Close)
 	}
 	close(release)
 	if got := readResponse(t, first); got.StatusCode != 200 {
-		t.Errorf("%+v", got)
+		t.Errorf("client within the limit: got status %d, want 200", got.StatusCode)
 	}
 }
 
@@ -93,7 +93,7 @@
 	for range 20 {
 		c := dialAndWrite(t, address, requestHead+"b")
 		if got := readResponse(t, c); got.StatusCode != 200 {
-			t.Fatal(got)
+			t.Fatalf("got status %d, want 200", got.StatusCode)
 		}
 		// A reclaimed connection uses its permit until it is closed. On a loaded machine the next client
 		// could connect before that and would be rejected.
@@ -117,7 +117,8 @@
 		connections = append(connections, c)
 	}
 	budget.Resize(reservedDescriptors + 10)
-	for start, inUse := time.Now(), 20; inUse > 10 && time.Since(start) < 2*time.Second; time.Sleep(time.Millisecond) {
+	for start, inUse := time.Now(), 20; inUse > 10 &&
+		time.Since(start) < 2*time.Second; time.Sleep(time.Millisecond) {
 		budget.mu.Lock()
 		inUse = budget.inUse[clientSide]
 		budget.mu.Unlock()
@@ -129,10 +130,10 @@
 		if r, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			closed++
 		} else if r.StatusCode != 200 {
-			t.Error(r)
+			t.Errorf("connection that stayed open: got status %d, want 200", r.StatusCode)
 		}
 	}
 	if closed != 10 {
-		t.Errorf("%d of 20 were closed", closed)
+		t.Errorf("%d of 20 connections were closed, want 10", closed)
 	}
 }
--- a/internal/transport/discovery_client_test.go
+++ b/internal/transport/discovery_client_test.go
@@ -45,9 +45,10 @@
 		endpoints, err := client.Poll(t.Context(), 0, true)
 		switch elapsed := time.Since(start); {
 		case sentPieces == pieces && (err != nil || len(endpoints.Endpoints) != len(entries)):
-			t.Errorf("a list that comes slowly, after %v: %v", elapsed, err)
+			t.Errorf("slow list: got error %v after %v, want %d endpoints", err, elapsed, len(entries))
 		case sentPieces < pieces && (!errors.Is(err, errDiscoveryTimeout) || elapsed > protocol.WatchWait):
-			t.Errorf("a list that stops on its way, after %v: %v", elapsed, err)
+			t.Errorf("stalled list: got error %v after %v, want %v within %v",
+				err, elapsed, errDiscoveryTimeout, protocol.WatchWait)
 		}
 		agent.CloseClientConnections()
 		agent.Close()
@@ -74,18 +75,18 @@
 	defer s.Close()
 	client := NewDiscoveryClient(listener.Addr().String(), &protocol.Names{})
 	if list, err := client.Poll(t.Context(), 0, true); err != nil || list.Version != 4 || !list.Complete {
-		t.Error(list, err)
+		t.Errorf("full poll: got %+v, error %v, want the full list of version 4", list, err)
 	}
 	if list, err := client.Poll(t.Context(), 4, false); err != nil || list.Version != 5 {
-		t.Error(list, err)
+		t.Errorf("poll for changes: got %+v, error %v, want version 5", list, err)
 	}
 	for range 2 {
 		if list, err := client.Poll(t.Context(), 5, false); err == nil {
-			t.Error(list)
+			t.Errorf("malformed or failed response: got %+v, want an error", list)
 		}
 	}
 	want := []string{"/api/targets", "/api/targets?since=4&timeout_ms=1", "/api/targets?since=5&timeout_ms=3000"}
 	if !slices.Equal(polledURLs[:3], want) {
-		t.Error(polledURLs)
+		t.Errorf("polled %q, want %q", polledURLs, want)
 	}
 }
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -31,7 +31,7 @@
 		for range 10 {
 			c := dialAndWrite(t, address, requestHead+"b")
 			if got := readResponse(t, c); got.StatusCode != 200 || got.Close {
-				t.Fatalf("round %d: %+v", round, got)
+				t.Fatalf("round %d: got status %d, close %t, want 200 without close", round, got.StatusCode, got.Close)
 			}
 			idle = append(idle, c)
 		}
@@ -40,7 +40,7 @@
 		busy := dialAndWrite(t, address, requestHead+"l")
 		<-started
 		if !isReady(t, address) {
-			t.Fatal("not ready")
+			t.Fatal("node is not ready before the drain")
 		}
 		start := time.Now()
 		for range 2 {
@@ -49,25 +49,26 @@
 			}
 		}
 		if isReady(t, address) {
-			t.Error("ready while it drains")
+			t.Error("node is ready during the drain")
 		}
-		if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 || !got.Close {
-			t.Errorf("a late client: %+v", got)
+		if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 ||
+			!got.Close {
+			t.Errorf("late client: got status %d, close %t, want 200 and close", got.StatusCode, got.Close)
 		}
 		for _, c := range idle {
-			expectClose(t, "kept", c, time.Second)
+			expectClose(t, "idle connection", c, time.Second)
 		}
-		expectClose(t, "silent", silent, 1500*time.Millisecond)
+		expectClose(t, "silent connection", silent, 1500*time.Millisecond)
 		io.WriteString(half, requestHead[30:]+"b")
 		if got := readResponse(t, half); got.StatusCode != 200 || !got.Close {
-			t.Errorf("a slow client: %+v", got)
+			t.Errorf("slow client: got status %d, close %t, want 200 and close", got.StatusCode, got.Close)
 		}
 		if elapsed := time.Since(start); elapsed > 2*time.Second {
-			t.Errorf("empty after %s", elapsed)
+			t.Errorf("connections were closed after %s, want at most 2 s", elapsed)
 		}
 		release <- struct{}{}
 		if got := readResponse(t, busy); got.StatusCode != 200 || !got.Close {
-			t.Errorf("a long job: %+v", got)
+			t.Errorf("long request: got status %d, close %t, want 200 and close", got.StatusCode, got.Close)
 		}
 		for range 2 {
 			if err := s.Activate(); err != nil {
@@ -75,7 +76,7 @@
 			}
 		}
 		if !isReady(t, address) {
-			t.Error("not ready after the drain")
+			t.Error("node is not ready after Activate")
 		}
 	}
 }
@@ -105,12 +106,13 @@
 				n, err := c.Read(text)
 				switch {
 				case n > 0 && string(text[9:12]) == "200":
-					if random.IntN(3) == 0 || string(text[17:24]) == "Connect" { // by choice, or as the response requires
+					if random.IntN(3) == 0 || string(text[17:24]) == "Connect" {
+						// The client closes by choice, or as the response requires.
 						c.Close()
 						c = nil
 					}
 				case isNew:
-					t.Errorf("a new connection: %q, %v", text[:n], err)
+					t.Errorf("new connection: got %q, error %v, want status 200", text[:n], err)
 					return
 				default:
 					c.Close()
@@ -122,11 +124,11 @@
 	for range 60 {
 		s.Drain()
 		if isReady(t, address) {
-			t.Error("ready")
+			t.Error("node is ready during a drain")
 		}
 		s.Activate()
 		if !isReady(t, address) {
-			t.Error("not ready")
+			t.Error("node is not ready after Activate")
 		}
 	}
 	close(stop)
--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -21,7 +21,7 @@
 	_, address := startServer(t, budget, succeed)
 	established := dialAndWrite(t, address, requestHead+"b")
 	if got := readResponse(t, established); got.StatusCode != 200 {
-		t.Fatal(got)
+		t.Fatalf("first request: got status %d, want 200", got.StatusCode)
 	}
 	unfinished := []string{"", requestHead[:40], strings.Replace(requestHead, ": 1", ": 90000000", 1)}
 	var silent []net.Conn
@@ -29,23 +29,23 @@
 		silent = append(silent, dialAndWrite(t, address, unfinished[i%3]))
 	}
 	if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 {
-		t.Error(got)
+		t.Errorf("new client: got status %d, want 200", got.StatusCode)
 	}
 	io.WriteString(established, requestHead+"b")
 	if got := readResponse(t, established); got.StatusCode != 200 {
-		t.Error(got)
+		t.Errorf("established client: got status %d, want 200", got.StatusCode)
 	}
 	start := time.Now()
 	for _, c := range silent[:100-2*budget.maxPending] {
 		io.Copy(io.Discard, c) // until it is closed
 	}
 	if elapsed := time.Since(start); elapsed > time.Second {
-		t.Errorf("the last was kept for %s", elapsed)
+		t.Errorf("the last silent connection was closed after %s, want at most 1 s", elapsed)
 	}
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
 	if budget.inUse[clientSide] > budget.maxPending+3 {
-		t.Errorf("%d places are held", budget.inUse[clientSide])
+		t.Errorf("%d client permits are in use, want at most %d", budget.inUse[clientSide], budget.maxPending+3)
 	}
 }
 
@@ -70,7 +70,7 @@
 		accepted := budget.acceptClient(c)
 		t.Cleanup(func() { accepted.Close() })
 		all = append(all, accepted)
-		waitUntil(t, "its bytes", func() bool { return text == "" || accepted.hasUnreadData() })
+		waitUntil(t, "unread data", func() bool { return text == "" || accepted.hasUnreadData() })
 		return accepted
 	}
 	for range budget.maxPending - 1 {
@@ -82,7 +82,7 @@
 	}
 	for i, c := range all {
 		if c.closed != (c == silent) {
-			t.Errorf("connection %d of %d: closed is %v", i, len(all), c.closed)
+			t.Errorf("connection %d of %d: closed is %t, want %t", i, len(all), c.closed, c == silent)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	for _, c := range all {
 		io.WriteString(c, "b")
 		if got := readResponse(t, c); got.StatusCode != 200 {
-			t.Error(got)
+			t.Errorf("got status %d, want 200", got.StatusCode)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	_, address := startServer(t, budget, succeed)
 	c := dialAndWrite(t, address, requestHead+"b")
 	if got := readResponse(t, c); got.StatusCode != 200 {
-		t.Fatal(got)
+		t.Fatalf("first request: got status %d, want 200", got.StatusCode)
 	}
 	half := len(requestHead) / 2
 	io.WriteString(c, requestHead[:half])
@@ -124,7 +124,7 @@
 	budget.disableIdle()
 	io.WriteString(c, requestHead[half:]+"b")
 	if got := readResponse(t, c); got.StatusCode != 200 {
-		t.Error(got)
+		t.Errorf("request being read: got status %d, want 200", got.StatusCode)
 	}
 }
 
@@ -138,13 +138,14 @@
 	budget.disableIdle()
 	start := time.Now()
 	c.SetReadDeadline(start.Add(5 * time.Second))
-	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(start) > 2*time.Second {
-		t.Fatal(err, time.Since(start))
+	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) ||
+		time.Since(start) > 2*time.Second {
+		t.Fatalf("read: got error %v after %s, want %v within 2 s", err, time.Since(start), os.ErrDeadlineExceeded)
 	}
 	budget.markActive(&c.trackedConn) // as if the request's first byte had arrived before the reclaim
 	go peer.Write([]byte("x"))
 	if _, err := c.Read(make([]byte, 1)); err != nil || budget.reclaiming != 0 {
-		t.Error(err, budget.reclaiming)
+		t.Errorf("read: got error %v with %d connections reclaiming, want no error and 0", err, budget.reclaiming)
 	}
 }
 
@@ -168,7 +169,7 @@
 	budget.mu.Unlock()
 	buffer := make([]byte, 10)
 	if n, err := c.Read(buffer); n != 0 || err == nil {
-		t.Errorf("%d bytes from a silent connection, %v", n, err)
+		t.Errorf("silent connection: read %d bytes, error %v, want 0 bytes and an error", n, err)
 	}
 	io.WriteString(client, "POST")
 	n, start := 0, time.Now()
@@ -176,11 +177,12 @@
 		n, err = c.Read(buffer)
 	}
 	if string(buffer[:n]) != "POST" || err != nil {
-		t.Errorf("%q, %v", buffer[:n], err)
+		t.Errorf("reclaimed connection: read %q, error %v, want %q", buffer[:n], err, "POST")
 	}
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
 	if c.reclaimed || budget.reclaiming != 0 || !c.active {
-		t.Error("a connection with a request on it is still to go")
+		t.Errorf("got reclaimed %t, %d reclaiming, active %t, want an active connection that is not reclaimed",
+			c.reclaimed, budget.reclaiming, c.active)
 	}
 }
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -48,11 +48,13 @@
 			}}
 		client.Forward(t.Context(), attempt, func(protocol.JobUpdate) {}, func(e protocol.AttemptResult) {
 			if e.Outcome != dispatch.Succeeded {
-				t.Errorf("%v: %v", e.Outcome, e.Cause)
+				t.Errorf("got outcome %v, cause %v, want %v", e.Outcome, e.Cause, dispatch.Succeeded)
 			}
 		})
-		if forwarded := <-forwardedTimeouts; forwarded > 700*time.Millisecond-delay || forwarded < 300*time.Millisecond {
-			t.Errorf("lag %v: the server was told %v of at most %v", delay, forwarded, 700*time.Millisecond-delay)
+		if forwarded := <-forwardedTimeouts; forwarded > 700*time.Millisecond-delay ||
+			forwarded < 300*time.Millisecond {
+			t.Errorf("delay %v: forwarded time-out is %v, want 300ms to %v",
+				delay, forwarded, 700*time.Millisecond-delay)
 		}
 	}
 }
--- a/internal/transport/fake_server_test.go
+++ b/internal/transport/fake_server_test.go
@@ -119,7 +119,8 @@
 		},
 	}
 	endCount := 0
-	client.Forward(ctx, attempt, func(update protocol.JobUpdate) { got.states = append(got.states, update.State) },
+	client.Forward(ctx, attempt,
+		func(update protocol.JobUpdate) { got.states = append(got.states, update.State) },
 		func(attemptResult protocol.AttemptResult) {
 			got.outcome, got.result, endCount = attemptResult.Outcome, attemptResult.Result, endCount+1
 			for _, f := range onEnd {
@@ -127,7 +128,7 @@
 			}
 		})
 	if endCount != 1 {
-		panic("an attempt has exactly one end")
+		panic(fmt.Sprintf("attempt reported %d results, want 1", endCount))
 	}
 	return got
 }
@@ -135,5 +136,6 @@
 // newTestClient returns a client whose budget is for 1024 file descriptors.
 func newTestClient() (*ConnectionBudget, *ServerClient) {
 	budget := NewConnectionBudget(1024)
-	return budget, NewServerClient(budget, time.Second, time.Minute, protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
+	return budget, NewServerClient(budget, time.Second, time.Minute,
+		protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
 }
--- a/internal/transport/history_test.go
+++ b/internal/transport/history_test.go
@@ -32,7 +32,8 @@
 // runHistory runs one history and returns the violations that the checker found, and the numbers of attempts
 // and drains. It runs on one processor, where a seed replays event by event. Only the order in which the
 // runtime schedules goroutines that became ready at the same instant can differ.
-func runHistory(t *testing.T, seed uint64, steps []string) (violations []invariants.Violation, attempts, drains int) {
+func runHistory(t *testing.T, seed uint64, steps []string) (
+	violations []invariants.Violation, attempts, drains int) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	c := loadConfig(t, nodeSettings)
 	synctest.Test(t, func(t *testing.T) {
@@ -233,12 +234,13 @@
 			attempts++
 		}
 		if err := checker.Add(e); err != nil {
-			h.t.Fatalf("seed %d: %v", h.seed, err)
+			h.t.Fatalf("seed %d: checker rejected an event: %v", h.seed, err)
 		}
 	}
 	violations = checker.Violations(int64(time.Since(h.started)))
 	for _, v := range violations {
-		h.t.Errorf("seed %d, rule %d at %.3f s: %s", h.seed, v.Rule, float64(h.events[v.Event].At)/1e9, v.Message)
+		h.t.Errorf("seed %d: violation of rule %d at %.3f s: %s",
+			h.seed, v.Rule, float64(h.events[v.Event].At)/1e9, v.Message)
 	}
 	return violations, attempts
 }
--- a/internal/transport/lingering_close_test.go
+++ b/internal/transport/lingering_close_test.go
@@ -13,18 +13,19 @@
 func TestResponseIsReadableAfterClose(t *testing.T) {
 	stray := strings.Repeat("x", readAheadLimit+100<<10)
 	for what, text := range map[string]string{
-		"an answer that ends it": requestHead + "b" + stray,
-		"a bad request":          strings.Replace(requestHead, "pay", "odd", 1) + stray,
-		"no request at all":      "GET\r\n\r\n" + stray[:1000],
+		"last response":     requestHead + "b" + stray,
+		"rejected request":  strings.Replace(requestHead, "pay", "odd", 1) + stray,
+		"malformed request": "GET\r\n\r\n" + stray[:1000],
 	} {
 		s, address := startServer(t, NewConnectionBudget(64), succeed)
 		s.closeAfterResponse.Store(true)
 		c := dialAndWrite(t, address, "")
 		go io.WriteString(c, text)
-		waitUntil(t, what+": a close that waits", func() bool { return lockedCount(s.budget, &s.budget.lingering) > 0 })
+		waitUntil(t, what+": lingering connection",
+			func() bool { return lockedCount(s.budget, &s.budget.lingering) > 0 })
 		got, err := io.ReadAll(c)
 		if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 ") {
-			t.Errorf("%s: %.40q, %v", what, got, err)
+			t.Errorf("%s: got %.40q, error %v, want a response and EOF", what, got, err)
 		}
 	}
 }
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -41,7 +41,8 @@
 	}
 	names := &protocol.Names{Classes: []string{"pay"}}
 	ready := func() bool { return true }
-	s := NewServer(NewConnectionBudget(1024), names, succeed, ready, metrics.New(names.Classes), zerolog.Nop())
+	s := NewServer(NewConnectionBudget(1024), names, succeed, ready,
+		metrics.New(names.Classes), zerolog.Nop())
 	defer s.http.Close()
 	ended := s.Start(&failingListener{Listener: inner, errors: []error{
 		syscall.ECONNABORTED,
@@ -57,12 +58,13 @@
 	}})
 	c := dialAndWrite(t, inner.Addr().String(), requestHead+"b")
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if response, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || response.StatusCode != http.StatusOK {
-		t.Errorf("%v, %v", response, err)
+	if response, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil ||
+		response.StatusCode != http.StatusOK {
+		t.Errorf("got response %+v, error %v, want status 200", response, err)
 	}
 	select {
 	case err := <-ended:
-		t.Error("the server ended:", err)
+		t.Error("server stopped serving:", err)
 	default:
 	}
 }
--- a/internal/transport/notification_deadline_test.go
+++ b/internal/transport/notification_deadline_test.go
@@ -199,17 +199,17 @@
 	defer stop()
 	go node.WatchEndpoints(ctx)
 	if sourceChanged {
-		waitFor(t, "a call at the first place", first.reachable)
+		waitFor(t, "poll of the first discovery", first.reachable)
 		node.SetEndpointSource(NewDiscoveryClient(discovery.Addr().String(), c.Names))
 	}
 	select {
 	case <-discovery.reachable:
 	case <-time.After(time.Minute):
-		t.Fatal("too few calls")
+		t.Fatalf("discovery received fewer than %d polls within 1 min", fault.failedPolls)
 	}
 	for node.Endpoints()[0].State != dispatch.Draining {
-		if sinceReachable := time.Since(discovery.reachableSince); sinceReachable > protocol.NotificationDeadline {
-			t.Fatalf("not known after %s", sinceReachable)
+		if late := time.Since(discovery.reachableSince); late > protocol.NotificationDeadline {
+			t.Fatalf("drain is not known after %s, want within %s", late, protocol.NotificationDeadline)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/transport/notification_test.go
+++ b/internal/transport/notification_test.go
@@ -22,8 +22,8 @@
 	"new configuration, old agent down": {"drain", "return", "change source", "change source", "outage", "end outage"},
 	"slow dials":                        {"drain", "return", "slow dials"},
 	"all": {
-		"drain", "drain", "return", "return", "lose polls", "reset polls", "outage", "outage losing polls", "end outage", "end outage", "truncated", "garbage",
-		"stale", "slow dials", "save list", "restart", "change source",
+		"drain", "drain", "return", "return", "lose polls", "reset polls", "outage", "outage losing polls",
+		"end outage", "end outage", "truncated", "garbage", "stale", "slow dials", "save list", "restart", "change source",
 	},
 }
 
@@ -36,7 +36,7 @@
 			// run.
 			for seed := range uint64(6) {
 				if _, attempts, drainCount := runHistory(t, seed, steps); attempts < 50 || drainCount == 0 {
-					t.Errorf("seed %d: %d posted, %d drains", seed, attempts, drainCount)
+					t.Errorf("seed %d: got %d attempts and %d drains, want at least 50 and 1", seed, attempts, drainCount)
 				}
 			}
 		})
--- a/internal/transport/read_ahead_test.go
+++ b/internal/transport/read_ahead_test.go
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		if got, _ := io.ReadAll(response.Body); string(got) != want {
-			t.Errorf("%.20q, want %.20q", got, want)
+			t.Errorf("body: got %.20q, want %.20q", got, want)
 		}
 	}
 }
--- a/internal/transport/repeat_test.go
+++ b/internal/transport/repeat_test.go
@@ -25,7 +25,8 @@
 	t.Helper()
 	pool := &faultPool{fault: fault, armed: !fault.reusedConnection}
 	reportKeys := protocol.LoadReportKeys{}
-	client := NewServerClient(NewConnectionBudget(256), time.Second, time.Minute, reportKeys, pool.requestWritten)
+	client := NewServerClient(NewConnectionBudget(256), time.Second, time.Minute,
+		reportKeys, pool.requestWritten)
 	client.dialer.dialContext = pool.dial
 	list := &protocol.EndpointList{
 		Complete:  true,
@@ -51,7 +52,7 @@
 	}
 	if fault.reusedConnection {
 		if response := serve("0"); response.Status != http.StatusOK {
-			t.Errorf("%+v", response)
+			t.Errorf("first request: got %+v, want status 200", response)
 		}
 		synctest.Wait()
 		pool.rearm()
@@ -62,10 +63,11 @@
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if idempotency != dispatch.Idempotent && pool.maxOpen > 1 {
-		t.Errorf("%d out at once", pool.maxOpen)
+		t.Errorf("got %d attempts in flight at once, want at most 1", pool.maxOpen)
 	}
 	client.transport.CloseIdleConnections()
-	return faultRun{status: response.Status, result: response.Body, arrivals: pool.arrivals, written: pool.written}
+	return faultRun{status: response.Status, result: response.Body, arrivals: pool.arrivals,
+		written: pool.written}
 }
 
 // faultRun is the result of a request that met a fault.
@@ -132,17 +134,17 @@
 		want = http.StatusOK
 	}
 	if status != want || status == http.StatusOK && result != "r" {
-		t.Errorf("answered %d %q, want %d", status, result, want)
+		t.Errorf("response: got status %d, body %q, want status %d", status, result, want)
 	}
 	maxArrivals := 2
 	if idempotency == dispatch.NonIdempotent && fault.mayRun || fault.readBytes >= 0 {
 		maxArrivals = 1
 	}
 	if len(arrivals) > maxArrivals || idempotency == dispatch.NonIdempotent && len(arrivals) != maxArrivals {
-		t.Errorf("%+v arrived, %d at most", arrivals, maxArrivals)
+		t.Errorf("servers received %+v, want at most %d requests", arrivals, maxArrivals)
 	}
 	if len(arrivals) != written {
-		t.Errorf("%d arrived, %d were written to the end", len(arrivals), written)
+		t.Errorf("servers received %d requests, but %d were written completely", len(arrivals), written)
 	}
 }
 
@@ -172,6 +174,7 @@
 	_, requests := server.counts()
 	unsent := outcomes[dispatch.Rejected] + outcomes[dispatch.NotSent] + outcomes[dispatch.ConnectFailed]
 	if mayHaveRun := 8*500 - unsent; requests > mayHaveRun || outcomes[dispatch.Rejected] > 0 {
-		t.Errorf("%d came, %d may have run: %v", requests, mayHaveRun, outcomes)
+		t.Errorf("server received %d requests, want at most %d and none rejected: outcomes %v",
+			requests, mayHaveRun, outcomes)
 	}
 }
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -18,7 +18,8 @@
 
 // chunkedRequest returns a request like requestHead with a chunked body and extra lines in its head.
 func chunkedRequest(body, extraLines string) string {
-	head := strings.Replace(requestHead, "Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n"+extraLines, 1)
+	head := strings.Replace(requestHead, "Content-Length: 1\r\n",
+		"Transfer-Encoding: chunked\r\n"+extraLines, 1)
 	return fmt.Sprintf("%s%x;part=1\r\n%s\r\n0\r\n\r\n", head, len(body), body)
 }
 
@@ -39,15 +40,15 @@
 		parts []string
 		want  []int
 	}{
-		"alone":                        {[]string{chunkedRequest("b", "")}, []int{200}},
-		"odd body":                     {[]string{headLikeBody}, []int{200}},
-		"after an odd body":            {[]string{sized, sized, headLikeBody}, []int{200, 200, 200}},
-		"length beside":                {[]string{bothLengths}, []int{411}},
-		"length beside, first":         {[]string{lengthFirst}, []int{411}},
-		"length beside, after another": {[]string{sized, bothLengths}, []int{200, 411}},
-		"length beside, pipelined":     {[]string{sized + bothLengths}, []int{200, 411}},
-		"odd name":                     {[]string{chunkedRequest("b", "X-Content-Length: 1\r\n")}, []int{200}},
-		"over HTTP/1.0":                {[]string{http10}, []int{411}},
+		"chunked":                        {[]string{chunkedRequest("b", "")}, []int{200}},
+		"body like a head":               {[]string{headLikeBody}, []int{200}},
+		"after a body like a head":       {[]string{sized, sized, headLikeBody}, []int{200, 200, 200}},
+		"with Content-Length":            {[]string{bothLengths}, []int{411}},
+		"Content-Length first":           {[]string{lengthFirst}, []int{411}},
+		"with Content-Length, second":    {[]string{sized, bothLengths}, []int{200, 411}},
+		"with Content-Length, pipelined": {[]string{sized + bothLengths}, []int{200, 411}},
+		"other header name":              {[]string{chunkedRequest("b", "X-Content-Length: 1\r\n")}, []int{200}},
+		"over HTTP/1.0":                  {[]string{http10}, []int{411}},
 	} {
 		for seed := range uint64(4) {
 			bodies := make(chan string, 10)
@@ -63,7 +64,8 @@
 				for range strings.Count(text, "X-Call-Class") {
 					response, err := http.ReadResponse(reader, nil)
 					if err != nil || response.StatusCode != test.want[responseCount] {
-						t.Fatalf("%s, seed %d: answer %d is %+v, %v", name, seed, responseCount, response, err)
+						t.Fatalf("%s, seed %d: response %d: got %+v, error %v, want status %d",
+							name, seed, responseCount, response, err, test.want[responseCount])
 					}
 					io.Copy(io.Discard, response.Body)
 					responseCount++
@@ -71,7 +73,7 @@
 			}
 			for close(bodies); len(bodies) > 0; {
 				if body := <-bodies; body != "b" && body != bodyLikeHead {
-					t.Errorf("%s: a body became %q", name, body)
+					t.Errorf("%s: got body %q, want %q or %q", name, body, "b", bodyLikeHead)
 				}
 			}
 		}
@@ -116,11 +118,11 @@
 			}
 		}
 		if passedOn != text {
-			t.Errorf("%q became %q", text, passedOn)
+			t.Errorf("scanner passed on %q, want %q", passedOn, text)
 		}
 		response, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err == nil && len(response.Header["Content-Length"]) > 0 && !lengthSeen {
-			t.Errorf("%q: its length was not seen", text)
+			t.Errorf("Content-Length of %q was not detected", text)
 		}
 	})
 }
--- a/internal/transport/server_client_test.go
+++ b/internal/transport/server_client_test.go
@@ -24,30 +24,30 @@
 		text string
 		want dispatch.Outcome
 	}{
-		"done":                 {chunkedHead + started + running + done + chunkedEnd, dispatch.Succeeded},
-		"done, bytes after":    {chunkedHead + done + chunk("more") + failed + chunkedEnd, dispatch.Succeeded},
-		"failed":               {chunkedHead + started + failed + chunkedEnd, dispatch.Failed},
-		"500":                  {"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
-		"503 with the mark":    {"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
-		"503 without the mark": {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
-		"redirect":             {"HTTP/1.1 307 Away\r\nLocation: /q\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
-		"returned":             {chunkedHead + updateLine("returned") + chunkedEnd, dispatch.Rejected},
-		"lost":                 {chunkedHead + started + lost + chunkedEnd, dispatch.ConnectionLost},
-		"ends early":           {chunkedHead + started + chunkedEnd, dispatch.ConnectionLost},
-		"breaks":               {chunkedHead + started, dispatch.ConnectionLost},
-		"breaks within a line": {chunkedHead + "40\r\n{\"id\":\"j\",\"state\":\"do", dispatch.ConnectionLost},
-		"foreign":              {chunkedHead + foreign + chunkedEnd, dispatch.ConnectionLost},
-		"not HTTP":             {"hello\r\n\r\n", dispatch.ConnectionLost},
-		"nothing, then closed": {"", dispatch.ConnectionLost},
+		"done":                      {chunkedHead + started + running + done + chunkedEnd, dispatch.Succeeded},
+		"done, bytes after":         {chunkedHead + done + chunk("more") + failed + chunkedEnd, dispatch.Succeeded},
+		"failed":                    {chunkedHead + started + failed + chunkedEnd, dispatch.Failed},
+		"500":                       {"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+		"503 with X-Rejected":       {"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
+		"503 without X-Rejected":    {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+		"redirect":                  {"HTTP/1.1 307 Away\r\nLocation: /q\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+		"returned":                  {chunkedHead + updateLine("returned") + chunkedEnd, dispatch.Rejected},
+		"lost":                      {chunkedHead + started + lost + chunkedEnd, dispatch.ConnectionLost},
+		"no final line":             {chunkedHead + started + chunkedEnd, dispatch.ConnectionLost},
+		"closed after started":      {chunkedHead + started, dispatch.ConnectionLost},
+		"closed within a line":      {chunkedHead + "40\r\n{\"id\":\"j\",\"state\":\"do", dispatch.ConnectionLost},
+		"update of another job":     {chunkedHead + foreign + chunkedEnd, dispatch.ConnectionLost},
+		"not HTTP":                  {"hello\r\n\r\n", dispatch.ConnectionLost},
+		"closed without a response": {"", dispatch.ConnectionLost},
 	} {
 		server := startFakeServer(t, respondWith(test.text, false))
 		_, client := newTestClient()
 		got := forward(t.Context(), client, server.Addr().String())
 		if got.outcome != test.want || (got.result == "r") != (test.want == dispatch.Succeeded) {
-			t.Errorf("%s: %+v, want %d", name, got, test.want)
+			t.Errorf("%s: got %+v, want outcome %d", name, got, test.want)
 		}
 		if _, requests := server.counts(); requests != 1 {
-			t.Errorf("%s: %d requests", name, requests)
+			t.Errorf("%s: server received %d requests, want 1", name, requests)
 		}
 	}
 }
@@ -60,10 +60,10 @@
 	budget, client := newTestClient()
 	before := budget.inUse
 	if got := forward(t.Context(), client, address); got.outcome != dispatch.ConnectFailed {
-		t.Errorf("%+v", got)
+		t.Errorf("refused dial: got %+v, want outcome %v", got, dispatch.ConnectFailed)
 	}
 	if budget.inUse != before {
-		t.Error("a place in the budget is gone")
+		t.Errorf("permits in use: got %v, want %v", budget.inUse, before)
 	}
 }
 
@@ -93,8 +93,10 @@
 		protocol.LoadReportKeys{FreeSlots: "x0"}, func() {})
 	before, start := budget.inUse, time.Now()
 	got := forward(t.Context(), client, address)
-	if elapsed := time.Since(start); got.outcome != dispatch.ConnectFailed || elapsed > time.Second || budget.inUse != before {
-		t.Errorf("%+v after %s", got, elapsed)
+	if elapsed := time.Since(start); got.outcome != dispatch.ConnectFailed || elapsed > time.Second ||
+		budget.inUse != before {
+		t.Errorf("unanswered dial: got %+v after %s with %v permits, want outcome %v within 1 s with %v",
+			got, elapsed, budget.inUse, dispatch.ConnectFailed, before)
 	}
 }
 
@@ -118,12 +120,12 @@
 	forward(t.Context(), client, server.Addr().String(), waitForEnd)
 	forward(t.Context(), client, server.Addr().String(), waitForEnd)
 	if accepted, _ := server.counts(); accepted != 1 || budget.idle[serverSide].Len() != 1 {
-		t.Errorf("%d connections, %d idle", accepted, budget.idle[serverSide].Len())
+		t.Errorf("got %d connections, %d of them idle, want 1 and 1", accepted, budget.idle[serverSide].Len())
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancels <- cancel
 	if got := forward(ctx, client, server.Addr().String()); got.outcome != dispatch.Canceled {
-		t.Errorf("%+v", got)
+		t.Errorf("canceled attempt: got %+v, want outcome %v", got, dispatch.Canceled)
 	}
 	<-server.closed
 }
@@ -132,7 +134,7 @@
 // is reported. The request may be sent again from then on and must not be in flight twice.
 func TestClosedBeforeTheResultIsReported(t *testing.T) {
 	for name, text := range map[string]string{"no head": "", "no last line": chunkedHead + updateLine("started"),
-		"foreign": chunkedHead + chunk("odd")} {
+		"malformed line": chunkedHead + chunk("odd")} {
 		for range 20 {
 			// Each round has a new server and client, so that a late dial of an earlier attempt is not
 			// counted here.
@@ -145,7 +147,7 @@
 				defer budget.mu.Unlock()
 				// On a busy machine the dial may not have finished. The permit then belongs to the dial.
 				if requests > 0 && budget.inUse[serverSide] > 0 {
-					t.Errorf("%s: the connection is open still", name)
+					t.Errorf("%s: the connection is open when the result is reported", name)
 				}
 			})
 			cancel()
@@ -161,7 +163,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if got := forward(ctx, client, server.Addr().String()); got.outcome != dispatch.TimedOut {
-		t.Errorf("%+v", got)
+		t.Errorf("stalled response: got %+v, want outcome %v", got, dispatch.TimedOut)
 	}
 	<-server.closed
 }
@@ -178,8 +180,10 @@
 	_, client := newTestClient()
 	forward(t.Context(), client, server.Addr().String())
 	got := forward(t.Context(), client, server.Addr().String())
-	if accepted, requests := server.counts(); got.outcome != dispatch.StaleConnection || accepted != 1 || requests != 2 {
-		t.Errorf("%+v, %d connections, %d requests", got, accepted, requests)
+	if accepted, requests := server.counts(); got.outcome != dispatch.StaleConnection ||
+		accepted != 1 || requests != 2 {
+		t.Errorf("got %+v, %d connections, %d requests, want outcome %v, 1 connection, 2 requests",
+			got, accepted, requests, dispatch.StaleConnection)
 	}
 }
 
@@ -193,22 +197,22 @@
 	good := startFakeServer(t, respondWith(answer("200 OK", `{"x0":3}`), true))
 	for range 2 {
 		if report, err := client.Probe(t.Context(), good.Addr().String()); err != nil || report.FreeSlots != 3 {
-			t.Errorf("%+v %v", report, err)
+			t.Errorf("probe: got %+v, error %v, want 3 free slots", report, err)
 		}
 	}
 	if accepted, requests := good.counts(); accepted != 1 || requests != 2 {
-		t.Errorf("%d connections for %d probes", accepted, requests)
+		t.Errorf("got %d connections for %d probes, want 1 for 2", accepted, requests)
 	}
 	faulty := []string{answer("404 Not Found", ""), answer("503 Busy", `{"x0":3}`), answer("200 OK", "{}"), "junk"}
 	for _, text := range faulty {
 		if report, err := client.Probe(
 			t.Context(), startFakeServer(t, respondWith(text, false)).Addr().String()); err == nil {
-			t.Errorf("%q: %+v", text, report)
+			t.Errorf("response %q: got %+v, want an error", text, report)
 		}
 	}
 	short, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 	defer cancel()
 	if _, err := client.Probe(short, startFakeServer(t, respondWith("", true)).Addr().String()); err == nil {
-		t.Error("a silent server told of its load")
+		t.Error("probe of a silent server: got a load report, want an error")
 	}
 }
--- a/internal/transport/server_conn_test.go
+++ b/internal/transport/server_conn_test.go
@@ -20,11 +20,11 @@
 			go io.ReadFull(peer, make([]byte, 3))
 			c.Write([]byte("abc"))
 		}, false},
-		"cut short": {func(c *serverConn, peer net.Conn) {
+		"truncated write": {func(c *serverConn, peer net.Conn) {
 			go readByteAndClose(peer)
 			c.Write([]byte("abc"))
 		}, true},
-		"second part cut": {func(c *serverConn, peer net.Conn) {
+		"truncated second write": {func(c *serverConn, peer net.Conn) {
 			go func() { io.ReadFull(peer, make([]byte, 3)); readByteAndClose(peer) }()
 			c.Write([]byte("abc"))
 			c.Write([]byte("def"))
@@ -35,10 +35,10 @@
 		conn.beginExchange(nil)
 		test.use(conn, peer)
 		if unsent, _ := conn.closeAndCheckUnsent(0); unsent != test.want {
-			t.Errorf("%s: %v", name, unsent)
+			t.Errorf("%s: proved unsent is %t, want %t", name, unsent, test.want)
 		}
 		if _, err := conn.Write([]byte("late")); err == nil {
-			t.Errorf("%s: written after the proof", name)
+			t.Errorf("%s: write after the check succeeded, want an error", name)
 		}
 	}
 }
@@ -54,9 +54,9 @@
 	firstUse := budget.markActive(&c.trackedConn)
 	secondUse := budget.markActive(&c.trackedConn)
 	if budget.markIdle(&c.trackedConn, firstUse); budget.idle[serverSide].Len() != 0 {
-		t.Error("a connection in use counts as idle")
+		t.Error("a connection in use was marked as idle")
 	}
 	if budget.markIdle(&c.trackedConn, secondUse); budget.idle[serverSide].Len() != 1 {
-		t.Error("an idle connection is not known")
+		t.Errorf("got %d idle connections after the last use, want 1", budget.idle[serverSide].Len())
 	}
 }
--- a/internal/transport/server_dialer_test.go
+++ b/internal/transport/server_dialer_test.go
@@ -32,10 +32,10 @@
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", cause)}
 		}
 		if got := forward(t.Context(), client, "127.0.0.1:9"); got.outcome != want {
-			t.Errorf("%v: %v in place of %v", cause, got.outcome, want)
+			t.Errorf("%v: got outcome %v, want %v", cause, got.outcome, want)
 		}
 		if budget.inUse[serverSide] != 0 {
-			t.Errorf("%v: a place is kept", cause)
+			t.Errorf("%v: %d permits are in use after the failed dial, want 0", cause, budget.inUse[serverSide])
 		}
 	}
 }
@@ -56,7 +56,7 @@
 			return nil, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 		}
 		if got := forward(t.Context(), client, "127.0.0.1:9"); got.outcome != want {
-			t.Errorf("lag %v: %v in place of %v", delay, got.outcome, want)
+			t.Errorf("delay %v: got outcome %v, want %v", delay, got.outcome, want)
 		}
 	}
 }
--- a/internal/transport/server_helpers_test.go
+++ b/internal/transport/server_helpers_test.go
@@ -18,10 +18,12 @@
 )
 
 // startServer starts a Server on a loopback address and returns it with its address.
-func startServer(t *testing.T, budget *ConnectionBudget, serve ServeFunc, configure ...func(*http.Server)) (*Server, string) {
+func startServer(t *testing.T, budget *ConnectionBudget, serve ServeFunc,
+	configure ...func(*http.Server)) (*Server, string) {
 	t.Helper()
 	names := &protocol.Names{Classes: []string{"pay"}}
-	s := NewServer(budget, names, serve, func() bool { return true }, metrics.New(names.Classes), zerolog.Nop())
+	s := NewServer(budget, names, serve, func() bool { return true },
+		metrics.New(names.Classes), zerolog.Nop())
 	for _, apply := range configure {
 		apply(s.http)
 	}
@@ -77,7 +79,7 @@
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(timeout))
 	if text, err := io.ReadAll(c); err != nil || len(text) > 0 {
-		t.Errorf("%s: %q, %v", what, text, err)
+		t.Errorf("%s: got %q, error %v, want a close without data within %s", what, text, err, timeout)
 	}
 }
 
@@ -87,7 +89,7 @@
 	select {
 	case <-c:
 	case <-time.After(5 * time.Second):
-		t.Fatal("not seen: ", what)
+		t.Fatalf("%s: not seen within 5 s", what)
 	}
 }
 
@@ -96,7 +98,7 @@
 	t.Helper()
 	for start := time.Now(); !done(); time.Sleep(time.Millisecond) {
 		if time.Since(start) > 5*time.Second {
-			t.Fatal("not seen: ", what)
+			t.Fatalf("%s: not seen within 5 s", what)
 		}
 	}
 }
--- a/internal/transport/server_phase_test.go
+++ b/internal/transport/server_phase_test.go
@@ -42,21 +42,21 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if elapsed := time.Since(start); elapsed < time.Second {
-		t.Errorf("shut after %s", elapsed)
+		t.Errorf("listener was closed after %s, want at least 1 s", elapsed)
 	}
 	select {
 	case <-stopped:
-		t.Fatal("ended with requests unanswered")
+		t.Fatal("Stop returned while requests were unanswered")
 	case <-time.After(30 * time.Millisecond):
 	}
 	close(release)
 	for _, c := range []net.Conn{first, second} {
 		if got := readResponse(t, c); got.StatusCode != 200 || !got.Close {
-			t.Errorf("%+v", got)
+			t.Errorf("accepted request: got status %d, close %t, want 200 and close", got.StatusCode, got.Close)
 		}
 	}
 	if err := <-stopped; err != nil {
-		t.Error(err)
+		t.Errorf("Stop: got error %v, want none", err)
 	}
 }
 
@@ -72,7 +72,7 @@
 		budget.mu.Unlock()
 	}
 	if err := s.Stop(100*time.Millisecond, false); err != nil {
-		t.Error(err)
+		t.Errorf("Stop with an incomplete request: got error %v, want none", err)
 	}
 }
 
@@ -80,12 +80,13 @@
 // not call them.
 func TestDrainAndActivateByPhase(t *testing.T) {
 	notListening := NewServer(NewConnectionBudget(64), nil, nil, func() bool { return true }, nil, zerolog.Nop())
-	if notListening.Ready() || !errors.Is(notListening.Drain(), errNotListening) || !errors.Is(notListening.Activate(), errNotListening) {
-		t.Error("a server that does not listen")
+	if notListening.Ready() || !errors.Is(notListening.Drain(), errNotListening) ||
+		!errors.Is(notListening.Activate(), errNotListening) {
+		t.Error("server that does not listen: Ready is true, or Drain or Activate does not return errNotListening")
 	}
 	s, address := startServer(t, NewConnectionBudget(64), succeed)
 	if err := s.Activate(); err != nil || !isReady(t, address) {
-		t.Error("activate without a drain", err)
+		t.Errorf("Activate without a drain: got error %v, or the node is not ready", err)
 	}
 	s.Drain()
 	stopped := make(chan error, 1)
@@ -94,10 +95,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	if !errors.Is(s.Activate(), errStopping) || s.Ready() {
-		t.Error("a drained server that stops is back")
+		t.Error("stopping server: Activate does not return errStopping, or Ready is true")
 	}
 	if err := <-stopped; err != nil {
-		t.Error(err)
+		t.Errorf("Stop: got error %v, want none", err)
 	}
 }
 
@@ -106,17 +107,17 @@
 func TestNoRequestIsServedAfterStop(t *testing.T) {
 	budget := NewConnectionBudget(64)
 	s, address := startServer(t, budget, func(context.Context, *protocol.Request) *protocol.Response {
-		t.Error("served")
+		t.Error("a request was served after Stop")
 		return nil
 	})
 	c := dialAndWrite(t, address, requestHead[:30])
-	waitUntil(t, "its first bytes", func() bool { return lockedCount(budget, &budget.active) > 0 })
+	waitUntil(t, "read of the first bytes", func() bool { return lockedCount(budget, &budget.active) > 0 })
 	if err := s.Stop(50*time.Millisecond, false); err != nil {
-		t.Error(err)
+		t.Errorf("Stop: got error %v, want none", err)
 	}
 	io.WriteString(c, requestHead[30:]+"b")
 	if text, err := io.ReadAll(c); len(text) > 0 || err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("got %q, error %v, want no data and EOF or a reset", text, err)
 	}
 }
 
@@ -125,12 +126,12 @@
 func TestStopClosesSilentConnections(t *testing.T) {
 	s, address := startServer(t, NewConnectionBudget(64), succeed)
 	silent := dialAndWrite(t, address, "")
-	waitUntil(t, "a connection", func() bool { return pendingCount(s.budget) > 0 })
+	waitUntil(t, "pending connection", func() bool { return pendingCount(s.budget) > 0 })
 	if err := s.Stop(time.Second, false); err != nil {
-		t.Error(err)
+		t.Errorf("Stop: got error %v, want none", err)
 	}
-	expectClose(t, "silent", silent, time.Second)
+	expectClose(t, "silent connection", silent, time.Second)
 	if inUse := lockedCount(s.budget, &s.budget.inUse[clientSide]); inUse > 0 {
-		t.Errorf("%d connections at the end", inUse)
+		t.Errorf("got %d client connections after Stop, want 0", inUse)
 	}
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -33,7 +33,8 @@
 	} {
 		got := readResponse(t, dialAndWrite(t, address, text))
 		if got.StatusCode != want || got.Close != (text != requestHead+"b") {
-			t.Errorf("%.40q: %d, want %d, close %t", text, got.StatusCode, want, got.Close)
+			t.Errorf("%.40q: got status %d, close %t, want status %d, close %t",
+				text, got.StatusCode, got.Close, want, text != requestHead+"b")
 		}
 	}
 }
@@ -43,7 +44,7 @@
 func TestIncompleteRequests(t *testing.T) {
 	budget := NewConnectionBudget(1024)
 	_, address := startServer(t, budget, func(context.Context, *protocol.Request) *protocol.Response {
-		t.Error("served")
+		t.Error("an incomplete request was served")
 		return nil
 	})
 	dialAndWrite(t, address, requestHead[:30]).Close()
@@ -53,7 +54,7 @@
 		c, start := dialAndWrite(t, address, part), time.Now()
 		parts.Go(func() {
 			if text, err := io.ReadAll(c); err != nil || time.Since(start) > 3*time.Second {
-				t.Errorf("%q: %q %v after %s", part, text, err, time.Since(start))
+				t.Errorf("%q: got %q, error %v after %s, want EOF within 3 s", part, text, err, time.Since(start))
 			}
 		})
 	}
@@ -68,7 +69,7 @@
 		s.http.ErrorLog.Print("bad")
 	}
 	if n := strings.Count(output.String(), "\n"); n == 0 || n > 100 {
-		t.Errorf("%d lines", n)
+		t.Errorf("got %d log lines of 1000, want 1 to 100", n)
 	}
 }
 
@@ -86,7 +87,7 @@
 	}
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if _, err := reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error(err)
+		t.Errorf("idle connection: got error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 }
 
@@ -102,13 +103,13 @@
 			close(canceled)
 		case <-time.After(150 * time.Millisecond):
 			if ctx.Err() != nil {
-				t.Error("seen as left")
+				t.Errorf("request context ended without a close: %v", ctx.Err())
 			}
 		}
 		return &protocol.Response{Status: 200}
 	}, func(h *http.Server) { h.ReadTimeout = 50 * time.Millisecond })
 	if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 {
-		t.Error(got)
+		t.Errorf("got status %d, want 200", got.StatusCode)
 	}
 	c := dialAndWrite(t, address, requestHead+"b")
 	<-started
--- a/internal/transport/simulation_test.go
+++ b/internal/transport/simulation_test.go
@@ -114,7 +114,8 @@
 		w.mu.Lock()
 		a, delay := w.agents[address], time.Duration(0)
 		w.dials[address]++
-		if random := w.actorRand(address, w.dials[address]); a == nil && w.maxDialDelay > 0 && random.IntN(3) == 0 {
+		if random := w.actorRand(address, w.dials[address]); a == nil && w.maxDialDelay > 0 &&
+			random.IntN(3) == 0 {
 			delay = time.Duration(random.Int64N(int64(w.maxDialDelay)))
 		}
 		w.mu.Unlock()
@@ -175,7 +176,8 @@
 		}
 		n := w.attempts[request]
 		w.attempts[request]++
-		w.record(firstByte.at, invariants.Event{Kind: invariants.AttemptSent, Request: request, Server: id, Attempt: n})
+		w.record(firstByte.at, invariants.Event{Kind: invariants.AttemptSent, Request: request, Server: id,
+			Attempt: n})
 		runs, result := time.Duration(5e6+w.actorRand(request, uint64(n)).Int64N(6e7)), "settled"
 		if w.serverStates[id] != "Ready" {
 			runs, result = 0, "full"
@@ -221,7 +223,8 @@
 	w.currentAgent.becomeCurrent(time.Now())
 	w.mu.Unlock()
 	p.ctx, p.kill = context.WithCancel(w.t.Context())
-	client := NewServerClient(NewConnectionBudget(256), c.DialTimeout, c.IdleTimeout, c.LoadReportKeys, func() {})
+	client := NewServerClient(NewConnectionBudget(256), c.DialTimeout, c.IdleTimeout,
+		c.LoadReportKeys, func() {})
 	client.dialer.dialContext = p.dial
 	list, err := protocol.DecodeEndpointList([]byte(initialList), c.Names)
 	if err != nil {
