--- a/internal/transport/client_close_test.go
+++ b/internal/transport/client_close_test.go
@@ -65,12 +65,12 @@
 	watchCtx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	go n.WatchEndpoints(watchCtx)
-	s, address := startServer(t, budget, func(ctx context.Context, request *protocol.Request) *protocol.Response {
+	s, address := startServer(t, budget, func(ctx context.Context, r *protocol.Request) *protocol.Response {
 		defer context.AfterFunc(ctx, func() { disconnected <- struct{}{} })() // not called after a response
 		if signal == closeNotSignaled {
 			ctx = context.WithoutCancel(ctx)
 		}
-		a := n.Serve(ctx, request)
+		a := n.Serve(ctx, r)
 		if a == nil || a.ClientClosed {
 			disconnected <- struct{}{}
 		}
@@ -138,7 +138,8 @@
 					known = nil
 				}
 				node := startNode(t, closeSignaled, known...)
-				address, budget, client, disconnected := node.address, node.budget, node.client, node.disconnected
+				address, budget, client, disconnected :=
+					node.address, node.budget, node.client, node.disconnected
 				dialing, dial := make(chan struct{}, 9), make(chan struct{})
 				client.SetDialGate(func(string) bool {
 					if state == "dial in progress" {
@@ -173,7 +174,8 @@
 				for _, e := range []*fakeServer{first, other} {
 					e.mu.Lock()
 					for _, id := range e.requestIDs {
-						if id != "k" && (state != "attempt in flight" || e != first || e.requestIDs[0] != id) {
+						if id != "k" && (state != "attempt in flight" || e != first ||
+							e.requestIDs[0] != id) {
 							t.Errorf("request %q was sent to a server after its client had closed", id)
 						}
 					}
@@ -238,7 +240,8 @@
 // Without a response the request would be lost. If the handler returned without one, net/http would send
 // status 200, as a result that no server produced.
 func TestHalfClosedClientIsRejected(t *testing.T) {
-	for state, known := range map[string][]string{"close while waiting": nil, "close before selection": {"127.0.0.1:9"}} {
+	for state, known := range map[string][]string{"close while waiting": nil,
+		"close before selection": {"127.0.0.1:9"}} {
 		node := startNode(t, closeSignaled, known...)
 		address, disconnected := node.address, node.disconnected
 		c := dialAndWrite(t, address, "").(*net.TCPConn)
--- a/internal/transport/connection_budget_test.go
+++ b/internal/transport/connection_budget_test.go
@@ -77,7 +77,8 @@
 	<-started
 	second := dialAndWrite(t, address, requestHead+"b")
 	if got := readResponse(t, second); got.StatusCode != 503 || !got.Close {
-		t.Errorf("client above the limit: got status %d, close %t, want 503 and close", got.StatusCode, got.Close)
+		t.Errorf("client above the limit: got status %d, close %t, want 503 and close", got.StatusCode,
+			got.Close)
 	}
 	close(release)
 	if got := readResponse(t, first); got.StatusCode != 200 {
--- a/internal/transport/discovery_client_test.go
+++ b/internal/transport/discovery_client_test.go
@@ -24,7 +24,8 @@
 func TestSlowListIsAccepted(t *testing.T) {
 	entries := make([]string, 3200)
 	for i := range entries {
-		entries[i] = fmt.Sprintf(`{"id":"s-%d","addr":"127.0.0.1:7","zone":"a","kind":"m","state":"Ready"}`, i)
+		entries[i] = fmt.Sprintf(`{"id":"s-%d","addr":"127.0.0.1:7","zone":"a","kind":"m","state":"Ready"}`,
+			i)
 	}
 	list := `{"version":1,"full":true,"servers":[` + strings.Join(entries, ",") + `]}`
 	const pieces = 5
@@ -58,7 +59,8 @@
 // TestDiscovery checks the URLs of polls, the decoded versions, and that malformed and failed responses are
 // errors.
 func TestDiscovery(t *testing.T) {
-	responses := []string{`{"version":4,"full":true,"servers":[]}`, `{"version":5,"full":false,"servers":[]}`, "odd"}
+	responses := []string{`{"version":4,"full":true,"servers":[]}`,
+		`{"version":5,"full":false,"servers":[]}`, "odd"}
 	var polledURLs []string
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if polledURLs = append(polledURLs, r.URL.String()); len(polledURLs) > len(responses) {
@@ -85,7 +87,8 @@
 			t.Errorf("malformed or failed response: got %+v, want an error", list)
 		}
 	}
-	want := []string{"/api/targets", "/api/targets?since=4&timeout_ms=1", "/api/targets?since=5&timeout_ms=3000"}
+	want := []string{"/api/targets", "/api/targets?since=4&timeout_ms=1",
+		"/api/targets?since=5&timeout_ms=3000"}
 	if !slices.Equal(polledURLs[:3], want) {
 		t.Errorf("polled %q, want %q", polledURLs, want)
 	}
--- a/internal/transport/drain_test.go
+++ b/internal/transport/drain_test.go
@@ -19,8 +19,8 @@
 func TestDrainClosesConnectionsAndActivateReverts(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	budget := NewConnectionBudget(1024)
-	s, address := startServer(t, budget, func(_ context.Context, request *protocol.Request) *protocol.Response {
-		if string(request.Body) == "l" {
+	s, address := startServer(t, budget, func(_ context.Context, r *protocol.Request) *protocol.Response {
+		if string(r.Body) == "l" {
 			started <- struct{}{}
 			<-release
 		}
@@ -31,7 +31,8 @@
 		for range 10 {
 			c := dialAndWrite(t, address, requestHead+"b")
 			if got := readResponse(t, c); got.StatusCode != 200 || got.Close {
-				t.Fatalf("round %d: got status %d, close %t, want 200 without close", round, got.StatusCode, got.Close)
+				t.Fatalf("round %d: got status %d, close %t, want 200 without close", round, got.StatusCode,
+					got.Close)
 			}
 			idle = append(idle, c)
 		}
--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -45,7 +45,8 @@
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
 	if budget.inUse[clientSide] > budget.maxPending+3 {
-		t.Errorf("%d client permits are in use, want at most %d", budget.inUse[clientSide], budget.maxPending+3)
+		t.Errorf("%d client permits are in use, want at most %d", budget.inUse[clientSide],
+			budget.maxPending+3)
 	}
 }
 
@@ -140,12 +141,14 @@
 	c.SetReadDeadline(start.Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) ||
 		time.Since(start) > 2*time.Second {
-		t.Fatalf("read: got error %v after %s, want %v within 2 s", err, time.Since(start), os.ErrDeadlineExceeded)
+		t.Fatalf("read: got error %v after %s, want %v within 2 s", err, time.Since(start),
+			os.ErrDeadlineExceeded)
 	}
 	budget.markActive(&c.trackedConn) // as if the request's first byte had arrived before the reclaim
 	go peer.Write([]byte("x"))
 	if _, err := c.Read(make([]byte, 1)); err != nil || budget.reclaiming != 0 {
-		t.Errorf("read: got error %v with %d connections reclaiming, want no error and 0", err, budget.reclaiming)
+		t.Errorf("read: got error %v with %d connections reclaiming, want no error and 0", err,
+			budget.reclaiming)
 	}
 }
 
@@ -182,7 +185,7 @@
 	budget.mu.Lock()
 	defer budget.mu.Unlock()
 	if c.reclaimed || budget.reclaiming != 0 || !c.active {
-		t.Errorf("got reclaimed %t, %d reclaiming, active %t, want an active connection that is not reclaimed",
+		t.Errorf("got reclaimed %t, %d reclaiming, active %t, want an active one that is not reclaimed",
 			c.reclaimed, budget.reclaiming, c.active)
 	}
 }
--- a/internal/transport/notification_deadline_test.go
+++ b/internal/transport/notification_deadline_test.go
@@ -71,7 +71,8 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat(" ", protocol.MaxEndpointListBytes+1))
 		return false
 	}, 3},
-	{"response that is not a list", respondAfter(0, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n<html>", true), 3},
+	{"response that is not a list", respondAfter(0, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n<html>",
+		true), 3},
 	{"reset", resetConnection, 3},
 	{"silent", respondAfter(time.Hour, "", false), 2},
 }
--- a/internal/transport/notification_test.go
+++ b/internal/transport/notification_test.go
@@ -9,21 +9,25 @@
 // notificationSteps are the ways in which a node is notified of a drain, each with the steps that a history
 // draws from. A step listed twice is drawn twice as often.
 var notificationSteps = map[string][]string{
-	"poll answered":                     {"drain", "return"},
-	"poll lost":                         {"drain", "return", "lose polls"},
-	"poll reset":                        {"drain", "return", "reset polls"},
-	"outage, polls answered later":      {"drain", "return", "return", "return", "outage", "end outage"},
-	"outage, polls lost":                {"drain", "return", "return", "return", "outage losing polls", "end outage"},
-	"agent responds 503":                {"drain", "return", "outage", "end outage", "busy"},
-	"agent sends faulty lists":          {"drain", "drain", "return", "truncated", "garbage", "stale"},
-	"new process with a stale list":     {"drain", "return", "save list", "restart"},
-	"new process during an outage":      {"drain", "return", "restart", "outage", "end outage"},
-	"new configuration":                 {"drain", "return", "return", "change source", "drain and change source"},
-	"new configuration, old agent down": {"drain", "return", "change source", "change source", "outage", "end outage"},
-	"slow dials":                        {"drain", "return", "slow dials"},
+	"poll answered":                {"drain", "return"},
+	"poll lost":                    {"drain", "return", "lose polls"},
+	"poll reset":                   {"drain", "return", "reset polls"},
+	"outage, polls answered later": {"drain", "return", "return", "return", "outage", "end outage"},
+	"outage, polls lost": {"drain", "return", "return", "return", "outage losing polls",
+		"end outage"},
+	"agent responds 503":            {"drain", "return", "outage", "end outage", "busy"},
+	"agent sends faulty lists":      {"drain", "drain", "return", "truncated", "garbage", "stale"},
+	"new process with a stale list": {"drain", "return", "save list", "restart"},
+	"new process during an outage":  {"drain", "return", "restart", "outage", "end outage"},
+	"new configuration": {"drain", "return", "return", "change source",
+		"drain and change source"},
+	"new configuration, old agent down": {"drain", "return", "change source", "change source", "outage",
+		"end outage"},
+	"slow dials": {"drain", "return", "slow dials"},
 	"all": {
 		"drain", "drain", "return", "return", "lose polls", "reset polls", "outage", "outage losing polls",
-		"end outage", "end outage", "truncated", "garbage", "stale", "slow dials", "save list", "restart", "change source",
+		"end outage", "end outage", "truncated", "garbage", "stale", "slow dials", "save list", "restart",
+		"change source",
 	},
 }
 
@@ -36,7 +40,8 @@
 			// run.
 			for seed := range uint64(6) {
 				if _, attempts, drainCount := runHistory(t, seed, steps); attempts < 50 || drainCount == 0 {
-					t.Errorf("seed %d: got %d attempts and %d drains, want at least 50 and 1", seed, attempts, drainCount)
+					t.Errorf("seed %d: got %d attempts and %d drains, want at least 50 and 1", seed,
+						attempts, drainCount)
 				}
 			}
 		})
--- a/internal/transport/read_ahead.go
+++ b/internal/transport/read_ahead.go
@@ -33,7 +33,8 @@
 
 // errReadAheadOverflow is returned if a client sent more than readAheadLimit bytes behind a request, so that
 // its next request is lost.
-var errReadAheadOverflow = fmt.Errorf("data behind a request exceeds the read-ahead limit of %d bytes", readAheadLimit)
+var errReadAheadOverflow = fmt.Errorf("data behind a request exceeds the read-ahead limit of %d bytes",
+	readAheadLimit)
 
 // readAhead reads what a client sends while its request is being served, to detect that the client closes.
 //
--- a/internal/transport/read_ahead_test.go
+++ b/internal/transport/read_ahead_test.go
@@ -19,10 +19,10 @@
 	release := make(chan struct{})
 	var bodies []string
 	budget := NewConnectionBudget(64)
-	_, address := startServer(t, budget, func(_ context.Context, request *protocol.Request) *protocol.Response {
+	_, address := startServer(t, budget, func(_ context.Context, r *protocol.Request) *protocol.Response {
 		<-release
-		bodies = append(bodies, string(request.Body))
-		return &protocol.Response{Status: 200, Body: string(request.Body)}
+		bodies = append(bodies, string(r.Body))
+		return &protocol.Response{Status: 200, Body: string(r.Body)}
 	})
 	second := strings.Replace(requestHead, "Length: 1", "Length: 60000", 1) + strings.Repeat("y", 60000)
 	c := dialAndWrite(t, address, requestHead+"x"+second[:10])
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -31,7 +31,8 @@
 // the text of its body or of an earlier one. A chunked request that also has a Content-Length is rejected in
 // every position.
 func TestChunkedRequests(t *testing.T) {
-	sized := strings.Replace(requestHead, "Length: 1", fmt.Sprintf("Length: %d", len(bodyLikeHead)), 1) + bodyLikeHead
+	sized := strings.Replace(requestHead, "Length: 1", fmt.Sprintf("Length: %d", len(bodyLikeHead)), 1) +
+		bodyLikeHead
 	bothLengths := chunkedRequest("b", "CONTENT-length: 1\r\n")
 	lengthFirst := strings.Replace(bothLengths, "Transfer", "Content-Length: 1\r\nTransfer", 1)
 	http10 := strings.Replace(chunkedRequest("b", ""), "HTTP/1.1", "HTTP/1.0", 1)
@@ -47,14 +48,15 @@
 		"Content-Length first":           {[]string{lengthFirst}, []int{411}},
 		"with Content-Length, second":    {[]string{sized, bothLengths}, []int{200, 411}},
 		"with Content-Length, pipelined": {[]string{sized + bothLengths}, []int{200, 411}},
-		"other header name":              {[]string{chunkedRequest("b", "X-Content-Length: 1\r\n")}, []int{200}},
-		"over HTTP/1.0":                  {[]string{http10}, []int{411}},
+		"other header name": {[]string{chunkedRequest("b", "X-Content-Length: 1\r\n")},
+			[]int{200}},
+		"over HTTP/1.0": {[]string{http10}, []int{411}},
 	} {
 		for seed := range uint64(4) {
 			bodies := make(chan string, 10)
 			budget := NewConnectionBudget(1024)
-			_, address := startServer(t, budget, func(_ context.Context, request *protocol.Request) *protocol.Response {
-				bodies <- string(request.Body)
+			_, address := startServer(t, budget, func(_ context.Context, r *protocol.Request) *protocol.Response {
+				bodies <- string(r.Body)
 				return &protocol.Response{Status: 200}
 			})
 			client := dialAndWrite(t, address, "")
--- a/internal/transport/server_client_test.go
+++ b/internal/transport/server_client_test.go
@@ -24,18 +24,23 @@
 		text string
 		want dispatch.Outcome
 	}{
-		"done":                      {chunkedHead + started + running + done + chunkedEnd, dispatch.Succeeded},
-		"done, bytes after":         {chunkedHead + done + chunk("more") + failed + chunkedEnd, dispatch.Succeeded},
-		"failed":                    {chunkedHead + started + failed + chunkedEnd, dispatch.Failed},
-		"500":                       {"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
-		"503 with X-Rejected":       {"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
-		"503 without X-Rejected":    {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
-		"redirect":                  {"HTTP/1.1 307 Away\r\nLocation: /q\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
-		"returned":                  {chunkedHead + updateLine("returned") + chunkedEnd, dispatch.Rejected},
-		"lost":                      {chunkedHead + started + lost + chunkedEnd, dispatch.ConnectionLost},
-		"no final line":             {chunkedHead + started + chunkedEnd, dispatch.ConnectionLost},
-		"closed after started":      {chunkedHead + started, dispatch.ConnectionLost},
-		"closed within a line":      {chunkedHead + "40\r\n{\"id\":\"j\",\"state\":\"do", dispatch.ConnectionLost},
+		"done": {chunkedHead + started + running + done + chunkedEnd,
+			dispatch.Succeeded},
+		"done, bytes after": {chunkedHead + done + chunk("more") + failed + chunkedEnd,
+			dispatch.Succeeded},
+		"failed": {chunkedHead + started + failed + chunkedEnd, dispatch.Failed},
+		"500":    {"HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+		"503 with X-Rejected": {"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n",
+			dispatch.Rejected},
+		"503 without X-Rejected": {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+		"redirect": {"HTTP/1.1 307 Away\r\nLocation: /q\r\nContent-Length: 0\r\n\r\n",
+			dispatch.Failed},
+		"returned":             {chunkedHead + updateLine("returned") + chunkedEnd, dispatch.Rejected},
+		"lost":                 {chunkedHead + started + lost + chunkedEnd, dispatch.ConnectionLost},
+		"no final line":        {chunkedHead + started + chunkedEnd, dispatch.ConnectionLost},
+		"closed after started": {chunkedHead + started, dispatch.ConnectionLost},
+		"closed within a line": {chunkedHead + "40\r\n{\"id\":\"j\",\"state\":\"do",
+			dispatch.ConnectionLost},
 		"update of another job":     {chunkedHead + foreign + chunkedEnd, dispatch.ConnectionLost},
 		"not HTTP":                  {"hello\r\n\r\n", dispatch.ConnectionLost},
 		"closed without a response": {"", dispatch.ConnectionLost},
@@ -133,7 +138,8 @@
 // TestClosedBeforeTheResultIsReported checks that a failed attempt's connection is closed before its result
 // is reported. The request may be sent again from then on and must not be in flight twice.
 func TestClosedBeforeTheResultIsReported(t *testing.T) {
-	for name, text := range map[string]string{"no head": "", "no last line": chunkedHead + updateLine("started"),
+	for name, text := range map[string]string{"no head": "",
+		"no final line":  chunkedHead + updateLine("started"),
 		"malformed line": chunkedHead + chunk("odd")} {
 		for range 20 {
 			// Each round has a new server and client, so that a late dial of an earlier attempt is not
@@ -196,14 +202,16 @@
 	}
 	good := startFakeServer(t, respondWith(answer("200 OK", `{"x0":3}`), true))
 	for range 2 {
-		if report, err := client.Probe(t.Context(), good.Addr().String()); err != nil || report.FreeSlots != 3 {
+		if report, err := client.Probe(t.Context(), good.Addr().String()); err != nil ||
+			report.FreeSlots != 3 {
 			t.Errorf("probe: got %+v, error %v, want 3 free slots", report, err)
 		}
 	}
 	if accepted, requests := good.counts(); accepted != 1 || requests != 2 {
 		t.Errorf("got %d connections for %d probes, want 1 for 2", accepted, requests)
 	}
-	faulty := []string{answer("404 Not Found", ""), answer("503 Busy", `{"x0":3}`), answer("200 OK", "{}"), "junk"}
+	faulty := []string{answer("404 Not Found", ""), answer("503 Busy", `{"x0":3}`), answer("200 OK", "{}"),
+		"junk"}
 	for _, text := range faulty {
 		if report, err := client.Probe(
 			t.Context(), startFakeServer(t, respondWith(text, false)).Addr().String()); err == nil {
--- a/internal/transport/server_dialer_test.go
+++ b/internal/transport/server_dialer_test.go
@@ -35,7 +35,8 @@
 			t.Errorf("%v: got outcome %v, want %v", cause, got.outcome, want)
 		}
 		if budget.inUse[serverSide] != 0 {
-			t.Errorf("%v: %d permits are in use after the failed dial, want 0", cause, budget.inUse[serverSide])
+			t.Errorf("%v: %d permits are in use after the failed dial, want 0", cause,
+				budget.inUse[serverSide])
 		}
 	}
 }
--- a/internal/transport/server_phase_test.go
+++ b/internal/transport/server_phase_test.go
@@ -52,7 +52,8 @@
 	close(release)
 	for _, c := range []net.Conn{first, second} {
 		if got := readResponse(t, c); got.StatusCode != 200 || !got.Close {
-			t.Errorf("accepted request: got status %d, close %t, want 200 and close", got.StatusCode, got.Close)
+			t.Errorf("accepted request: got status %d, close %t, want 200 and close", got.StatusCode,
+				got.Close)
 		}
 	}
 	if err := <-stopped; err != nil {
@@ -79,10 +80,11 @@
 // TestDrainAndActivateByPhase checks the results of Drain and Activate in phases in which operators should
 // not call them.
 func TestDrainAndActivateByPhase(t *testing.T) {
-	notListening := NewServer(NewConnectionBudget(64), nil, nil, func() bool { return true }, nil, zerolog.Nop())
+	notListening := NewServer(NewConnectionBudget(64), nil, nil, func() bool { return true }, nil,
+		zerolog.Nop())
 	if notListening.Ready() || !errors.Is(notListening.Drain(), errNotListening) ||
 		!errors.Is(notListening.Activate(), errNotListening) {
-		t.Error("server that does not listen: Ready is true, or Drain or Activate does not return errNotListening")
+		t.Error("server that does not listen: Ready is true, or Drain or Activate returns another error")
 	}
 	s, address := startServer(t, NewConnectionBudget(64), succeed)
 	if err := s.Activate(); err != nil || !isReady(t, address) {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -54,7 +54,8 @@
 		c, start := dialAndWrite(t, address, part), time.Now()
 		parts.Go(func() {
 			if text, err := io.ReadAll(c); err != nil || time.Since(start) > 3*time.Second {
-				t.Errorf("%q: got %q, error %v after %s, want EOF within 3 s", part, text, err, time.Since(start))
+				t.Errorf("%q: got %q, error %v after %s, want EOF within 3 s", part, text, err,
+					time.Since(start))
 			}
 		})
 	}
