--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -23,7 +23,7 @@
 	Attempts        int64                  `json:"attempts"`
 	ServersKnown    int                    `json:"executors_known"`
 	ServersExcluded int                    `json:"executors_excluded"`
-	Fleet           any                    `json:"fleet,omitempty"` // fleet status; nil if none
+	Fleet           any                    `json:"fleet,omitempty"` // status of shared budgets; nil if none
 }
 
 // JSON returns the metrics as one line of JSON without a newline.
--- a/internal/transport/request_head_test.go
+++ b/internal/transport/request_head_test.go
@@ -55,10 +55,11 @@
 		for seed := range uint64(4) {
 			bodies := make(chan string, 10)
 			budget := NewConnectionBudget(1024)
-			_, address := startServer(t, budget, func(_ context.Context, r *protocol.Request) *protocol.Response {
-				bodies <- string(r.Body)
-				return &protocol.Response{Status: 200}
-			})
+			_, address := startServer(t, budget,
+				func(_ context.Context, r *protocol.Request) *protocol.Response {
+					bodies <- string(r.Body)
+					return &protocol.Response{Status: 200}
+				})
 			client := dialAndWrite(t, address, "")
 			reader, responseCount := bufio.NewReader(client), 0
 			for _, text := range test.parts {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -151,7 +151,8 @@
 	}
 }
 
-// serveRequest serves a request and counts how it ends. A request without a response counts as failed.
+// serveRequest serves a request and counts how it ends. A request counts as failed if it has no response or
+// if its client has closed.
 //
 // If there is no response, it panics with http.ErrAbortHandler, which closes the connection. If a handler
 // returns without a response, http.Server sends status 200. A client that has closed only its sending
