--- a/internal/transport/attempt_fault_test.go
+++ b/internal/transport/attempt_fault_test.go
@@ -10,42 +10,43 @@
 	"time"
 )
 
-// attemptFault is what becomes of an attempt on its way: it has the server's end of the connection and what came
-// on it so far.
+// attemptFault is a fault of a server or of its connection that one attempt meets.
 type attemptFault struct {
-	dialError     error // no connection
-	neverConnects bool  // a connection that never comes up
-	readBytes     int   // of the request, read before the connection is closed; -1: all
-	// respond writes before the connection is closed; gone waits until the node has closed it.
-	respond          func(c net.Conn, id string, gone func() bool)
-	mayRun           bool // the job may have run by what the protocol says
-	reusedConnection bool // on a connection that served a job before
+	dialError     error // error of the dial
+	neverConnects bool  // the dial does not finish until it times out
+	readBytes     int   // bytes of the request read before the connection is closed; -1: all
+	// respond writes to c before the server closes it. waitForClose returns when the node has closed the
+	// connection, or sent more data, and reports whether it was closed.
+	respond          func(c net.Conn, id string, waitForClose func() bool)
+	mayRun           bool // by the protocol, the job may have run
+	reusedConnection bool // the connection was used for another job before
 }
 
-// respond writes a text with the request's id in place of j. The id has one letter too, since chunks have lengths.
+// respond writes a text with the request's id in place of j. The id must have one letter too, because the
+// chunk lengths are fixed.
 func respond(text string) func(net.Conn, string, func() bool) {
 	return func(c net.Conn, id string, _ func() bool) {
 		io.WriteString(c, strings.ReplaceAll(text, `"j"`, `"`+id+`"`))
 	}
 }
 
-// respondAndStall says something and then nothing until the node gives up.
+// respondAndStall writes a text and then waits until the node closes the connection.
 func respondAndStall(text string) func(net.Conn, string, func() bool) {
-	return func(c net.Conn, id string, gone func() bool) { respond(text)(c, id, nil); gone() }
+	return func(c net.Conn, id string, waitForClose func() bool) { respond(text)(c, id, nil); waitForClose() }
 }
 
-// attemptFaults are the outcomes that transport can tell.
+// attemptFaults are the faults that this package distinguishes.
 var attemptFaults = map[string]attemptFault{
-	"not dialled":            {dialError: errors.New("refused")},
-	"never comes up":         {neverConnects: true},
-	"reset before its bytes": {},
-	"reset during its bytes": {readBytes: 20},
-	"reset after its bytes":  {readBytes: -1, mayRun: true},
+	"dial refused":              {dialError: errors.New("refused")},
+	"dial unanswered":           {neverConnects: true},
+	"closed before the request": {},
+	"closed during the request": {readBytes: 20},
+	"closed after the request":  {readBytes: -1, mayRun: true},
 	"rejected": {
 		readBytes: -1,
 		respond:   respond("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"),
 	},
-	"handed back": {
+	"returned": {
 		readBytes: -1,
 		respond:   respond(chunkedHead + updateLine("returned") + chunkedEnd),
 	},
@@ -59,7 +60,7 @@
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 500 Odd\r\nContent-Length: 0\r\n\r\n"),
 	},
-	"503 without the mark": {
+	"503 without X-Rejected": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
@@ -69,28 +70,28 @@
 		mayRun:    true,
 		respond:   respond(chunkedHead + updateLine("started") + updateLine("lost") + chunkedEnd),
 	},
-	"cut in its head": {
+	"truncated head": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 200 OK\r\nTransfer-Enc"),
 	},
-	"cut after its start": {
+	"closed after started": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond(chunkedHead + updateLine("started")),
 	},
-	"cut in a line": {
+	"truncated line": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond(chunkedHead + "40\r\n{\"id\":\"j\",\"state\":\"do"),
 	},
-	"no HTTP": {readBytes: -1, mayRun: true, respond: respond("<html>\r\n\r\n")},
-	"another's id": {
+	"not HTTP": {readBytes: -1, mayRun: true, respond: respond("<html>\r\n\r\n")},
+	"update of another job": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond(chunkedHead + chunk(`{"id":"k","state":"done","result":"k"}`) + chunkedEnd),
 	},
-	"two lengths": {
+	"two Content-Lengths": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 9\r\n\r\nabcde"),
@@ -105,54 +106,54 @@
 		mayRun:    true,
 		respond:   respondForever(chunkedHead, "100\r\n"+strings.Repeat("x", 256)+"\r\n"),
 	},
-	"endless notes": {
+	"endless updates": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondForever(chunkedHead, updateLine("running")),
 	},
-	"100 and cut": {
+	"closed after 100": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respond("HTTP/1.1 100 Continue\r\n\r\n"),
 	},
-	"103 without end": {
+	"endless 103": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondForever("", "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"),
 	},
-	"silent": {readBytes: -1, mayRun: true, respond: respondAndStall("")},
-	"silent after 100": {
+	"stalls before the head": {readBytes: -1, mayRun: true, respond: respondAndStall("")},
+	"stalls after 100": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondAndStall("HTTP/1.1 100 Continue\r\n\r\n"),
 	},
-	"silent after its head": {readBytes: -1, mayRun: true, respond: respondAndStall(chunkedHead)},
-	"silent after its start": {
+	"stalls after the head": {readBytes: -1, mayRun: true, respond: respondAndStall(chunkedHead)},
+	"stalls after started": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondAndStall(chunkedHead + updateLine("started")),
 	},
-	"silent in a line": {
+	"stalls in a line": {
 		readBytes: -1,
 		mayRun:    true,
 		respond:   respondAndStall(chunkedHead + "40\r\n{\"id\":\"j\""),
 	},
-	"kept, reset before its bytes": {reusedConnection: true},
-	"kept, reset during its bytes": {reusedConnection: true, readBytes: 20},
-	"kept, reset after its bytes":  {reusedConnection: true, readBytes: -1, mayRun: true},
-	"kept, cut after its start": {
+	"reused, closed before the request": {reusedConnection: true},
+	"reused, closed during the request": {reusedConnection: true, readBytes: 20},
+	"reused, closed after the request":  {reusedConnection: true, readBytes: -1, mayRun: true},
+	"reused, closed after started": {
 		reusedConnection: true,
 		readBytes:        -1,
 		mayRun:           true,
 		respond:          respond(chunkedHead + updateLine("started")),
 	},
-	"kept, silent": {
+	"reused, stalls before the head": {
 		reusedConnection: true,
 		readBytes:        -1,
 		mayRun:           true,
 		respond:          respondAndStall(""),
 	},
-	"kept, an answer to none before": {
+	"reused, update of an earlier job": {
 		reusedConnection: true,
 		readBytes:        -1,
 		mayRun:           true,
@@ -160,16 +161,18 @@
 	},
 }
 
-func respondForever(first, again string) func(net.Conn, string, func() bool) {
+// respondForever writes a first text and then repeats another one until the node closes the connection.
+func respondForever(first, repeated string) func(net.Conn, string, func() bool) {
 	return func(c net.Conn, id string, _ func() bool) {
-		text := strings.ReplaceAll(again, `"j"`, `"`+id+`"`)
+		text := strings.ReplaceAll(repeated, `"j"`, `"`+id+`"`)
 		for _, err := io.WriteString(c, first); err == nil; _, err = io.WriteString(c, text) {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// singleByteConn reads no more than it is asked for, where it matters what was read.
+// singleByteConn reads one byte at a time if single is set, so that no bytes beyond the requested ones are
+// read.
 type singleByteConn struct {
 	net.Conn
 	single bool
@@ -182,8 +185,8 @@
 	return b.Conn.Read(p)
 }
 
-// arrival is one request whose last byte has come.
+// arrival is one request that a server has received completely.
 type arrival struct {
-	id  string
-	bad bool // it meets the fault
+	id     string
+	faulty bool // the request meets the fault
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -19,7 +19,9 @@
 	"fernrail/internal/protocol"
 )
 
-func TestServer(t *testing.T) {
+// TestResponseStatusAndClose checks the status of valid and invalid requests, and that the connection stays
+// open only after a valid one.
+func TestResponseStatusAndClose(t *testing.T) {
 	_, address := startServer(t, NewConnectionBudget(1024), succeed)
 	for text, want := range map[string]int{
 		requestHead + "b":                                             200,
@@ -31,16 +33,18 @@
 	} {
 		got := readResponse(t, dialAndWrite(t, address, text))
 		if got.StatusCode != want || got.Close != (text != requestHead+"b") {
-			t.Errorf("%.40q: %d, want %d, close %t", text, got.StatusCode, want, got.Close)
+			t.Errorf("%.40q: got status %d, close %t, want status %d, close %t",
+				text, got.StatusCode, got.Close, want, text != requestHead+"b")
 		}
 	}
 }
 
-// TestHalfARequest: one that is broken off is never served; one that never ends or begins is ended within 3 s.
-func TestHalfARequest(t *testing.T) {
-	d := NewConnectionBudget(1024)
-	_, address := startServer(t, d, func(context.Context, *protocol.Request) *protocol.Response {
-		t.Error("served")
+// TestIncompleteRequests checks that a truncated request is never served, and that a connection whose request
+// does not start or end is closed within 3 s.
+func TestIncompleteRequests(t *testing.T) {
+	budget := NewConnectionBudget(1024)
+	_, address := startServer(t, budget, func(context.Context, *protocol.Request) *protocol.Response {
+		t.Error("an incomplete request was served")
 		return nil
 	})
 	dialAndWrite(t, address, requestHead[:30]).Close()
@@ -50,64 +54,66 @@
 		c, start := dialAndWrite(t, address, part), time.Now()
 		parts.Go(func() {
 			if text, err := io.ReadAll(c); err != nil || time.Since(start) > 3*time.Second {
-				t.Errorf("%q: %q %v after %s", part, text, err, time.Since(start))
+				t.Errorf("%q: got %q, error %v after %s, want EOF within 3 s", part, text, err,
+					time.Since(start))
 			}
 		})
 	}
 	parts.Wait()
 }
 
-// TestLibraryLogIsCut: a flood of bad clients must not become one of log lines.
-func TestLibraryLogIsCut(t *testing.T) {
-	var out strings.Builder
-	s := NewServer(NewConnectionBudget(64), nil, nil, nil, nil, zerolog.New(&out))
+// TestLibraryLogIsRateLimited checks that many faulty clients do not flood the log.
+func TestLibraryLogIsRateLimited(t *testing.T) {
+	var output strings.Builder
+	s := NewServer(NewConnectionBudget(64), nil, nil, nil, nil, zerolog.New(&output))
 	for range 1000 {
 		s.http.ErrorLog.Print("bad")
 	}
-	if n := strings.Count(out.String(), "\n"); n == 0 || n > 100 {
-		t.Errorf("%d lines", n)
+	if n := strings.Count(output.String(), "\n"); n == 0 || n > 100 {
+		t.Errorf("got %d log lines of 1000, want 1 to 100", n)
 	}
 }
 
-// TestIdleClientIsKept: the time to hand a request in does not run while a connection rests.
-func TestIdleClientIsKept(t *testing.T) {
-	d := NewConnectionBudget(1024)
-	short := func(h *http.Server) { h.ReadTimeout = 20 * time.Millisecond }
-	_, address := startServer(t, d, succeed, short)
+// TestIdleConnectionStaysOpen checks that the request read time-out does not run while a connection is idle.
+func TestIdleConnectionStaysOpen(t *testing.T) {
+	budget := NewConnectionBudget(1024)
+	shorten := func(h *http.Server) { h.ReadTimeout = 20 * time.Millisecond }
+	_, address := startServer(t, budget, succeed, shorten)
 	c := dialAndWrite(t, address, requestHead+"b")
-	in := bufio.NewReader(c)
-	if r, err := http.ReadResponse(in, nil); err != nil {
+	reader := bufio.NewReader(c)
+	if r, err := http.ReadResponse(reader, nil); err != nil {
 		t.Fatal(err)
 	} else {
 		io.Copy(io.Discard, r.Body)
 	}
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if _, err := in.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error(err)
+	if _, err := reader.ReadByte(); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("idle connection: got error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 }
 
-// TestClientLeaves: the wait for an answer ends when the client goes, and not when the time to hand in is over.
-func TestClientLeaves(t *testing.T) {
-	taken, left := make(chan struct{}), make(chan struct{})
-	d := NewConnectionBudget(1024)
-	_, address := startServer(t, d, func(ctx context.Context, _ *protocol.Request) *protocol.Response {
+// TestClientCloseCancelsRequest checks that a request's context ends when the client closes, and not when the
+// read time-out passes.
+func TestClientCloseCancelsRequest(t *testing.T) {
+	started, canceled := make(chan struct{}), make(chan struct{})
+	budget := NewConnectionBudget(1024)
+	_, address := startServer(t, budget, func(ctx context.Context, _ *protocol.Request) *protocol.Response {
 		select {
-		case taken <- struct{}{}:
+		case started <- struct{}{}:
 			<-ctx.Done()
-			close(left)
+			close(canceled)
 		case <-time.After(150 * time.Millisecond):
 			if ctx.Err() != nil {
-				t.Error("seen as left")
+				t.Errorf("request context ended without a close: %v", ctx.Err())
 			}
 		}
 		return &protocol.Response{Status: 200}
 	}, func(h *http.Server) { h.ReadTimeout = 50 * time.Millisecond })
 	if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 {
-		t.Error(got)
+		t.Errorf("got status %d, want 200", got.StatusCode)
 	}
 	c := dialAndWrite(t, address, requestHead+"b")
-	<-taken
+	<-started
 	c.Close()
-	<-left
+	<-canceled
 }
