--- a/internal/fleet/cluster.go
+++ b/internal/fleet/cluster.go
@@ -42,7 +42,7 @@
 		case !v.clusterLost(ctx):
 			lastUsable = v.clock()
 		case v.clock()-lastUsable > v.cfg.Agreement.Lease:
-			v.log.Error().Msg("most voters lost their state; founding a new cluster")
+			v.log.Error().Msg("quorum lost its durable state; founding a new cluster")
 			close(v.quorumLost)
 			return
 		}
