--- a/cmd/fernrail/end_test.go
+++ b/cmd/fernrail/end_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// checkShutdown runs the test with one idempotency of the class.
+// checkShutdown runs TestShutdownWithPendingRequests for a request class with the given idempotency.
 func checkShutdown(t *testing.T, idempotency string) {
 	const maxDeadline = 1500 * time.Millisecond
 	release, arrivals := make(chan struct{}), make(chan string, 999)
--- a/cmd/fernrail/fleet_command.go
+++ b/cmd/fernrail/fleet_command.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	adminTimeout  = 2 * time.Second // for the dial, and again for the exchange
+	adminTimeout  = 2 * time.Second // limit of the dial, and then of sending the command and reading the reply
 	maxReplyBytes = 1 << 20
 )
 
--- a/cmd/fernrail/process_coordinator.go
+++ b/cmd/fernrail/process_coordinator.go
@@ -37,7 +37,7 @@
 	log         zerolog.Logger
 	process     *hotrestart.Process
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	excluded   []string   // servers excluded by operators, as last passed to the router
 	readError  string     // of the last read of the exclusions; empty: none
 	recorded   int        // number of listed servers already stored for the other processes
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -42,7 +42,7 @@
 	log            zerolog.Logger
 	limiter        *rate.Limiter
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	changed     sync.Cond  // signals that a connection was closed or became evictable
 	connections int
 	// evictable holds each *connection that has not sent a complete line or that has its reply, in the order
--- a/internal/fleet/budget/agreement.go
+++ b/internal/fleet/budget/agreement.go
@@ -30,7 +30,7 @@
 	Floor int64 `json:"floor"`
 	// Reserve is the part of the total that is granted only to holders without any leased units.
 	Reserve int64 `json:"reserve"`
-	// Step is the smallest change of a lease, at least 1.
+	// Step is the number of units by which a lease usually changes, at least 1.
 	Step int64 `json:"step"`
 	// Window is the time in nanoseconds over which usage is counted. Returned units are granted again only
 	// after one window.
@@ -48,7 +48,8 @@
 
 // Agreement is the configuration that must be identical on all nodes of a fleet.
 type Agreement struct {
-	// MaxNodes is the maximum number of nodes in the fleet. The floors of all of them are set aside.
+	// MaxNodes is the maximum number of nodes that the fleet may ever have. The floors of all of them are set
+	// aside.
 	MaxNodes int64 `json:"most"`
 	// Lease is the duration of a lease by its holder's clock, in nanoseconds.
 	Lease int64 `json:"lease"`
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -59,7 +59,7 @@
 // the leader, answers lease requests.
 type voter struct {
 	name   string // of this node
-	id     string // node name, "/" and a random part, which is stored with the durable state
+	id     string // node name, "/" and a random part, which is lost together with the durable state
 	cfg    *config.Fleet
 	clock  Clock
 	client *voterClient
@@ -75,7 +75,7 @@
 
 	tasks      sync.WaitGroup
 	cancel     context.CancelFunc
-	closed     chan struct{} // closed after this voter's listener and connections were closed
+	closed     chan struct{} // closed once this voter's connections are closed and it sends no more data
 	quorumLost chan struct{} // closed once the cluster can never elect a leader again
 
 	mu           sync.Mutex         // guards the fields below
--- a/internal/hotrestart/exclusions.go
+++ b/internal/hotrestart/exclusions.go
@@ -22,7 +22,7 @@
 // support.
 var ErrUnknownVersion = errors.New("unknown version")
 
-// FileError reports a shared file that cannot be used.
+// FileError reports a shared file that cannot be used. Its text begins with the path of the file.
 type FileError struct {
 	Path string
 	Err  error
@@ -41,7 +41,7 @@
 
 // exclusions is the content of the exclusion file at the last read or write. Guarded by Process.mu.
 type exclusions struct {
-	openFile *os.File    // kept open so that no newer file can get the same inode
+	openFile *os.File    // the file that was read last; kept open so that no newer file can get its inode
 	fileInfo os.FileInfo // of openFile; nil: its content was not read
 	excluded []string    // sorted server ids
 	listed   []string    // ids of servers that were ever listed, oldest first
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -25,7 +25,7 @@
 type Process struct {
 	number int64 // of this process within the node, from 0
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	starting bool       // this process has not served clients yet
 	locks    *os.File   // nil: no shared directory
 	path     string     // of the exclusion file; empty: no shared directory
@@ -33,7 +33,8 @@
 }
 
 // Join adds this process to the processes of the named node that share the directory. If dir is empty or cannot
-// be used, the process runs uncoordinated. The returned Process can be used even if the error is not nil.
+// be used, the process runs uncoordinated. The error is the reason why dir or a file in it cannot be used; it
+// is nil for an empty dir. The returned Process can be used even if the error is not nil.
 func Join(dir, name string) (*Process, error) {
 	p := &Process{starting: true}
 	if dir == "" {
--- a/internal/routing/endpoint_watcher.go
+++ b/internal/routing/endpoint_watcher.go
@@ -137,7 +137,8 @@
 	results <- result
 }
 
-// isUpdate reports whether a list differs from the module's current list.
+// isUpdate reports whether a list contains an update for the module: it has at least one entry, and it has a
+// higher version than the module's list unless the complete list was requested.
 func (s watchState) isUpdate(list *protocol.EndpointList) bool {
 	return len(list.Endpoints) > 0 && (s.needComplete || list.Version > s.version)
 }
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -77,8 +77,8 @@
 	state.arrivedAt = now
 	r.requests[request] = state
 	r.module.Arrive(request)
-	// The module extends the deadline if the settings allow for clock differences. A node that is
-	// shutting down must still respond before its shutdown deadline.
+	// The module may have moved the deadline, also to a later time, if the settings allow for clock
+	// differences. A node that is shutting down must still respond before its shutdown deadline.
 	if !request.Done && request.Deadline > r.shutdownDeadline {
 		r.module.SetDeadline(request, r.shutdownDeadline)
 	}
--- a/internal/simwire/session.go
+++ b/internal/simwire/session.go
@@ -15,7 +15,7 @@
 	"fernrail/dispatch"
 )
 
-// Sizes of the buffers, in bytes. A batch of a large fleet is long.
+// Sizes of the buffers, in bytes. The size of a batch grows with the number of nodes and servers.
 const (
 	inputBufferBytes  = 1 << 20
 	outputBufferBytes = 1 << 16
@@ -64,7 +64,7 @@
 	current        *instance
 	roundInstances []*instance     // instances selected in this round, in the order of selection
 	replyInstance  *instance       // instance of the last action in the reply; nil: none
-	update         *endpointUpdate // update with missing entries; nil: none
+	update         *endpointUpdate // update whose entries are still being read; nil: none
 }
 
 // endpointUpdate collects the entries of one UPDATE message.
