--- a/cmd/fernrail/idle_clients_test.go
+++ b/cmd/fernrail/idle_clients_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkIdleClients runs the test with one limit on descriptors.
+// checkIdleClients runs TestIdleClientsDoNotBlockANode with the given limit on descriptors.
 func checkIdleClients(t *testing.T, limit int) {
 	release := make(chan struct{})
 	serveRequest := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/fernrail/mixed_sites_test.go
+++ b/cmd/fernrail/mixed_sites_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// checkPushAndPollNodes runs the test with one value of Weights for the nodes that poll.
+// checkPushAndPollNodes runs TestPushAndPollNodes with the given value of Weights for the nodes that poll.
 func checkPushAndPollNodes(t *testing.T, weights string) {
 	pool := newServerPool(t, 8)
 	discovery := httptest.NewServer(http.HandlerFunc(pool.serveDiscovery))
--- a/cmd/fernrail/starvation_test.go
+++ b/cmd/fernrail/starvation_test.go
@@ -54,7 +54,8 @@
 		t.Errorf("got metrics %+v, want no excluded server: an incomplete line must not be executed", f)
 	}
 	if answered, refused := stopLoad(); refused > 0 || answered < 100 {
-		t.Errorf("got %d requests answered and %d refused, want at least 100 and 0", answered, refused)
+		t.Errorf("got %d requests answered and %d refused, want at least 100 answered and 0 refused",
+			answered, refused)
 	}
 	if descriptors := node.descriptors(); descriptors > nodeSockets {
 		t.Errorf("got %d descriptors, want at most %d", descriptors, nodeSockets)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -182,7 +182,7 @@
 		if c.wantError != "" {
 			checkKeyError(t, c.file+c.variable, err, c.wantError)
 		} else if err != nil || n.AdminAddress != c.want {
-			t.Errorf("%+v: got node %+v, error %v", c, n, err)
+			t.Errorf("%+v: got node %+v, error %v; want the admin address of the case and no error", c, n, err)
 		}
 	}
 }
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -60,7 +60,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		v.log.Warn().Err(err).Msg("leader term ended")
+		v.log.Warn().Err(err).Msg("leader term ended; rejecting pending lease requests")
 		v.rejectPending()
 		// A voter with a full disk could stay elected without granting leases, so another voter has to take
 		// over.
--- a/internal/fleet/stream_layer.go
+++ b/internal/fleet/stream_layer.go
@@ -168,7 +168,7 @@
 func (s *streamLayer) Dial(id raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	peer := s.cfg.Voter(nodeName(string(id)))
 	if peer == nil || len(id) > maxIDBytes {
-		return nil, fmt.Errorf("%q is no voter of this fleet", id)
+		return nil, fmt.Errorf("%q is not a voter of this fleet", id)
 	}
 	conn, err := net.DialTimeout("tcp", peer.Address, min(timeout, s.cfg.ElectionTimeout))
 	if err != nil {
--- a/internal/fleet/voter_client.go
+++ b/internal/fleet/voter_client.go
@@ -104,7 +104,7 @@
 	case http.StatusConflict:
 		return errAgreementMismatch
 	default:
-		return fmt.Errorf("%s: %.200s", reply.Status, body)
+		return fmt.Errorf("voter responded with status %s: %.200s", reply.Status, body)
 	}
 }
 
--- a/internal/hotrestart/exclusions_test.go
+++ b/internal/hotrestart/exclusions_test.go
@@ -90,7 +90,7 @@
 		err = s.Exclude("s-2")
 		checkFileError(t, name, err, s.path)
 		if !c.wantError(err) {
-			t.Errorf("%s: got error %v of the wrong kind", name, err)
+			t.Errorf("%s: Exclude(s-2): got error %v, want the kind of error of this case", name, err)
 		}
 		if after, _ := os.ReadFile(s.path); string(after) != c.text {
 			t.Errorf("%s: the file was overwritten with %q, want it unchanged", name, after)
--- a/internal/hotrestart/locks.go
+++ b/internal/hotrestart/locks.go
@@ -52,8 +52,8 @@
 	return err == nil && query.Type != unix.F_UNLCK
 }
 
-// takeNumber takes the first number that no running process of the node uses, and marks this process as running
-// and as starting.
+// takeNumber takes the first number that no running process of the node uses, and marks this process as
+// running and as starting.
 func takeNumber(locks *os.File) (number int64, err error) {
 	for number = range int64(maxProcesses) {
 		if err = lockByte(locks, runningOffset+number); err != nil {
--- a/internal/protocol/attempt_test.go
+++ b/internal/protocol/attempt_test.go
@@ -20,7 +20,8 @@
 		{500, "1", false}, {429, "1", false}, {200, "1", false}} {
 		response := &http.Response{StatusCode: test.status, Header: http.Header{"X-Rejected": {test.rejected}}}
 		if IsRejection(response) != test.want {
-			t.Errorf("IsRejection is wrong for this status, value of X-Rejected and wanted result: %+v", test)
+			t.Errorf("IsRejection: got the opposite of the wanted result for status, X-Rejected and wanted result %+v",
+				test)
 		}
 	}
 }
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -116,7 +116,8 @@
 	key := first.AffinityKey
 	keyIsWrong := key == 0 || key >= 1<<53 || key != same.AffinityKey || key == other.AffinityKey
 	if keyIsWrong || none.AffinityKey != 0 || first.Memory != 0.5 {
-		t.Errorf("affinity keys or memory are wrong: first %+v, same key %+v, other key %+v, no key %+v, error %+v",
+		t.Errorf("got first %+v, same key %+v, other key %+v, no key %+v, error %+v; "+
+			"want memory 0.5 in the first, and affinity keys from 1 to 2^53-1, equal, different and 0",
 			first, same, other, none, requestErr)
 	}
 	for _, info := range []string{"mem=", "mem=-1", "mem=NaN", "mem=much"} {
