--- a/internal/fleet/signals/signals_test.go
+++ b/internal/fleet/signals/signals_test.go
@@ -182,7 +182,8 @@
 	isOwnMerged := tracker.MergeReport(&Report{Node: "me", Seq: 9}, allListed, 0)
 	isNamelessMerged := tracker.MergeReport(&Report{Seq: 9}, allListed, 0)
 	if isOwnMerged || isNamelessMerged {
-		t.Error("merged a report of this node itself or without a node name")
+		t.Errorf("merged a report of this node itself: %t, one without a node name: %t; want neither",
+			isOwnMerged, isNamelessMerged)
 	}
 	mergeReport(tracker, "x", "a", "e", 7, 0, 3, 0)
 	isDuplicateMerged := mergeReport(tracker, "x", "a", "e", 7, 3, 0, 0)
@@ -190,20 +191,22 @@
 	isFormerMerged := tracker.MergeReport(
 		&Report{Node: "x", Zone: "a", Incarnation: 0, Seq: 99}, allListed, 0)
 	if isDuplicateMerged || isLateMerged || isFormerMerged {
-		t.Error("merged a duplicate report, a late report or one of an earlier incarnation")
+		t.Errorf("merged a duplicate report: %t, a late one: %t, one of an earlier incarnation: %t; want none",
+			isDuplicateMerged, isLateMerged, isFormerMerged)
 	}
 	before := tracker.RejectedReports
 	unlisted := &Report{"x", "a", 1, 8, map[string]OutcomeCount{"unlisted": {Attempts: 3, Failures: 3}}}
 	tracker.MergeReport(unlisted, func(string) bool { return false }, 0)
 	if tracker.RejectedReports != before+1 {
-		t.Error("an unlisted server in a report was not rejected")
+		t.Errorf("rejected reports after one with an unlisted server: got %d, want %d",
+			tracker.RejectedReports, before+1)
 	}
 	large := map[string]OutcomeCount{}
 	for i := range maxReportedServers + 1 {
 		large[fmt.Sprint(i)] = OutcomeCount{Attempts: 1}
 	}
 	if tracker.MergeReport(&Report{"z", "a", 1, 1, large}, allListed, 0) {
-		t.Error("merged a report with more than maxReportedServers servers")
+		t.Errorf("merged a report with %d servers, want it rejected above %d", len(large), maxReportedServers)
 	}
 	for i := range 3000 {
 		tracker.RecordOutcome(fmt.Sprint("e", i), true, int64(i))
--- a/internal/hotrestart/exclusions_test.go
+++ b/internal/hotrestart/exclusions_test.go
@@ -142,7 +142,8 @@
 		t.Errorf("got %d excluded and %d listed servers, want 60 and 90", len(excluded), len(c.listed))
 	}
 	if !c.WasListed("s-0") || !c.WasListed("s-1-29") || c.WasListed("never") {
-		t.Error("WasListed: want true for s-0 and s-1-29, and false for never")
+		t.Errorf("WasListed: got %t for s-0, %t for s-1-29 and %t for never, want true, true and false",
+			c.WasListed("s-0"), c.WasListed("s-1-29"), c.WasListed("never"))
 	}
 	var ids []string
 	for n := range maxListed {
--- a/internal/protocol/load_report.go
+++ b/internal/protocol/load_report.go
@@ -71,7 +71,8 @@
 func reportedCapacity(values map[string]float64, key string) (float64, error) {
 	value, reported := values[key]
 	if !reported || !(value > -maxSlots && value < maxSlots) {
-		return 0, fmt.Errorf("load report: %s is missing or not between %d and %d", key, -maxSlots, maxSlots)
+		return 0, fmt.Errorf("load report: %s: got %v (reported: %t), want a number between %d and %d",
+			key, value, reported, -maxSlots, maxSlots)
 	}
 	return max(value, 0), nil
 }
--- a/internal/routing/exclusions_test.go
+++ b/internal/routing/exclusions_test.go
@@ -61,7 +61,8 @@
 			t.Error("server a got no attempt at its new address after its exclusion, want at least 1")
 		}
 		if applyList(router, completeList("b")); !router.WasListed("a") || router.WasListed("unknown") {
-			t.Error("WasListed: want true for the removed server a, false for the unknown server")
+			t.Errorf("WasListed: got %t for the removed server a and %t for an unknown one, want true and false",
+				router.WasListed("a"), router.WasListed("unknown"))
 		}
 		router.SetExcluded([]string{"b"})
 		applyList(router, changedList(testEndpoint("b", dispatch.Draining)))
--- a/internal/routing/rules_fuzz_test.go
+++ b/internal/routing/rules_fuzz_test.go
@@ -48,13 +48,14 @@
 		id := attempt.Request.ID
 		mu.Lock()
 		if stopTime, isStopped := stoppedAt[attempt.Address]; isStopped && time.Since(stopTime) > 0 {
-			t.Error("rule 3: attempt to a server that is draining, excluded or removed")
+			t.Errorf("rule 3: request %s got an attempt at %s %v after the drain, exclusion or removal of that server",
+				id, attempt.Address, time.Since(stopTime))
 		}
 		if answered[id] && ctx.Err() == nil {
-			t.Error("rule 1: attempt after the final response")
+			t.Errorf("rule 1: request %s got an attempt after its final response", id)
 		}
 		if mayHaveRun[id] && attempt.Request.Class == 1 {
-			t.Error("rule 2: second attempt of a non-idempotent request that may have run")
+			t.Errorf("rule 2: request %s is not idempotent and may have run, but got a second attempt", id)
 		}
 		mayHaveRun[id] = true
 		mu.Unlock()
@@ -138,13 +139,14 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if answered[id] = true; response == nil && ctx.Err() == nil {
-				t.Error("rule 1: no response")
+				t.Errorf("rule 1: request %s got no response", id)
 			}
 			if time.Since(start) > timeout {
-				t.Error("rule 1: response after the deadline")
+				t.Errorf("rule 1: request %s ended after %v, want at most %v", id, time.Since(start), timeout)
 			}
 			if response != nil && response.Status == 503 && class == 1 && mayHaveRun[id] {
-				t.Error("rule 2: non-idempotent request that may have run was rejected as not run")
+				t.Errorf("rule 2: request %s is not idempotent and may have run, but was rejected as not run",
+					id)
 			}
 		})
 	}
--- a/internal/routing/scheduling_delay_test.go
+++ b/internal/routing/scheduling_delay_test.go
@@ -17,7 +17,7 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	monitor := newDelayMonitor()
 	if monitor.Delay() != 0 {
-		t.Error("got a delay before the first measurement, want 0")
+		t.Errorf("delay before the first measurement: got %d ns, want 0 ns", monitor.Delay())
 	}
 	go monitor.run(t.Context(), zerolog.Nop())
 	time.Sleep(3 * delaySampleInterval)
