--- a/cmd/fernrail/quota.go
+++ b/cmd/fernrail/quota.go
@@ -40,7 +40,7 @@
 	return s.budgets.Allow(budgetNames[budget], key, units)
 }
 
-// Quota returns this node's quota of a budget.
+// Quota returns this node's quota of a budget as a fraction of the total, from 0 to 1.
 func (s *quotaSource) Quota(budget dispatch.Budget, key string) float64 {
 	return s.budgets.Quota(budgetNames[budget], key)
 }
@@ -61,7 +61,8 @@
 
 // reserveAll adds the units for an attempt to a reservation. It returns false at the first budget that is
 // used up.
-func (s *quotaSource) reserveAll(r *fleet.Reservation, server, tenant string, retry bool, slowStart float64) bool {
+func (s *quotaSource) reserveAll(
+	r *fleet.Reservation, server, tenant string, retry bool, slowStart float64) bool {
 	if !r.Reserve(s.budgets, config.BudgetTenantAttempts, tenant, 1) {
 		return false
 	}
@@ -71,7 +72,8 @@
 	if slowStart <= 0 {
 		return true
 	}
-	return r.Reserve(s.budgets, config.BudgetSlowStart, server, slowStart*s.budgets.Total(config.BudgetSlowStart))
+	return r.Reserve(s.budgets, config.BudgetSlowStart, server,
+		slowStart*s.budgets.Total(config.BudgetSlowStart))
 }
 
 // AllowPoll uses one unit for a poll of the endpoint list. An overdue poll is always allowed; without a unit
--- a/internal/config/fleet_budgets.go
+++ b/internal/config/fleet_budgets.go
@@ -16,7 +16,7 @@
 	BudgetRetries        = "again"   // retries of all requests at all nodes
 	BudgetConnections    = "connect" // new connections to one server
 	BudgetSlowStart      = "cold"    // work sent to a server in slow start
-	BudgetTenantAttempts = "jobs"    // attempts of one tenant in flight; the window bounds the time without updates
+	BudgetTenantAttempts = "jobs"    // attempts of one tenant in flight; window: longest time without an update
 	BudgetPolls          = "calls"   // polls of the endpoint list
 )
 
@@ -63,11 +63,12 @@
 // decodeLimits decodes the limits of one budget.
 func (d *fleetDecoder) decodeLimits(name string) budget.Limits {
 	return budget.Limits{
-		Total:             d.integer(budgetKey(name, "whole"), 0, 1),
-		Floor:             d.integer(budgetKey(name, "floor"), 0, 0),
-		Reserve:           d.integer(budgetKey(name, "reserve"), 0, 0),
-		Step:              d.integer(budgetKey(name, "step"), 1, 1),
-		Window:            int64(d.milliseconds(budgetKey(name, "window_ms"), d.defaultWindow(name), time.Millisecond)),
+		Total:   d.integer(budgetKey(name, "whole"), 0, 1),
+		Floor:   d.integer(budgetKey(name, "floor"), 0, 0),
+		Reserve: d.integer(budgetKey(name, "reserve"), 0, 0),
+		Step:    d.integer(budgetKey(name, "step"), 1, 1),
+		Window: int64(
+			d.milliseconds(budgetKey(name, "window_ms"), d.defaultWindow(name), time.Millisecond)),
 		Partitions:        d.integer(budgetKey(name, "parts"), 1, 1),
 		FirstAttemptRatio: d.float(budgetKey(name, "share"), 0),
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package config reads, checks and completes the configuration of a node. It is the one place that knows the
-// names of the settings and of the file's keys: the node decodes its file here, and the simulator's adapter
-// decodes the same settings from its wire.
+// Package config reads, checks and completes the configuration of a node. No other package contains the names
+// of the settings and of the file's keys: the node decodes its file here, and the simulator's adapter decodes
+// the same settings from its wire protocol.
 package config
 
 import (
--- a/internal/fleet/signals/tracker.go
+++ b/internal/fleet/signals/tracker.go
@@ -65,7 +65,7 @@
 	reported  map[string]bool     // servers in this node's latest report
 }
 
-// witness is the outcomes of one node.
+// witness contains the latest report and the outcomes of one node.
 type witness struct {
 	Report   // the latest report
 	outcomes map[string]*OutcomeCount
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -32,9 +32,9 @@
 	exclusions
 }
 
-// Join adds this process to the processes of the named node that share the directory. If dir is empty or cannot
-// be used, the process runs uncoordinated. The error is the reason why dir or a file in it cannot be used; it
-// is nil for an empty dir. The returned Process can be used even if the error is not nil.
+// Join adds this process to the processes of the named node that share the directory. If dir is empty or
+// cannot be used, the process runs uncoordinated. The error is the reason why dir or a file in it cannot be
+// used; it is nil for an empty dir. The returned Process can be used even if the error is not nil.
 func Join(dir, name string) (*Process, error) {
 	p := &Process{starting: true}
 	if dir == "" {
--- a/internal/routing/interfaces.go
+++ b/internal/routing/interfaces.go
@@ -32,11 +32,13 @@
 // QuotaSource provides this node's quotas of the budgets that all nodes share. Allow, Quota and Reserve are
 // called with the router's lock held; no method may call the Router.
 type QuotaSource interface {
-	// Allow reports whether the given number of additional units may be used now. key is the address
-	// of a server for the connection budget, the name of a tenant for the budget of its attempts, empty
-	// for a budget that exists once, and the id of a server for every other budget.
+	// Allow reports whether the given number of additional units may be used now. For the slow-start
+	// budget, units is a fraction of the total. key is the address of a server for the connection budget,
+	// the name of a tenant for the budget of its attempts, empty for a budget that exists once, and the id
+	// of a server for every other budget.
 	Allow(budget dispatch.Budget, key string, units float64) bool
-	// Quota returns this node's quota of a budget, in units. key is that of Allow.
+	// Quota returns this node's quota of a budget as a fraction of the total, from 0 to 1. key is that of
+	// Allow.
 	Quota(budget dispatch.Budget, key string) float64
 	// Reserve reserves the units that one attempt uses. It returns nil if the quota is not sufficient;
 	// the attempt must not be sent then. slowStartFraction is the fraction of the server's slow-start
