--- a/internal/hotrestart/exclusions_test.go
+++ b/internal/hotrestart/exclusions_test.go
@@ -90,7 +90,7 @@
 		err = s.Exclude("s-2")
 		checkFileError(t, name, err, s.path)
 		if !c.wantError(err) {
-			t.Errorf("%s: got error %v of the wrong kind", name, err)
+			t.Errorf("%s: Exclude(s-2): got error %v, want the kind of error of this case", name, err)
 		}
 		if after, _ := os.ReadFile(s.path); string(after) != c.text {
 			t.Errorf("%s: the file was overwritten with %q, want it unchanged", name, after)
@@ -142,7 +142,8 @@
 		t.Errorf("got %d excluded and %d listed servers, want 60 and 90", len(excluded), len(c.listed))
 	}
 	if !c.WasListed("s-0") || !c.WasListed("s-1-29") || c.WasListed("never") {
-		t.Error("WasListed: want true for s-0 and s-1-29, and false for never")
+		t.Errorf("WasListed: got %t for s-0, %t for s-1-29 and %t for never, want true, true and false",
+			c.WasListed("s-0"), c.WasListed("s-1-29"), c.WasListed("never"))
 	}
 	var ids []string
 	for n := range maxListed {
--- a/internal/hotrestart/locks.go
+++ b/internal/hotrestart/locks.go
@@ -53,7 +53,7 @@
 }
 
 // takeNumber takes the first number that no running process of the node uses, and marks this process as
-// starting.
+// running and as starting.
 func takeNumber(locks *os.File) (number int64, err error) {
 	for number = range int64(maxProcesses) {
 		if err = lockByte(locks, runningOffset+number); err != nil {
