--- a/internal/testcluster/admin.go
+++ b/internal/testcluster/admin.go
@@ -15,14 +15,14 @@
 const (
 	adminDialTimeout = time.Second
 	adminTimeout     = 2 * time.Second
-	// adminEnd is the last line of a whole answer.
-	adminEnd = "END\n"
+	// adminReplyEnd is the last line of a complete reply.
+	adminReplyEnd = "END\n"
 )
 
-// errNoAnswer says that an admin command had no whole answer.
-var errNoAnswer = errors.New("no answer to an admin command")
+// errIncompleteReply reports that an admin command got no reply, or only a part of one.
+var errIncompleteReply = errors.New("incomplete reply to an admin command")
 
-// AdminCall sends an admin command and returns the answer; empty: there was none.
+// AdminCall sends an admin command and returns the reply, or "" if there was none.
 func (n *Node) AdminCall(command string) string {
 	c, err := net.DialTimeout("tcp", n.Admin, adminDialTimeout)
 	if err != nil {
@@ -33,20 +33,20 @@
 	if _, err := io.WriteString(c, command+"\n"); err != nil {
 		return ""
 	}
-	answer, _ := io.ReadAll(c) // what came before an error shows how far the node got
-	return string(answer)
+	reply, _ := io.ReadAll(c) // the part received before an error shows how far the node got
+	return string(reply)
 }
 
-// AdminQuery sends an admin command whose answer is JSON, and decodes that.
-func (n *Node) AdminQuery(command string, answer any) error {
-	text, whole := strings.CutSuffix(n.AdminCall(command), adminEnd)
-	if !whole {
-		return fmt.Errorf("%w: %q", errNoAnswer, text)
+// AdminQuery sends an admin command whose reply is JSON, and decodes the reply.
+func (n *Node) AdminQuery(command string, reply any) error {
+	text, complete := strings.CutSuffix(n.AdminCall(command), adminReplyEnd)
+	if !complete {
+		return fmt.Errorf("%w: %q", errIncompleteReply, text)
 	}
-	return json.Unmarshal([]byte(text), answer)
+	return json.Unmarshal([]byte(text), reply)
 }
 
-// WaitReady waits until the node takes clients.
+// WaitReady waits until the node accepts requests of clients.
 func (n *Node) WaitReady() {
 	n.cluster.Helper()
 	n.cluster.Until(n.Name+" serves", serveTimeout, func() bool {
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// pollInterval is the time between two looks of Until.
+	// pollInterval is the time between two checks of the condition in Until.
 	pollInterval = 10 * time.Millisecond
-	// logTail is how many bytes of each node's log are shown when Until fails.
+	// logTail is how many bytes of the end of each node's log are printed when Until fails.
 	logTail = 1500
-	// clientConns is how many idle connections the clients keep to each node.
+	// clientConns is the maximum number of idle connections from the clients to each node.
 	clientConns = 64
 )
 
-// Plan says what a cluster is like.
+// Plan configures a cluster.
 type Plan struct {
 	Program        []string       // the program and its arguments
-	Env            []string       // for each process, beside the cluster's own
-	Nodes          int            // that may be started
-	Voters         int            // nodes with a voter: the first so many
-	Servers        int            // stand-ins
-	Settings       map[string]any // of the platform, as in a node's file
-	Fleet          map[string]any // the fleet section, but for listen, seats and dir; nil: none
-	Disk           bool           // voters have a directory
-	Gossip         bool           // nodes gossip, by relays for datagrams and streams between each pair
-	ServeTime      time.Duration  // of a server for a job
-	JobCost        time.Duration  // that clients say each job takes; 0: they say nothing
-	ServersStarted time.Time      // start of the servers, as discovery tells it; zero: long ago
-	Cores          float64        // share of a core that each process is told of and held to; 0: neither
-	Sockets        int            // file descriptors that each process is told of; 0: 400
-	Quiet          bool           // processes log nothing below warnings
-	StartNotices   bool           // servers report each job's start
+	Env            []string       // of each process, in addition to the variables that the cluster sets
+	Nodes          int            // number of nodes that can be started
+	Voters         int            // number of nodes with a voter; these are the first nodes
+	Servers        int            // number of stand-ins for servers
+	Settings       map[string]any // section settings of a node's configuration
+	Fleet          map[string]any // fleet section without listen, seats and dir; nil: none
+	Disk           bool           // voters store their state in a directory
+	Gossip         bool           // nodes gossip through a relay for datagrams and streams between each pair
+	ServeTime      time.Duration  // time that a server needs for a job
+	JobCost        time.Duration  // cost that clients state for each job; 0: none is stated
+	ServersStarted time.Time      // start time of the servers that discovery reports; zero: long ago
+	Cores          float64        // fraction of a core, configured for and enforced on each process; 0: neither
+	Sockets        int            // file descriptors that each process is configured with; 0: 400
+	Quiet          bool           // processes log only warnings and errors
+	StartNotices   bool           // servers report the start of each job
 }
 
-// Cluster is some nodes and all that they connect to.
+// Cluster is a set of nodes with the stand-ins and relays that they connect to.
 type Cluster struct {
 	testing.TB
 	Servers   []*StandInServer
@@ -53,14 +53,14 @@
 
 	mu            sync.Mutex
 	version       int64            // of the endpoint list
-	changed       chan struct{}    // closed with the next version
+	changed       chan struct{}    // closed when the next version is published
 	drained       map[string]bool  // servers by name
-	changedIn     map[string]int64 // the version in which each server last changed; absent: it never did
-	discoveryDown bool             // discovery answers that it can't
-	polls         []int64          // when discovery was polled
+	changedIn     map[string]int64 // version in which each server last changed; absent: never changed
+	discoveryDown bool             // discovery responds to polls with 503
+	polls         []int64          // times at which discovery was polled, in ns of the cluster's clock
 }
 
-// New starts the stand-ins, and no node yet. Everything ends with the test.
+// New starts the stand-ins and creates the nodes without starting them. The end of the test stops everything.
 func New(t testing.TB, plan Plan) *Cluster {
 	t.Helper()
 	c := &Cluster{
@@ -88,23 +88,23 @@
 	return c
 }
 
-// serveHTTP serves on a listener until the test ends.
+// serveHTTP serves HTTP on a listener until the test ends.
 func (c *Cluster) serveHTTP(l net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler}
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			c.Errorf("a stand-in at %s ended: %v", l.Addr(), err)
+			c.Errorf("stand-in at %s stopped serving: %v", l.Addr(), err)
 		}
 	}()
 	c.Cleanup(func() {
 		server.Close()
-		<-ended
+		<-stopped
 	})
 }
 
-// connect makes the relays by which a node reaches the others.
+// connect creates the relays through which a node reaches the others.
 func (c *Cluster) connect(n *Node) {
 	n.gossipRelays = make([]*Relay, len(c.Nodes))
 	n.voterRelays = make([]*Relay, c.plan.Voters)
@@ -121,7 +121,7 @@
 	}
 }
 
-// Now is the cluster's one clock: nanoseconds since it was made.
+// Now returns the time of the cluster's clock: nanoseconds since the cluster was created.
 func (c *Cluster) Now() int64 { return int64(time.Since(c.created)) }
 
 // listen opens a listener on loopback.
@@ -134,35 +134,37 @@
 	return l
 }
 
-// Until waits until a condition holds, and returns how long that took. It ends the test if that takes longer than
-// within.
-func (c *Cluster) Until(what string, within time.Duration, holds func() bool) time.Duration {
+// Until waits until a condition holds and returns the time that this took. The test fails at once if the
+// condition does not hold within the given time.
+func (c *Cluster) Until(description string, within time.Duration, condition func() bool) time.Duration {
 	c.Helper()
 	began := time.Now()
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for !holds() {
+	for !condition() {
 		<-tick.C
 		if time.Since(began) > within {
 			c.logNodes()
-			c.Fatalf("not within %v: %s", within, what)
+			c.Fatalf("condition not met within %v: %s", within, description)
 		}
 	}
 	return time.Since(began)
 }
 
-// logNodes writes the end of each node's log to the test's.
+// logNodes writes the end of each node's log to the log of the test.
 func (c *Cluster) logNodes() {
 	c.Helper()
 	for _, n := range c.Nodes {
 		log := n.Log()
-		c.Logf("%s, the end of its log:\n%s", n.Name, log[max(len(log)-logTail, 0):])
+		c.Logf("end of the log of %s:\n%s", n.Name, log[max(len(log)-logTail, 0):])
 	}
 }
 
-// RunFor lets a time pass, with whatever load and faults there are.
+// RunFor waits for a time while load and faults continue.
 func (c *Cluster) RunFor(span time.Duration) {
 	c.Helper()
 	from := c.Now()
-	c.Until("some time has passed", 2*span+10*time.Second, func() bool { return c.Now()-from >= int64(span) })
+	c.Until("the wait time has passed", 2*span+10*time.Second, func() bool {
+		return c.Now()-from >= int64(span)
+	})
 }
--- a/internal/testcluster/counts.go
+++ b/internal/testcluster/counts.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Spread says how evenly nodes and jobs are spread over the servers.
+// Spread describes how evenly nodes and jobs are distributed over the servers.
 type Spread struct {
-	FewestNodes int     // that any server had jobs from
-	MostNodes   int     // that any server had jobs from
-	LeastWork   float64 // the fewest jobs that any server had, as a share of the mean
-	MostWork    float64 // the most jobs that any server had, as a share of the mean
+	FewestNodes int     // minimum over all servers of the nodes that sent jobs to a server
+	MostNodes   int     // maximum over all servers of the nodes that sent jobs to a server
+	LeastWork   float64 // jobs of the least used server, divided by the mean
+	MostWork    float64 // jobs of the most used server, divided by the mean
 }
 
-// Spread returns the spread of the jobs that have arrived since a moment.
+// Spread returns the distribution of the jobs that have arrived since a time of the cluster's clock.
 func (c *Cluster) Spread(since int64) Spread {
 	var spread Spread
 	total := 0
@@ -31,7 +31,7 @@
 		}
 		spread.MostNodes = max(spread.MostNodes, nodes)
 	}
-	mean := max(float64(total)/float64(len(counts)), 1e-9) // without jobs the shares are 0
+	mean := max(float64(total)/float64(len(counts)), 1e-9) // without jobs both quotients are 0
 	spread.LeastWork = float64(slices.Min(counts)) / mean
 	spread.MostWork = float64(slices.Max(counts)) / mean
 	return spread
@@ -46,7 +46,7 @@
 	return names
 }
 
-// ServersUsedBy returns the servers that a node has sent jobs to since a moment.
+// ServersUsedBy returns the servers that a node has sent jobs to since a time of the cluster's clock.
 func (c *Cluster) ServersUsedBy(node *Node, since int64) map[*StandInServer]bool {
 	used := map[*StandInServer]bool{}
 	for _, s := range c.Servers {
@@ -57,7 +57,7 @@
 	return used
 }
 
-// JobsNotFrom counts the jobs that have arrived at a server since a moment from all nodes but one.
+// JobsNotFrom counts the jobs that have arrived at a server since a given time from all nodes except one.
 func (c *Cluster) JobsNotFrom(s *StandInServer, since int64, excluded string) (count int) {
 	for _, j := range s.jobsSince(since) {
 		if SenderNode(j.ID) != excluded {
@@ -67,20 +67,22 @@
 	return count
 }
 
-// MaxInWindow returns the most of these moments that lie within any window of a length. They must be in order.
-func MaxInWindow(moments []int64, window time.Duration) (most int) {
+// MaxInWindow returns the maximum number of timestamps within any window of the given length. The timestamps
+// must be in ascending order.
+func MaxInWindow(timestamps []int64, window time.Duration) (maximum int) {
 	from := 0
-	for to := range moments {
-		for moments[to]-moments[from] >= int64(window) {
+	for to := range timestamps {
+		for timestamps[to]-timestamps[from] >= int64(window) {
 			from++
 		}
-		most = max(most, to-from+1)
+		maximum = max(maximum, to-from+1)
 	}
-	return most
+	return maximum
 }
 
-// MaxConcurrentJobs returns the most jobs of one tenant that all servers together had at any moment.
-func (c *Cluster) MaxConcurrentJobs(tenant string) (most int) {
+// MaxConcurrentJobs returns the maximum number of jobs of one tenant that ran at the same time on all servers
+// together.
+func (c *Cluster) MaxConcurrentJobs(tenant string) (maxJobs int) {
 	type change struct {
 		at    int64
 		count int
@@ -94,14 +96,14 @@
 			}
 		}
 	}
-	// Of one moment those that end come first.
+	// At equal times ends come before starts.
 	slices.SortFunc(changes, func(a, b change) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.count, b.count))
 	})
 	current := 0
 	for _, change := range changes {
 		current += change.count
-		most = max(most, current)
+		maxJobs = max(maxJobs, current)
 	}
-	return most
+	return maxJobs
 }
--- a/internal/testcluster/doc.go
+++ b/internal/testcluster/doc.go
@@ -2,7 +2,7 @@
 
 // Package testcluster runs clusters of real node processes in tests.
 //
-// It starts several processes of the program with stand-ins for servers, discovery and clients on loopback, puts a
-// relay between each pair of nodes, plays faults on the processes and the links, and records on one clock what
-// arrives at the stand-ins. It knows nothing of what goes on inside a process.
+// It starts several processes of the program on loopback, together with stand-ins for servers, discovery and
+// clients. It puts a relay between each pair of nodes, injects faults into the processes and the links, and
+// records with one clock what arrives at the stand-ins. It has no access to the internals of a process.
 package testcluster
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -12,10 +12,11 @@
 	"time"
 )
 
-// Send sends one job to the node, and returns the status of its response; 0: there was none. The path of the target
-// is the job's class, its value "from" the tenant.
+// Send sends one job to the node and returns the status of the response, or 0 if there was none. The path
+// of the target is the class of the job; the query parameter "from" is the tenant.
 func (n *Node) Send(id, target string, budget time.Duration) int {
-	// The socket for clients is open also while the node has no process, so without a limit this could wait for good.
+	// The socket for clients stays open while the node has no process. Without a time-out a connection that
+	// no process accepts would block the client forever.
 	ctx, cancel := context.WithTimeout(context.Background(), budget+time.Second)
 	defer cancel()
 	request, err := n.newRequest(ctx, id, target, budget)
@@ -28,13 +29,18 @@
 		return 0
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body) // without it the connection is not used again
+	_, _ = io.Copy(io.Discard, response.Body) // otherwise the connection is not reused
 	return response.StatusCode
 }
 
-// newRequest returns the request of one job.
-func (n *Node) newRequest(ctx context.Context, id, target string, budget time.Duration) (*http.Request, error) {
-	body := io.NopCloser(strings.NewReader("b")) // of a type that http.Client does not send again by itself
+// newRequest returns the request for one job.
+func (n *Node) newRequest(
+	ctx context.Context,
+	id, target string,
+	budget time.Duration,
+) (*http.Request, error) {
+	// http.Client can't rewind a body of this type, so it never resends the request by itself.
+	body := io.NopCloser(strings.NewReader("b"))
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Listen+target, body)
 	if err != nil {
 		return nil, err
@@ -55,8 +61,8 @@
 	return request, nil
 }
 
-// StartLoad has some clients send jobs to the node, each one after another with a pause. stop ends that, and
-// returns how many responses there were by status.
+// StartLoad starts clients that send jobs to the node, each client one job at a time and at most one per
+// pause. stop stops them and returns the number of responses by status.
 func (n *Node) StartLoad(
 	name, target string,
 	clients int,
@@ -73,7 +79,7 @@
 	return l.stop
 }
 
-// SenderNode returns the name of the node that a job of StartLoad was sent to, by its id.
+// SenderNode returns the name of the node that a job of StartLoad was sent to. The id of the job contains it.
 func SenderNode(id string) string {
 	if parts := strings.Split(id, "-"); len(parts) > 1 {
 		return parts[1]
@@ -81,7 +87,7 @@
 	return ""
 }
 
-// load is clients that send jobs to one node.
+// load is a group of clients that send jobs to one node.
 type load struct {
 	clients sync.WaitGroup
 	stopped chan struct{}
@@ -90,7 +96,7 @@
 	statuses map[int]int
 }
 
-// run is one client: it calls send with the numbers of its jobs, a pause apart.
+// run is one client. It calls send with consecutive job numbers, at most once per pause.
 func (l *load) run(pause time.Duration, send func(i int) (status int)) {
 	tick := time.NewTicker(pause)
 	defer tick.Stop()
@@ -116,7 +122,7 @@
 	return l.statuses
 }
 
-// StopLoads stops several loads at once, and returns the statuses of the responses to each.
+// StopLoads stops several loads concurrently and returns, for each, the number of responses by status.
 func StopLoads(stops []func() map[int]int) []map[int]int {
 	statuses := make([]map[int]int, len(stops))
 	var all sync.WaitGroup
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -12,29 +12,29 @@
 	"time"
 )
 
-// Node is the place of one node: its addresses stay when its process is started anew. Exported fields may be changed
-// before Start.
+// Node is one node of a cluster. Its addresses stay the same when its process is restarted. Exported fields
+// may be changed before Start.
 type Node struct {
 	Name         string
 	Index        int
 	Listen       string // address for clients
 	Admin        string // address for admin commands
-	VoterAddress string // empty: it has no voter
-	VoterDir     string // the directory of its voter; empty: a part of the node's own
+	VoterAddress string // empty: the node has no voter
+	VoterDir     string // directory of its voter; empty: a folder in the node's directory
 	Env          []string
-	ChangeFleet  func(fleet map[string]any) // changes its own fleet section; nil: no change
+	ChangeFleet  func(fleet map[string]any) // modifies the node's fleet section; nil: no change
 
 	cluster       *Cluster
 	dir           string
-	socket        *os.File           // for clients, inherited by each process of the node
-	gossipAddress string             // where it receives gossip
-	voterRelays   []*Relay           // to each voter; nil: itself
-	gossipRelays  []*Relay           // to each other node's gossip address; nil: itself, or there is no gossip
-	pauses        chan time.Duration // for which its process is to stand still
+	socket        *os.File           // listens for clients; inherited by each process of the node
+	gossipAddress string             // address at which it receives gossip
+	voterRelays   []*Relay           // by voter index; nil for the node itself
+	gossipRelays  []*Relay           // by node index; nil for the node itself or without gossip
+	pauses        chan time.Duration // durations for which its process is to be stopped
 
 	mu      sync.Mutex
-	process *exec.Cmd     // nil: none was started, or it was ended by the test
-	exited  chan struct{} // closed when process has ended
+	process *exec.Cmd     // nil: not started, or ended by the test
+	exited  chan struct{} // closed when process has exited
 }
 
 func (c *Cluster) newNode(index int) *Node {
@@ -57,8 +57,8 @@
 	return n
 }
 
-// openSocket opens the socket for clients. It stays open over the starts of the node's processes, so that the
-// kernel takes connections also when there is none.
+// openSocket opens the socket for clients. It stays open across restarts of the node's process, so that the
+// kernel accepts connections also while there is no process.
 func (n *Node) openSocket() {
 	l := n.cluster.listen()
 	defer l.Close()
@@ -71,17 +71,17 @@
 	n.cluster.Cleanup(func() { socket.Close() })
 }
 
-// logPath is the file that all processes of the node append their logs to.
+// logPath returns the file to which all processes of the node append their logs.
 func (n *Node) logPath() string { return filepath.Join(n.dir, "log") }
 
-// Log returns what the node's processes have logged; nothing before the first start.
+// Log returns the log of all processes of the node; empty before the first start.
 func (n *Node) Log() string {
 	text, _ := os.ReadFile(n.logPath()) // absent before the first start
 	return string(text)
 }
 
-// GossipRelay returns the relay by which the node's gossip reaches another; nil: itself.
+// GossipRelay returns the relay for gossip from this node to another one; nil for the node itself.
 func (n *Node) GossipRelay(other int) *Relay { return n.gossipRelays[other] }
 
-// VoterRelay returns the relay by which the node calls a voter; nil: itself.
+// VoterRelay returns the relay for calls from this node to a voter; nil for the node itself.
 func (n *Node) VoterRelay(voter int) *Relay { return n.voterRelays[voter] }
--- a/internal/testcluster/node_config.go
+++ b/internal/testcluster/node_config.go
@@ -10,10 +10,10 @@
 	"path/filepath"
 )
 
-// defaultSockets is how many file descriptors a process is told of where the plan says nothing.
+// defaultSockets is the configured limit of file descriptors of a process if the plan sets none.
 const defaultSockets = 400
 
-// configuration returns the text of the node's file.
+// configuration returns the text of the node's configuration file.
 func (n *Node) configuration() []byte {
 	c := n.cluster
 	c.mu.Lock()
@@ -38,7 +38,7 @@
 	return text
 }
 
-// processLimits are what each process is told of its machine.
+// processLimits returns the limits section of each node's configuration.
 func (c *Cluster) processLimits() map[string]any {
 	limits := map[string]any{"sockets": cmp.Or(c.plan.Sockets, defaultSockets)}
 	if c.plan.Cores > 0 {
@@ -47,7 +47,7 @@
 	return limits
 }
 
-// fleetSection is the fleet section of the node's file.
+// fleetSection returns the fleet section of the node's configuration.
 func (n *Node) fleetSection() map[string]any {
 	plan := n.cluster.plan
 	section := maps.Clone(plan.Fleet)
@@ -70,10 +70,12 @@
 	return section
 }
 
-// defaultVoterDir is where the node's voter keeps its state where the test says nothing else.
+// defaultVoterDir returns the directory in which the node's voter stores its state, unless the test sets
+// VoterDir.
 func (n *Node) defaultVoterDir() string { return filepath.Join(n.dir, "seat") }
 
-// voterList names all voters, each with the address of the relay by which this node calls it.
+// voterList returns the names of all voters, each with the address of the relay through which this node
+// calls it.
 func (n *Node) voterList() []map[string]any {
 	var voters []map[string]any
 	for i := range n.cluster.plan.Voters {
@@ -86,7 +88,7 @@
 	return voters
 }
 
-// gossipRoutes maps each other node's gossip address to the relay by which this node reaches it.
+// gossipRoutes maps the gossip address of each other node to the relay through which this node reaches it.
 func (n *Node) gossipRoutes() map[string]any {
 	routes := map[string]any{}
 	for i, relay := range n.gossipRelays {
--- a/internal/testcluster/node_process.go
+++ b/internal/testcluster/node_process.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// serveTimeout is how long a process may take until it serves.
+	// serveTimeout is the maximum time from the start of a process until it serves.
 	serveTimeout = 20 * time.Second
-	// exitTimeout is how long a process may take to end when it was told to.
+	// exitTimeout is the maximum time that a process may take to exit after a signal.
 	exitTimeout = 8 * time.Second
-	// servesMessage is what a process logs when it serves.
+	// servesMessage is the message that a process logs when it starts to serve.
 	servesMessage = `"node serves"`
 )
 
-// processStarts are functions that start processes. One thread runs them all and lives as long as this process.
+// processStarts takes functions that start processes. One OS thread runs them all; it never ends before this
+// process does.
 var processStarts = sync.OnceValue(func() chan func() {
 	starts := make(chan func())
 	go func() {
@@ -35,17 +36,19 @@
 	return starts
 })
 
-// startProcess starts a process that the kernel kills when this one ends, however it does. A test that is killed,
-// or runs out of time, would else leave processes behind that take ports and processor time from the next.
+// startProcess starts a process that the kernel kills when this process ends for any reason. Otherwise a
+// test that is killed or times out would leave processes behind, which occupy ports and processor time that
+// later tests need.
 func startProcess(p *exec.Cmd) error {
-	// The signal is sent at the end of the thread that started the process, so that must not end before.
+	// The kernel sends the signal when the thread that started the process ends, so that thread must not
+	// end earlier.
 	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
 	processStarts() <- func() { started <- p.Start() }
 	return <-started
 }
 
-// Start starts the node's process. It does not wait until that serves.
+// Start starts the node's process. It does not wait until the process serves.
 func (n *Node) Start() {
 	n.cluster.Helper()
 	n.mu.Lock()
@@ -64,7 +67,7 @@
 	}
 	exited := make(chan struct{})
 	go func() {
-		_ = p.Wait() // processes are killed by tests, and how they end otherwise shows in their logs
+		_ = p.Wait() // tests kill processes; any other exit shows in the log of the process
 		logFile.Close()
 		close(exited)
 	}()
@@ -75,7 +78,7 @@
 	n.exited = exited
 }
 
-// command is how the node's process is started.
+// command returns the command that starts the node's process.
 func (n *Node) command(configPath string, logFile *os.File) *exec.Cmd {
 	plan := n.cluster.plan
 	p := exec.Command(plan.Program[0], plan.Program[1:]...)
@@ -87,13 +90,13 @@
 		"TMPDIR="+n.dir,
 		"EDGE_LISTEN_FD=3",
 	)
-	p.ExtraFiles = []*os.File{n.socket} // the first of them has descriptor 3
+	p.ExtraFiles = []*os.File{n.socket} // the first file gets descriptor 3
 	p.Stdout = logFile
 	p.Stderr = logFile
 	return p
 }
 
-// logLevel is the lowest level that processes log.
+// logLevel returns the lowest level that processes log.
 func (c *Cluster) logLevel() string {
 	if c.plan.Quiet {
 		return "warn"
@@ -101,70 +104,73 @@
 	return "info"
 }
 
-// Upgrade starts a second process on the node's socket, and tells the first to end once the second serves.
+// Upgrade starts a second process on the node's socket and sends SIGTERM to the first once the second serves.
 func (n *Node) Upgrade() {
 	n.cluster.Helper()
 	n.mu.Lock()
 	old, exited := n.process.Process, n.exited
 	n.mu.Unlock()
-	// Kill knows the second process alone; the test may end before that serves.
-	n.cluster.Cleanup(func() { _ = old.Kill() }) // it may have ended
-	before := n.timesServed()
-	n.Admin = n.cluster.unusedAddress() // the first process still has its own
+	// Kill ends only the second process, and the test may end before that one serves.
+	n.cluster.Cleanup(func() { _ = old.Kill() }) // fails if the process has exited
+	servedBefore := n.timesServed()
+	n.Admin = n.cluster.unusedAddress() // the first process still listens at the previous address
 	n.Start()
-	n.cluster.Until("the second process serves", serveTimeout, func() bool { return n.timesServed() > before })
-	n.endWithin(old, exited, syscall.SIGTERM, fmt.Sprintf("the first process of %s does not end", n.Name))
+	n.cluster.Until("the second process serves", serveTimeout, func() bool {
+		return n.timesServed() > servedBefore
+	})
+	n.endAndWait(old, exited, syscall.SIGTERM,
+		fmt.Sprintf("first process of %s did not exit after SIGTERM", n.Name))
 }
 
-// timesServed returns how many of the node's processes have served.
+// timesServed returns the number of the node's processes that have started to serve.
 func (n *Node) timesServed() int { return strings.Count(n.Log(), servesMessage) }
 
-// Signal sends a signal to the process, if there is one.
+// Signal sends a signal to the node's process, if there is one.
 func (n *Node) Signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
-		_ = n.process.Process.Signal(s) // it may have ended
+		_ = n.process.Process.Signal(s) // fails if the process has exited
 	}
 }
 
-// Kill ends the process at once, stopped or not, and waits for its end.
+// Kill kills the process, stopped or not, and waits until it has exited.
 func (n *Node) Kill() { n.endProcess(syscall.SIGKILL) }
 
-// Terminate tells the process to end, and waits until it has.
+// Terminate sends SIGTERM to the process and waits until it has exited.
 func (n *Node) Terminate() { n.endProcess(syscall.SIGTERM) }
 
-func (n *Node) endProcess(by syscall.Signal) {
+func (n *Node) endProcess(signal syscall.Signal) {
 	n.mu.Lock()
 	p, exited := n.process, n.exited
 	n.process = nil
 	n.mu.Unlock()
 	if p != nil {
-		n.endWithin(p.Process, exited, by, n.Name+" did not end")
+		n.endAndWait(p.Process, exited, signal, n.Name+" did not exit after the signal")
 	}
 }
 
-// endWithin sends a signal to a process and waits for its end. One that does not end in time is killed, and the
-// test fails.
-func (n *Node) endWithin(p *os.Process, exited <-chan struct{}, by syscall.Signal, failure string) {
-	_ = p.Signal(by) // it may have ended
+// endAndWait sends a signal to a process and waits until it has exited. If the process does not exit within
+// exitTimeout, it is killed and the test fails.
+func (n *Node) endAndWait(p *os.Process, exited <-chan struct{}, signal syscall.Signal, failure string) {
+	_ = p.Signal(signal) // fails if the process has exited
 	select {
 	case <-exited:
 	case <-time.After(exitTimeout):
-		_ = p.Kill() // it may have ended just now
+		_ = p.Kill() // fails if the process has just exited
 		<-exited
 		n.cluster.Error(failure)
 	}
 }
 
-// LoseDisk removes the state of the node's voter. Its process must have ended.
+// LoseDisk removes the stored state of the node's voter. The process must have exited.
 func (n *Node) LoseDisk() {
 	if err := os.RemoveAll(n.defaultVoterDir()); err != nil {
 		n.cluster.Error(err)
 	}
 }
 
-// Running reports whether the node has a process that has not ended.
+// Running reports whether the node has a process that has not exited.
 func (n *Node) Running() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testcluster/ports.go
+++ b/internal/testcluster/ports.go
@@ -9,25 +9,26 @@
 	"sync"
 )
 
-// Ports from firstTestPort up to lastTestPort are given by the kernel to no outgoing connection, which could take one
-// between its choice and its use.
+// Test ports are from firstTestPort up to lastTestPort. The kernel assigns no port of this range to an
+// outgoing connection, which could otherwise occupy a port between its choice and its use.
 const (
 	firstTestPort = 14000
 	lastTestPort  = 32000
-	// portStride spreads where test processes that run at the same time begin.
+	// portStride separates the first ports of test processes that run at the same time.
 	portStride = 37
 )
 
-// portAllocator holds the port that was given last in this process.
+// portAllocator stores the port that this process allocated last.
 var portAllocator = struct {
 	sync.Mutex
 	port int
 }{port: firstTestPort + os.Getpid()*portStride%(lastTestPort-firstTestPort)}
 
-// anyAddress leaves the choice of a port to the kernel.
+// anyAddress returns a loopback address for which the kernel chooses the port.
 func anyAddress() string { return "127.0.0.1:0" }
 
-// unusedAddress returns an address that nobody listens at, and that is given once.
+// unusedAddress returns a loopback address at which no process listens. No address is returned a second time
+// until the range is used up.
 func (c *Cluster) unusedAddress() string {
 	c.Helper()
 	portAllocator.Lock()
@@ -43,6 +44,6 @@
 			return address
 		}
 	}
-	c.Fatal("no port is free")
+	c.Fatal("no free port in the range of test ports")
 	return ""
 }
--- a/internal/testcluster/processor.go
+++ b/internal/testcluster/processor.go
@@ -11,35 +11,36 @@
 )
 
 const (
-	// checkInterval is the time between two looks at a process that is held to a share of a core.
+	// checkInterval is the time between two checks of a process that is limited to a fraction of a core.
 	checkInterval = time.Millisecond
-	// maxCredit is the processor time that a process may use at once after it was idle.
+	// maxCredit is the processor time that a process may use without a stop after it was idle.
 	maxCredit = time.Millisecond
-	// maxDebt bounds what a process pays back by standing still. On a busy machine this process looks late, and
-	// what the other one used meanwhile would else stop it for longer than the share alone ever does.
+	// maxDebt limits the overuse that a process makes up for by being stopped. On a busy machine the check
+	// runs late; the processor time that was used meanwhile would otherwise stop the process for longer
+	// than its fraction of a core ever requires.
 	maxDebt = 2 * time.Millisecond
 )
 
-// processorLimit holds a process to a share of one core.
+// processorLimit limits a process to a fraction of one core.
 type processorLimit struct {
-	process *os.Process
-	share   float64
-	credit  time.Duration // processor time that it may use now; below 0: it stands still
-	stopped bool
-	lastAt  time.Time
-	lastUse time.Duration // processor time used up to lastAt
+	process   *os.Process
+	coreShare float64
+	credit    time.Duration // processor time that the process may use now; below 0: the process is stopped
+	stopped   bool
+	lastCheck time.Time
+	lastUsed  time.Duration // processor time used up to lastCheck
 }
 
-// limitProcessor holds a process to a share of one core until it has ended, by SIGSTOP and SIGCONT: it runs for
-// about a millisecond and then stands still for the rest of its turn, as a process with a small quota does. pauses
-// are spans for which it is to stand still as well.
-func limitProcessor(p *os.Process, share float64, pauses <-chan time.Duration, exited <-chan struct{}) {
+// limitProcessor limits a process to a fraction of one core, by SIGSTOP and SIGCONT, until the process has
+// exited. The process runs for about a millisecond and is then stopped for the rest of its period, as under
+// a small CPU quota. In addition it is stopped for each duration received from pauses.
+func limitProcessor(p *os.Process, coreShare float64, pauses <-chan time.Duration, exited <-chan struct{}) {
 	l := &processorLimit{
-		process: p,
-		share:   share,
-		credit:  maxCredit,
-		lastAt:  time.Now(),
-		lastUse: processorTimeOf(p.Pid),
+		process:   p,
+		coreShare: coreShare,
+		credit:    maxCredit,
+		lastCheck: time.Now(),
+		lastUsed:  processorTimeOf(p.Pid),
 	}
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
@@ -56,13 +57,14 @@
 	}
 }
 
-// update credits the share of the time that has passed, and stops or continues the process.
+// update adds the allowed processor time for the time that has passed, subtracts the used one, and stops or
+// continues the process.
 func (l *processorLimit) update() {
-	now, use := time.Now(), processorTimeOf(l.process.Pid)
-	l.credit += time.Duration(l.share*float64(now.Sub(l.lastAt))) - (use - l.lastUse)
+	now, used := time.Now(), processorTimeOf(l.process.Pid)
+	l.credit += time.Duration(l.coreShare*float64(now.Sub(l.lastCheck))) - (used - l.lastUsed)
 	l.credit = max(min(l.credit, maxCredit), -maxDebt)
-	l.lastAt = now
-	l.lastUse = use
+	l.lastCheck = now
+	l.lastUsed = used
 	stop := l.credit < 0
 	if stop && !l.stopped {
 		l.stop()
@@ -74,16 +76,16 @@
 
 func (l *processorLimit) stop() {
 	l.stopped = true
-	_ = l.process.Signal(syscall.SIGSTOP) // it may have ended
+	_ = l.process.Signal(syscall.SIGSTOP) // fails if the process has exited
 }
 
 func (l *processorLimit) resume() {
 	l.stopped = false
-	_ = l.process.Signal(syscall.SIGCONT) // it may have ended
+	_ = l.process.Signal(syscall.SIGCONT) // fails if the process has exited
 }
 
-// processorTimeOf returns the processor time that all threads of a process have used; nothing once it has ended.
-// The number of its clock is what clock_getcpuclockid of the C library computes.
+// processorTimeOf returns the processor time that all threads of a process have used, or 0 once it has
+// exited. The clock id is computed as by clock_getcpuclockid of the C library.
 func processorTimeOf(pid int) time.Duration {
 	const schedulerClock = 2 // CPUCLOCK_SCHED
 	var t unix.Timespec
@@ -93,7 +95,7 @@
 	return time.Duration(t.Nano())
 }
 
-// Pause has the node's process stand still for a while. The plan must hold it to a share of a core.
+// Pause stops the node's process for a time. The plan must limit processes to a fraction of a core.
 func (n *Node) Pause(span time.Duration) { n.pauses <- span }
 
 // ProcessorTime returns the processor time that the node's process has used.
--- a/internal/testcluster/relay.go
+++ b/internal/testcluster/relay.go
@@ -13,17 +13,17 @@
 
 const (
 	relayDialTimeout = time.Second
-	// relayListenAttempts is how many addresses a relay tries to listen at.
+	// relayListenAttempts is the number of addresses at which a relay tries to listen.
 	relayListenAttempts = 10
 	// maxDatagram is the size of the largest datagram, in bytes.
 	maxDatagram = 64 << 10
-	// relayBuffer is how much of a stream is passed on at a time, in bytes.
+	// relayBuffer is the maximum size of a chunk of a stream that is forwarded at once, in bytes.
 	relayBuffer = 32 << 10
-	// maxDuplicateDelay is by how much a datagram may come later the second time.
+	// maxDuplicateDelay is the maximum delay of the duplicate of a datagram.
 	maxDuplicateDelay = time.Second
 )
 
-// Direction is one of the two ways through a relay.
+// Direction is one of the two directions of a relay.
 type Direction int
 
 // The directions of a relay.
@@ -32,9 +32,9 @@
 	Backward                  // to the node that connects
 )
 
-// Relay passes streams and datagrams from one node to another, each direction on its own. What passes can be
-// delayed, held back, or reset. Its methods may be called on nil, which is the relay from a node to itself, and do
-// nothing then.
+// Relay forwards streams and datagrams from one node to another, each direction independently. It can
+// delay, block and reset this traffic. The relay from a node to itself is nil; methods that inject faults
+// do nothing on it.
 type Relay struct {
 	Address string
 	target  string
@@ -46,19 +46,19 @@
 	changed  sync.Cond // signaled when a link opens or the relay closes
 	closed   bool
 	rand     *rand.Rand
-	recorded [][]byte // the first calls that were sent forward, and the latest
+	recorded [][]byte // the first calls that were sent forward, and the most recent ones
 }
 
 // link is the state of one direction.
 type link struct {
-	cut       bool // nothing passes and no error is seen: bytes wait until the link is healed, datagrams are lost
+	cut       bool // blocked without an error: bytes wait until the link is healed, datagrams are lost
 	delay     time.Duration
-	loss      float64 // the share of datagrams that are lost
-	duplicate float64 // the share of datagrams that come again some time later
+	loss      float64 // fraction of datagrams that are lost
+	duplicate float64 // fraction of datagrams that are delivered a second time, later
 }
 
-// newRelay returns a relay to a target. It listens at one of the addresses that the function returns, as a port
-// that was free a moment ago may have been taken.
+// newRelay returns a relay to a target. It calls address for each attempt to listen, since another process
+// may have taken a port that was free a moment ago.
 func newRelay(t testing.TB, address func() string, target string) *Relay {
 	t.Helper()
 	stream, packets, err := listenBoth(address)
@@ -76,14 +76,14 @@
 	r.running.Go(func() { r.forwardDatagrams(packets) })
 	t.Cleanup(func() {
 		stream.Close()
-		_ = packets.Close() // as for streams, nothing is left to do
+		_ = packets.Close() // no reaction to an error is needed, as for streams
 		r.close()
 		r.running.Wait()
 	})
 	return r
 }
 
-// listenBoth listens for streams and datagrams at one address.
+// listenBoth listens for streams and for datagrams at the same address.
 func listenBoth(address func() string) (stream net.Listener, packets net.PacketConn, err error) {
 	for range relayListenAttempts {
 		stream, err = net.Listen("tcp", address())
@@ -99,7 +99,7 @@
 	return nil, nil, err
 }
 
-// close ends all connections.
+// close closes all connections.
 func (r *Relay) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// acceptConns passes on connections until the listener is closed.
+// acceptConns forwards connections until the listener is closed.
 func (r *Relay) acceptConns(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -121,8 +121,8 @@
 	}
 }
 
-// forwardDatagrams passes on datagrams until the socket is closed. There is no way back: answers name the address
-// that they are for, and come by the other node's own relay.
+// forwardDatagrams forwards datagrams until the socket is closed. It needs no backward direction: a reply
+// is addressed explicitly and goes through the relay of the replying node.
 func (r *Relay) forwardDatagrams(packets net.PacketConn) {
 	target, err := net.ResolveUDPAddr("udp", r.target)
 	if err != nil {
@@ -141,57 +141,59 @@
 	}
 }
 
-// forwardDatagram sends a datagram with the faults of the link.
+// forwardDatagram sends a datagram and applies the faults of the link.
 func (r *Relay) forwardDatagram(send func()) {
 	r.mu.Lock()
 	l := r.links[Forward]
-	lost := l.cut || r.rand.Float64() < l.loss
+	drop := l.cut || r.rand.Float64() < l.loss
 	duplicate := r.rand.Float64() < l.duplicate
-	later := time.Duration(r.rand.Int64N(int64(maxDuplicateDelay)))
+	extraDelay := time.Duration(r.rand.Int64N(int64(maxDuplicateDelay)))
 	r.mu.Unlock()
-	if lost {
+	if drop {
 		return
 	}
-	if l.delay > 0 { // datagrams that wait pass each other
-		time.AfterFunc(l.delay+later/10, send)
+	if l.delay > 0 { // delayed datagrams are reordered
+		time.AfterFunc(l.delay+extraDelay/10, send)
 	} else {
 		send()
 	}
 	if duplicate {
-		time.AfterFunc(l.delay+later, send)
+		time.AfterFunc(l.delay+extraDelay, send)
 	}
 }
 
-// forwardConn passes on one connection. While the link forward is cut, nothing is opened at the other end.
-func (r *Relay) forwardConn(near net.Conn) {
-	if !r.track(near) {
+// forwardConn forwards one connection. While the forward direction is cut, no connection to the target is
+// opened.
+func (r *Relay) forwardConn(incoming net.Conn) {
+	if !r.track(incoming) {
 		return
 	}
-	defer r.untrack(near)
+	defer r.untrack(incoming)
 	if !r.waitOpen(Forward) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", r.target, relayDialTimeout)
+	outgoing, err := net.DialTimeout("tcp", r.target, relayDialTimeout)
 	if err != nil {
-		resetOnClose(near)
+		resetOnClose(incoming)
 		return
 	}
-	if !r.track(far) {
+	if !r.track(outgoing) {
 		return
 	}
-	defer r.untrack(far)
-	var both sync.WaitGroup
-	both.Go(func() { r.copyStream(far, near, Forward) })
-	both.Go(func() { r.copyStream(near, far, Backward) })
-	both.Wait()
+	defer r.untrack(outgoing)
+	var streams sync.WaitGroup
+	streams.Go(func() { r.copyStream(outgoing, incoming, Forward) })
+	streams.Go(func() { r.copyStream(incoming, outgoing, Backward) })
+	streams.Wait()
 }
 
-// resetOnClose has the close of a connection reset it.
+// resetOnClose makes Close reset the connection.
 func resetOnClose(c net.Conn) {
-	_ = c.(*net.TCPConn).SetLinger(0) // fails where the connection has been closed
+	_ = c.(*net.TCPConn).SetLinger(0) // fails if the connection has been closed
 }
 
-// track reports whether the relay goes on; the connection is closed with it, or now.
+// track registers a connection, which is then closed together with the relay. If the relay is closed
+// already, track closes the connection and reports false.
 func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,7 +212,8 @@
 	delete(r.conns, c)
 }
 
-// waitOpen waits for the delay of a link, and until that is not cut. It reports false where the relay was closed.
+// waitOpen waits for the delay of a direction, and then until that direction is not cut. It reports false
+// if the relay was closed.
 func (r *Relay) waitOpen(d Direction) bool {
 	if delay := r.link(d).delay; delay > 0 {
 		time.Sleep(delay)
@@ -229,15 +232,15 @@
 	return r.links[d]
 }
 
-// copyStream passes on one direction of a connection, and its end.
+// copyStream forwards one direction of a connection, including its end.
 func (r *Relay) copyStream(to, from net.Conn, d Direction) {
 	defer func() {
-		_ = to.(*net.TCPConn).CloseWrite() // fails where the connection has been closed
+		_ = to.(*net.TCPConn).CloseWrite() // fails if the connection has been closed
 	}()
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !r.copyPiece(to, buffer[:n], d) {
+		if n > 0 && !r.copyChunk(to, buffer[:n], d) {
 			return
 		}
 		if err != nil {
@@ -246,8 +249,8 @@
 	}
 }
 
-// copyPiece passes on some bytes, and reports whether that succeeded.
-func (r *Relay) copyPiece(to net.Conn, b []byte, d Direction) bool {
+// copyChunk forwards some bytes and reports whether this succeeded.
+func (r *Relay) copyChunk(to net.Conn, b []byte, d Direction) bool {
 	if d == Forward {
 		r.record(b)
 	}
--- a/internal/testcluster/relay_faults.go
+++ b/internal/testcluster/relay_faults.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-// SetDatagramFaults has a share of the datagrams that go forward lost, and a share come twice, late.
+// SetDatagramFaults sets the fractions of the forward datagrams that are lost, and that are delivered a
+// second time, later.
 func (r *Relay) SetDatagramFaults(loss, duplicate float64) {
 	if r == nil {
 		return
@@ -15,7 +16,7 @@
 	r.links[Forward].duplicate = duplicate
 }
 
-// Cut holds back all that goes in a direction until Heal.
+// Cut blocks all traffic in a direction until Heal: bytes of streams wait, datagrams are lost.
 func (r *Relay) Cut(d Direction) {
 	if r == nil {
 		return
@@ -25,7 +26,7 @@
 	r.links[d].cut = true
 }
 
-// Heal opens both directions. What was held back arrives now, late.
+// Heal unblocks both directions. Blocked bytes are delivered now.
 func (r *Relay) Heal() {
 	if r == nil {
 		return
@@ -37,7 +38,7 @@
 	r.changed.Broadcast()
 }
 
-// Delay has each piece that goes in a direction wait for a time.
+// Delay sets the delay of each chunk and datagram in a direction.
 func (r *Relay) Delay(d Direction, by time.Duration) {
 	if r == nil {
 		return
@@ -47,7 +48,7 @@
 	r.links[d].delay = by
 }
 
-// Reset ends all connections at once, as a machine does that has lost their state.
+// Reset resets all connections, as a machine does that has lost their state.
 func (r *Relay) Reset() {
 	if r == nil {
 		return
--- a/internal/testcluster/replay.go
+++ b/internal/testcluster/replay.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// maxRecorded is how many calls a relay can replay.
+	// maxRecorded is the maximum number of calls that a relay records for replay.
 	maxRecorded = 64
-	// replayTimeout is how long a replayed call may take to be answered.
+	// replayTimeout is the maximum time to wait for the response to a replayed call.
 	replayTimeout = time.Second
 )
 
-// record keeps a call that goes forward: the first ones, and the latest.
+// record stores a call that was sent forward. It retains the first half and the most recent half of
+// maxRecorded.
 func (r *Relay) record(b []byte) {
 	if !bytes.HasPrefix(b, []byte("POST ")) {
 		return
@@ -29,8 +30,8 @@
 	r.recorded = append(r.recorded, bytes.Clone(b))
 }
 
-// Replay sends recorded calls once more, though the link be cut, each on a connection of its own. It returns how
-// many were answered.
+// Replay resends the recorded calls, each on its own connection and even if the link is cut. It returns the
+// number of calls that got a response.
 func (r *Relay) Replay() (answered int) {
 	if r == nil {
 		return 0
@@ -46,7 +47,7 @@
 	return answered
 }
 
-// replay sends one call, and reports whether there was an answer.
+// replay resends one call and reports whether it got a response.
 func (r *Relay) replay(call []byte) bool {
 	c, err := net.DialTimeout("tcp", r.target, relayDialTimeout)
 	if err != nil {
@@ -54,7 +55,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(replayTimeout))
-	_, _ = c.Write(call)                // a failure shows as no answer
-	n, _ := c.Read(make([]byte, 1<<10)) // an error after some bytes is an answer all the same
+	_, _ = c.Write(call)                // a failure shows as a missing response
+	n, _ := c.Read(make([]byte, 1<<10)) // some bytes before an error count as a response
 	return n > 0
 }
--- a/internal/testcluster/schedule.go
+++ b/internal/testcluster/schedule.go
@@ -10,45 +10,46 @@
 	"time"
 )
 
-// FaultKind is what a step of a schedule does. Its text is what schedules are written with.
+// FaultKind is the action of a step in a schedule. Its text is used in the text form of schedules.
 type FaultKind string
 
-// The kinds of steps. Those on links concern the relay from Step.Node to the voter Step.Other.
+// The kinds of steps. Steps on links apply to the relay from Step.Node to the voter Step.Other.
 const (
 	FaultKill     FaultKind = "kill"    // kills the process
-	FaultStart    FaultKind = "start"   // starts it, if it does not run
-	FaultLoseDisk FaultKind = "forget"  // kills the process and removes its voter's state
-	FaultStop     FaultKind = "stop"    // has the process stand still
-	FaultContinue FaultKind = "go"      // ends that
-	FaultEnd      FaultKind = "end"     // tells the process to end
-	FaultUpgrade  FaultKind = "upgrade" // starts a second process that takes over
+	FaultStart    FaultKind = "start"   // starts the process if it does not run
+	FaultLoseDisk FaultKind = "forget"  // kills the process and removes the state of its voter
+	FaultStop     FaultKind = "stop"    // stops the process with SIGSTOP
+	FaultContinue FaultKind = "go"      // continues the stopped process
+	FaultEnd      FaultKind = "end"     // terminates the process with SIGTERM
+	FaultUpgrade  FaultKind = "upgrade" // starts a second process, which replaces the first
 	FaultCut      FaultKind = "cut"     // cuts one direction of a link
 	FaultHeal     FaultKind = "heal"    // heals both directions
 	FaultDelay    FaultKind = "delay"   // delays one direction
 	FaultReset    FaultKind = "reset"   // resets the connections of a link
-	FaultReplay   FaultKind = "replay"  // replays calls that went over a link
+	FaultReplay   FaultKind = "replay"  // replays calls recorded on a link
 )
 
-// Step is one fault, or the end of one.
+// Step begins or ends one fault.
 type Step struct {
-	At        time.Duration // from the start of the schedule
+	At        time.Duration // relative to the start of the schedule
 	Kind      FaultKind
 	Node      int
-	Other     int // of a link
+	Other     int // index of the voter at the other end of a link
 	Direction Direction
-	Delay     time.Duration // of FaultDelay
+	Delay     time.Duration // only for FaultDelay
 }
 
-// Schedule is faults in the order of time. Its text has a line for each step, which ParseSchedule reads.
+// Schedule is a list of steps in the order of time. Its text form has one line per step; ParseSchedule
+// reads it.
 type Schedule []Step
 
-// String returns the line of a step. Times are in milliseconds.
+// String returns the step as one line of text, with times in milliseconds.
 func (s Step) String() string {
 	return fmt.Sprintf("%d %s %d %d %d %d",
 		s.At.Milliseconds(), s.Kind, s.Node, s.Other, s.Direction, s.Delay.Milliseconds())
 }
 
-// String returns the text of a schedule.
+// String returns the text form of the schedule.
 func (s Schedule) String() string {
 	lines := []string{}
 	for _, step := range s {
@@ -57,14 +58,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// ParseSchedule reads what String wrote.
+// ParseSchedule parses the text form that String returns.
 func ParseSchedule(text string) (Schedule, error) {
 	var s Schedule
 	in := bufio.NewScanner(strings.NewReader(text))
 	for in.Scan() {
 		step, err := parseStep(in.Text())
 		if err != nil {
-			return nil, fmt.Errorf("%q: %w", in.Text(), err)
+			return nil, fmt.Errorf("invalid schedule step %q: %w", in.Text(), err)
 		}
 		s = append(s, step)
 	}
@@ -80,26 +81,26 @@
 	return step, err
 }
 
-// Minimize cuts a schedule down to one that still fails, by leaving out ever smaller parts of it.
+// Minimize reduces a schedule to one that still fails, by removing ever smaller parts of it.
 func (s Schedule) Minimize(fails func(Schedule) bool) Schedule {
-	for part := len(s) / 2; part > 0; {
-		shorter := s.without(part, fails)
-		if len(shorter) == len(s) || part > len(shorter) {
-			part /= 2
+	for length := len(s) / 2; length > 0; {
+		reduced := s.removeParts(length, fails)
+		if len(reduced) == len(s) || length > len(reduced) {
+			length /= 2
 		}
-		s = shorter
+		s = reduced
 	}
 	return s
 }
 
-// without leaves out each part of a length that is not needed for the schedule to fail.
-func (s Schedule) without(part int, fails func(Schedule) bool) Schedule {
-	for from := 0; from+part <= len(s); {
-		less := slices.Concat(s[:from], s[from+part:])
-		if fails(less) {
-			s = less
+// removeParts removes each part of the given length that is not needed for the schedule to fail.
+func (s Schedule) removeParts(length int, fails func(Schedule) bool) Schedule {
+	for from := 0; from+length <= len(s); {
+		candidate := slices.Concat(s[:from], s[from+length:])
+		if fails(candidate) {
+			s = candidate
 		} else {
-			from += part
+			from += length
 		}
 	}
 	return s
--- a/internal/testcluster/schedule_random.go
+++ b/internal/testcluster/schedule_random.go
@@ -12,22 +12,23 @@
 const (
 	minFaultTime = 300 * time.Millisecond
 	maxFaultTime = 4 * time.Second
-	// processRest is the time after a fault of a node's process in which it has no other.
+	// processRest is the minimum time between two faults of the same node's process.
 	processRest = 2 * time.Second
 	minDelay    = 50 * time.Millisecond
 	maxDelay    = 2 * time.Second
 )
 
-// ScheduleSize says what RandomSchedule draws.
+// ScheduleSize sets the number and the range of the faults that RandomSchedule draws.
 type ScheduleSize struct {
 	Nodes  int
-	Voters int           // of the nodes, the first
-	Faults int           // each with its end
-	Span   time.Duration // within which all faults begin
+	Voters int           // number of nodes with a voter; these are the first nodes
+	Faults int           // number of faults; the end of each is also in the schedule
+	Span   time.Duration // time within which all faults begin
 }
 
-// RandomSchedule draws faults that overlap, each with its end. The same seed draws the same. No voter loses its
-// state: more than one that did so at a time is no fault that a cluster has to survive.
+// RandomSchedule draws faults that may overlap, each with its end. The same seed gives the same schedule.
+// No voter loses its state, since a cluster is not required to survive a simultaneous loss of state of
+// several voters.
 func RandomSchedule(seed uint64, size ScheduleSize) Schedule {
 	g := &scheduleGenerator{
 		rand:  rand.New(rand.NewPCG(seed, 11)),
@@ -48,19 +49,19 @@
 	return g.schedule
 }
 
-// drawnFault is a fault whose kind is not drawn yet.
+// drawnFault is a fault whose kind has not been drawn yet.
 type drawnFault struct {
 	node, other int
 	begin, end  time.Duration
 	direction   Direction
 }
 
-// step returns a step of the fault.
+// step returns a step that applies to the fault's node, link and direction.
 func (f drawnFault) step(at time.Duration, kind FaultKind) Step {
 	return Step{At: at, Kind: kind, Node: f.node, Other: f.other, Direction: f.direction}
 }
 
-// undirected returns a step that concerns both directions of a link.
+// undirected returns a step that applies to both directions of a link.
 func (f drawnFault) undirected(at time.Duration, kind FaultKind) Step {
 	return Step{At: at, Kind: kind, Node: f.node, Other: f.other}
 }
@@ -69,17 +70,17 @@
 type scheduleGenerator struct {
 	rand     *rand.Rand
 	nodes    int
-	busy     []time.Duration // by node, until when its process has a fault or rests from one
+	busy     []time.Duration // by node: end of its last process fault plus processRest
 	schedule Schedule
 }
 
-// duration draws whole milliseconds.
+// duration draws a duration in whole milliseconds.
 func (g *scheduleGenerator) duration(from, to time.Duration) time.Duration {
-	more := time.Duration(g.rand.Int64N(int64(max(to-from, 1))))
-	return (from + more).Truncate(time.Millisecond)
+	offset := time.Duration(g.rand.Int64N(int64(max(to-from, 1))))
+	return (from + offset).Truncate(time.Millisecond)
 }
 
-// add draws the kind of a fault.
+// add draws the kind of a fault and adds its steps.
 func (g *scheduleGenerator) add(f drawnFault) {
 	switch g.rand.IntN(7) {
 	case 0:
@@ -90,7 +91,7 @@
 		g.addProcessFault(f, FaultEnd, FaultStart)
 	case 3:
 		g.addCut(f)
-	case 4: // a voter is cut off from all, in both directions or one
+	case 4: // all nodes lose one direction of their link to a voter
 		for node := range g.nodes {
 			f.node = node
 			g.addCut(f)
@@ -104,7 +105,8 @@
 	}
 }
 
-// addProcessFault adds a fault of a node's process, unless it has another one.
+// addProcessFault adds a fault of a node's process, unless the process is still in or resting from another
+// fault.
 func (g *scheduleGenerator) addProcessFault(f drawnFault, first, last FaultKind) {
 	if f.begin < g.busy[f.node] {
 		return
--- a/internal/testcluster/schedule_run.go
+++ b/internal/testcluster/schedule_run.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
-// RunSchedule plays a schedule, and then ends what still lasts: links are healed, and every node has a process that
-// runs.
+// RunSchedule executes a schedule and then ends all remaining faults: it heals the links and gives every
+// node a running process.
 func (c *Cluster) RunSchedule(s Schedule) {
 	c.Helper()
 	began := time.Now()
 	for _, step := range s {
-		c.Until("the time of a step", step.At+time.Second, func() bool { return time.Since(began) >= step.At })
+		c.Until("the start time of the next step is reached", step.At+time.Second, func() bool {
+			return time.Since(began) >= step.At
+		})
 		c.runStep(step)
 	}
 	for _, n := range c.Nodes {
@@ -21,7 +23,7 @@
 	}
 }
 
-// runStep does one step.
+// runStep executes one step.
 func (c *Cluster) runStep(step Step) {
 	c.Helper()
 	n := c.Nodes[step.Node]
@@ -52,7 +54,7 @@
 	case FaultReplay:
 		n.VoterRelay(step.Other).Replay()
 	default:
-		c.Fatalf("%s is no kind of step", step.Kind)
+		c.Fatalf("unknown kind of step %q", step.Kind)
 	}
 }
 
--- a/internal/testcluster/signals_test.go
+++ b/internal/testcluster/signals_test.go
@@ -42,14 +42,14 @@
 	for _, told := range []bool{false, true} {
 		b := startOutlierCluster(t, nodes, told, 50*time.Millisecond)
 		bad, friend := b.Servers[3], b.Nodes[7].Name
-		bad.BreakJobsOf(func(node string) bool { return node != friend })
+		bad.AbortJobsOf(func(node string) bool { return node != friend })
 		since := b.Now()
 		b.RunFor(8 * time.Second)
 		wasted[told] = b.JobsNotFrom(bad, since, friend)
 		if told && b.JobsNotFrom(bad, since, "") == wasted[told] {
 			t.Error("the node to which it is well left it")
 		}
-		bad.BreakJobsOf(nil)
+		bad.AbortJobsOf(nil)
 		since = b.Now()
 		took := b.Until("all use it again", 4*convergeTime, func() bool {
 			for _, n := range b.Nodes {
@@ -79,7 +79,7 @@
 	b := startOutlierCluster(t, 6, true, 25*time.Millisecond)
 	liar := b.Nodes[5].Name
 	for _, e := range b.Servers {
-		e.BreakJobsOf(func(node string) bool { return node == liar })
+		e.AbortJobsOf(func(node string) bool { return node == liar })
 	}
 	since := b.Now()
 	// On a busy machine four seconds do not bring the jobs that the verdict needs, so both are waited for.
--- a/internal/testcluster/stand_in_discovery.go
+++ b/internal/testcluster/stand_in_discovery.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// endpointList is the list of servers in the form of discovery and of a node's file. after is the version that the
-// caller has: only later changes are listed; 0: all. The caller holds mu.
+// endpointList returns the list of servers in the format of discovery and of a node's configuration. after
+// is the version that the client has: only servers changed later are listed; 0 lists all. The caller must
+// hold mu.
 func (c *Cluster) endpointList(after int64) map[string]any {
 	started := int64(0)
 	if !c.plan.ServersStarted.IsZero() {
@@ -41,7 +42,8 @@
 	return map[string]any{"version": c.version, "full": true, "servers": servers}
 }
 
-// serveDiscovery answers a poll with the whole list, or with what has changed since a version, for which it waits.
+// serveDiscovery responds to a poll with the full list, or with the changes since a version. If there are
+// none, it waits for a change.
 func (c *Cluster) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,11 +61,11 @@
 	if since != "" {
 		list["full"] = false
 	}
-	_ = json.NewEncoder(w).Encode(list) // fails where the node has gone
+	_ = json.NewEncoder(w).Encode(list) // fails if the node has disconnected
 }
 
-// waitForChange returns the changes after a version as soon as there are some, and otherwise the list without
-// servers when the poll's wait is over. The caller holds mu, which is released meanwhile.
+// waitForChange returns the changes after a version as soon as there are any. If the poll times out first,
+// it returns the list without servers. The caller must hold mu, which is released during the wait.
 func (c *Cluster) waitForChange(r *http.Request, list map[string]any, after int64) map[string]any {
 	wait, _ := time.ParseDuration(r.URL.Query().Get("timeout_ms") + "ms") // absent: 0
 	changed := c.changed
@@ -81,16 +83,16 @@
 	return c.endpointList(after)
 }
 
-// UpdateEndpoints makes a next version of the list, of which discovery notifies all that wait. change sets the
-// servers that drain, by name.
+// UpdateEndpoints publishes the next version of the list and notifies all waiting polls. change modifies
+// the set of draining servers, by name.
 func (c *Cluster) UpdateEndpoints(change func(drained map[string]bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before := maps.Clone(c.drained)
+	previous := maps.Clone(c.drained)
 	change(c.drained)
 	c.version++
 	for _, s := range c.Servers {
-		if c.drained[s.Name] != before[s.Name] {
+		if c.drained[s.Name] != previous[s.Name] {
 			c.changedIn[s.Name] = c.version
 		}
 	}
@@ -98,14 +100,14 @@
 	c.changed = make(chan struct{})
 }
 
-// SetDiscoveryDown has discovery answer that it can't, or serve again.
+// SetDiscoveryDown makes discovery respond with 503, or serve again.
 func (c *Cluster) SetDiscoveryDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.discoveryDown = down
 }
 
-// Polls returns when discovery was polled, so far.
+// Polls returns the times, on the cluster's clock, at which discovery was polled so far.
 func (c *Cluster) Polls() []int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testcluster/stand_in_server.go
+++ b/internal/testcluster/stand_in_server.go
@@ -13,25 +13,25 @@
 	"time"
 )
 
-// StandInServer is a server of the pool that starts each job at once and records all that arrives.
+// StandInServer is a stand-in for a server. It starts each job at once and records all connections and jobs.
 type StandInServer struct {
 	Name    string
 	address string
 	cluster *Cluster
 
 	mu           sync.Mutex
-	breaksJobsOf func(node string) bool // nil: of no node
-	accepted     []int64                // when connections were accepted
+	abortsJobsOf func(node string) bool // nodes whose connections are aborted; nil: none
+	accepted     []int64                // times at which connections were accepted
 	jobs         []Job
 }
 
-// Job is one attempt as it arrived. Times are on the cluster's clock.
+// Job is one attempt as received by a server. Times are nanoseconds of the cluster's clock.
 type Job struct {
 	ArrivedAt int64
 	ID        string
-	Cost      time.Duration // as its client told it
+	Cost      time.Duration // as stated by the client
 	Tenant    string
-	EndedAt   int64 // when it was done, answered or not; 0: it is not
+	EndedAt   int64 // end of the handler, with or without a response; 0: still running
 }
 
 func newStandInServer(c *Cluster, name string) *StandInServer {
@@ -41,7 +41,7 @@
 	return s
 }
 
-// recordingListener records when connections are accepted.
+// recordingListener records the times at which connections are accepted.
 type recordingListener struct {
 	net.Listener
 	server *StandInServer
@@ -62,17 +62,17 @@
 	s.accepted = append(s.accepted, s.cluster.Now())
 }
 
-// ServeHTTP does a job. The target can ask for a rejection (full), the end of the connection (close) or more time
-// (slow). A job goes on when its client has gone.
+// ServeHTTP executes a job. Query parameters of the target request a rejection (full), the close of the
+// connection (close) or additional service time (slow). A job continues after its client has disconnected.
 func (s *StandInServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := s.cluster.Now()
 	if _, err := io.ReadAll(r.Body); err != nil {
 		return
 	}
 	id := r.Header.Get("X-Call-Id")
-	job, breaks := s.recordJob(arrivedAt, id, r.Header)
+	job, aborts := s.recordJob(arrivedAt, id, r.Header)
 	defer s.recordEnd(job)
-	if breaks {
+	if aborts {
 		panic(http.ErrAbortHandler)
 	}
 	query := r.URL.Query()
@@ -85,15 +85,15 @@
 	}
 	if s.cluster.plan.StartNotices {
 		fmt.Fprintf(w, `{"id":%q,"from":%q,"state":"started"}`+"\n", id, s.Name)
-		_ = http.NewResponseController(w).Flush() // fails where the client has gone, and the job goes on
+		_ = http.NewResponseController(w).Flush() // fails if the client has disconnected; the job continues
 	}
 	slow, _ := time.ParseDuration(query.Get("slow")) // absent: 0
 	time.Sleep(s.cluster.plan.ServeTime + slow)
 	fmt.Fprintf(w, `{"id":%q,"from":%q,"state":"done","result":"r"}`+"\n", id, s.Name)
 }
 
-// recordJob records a job, and returns its index and whether its connection is to break off.
-func (s *StandInServer) recordJob(arrivedAt int64, id string, header http.Header) (index int, breaks bool) {
+// recordJob records a job and returns its index, and whether its connection is to be aborted.
+func (s *StandInServer) recordJob(arrivedAt int64, id string, header http.Header) (index int, aborts bool) {
 	micros, _ := strconv.ParseInt(header.Get("X-Call-Cost"), 10, 64) // absent: 0
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +103,8 @@
 		Cost:      time.Duration(micros) * time.Microsecond,
 		Tenant:    header.Get("X-Caller"),
 	})
-	breaks = s.breaksJobsOf != nil && s.breaksJobsOf(SenderNode(id))
-	return len(s.jobs) - 1, breaks
+	aborts = s.abortsJobsOf != nil && s.abortsJobsOf(SenderNode(id))
+	return len(s.jobs) - 1, aborts
 }
 
 func (s *StandInServer) recordEnd(index int) {
@@ -113,21 +113,22 @@
 	s.jobs[index].EndedAt = s.cluster.Now()
 }
 
-// BreakJobsOf breaks off the connections on which jobs of some nodes come, as on links that are bad; nil: of none.
-func (s *StandInServer) BreakJobsOf(nodes func(node string) bool) {
+// AbortJobsOf makes the server abort the connections on which jobs of the selected nodes arrive, as a
+// faulty link does; nil selects no node.
+func (s *StandInServer) AbortJobsOf(nodes func(node string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breaksJobsOf = nodes
+	s.abortsJobsOf = nodes
 }
 
-// Received returns when connections were accepted, and the jobs, so far.
+// Received returns the times at which connections were accepted and the jobs received, so far.
 func (s *StandInServer) Received() (accepted []int64, jobs []Job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.accepted), slices.Clone(s.jobs)
 }
 
-// jobsSince returns the jobs that have arrived since a moment, the latest first.
+// jobsSince returns the jobs that have arrived since a given time, the most recent first.
 func (s *StandInServer) jobsSince(at int64) (jobs []Job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testcluster/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -149,11 +149,11 @@
 		}))
 	}
 	for e := range near {
-		e.BreakJobsOf(func(node string) bool { return node == hurt.Name })
+		e.AbortJobsOf(func(node string) bool { return node == hurt.Name })
 	}
 	check("broken off")
 	for e := range near {
-		e.BreakJobsOf(nil)
+		e.AbortJobsOf(nil)
 	}
 	back()
 	b.UpdateEndpoints(func(drained map[string]bool) {
