--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -15,127 +15,135 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestClocks: clocks that differ by the stated margin, either way and by an hour, keep the whole.
-func TestClocks(t *testing.T) {
+// TestClocksWithinMargin runs nodes whose clocks differ in rate by up to the margin, in both directions,
+// and by an hour in time. The total must not be exceeded, and no node may report a clock beyond the margin.
+func TestClocksWithinMargin(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(4, 3, 2)
-	r := testcluster.New(t, plan)
+	c := testcluster.New(t, plan)
 	for i, clock := range []string{"1,0", "1.04,3600", "0.96,-3600", "0.96,0"} {
-		r.Nodes[i].Env = []string{"FERNRAIL_TEST_CLOCK=" + clock + ",0"}
+		c.Nodes[i].Env = []string{"FERNRAIL_TEST_CLOCK=" + clock + ",0"}
 	}
-	b := &loadedCluster{Cluster: r}
-	for _, n := range r.Nodes {
+	loaded := &loadedCluster{Cluster: c}
+	for _, n := range c.Nodes {
 		n.Start()
 	}
-	for _, n := range r.Nodes {
+	for _, n := range c.Nodes {
 		n.WaitReady()
-		b.startLoad(n)
+		loaded.startLoad(n)
 	}
-	b.Until("the whole is in use", 20*time.Second, quotaReaches(b.Nodes, maxQuota(4)-4))
-	slow := b.Nodes[3]
+	loaded.Until("the total is leased", 20*time.Second, quotaReaches(loaded.Nodes, maxQuota(4)-4))
+	slow := loaded.Nodes[3]
 	for range 2 {
 		slow.Signal(syscall.SIGSTOP)
-		b.Until("the rest have the whole", convergeTime, quotaReaches(b.Nodes[:3], maxQuota(3)-3))
+		loaded.Until("the other nodes have leased the total", convergeTime,
+			quotaReaches(loaded.Nodes[:3], maxQuota(3)-3))
 		slow.Signal(syscall.SIGCONT)
-		b.Until("it has a share again", convergeTime, func() bool { return connectQuota(slow) > connectFloor })
+		loaded.Until("the continued node has a lease", convergeTime, func() bool {
+			return connectQuota(slow) > connectFloor
+		})
 	}
-	b.finish(t, connectTotal)
-	for _, n := range b.Nodes {
+	loaded.finish(t, connectTotal)
+	for _, n := range loaded.Nodes {
 		if strings.Contains(n.Log(), "exceeds the margin") {
-			t.Errorf("%s takes a clock within the margin for one that is not", n.Name)
+			t.Errorf("%s reports a clock beyond the margin, though all clocks are within it", n.Name)
 		}
 	}
 }
 
-// TestStrangers: what comes to a seat's door and is not of this fleet and version, or lies, costs bounded work and gets
-// nothing; shares go on.
-func TestStrangers(t *testing.T) {
+// TestInvalidVoterCalls sends calls to the voters that are malformed, too large, or from another fleet or
+// version. They must get no grant and cost only bounded work, and the leases of the nodes must be renewed
+// meanwhile.
+func TestInvalidVoterCalls(t *testing.T) {
 	runParallel(t)
-	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
+	c := startLoaded(t, fleetPlan(3, 3, 2), 3)
 	token := func(version int, secret string) string {
 		return fmt.Sprintf("%x", sha256.Sum256(fmt.Appendf(nil, "fernrail fleet %d %s", version, secret)))
 	}
-	ask := func(token, length, body string) string {
+	voterRequest := func(token, length, body string) string {
 		return "POST /ask HTTP/1.1\r\nHost: x\r\nX-Fernrail-Fleet: " + token +
 			"\r\nContent-Length: " + length + "\r\n\r\n" + body
 	}
-	greedy := `{"node":"thief","holder":"h","seq":1,"hold":{"connect":40},"want":{"connect":40}}`
-	right := token(1, "only for tests")
-	id := statusOf(b.Nodes[0]).Voter.ID
-	strangers := []string{
+	largeDemand := `{"node":"thief","holder":"h","seq":1,"hold":{"connect":40},"want":{"connect":40}}`
+	validToken := token(1, "only for tests")
+	voterID := statusOf(c.Nodes[0]).Voter.ID
+	invalidCalls := []string{
 		"\x00\xff\xfe garbage that is no protocol\r\n\r\n",
 		"\x01" + strings.Repeat("a", 200),
-		"\x01" + right + "\x05n0/xx" + strings.Repeat("\x00\xff", 3000),
-		// Maps of four thousand million entries.
-		"\x01" + right + string(rune(len(id))) + id + "\x00" + strings.Repeat("\xdf\xff\xff\xff\xff", 2000),
-		"\x01" + right + string(rune(len(id))) + id + strings.Repeat("\xff", 5000),
-		ask(token(1, "another fleet"), fmt.Sprint(len(greedy)), greedy),
-		ask(token(0, "only for tests"), fmt.Sprint(len(greedy)), greedy),
-		ask("", fmt.Sprint(len(greedy)), greedy),
-		ask(right, "1000000000", greedy),
-		ask(right, fmt.Sprint(1<<20), strings.Repeat(" ", 1<<20)),
-		ask(right, "9", `{"node":1`),
-		ask(right, "17", `{"node":"thief"}x`),
-		ask(right, fmt.Sprint(len(greedy)+9), strings.Replace(greedy, "}}", `},"new":1}`, 1)+" "),
+		"\x01" + validToken + "\x05n0/xx" + strings.Repeat("\x00\xff", 3000),
+		// Headers of maps with 2^32-1 entries, for which no memory may be allocated.
+		"\x01" + validToken + string(rune(len(voterID))) + voterID + "\x00" +
+			strings.Repeat("\xdf\xff\xff\xff\xff", 2000),
+		"\x01" + validToken + string(rune(len(voterID))) + voterID + strings.Repeat("\xff", 5000),
+		voterRequest(token(1, "another fleet"), fmt.Sprint(len(largeDemand)), largeDemand),
+		voterRequest(token(0, "only for tests"), fmt.Sprint(len(largeDemand)), largeDemand),
+		voterRequest("", fmt.Sprint(len(largeDemand)), largeDemand),
+		voterRequest(validToken, "1000000000", largeDemand),
+		voterRequest(validToken, fmt.Sprint(1<<20), strings.Repeat(" ", 1<<20)),
+		voterRequest(validToken, "9", `{"node":1`),
+		voterRequest(validToken, "17", `{"node":"thief"}x`),
+		voterRequest(validToken, fmt.Sprint(len(largeDemand)+9),
+			strings.Replace(largeDemand, "}}", `},"new":1}`, 1)+" "),
 	}
 	for range 20 {
-		for _, n := range b.Nodes {
-			for _, s := range strangers {
-				c, err := net.DialTimeout("tcp", n.VoterAddress, time.Second)
+		for _, n := range c.Nodes {
+			for _, call := range invalidCalls {
+				conn, err := net.DialTimeout("tcp", n.VoterAddress, time.Second)
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.SetDeadline(time.Now().Add(50 * time.Millisecond))
-				io.WriteString(c, s)
-				answer := make([]byte, 1<<10)
-				k, _ := c.Read(answer)
-				if strings.Contains(string(answer[:k]), `"units"`) {
-					t.Errorf("%.60q was granted: %s", s, answer[:k])
+				conn.SetDeadline(time.Now().Add(50 * time.Millisecond))
+				io.WriteString(conn, call)
+				reply := make([]byte, 1<<10)
+				replyLength, _ := conn.Read(reply)
+				if strings.Contains(string(reply[:replyLength]), `"units"`) {
+					t.Errorf("invalid call %.60q got a grant, want none: %s", call, reply[:replyLength])
 				}
-				c.Close()
+				conn.Close()
 			}
 		}
 	}
-	b.Until("shares go on", convergeTime, quotaReaches(b.Nodes, maxQuota(3)-3))
-	for _, n := range b.Nodes {
-		f := statusOf(n)
-		if !n.Running() || f == nil || f.Voter == nil {
-			t.Fatalf("%s is gone: %.2000s", n.Name, n.Log())
+	c.Until("the leases are renewed up to the total", convergeTime, quotaReaches(c.Nodes, maxQuota(3)-3))
+	for _, n := range c.Nodes {
+		status := statusOf(n)
+		if !n.Running() || status == nil || status.Voter == nil {
+			t.Fatalf("%s does not run or reports no voter; its log: %.2000s", n.Name, n.Log())
 		}
-		for _, h := range f.Voter.Holders {
-			if h.Node == "thief" {
-				t.Errorf("%s has %+v in its books", n.Name, h)
+		for _, holder := range status.Voter.Holders {
+			if holder.Node == "thief" {
+				t.Errorf("%s has a ledger entry for the sender of invalid calls, want none: %+v", n.Name, holder)
 			}
 		}
-		if told := strings.Count(n.Log(), "rejected unauthenticated peer"); told == 0 || told > 40 {
-			t.Errorf("%s told of strangers %d times", n.Name, told)
+		if logCount := strings.Count(n.Log(), "rejected unauthenticated peer"); logCount == 0 || logCount > 40 {
+			t.Errorf("%s: got %d log lines about unauthenticated peers, want 1 to 40", n.Name, logCount)
 		}
 	}
-	b.finish(t, connectTotal)
+	c.finish(t, connectTotal)
 }
 
-// TestOtherPact: a node whose file tells of larger floors than the fleet was founded with is refused, says so, and
-// uses none.
-func TestOtherPact(t *testing.T) {
+// TestMismatchedAgreement starts a node whose configuration permits more nodes, and so a larger sum of
+// floors, than the agreement that the fleet was founded with. The node must be refused, log this, and use
+// no quota, not even a floor.
+func TestMismatchedAgreement(t *testing.T) {
 	runParallel(t)
-	b := startLoaded(t, fleetPlan(4, 3, 1), 3)
-	odd := b.Nodes[3]
-	odd.ChangeFleet = func(section map[string]any) { section["most"] = 2 * maxNodes }
-	odd.Start()
-	odd.WaitReady()
-	b.startLoad(odd)
-	b.Until("it is refused", convergeTime, func() bool {
-		return strings.Contains(odd.Log(), "differ from what the fleet was founded with")
+	c := startLoaded(t, fleetPlan(4, 3, 1), 3)
+	mismatched := c.Nodes[3]
+	mismatched.ChangeFleet = func(section map[string]any) { section["most"] = 2 * maxNodes }
+	mismatched.Start()
+	mismatched.WaitReady()
+	c.startLoad(mismatched)
+	c.Until("the node logs that it was refused", convergeTime, func() bool {
+		return strings.Contains(mismatched.Log(), "differ from what the fleet was founded with")
 	})
-	from := b.Now()
-	b.Until("some windows have passed", convergeTime, func() bool { return b.Now()-from > int64(4*windowTime) })
-	if got := connectQuota(odd); got != 0 {
-		t.Errorf("it uses %d", got)
+	from := c.Now()
+	c.Until("four windows have passed", convergeTime, func() bool { return c.Now()-from > int64(4*windowTime) })
+	if got := connectQuota(mismatched); got != 0 {
+		t.Errorf("quota of the refused node: got %d, want 0", got)
 	}
-	b.finish(t, connectTotal)
+	c.finish(t, connectTotal)
 }
 
-// aliveMembers is whom a node believes to be there.
+// aliveMembers returns the names of the members that a node considers alive, separated by spaces.
 func aliveMembers(n *testcluster.Node) (names string) {
 	f := statusOf(n)
 	if f == nil {
@@ -149,17 +157,17 @@
 	return strings.TrimSpace(names)
 }
 
-// TestMembers: nodes hear of each other by gossip, through datagrams that get lost, pass each other and come twice.
-// A dead one is missed, two halves find each other again, two of one name are named. What anyone believes moves no
-// share.
-func TestMembers(t *testing.T) {
+// TestGossipMembership checks the member lists that nodes maintain by gossip, while datagrams are lost,
+// reordered and duplicated. A killed node must leave the lists, and two separated groups must merge again.
+// The lists must not affect quotas.
+func TestGossipMembership(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(5, 3, 1)
 	plan.Gossip = true
-	b := startLoaded(t, plan, 5)
-	believes := func(who []*testcluster.Node, names string) func() bool {
+	c := startLoaded(t, plan, 5)
+	membersAre := func(nodes []*testcluster.Node, names string) func() bool {
 		return func() bool {
-			for _, n := range who {
+			for _, n := range nodes {
 				if aliveMembers(n) != names {
 					return false
 				}
@@ -168,54 +176,62 @@
 		}
 	}
 	const all = "n0 n1 n2 n3 n4"
-	b.Until("all know all", convergeTime, believes(b.Nodes, all))
-	for _, n := range b.Nodes {
-		for other := range b.Nodes {
+	c.Until("all nodes list all members", convergeTime, membersAre(c.Nodes, all))
+	for _, n := range c.Nodes {
+		for other := range c.Nodes {
 			n.GossipRelay(other).SetDatagramFaults(0.1, 0.2)
 			n.GossipRelay(other).Delay(testcluster.Forward, 5*time.Millisecond)
 		}
 	}
-	dead := b.Nodes[4]
-	dead.Kill()
-	t.Logf("missed after %v", b.Until("the dead one is missed", 3*convergeTime, believes(b.Nodes[:4], "n0 n1 n2 n3")))
-	dead.Start()
-	b.Until("it is there again", 2*convergeTime, believes(b.Nodes, all))
-	gossips := func(do func(*testcluster.Relay)) {
-		for i, n := range b.Nodes {
-			for j := range b.Nodes {
+	killed := c.Nodes[4]
+	killed.Kill()
+	t.Logf("killed node removed after %v",
+		c.Until("the killed node has left the lists", 3*convergeTime, membersAre(c.Nodes[:4], "n0 n1 n2 n3")))
+	killed.Start()
+	c.Until("all nodes list the restarted node", 2*convergeTime, membersAre(c.Nodes, all))
+	forGossipBetweenParts := func(apply func(*testcluster.Relay)) {
+		for i, n := range c.Nodes {
+			for j := range c.Nodes {
 				if (i < 2) != (j < 2) {
-					do(n.GossipRelay(j))
+					apply(n.GossipRelay(j))
 				}
 			}
 		}
 	}
-	// Gossip alone is cut: the two are taken for dead, and keep their shares.
-	gossips(func(r *testcluster.Relay) { r.Cut(testcluster.Forward); r.Cut(testcluster.Backward) })
-	b.Until("each half misses the other", 3*convergeTime, func() bool {
-		return believes(b.Nodes[:2], "n0 n1")() && believes(b.Nodes[2:], "n2 n3 n4")()
+	// Only gossip is cut. Each group considers the other one dead, and all nodes keep their leases.
+	forGossipBetweenParts(func(r *testcluster.Relay) {
+		r.Cut(testcluster.Forward)
+		r.Cut(testcluster.Backward)
 	})
-	for _, n := range b.Nodes {
+	c.Until("each group lists only its own members", 3*convergeTime, func() bool {
+		return membersAre(c.Nodes[:2], "n0 n1")() && membersAre(c.Nodes[2:], "n2 n3 n4")()
+	})
+	for _, n := range c.Nodes {
 		if connectQuota(n) <= connectFloor {
-			t.Errorf("%s lost its share to what others believe", n.Name)
+			t.Errorf("%s lost its lease because other nodes consider it dead", n.Name)
 		}
 	}
-	gossips(func(r *testcluster.Relay) { r.Heal(); r.Reset() })
-	t.Logf("one fleet again after %v", b.Until("all know all again", 3*convergeTime, believes(b.Nodes, all)))
-	b.finish(t, connectTotal)
+	forGossipBetweenParts(func(r *testcluster.Relay) {
+		r.Heal()
+		r.Reset()
+	})
+	t.Logf("groups merged after %v",
+		c.Until("all nodes list all members again", 3*convergeTime, membersAre(c.Nodes, all)))
+	c.finish(t, connectTotal)
 }
 
-// TestTwoOfOneName: a second node under a name that is taken is named by the others.
-func TestTwoOfOneName(t *testing.T) {
+// TestDuplicateNodeName starts a second node under the name of a running one. The other nodes must log this.
+func TestDuplicateNodeName(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(4, 3, 1)
 	plan.Gossip = true
-	b := startLoaded(t, plan, 3)
-	double := b.Nodes[3]
-	double.Env = []string{"EDGE_NAME=n2"}
-	double.ChangeFleet = func(section map[string]any) { delete(section, "listen") }
-	double.Start()
-	b.Until("it is named", 2*convergeTime, func() bool {
-		for _, n := range b.Nodes[:3] {
+	c := startLoaded(t, plan, 3)
+	duplicate := c.Nodes[3]
+	duplicate.Env = []string{"EDGE_NAME=n2"}
+	duplicate.ChangeFleet = func(section map[string]any) { delete(section, "listen") }
+	duplicate.Start()
+	c.Until("a node logs the duplicate name", 2*convergeTime, func() bool {
+		for _, n := range c.Nodes[:3] {
 			if strings.Contains(n.Log(), "two nodes have the same name") {
 				return true
 			}
--- a/internal/testcluster/restart_test.go
+++ b/internal/testcluster/restart_test.go
@@ -15,96 +15,100 @@
 	"fernrail/internal/testcluster"
 )
 
-// TestAllRestarted: all processes are killed and started again within a second, with their disks, and then without:
-// what the dead had sent and been granted counts against those that come.
+// TestAllRestarted kills and restarts all processes within a second, first with their disks and then
+// without. The use and the grants of the killed processes must count against the new ones.
 func TestAllRestarted(t *testing.T) {
 	runParallel(t)
-	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
-	for _, forget := range []bool{false, true} {
-		for _, n := range b.Nodes {
+	c := startLoaded(t, fleetPlan(3, 3, 2), 3)
+	for _, loseDisks := range []bool{false, true} {
+		for _, n := range c.Nodes {
 			n.Kill()
 		}
-		for _, n := range b.Nodes {
-			if forget {
+		for _, n := range c.Nodes {
+			if loseDisks {
 				n.LoseDisk()
 			}
 			n.Start()
 		}
-		t.Logf("in use again after %v, disks lost: %v",
-			b.Until("the whole is in use", 2*convergeTime, quotaReaches(b.Nodes, maxQuota(3)-3)), forget)
+		t.Logf("total leased again after %v, disks lost: %v",
+			c.Until("the total is leased", 2*convergeTime, quotaReaches(c.Nodes, maxQuota(3)-3)), loseDisks)
 	}
-	b.finish(t, connectTotal)
+	c.finish(t, connectTotal)
 }
 
-// TestUpgrades: each node in turn is taken over by a second process on its socket, under traffic. The two have one
-// node's floors together, and the voter is the second's once the first has left it.
+// TestUpgrades replaces the process of each node in turn by a second one on the same socket, under load.
+// Both processes together must use only the floors of one node. The second process must run the voter once
+// the first has stopped it.
 func TestUpgrades(t *testing.T) {
 	runParallel(t)
-	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
-	for _, n := range b.Nodes {
+	c := startLoaded(t, fleetPlan(3, 3, 2), 3)
+	for _, n := range c.Nodes {
 		n.Upgrade()
-		b.Until(n.Name+" has its voter again", convergeTime, func() bool {
-			f := statusOf(n)
-			return f != nil && f.Voter != nil && f.Voter.Leader != "" && f.LeaseMillis > 0
+		c.Until(n.Name+" has a running voter and a lease", convergeTime, func() bool {
+			status := statusOf(n)
+			return status != nil && status.Voter != nil && status.Voter.Leader != "" && status.LeaseMillis > 0
 		})
 	}
-	b.Until("the whole is in use", 2*convergeTime, quotaReaches(b.Nodes, maxQuota(3)-3))
-	b.finish(t, connectTotal)
+	c.Until("the total is leased", 2*convergeTime, quotaReaches(c.Nodes, maxQuota(3)-3))
+	c.finish(t, connectTotal)
 }
 
-// TestVoterLosesDisk: a voter that has lost its disk comes back under its name. It is another one, which the rest let
-// in; the group can then do without one of those that let it in.
+// TestVoterLosesDisk restarts a voter under the same name after the loss of its disk. It must count as a
+// new voter, which the other voters admit. Afterwards the group must tolerate the loss of one of these
+// others.
 func TestVoterLosesDisk(t *testing.T) {
 	runParallel(t)
-	b := startLoaded(t, fleetPlan(3, 3, 2), 3)
-	lost := without(b.Nodes, waitForLeader(b.Cluster))[0]
-	was := statusOf(lost).Voter.ID
-	lost.Kill()
-	lost.LoseDisk()
-	lost.Start()
-	b.Until("it is let in", convergeTime, func() bool {
-		f := statusOf(lost)
-		if f == nil || f.Voter.ID == was || len(f.Voter.Voters) != 3 {
+	c := startLoaded(t, fleetPlan(3, 3, 2), 3)
+	restarted := without(c.Nodes, waitForLeader(c.Cluster))[0]
+	oldVoterID := statusOf(restarted).Voter.ID
+	restarted.Kill()
+	restarted.LoseDisk()
+	restarted.Start()
+	c.Until("the new voter is admitted", convergeTime, func() bool {
+		status := statusOf(restarted)
+		if status == nil || status.Voter.ID == oldVoterID || len(status.Voter.Voters) != 3 {
 			return false
 		}
-		return strings.Contains(strings.Join(f.Voter.Voters, " "), f.Voter.ID)
+		return strings.Contains(strings.Join(status.Voter.Voters, " "), status.Voter.ID)
 	})
-	b.Until("it has a share", convergeTime, func() bool { return connectQuota(lost) > connectFloor })
-	dead := waitForLeader(b.Cluster)
-	dead.Kill()
-	rest := without(b.Nodes, dead)
-	b.Until("the two go on", convergeTime, quotaReaches(rest, maxQuota(2)-2))
-	b.finish(t, connectTotal)
+	c.Until("the restarted node has a lease", convergeTime, func() bool {
+		return connectQuota(restarted) > connectFloor
+	})
+	killed := waitForLeader(c.Cluster)
+	killed.Kill()
+	rest := without(c.Nodes, killed)
+	c.Until("the two remaining nodes have leased the total", convergeTime, quotaReaches(rest, maxQuota(2)-2))
+	c.finish(t, connectTotal)
 }
 
-// TestQuorumLosesState: voters keep nothing on disk, and two of three start anew at once. The third lets go of a group
-// that can never decide again; one is founded anew, and grants only once all that the old one may have granted has
-// run out.
+// TestQuorumLosesState restarts two of three voters without stored state at the same time. The third voter
+// must abandon the group, which can never have a quorum again. A new group must be founded and grant leases
+// only after all leases that the old group may have granted have expired.
 func TestQuorumLosesState(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(3, 3, 2)
 	plan.Disk = false
-	b := startLoaded(t, plan, 3)
-	for _, n := range b.Nodes[:2] {
+	c := startLoaded(t, plan, 3)
+	for _, n := range c.Nodes[:2] {
 		n.Kill()
 	}
-	for _, n := range b.Nodes[:2] {
+	for _, n := range c.Nodes[:2] {
 		n.Start()
 	}
-	t.Logf("in use again after %v",
-		b.Until("the whole is in use", 3*convergeTime, quotaReaches(b.Nodes, maxQuota(3)-3)))
-	b.finish(t, connectTotal)
+	t.Logf("total leased again after %v",
+		c.Until("the total is leased", 3*convergeTime, quotaReaches(c.Nodes, maxQuota(3)-3)))
+	c.finish(t, connectTotal)
 }
 
-// TestNewClusterIsFounded: all voters lose all they knew at once, while a node without a voter is cut off and goes
-// on with its lease. The group that is founded anew grants nothing until that has run out; healed, the node has a
-// share of the new group's.
-func TestNewClusterIsFounded(t *testing.T) {
+// TestRefoundedGroupWaitsForLease restarts all voters without their state, while a node without a voter is
+// cut off and still uses its lease. The newly founded group must grant nothing until this lease has
+// expired. After the links are healed, the node must get a lease of the new group.
+func TestRefoundedGroupWaitsForLease(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(4, 3, 1)
 	plan.Disk, plan.Fleet["lease_ms"], plan.Fleet["most"] = false, 6000, 4
-	b, apart, voters := startOneNodeLoaded(t, plan)
-	cutLinks([]*testcluster.Node{apart}, voters, testcluster.Forward, testcluster.Backward)
+	c, isolated, voters := startOneNodeLoaded(t, plan)
+	cutLinks([]*testcluster.Node{isolated}, voters, testcluster.Forward, testcluster.Backward)
 	for _, n := range voters {
 		n.Kill()
 	}
@@ -112,102 +116,109 @@
 		n.Start()
 	}
 	for _, n := range voters {
-		b.startLoad(n)
+		c.startLoad(n)
 	}
-	t.Logf("in use again after %v", b.Until("the voters' nodes have the whole", 4*convergeTime, func() bool {
-		return totalQuota(voters) >= connectTotal-connectReserve-connectFloor-3
-	}))
+	t.Logf("total leased again after %v",
+		c.Until("the nodes with voters have leased the total", 4*convergeTime, func() bool {
+			return totalQuota(voters) >= connectTotal-connectReserve-connectFloor-3
+		}))
 	for voter := range 3 {
-		apart.VoterRelay(voter).Heal()
+		isolated.VoterRelay(voter).Heal()
 	}
-	b.Until("it has a share again", convergeTime, func() bool { return connectQuota(apart) > connectFloor })
-	b.finish(t, connectTotal)
+	c.Until("the isolated node has a lease again", convergeTime, func() bool {
+		return connectQuota(isolated) > connectFloor
+	})
+	c.finish(t, connectTotal)
 }
 
-// TestJoinAndLeave: five nodes become nine while traffic runs, and four again.
+// TestJoinAndLeave grows a cluster under load from five nodes to nine, and then kills five of them. New
+// nodes must get a fair quota, and the remaining nodes must get the quotas of the killed ones.
 func TestJoinAndLeave(t *testing.T) {
 	runParallel(t)
-	b := startLoaded(t, fleetPlan(9, 3, 2), 5)
-	for _, n := range b.Nodes[5:] {
+	c := startLoaded(t, fleetPlan(9, 3, 2), 5)
+	for _, n := range c.Nodes[5:] {
 		n.Start()
 	}
-	for _, n := range b.Nodes[5:] {
+	for _, n := range c.Nodes[5:] {
 		n.WaitReady()
-		b.startLoad(n)
+		c.startLoad(n)
 	}
-	fair := maxQuota(9) / 9
-	t.Logf("fair after %v", b.Until("those that come have a fair share", convergeTime, func() bool {
-		for _, n := range b.Nodes[5:] {
-			if connectQuota(n) < fair-1 {
+	fairQuota := maxQuota(9) / 9
+	t.Logf("fair quotas after %v", c.Until("each new node has a fair quota", convergeTime, func() bool {
+		for _, n := range c.Nodes[5:] {
+			if connectQuota(n) < fairQuota-1 {
 				return false
 			}
 		}
 		return true
 	}))
-	for _, n := range b.Nodes[4:] {
+	for _, n := range c.Nodes[4:] {
 		n.Kill()
 	}
-	rest := b.Nodes[:4]
-	t.Logf("in use again after %v",
-		b.Until("what they held is in use", convergeTime, quotaReaches(rest, maxQuota(4)-4)))
-	b.finish(t, connectTotal)
+	rest := c.Nodes[:4]
+	t.Logf("total leased again after %v",
+		c.Until("the quotas of the killed nodes are leased to the others", convergeTime,
+			quotaReaches(rest, maxQuota(4)-4)))
+	c.finish(t, connectTotal)
 }
 
-// TestDiskFull: the disk under the voter that grants takes no more. It grants nothing and says so, another one does,
-// and the node serves on; with room again its voter goes on. The raft library would end the process
-// when a vote can't be written.
+// TestDiskFull fills the disk of a voter. The voter must report the error and grant nothing, another voter
+// must become the leader, and the node must continue to serve. Once there is space again, the voter must
+// continue. The raft library ends the process if it can't write a vote, unless the program prevents this.
 func TestDiskFull(t *testing.T) {
 	runParallel(t)
 	plan := fleetPlan(3, 3, 2)
-	r := testcluster.New(t, plan)
+	c := testcluster.New(t, plan)
 	disk := t.TempDir()
 	if err := unix.Mount("tmpfs", disk, "tmpfs", 0, "size=512k"); err != nil {
-		t.Skipf("no small disk can be made here: %v", err)
+		t.Skipf("can't mount a small tmpfs: %v", err)
 	}
 	t.Cleanup(func() { unix.Unmount(disk, unix.MNT_DETACH) })
-	small := r.Nodes[0]
-	small.VoterDir = disk
-	b := &loadedCluster{Cluster: r}
-	for _, n := range r.Nodes {
+	smallDiskNode := c.Nodes[0]
+	smallDiskNode.VoterDir = disk
+	loaded := &loadedCluster{Cluster: c}
+	for _, n := range c.Nodes {
 		n.Start()
 	}
-	for _, n := range r.Nodes {
+	for _, n := range c.Nodes {
 		n.WaitReady()
-		b.startLoad(n)
+		loaded.startLoad(n)
 	}
-	b.Until("the whole is in use", 20*time.Second, quotaReaches(r.Nodes, maxQuota(3)-3))
+	loaded.Until("the total is leased", 20*time.Second, quotaReaches(c.Nodes, maxQuota(3)-3))
 	filler := filepath.Join(disk, "filler")
 	if err := os.WriteFile(filler, make([]byte, 1<<20), 0o600); err == nil {
-		t.Fatal("a megabyte fits on half of one")
+		t.Fatal("a file of 1 MiB fits on a disk of 512 KiB")
 	}
-	// Whoever grants hands over if it is the small one; elections write, and so show the fault.
+	// A leader with a full disk hands over. Otherwise an election is forced, since its writes reveal the
+	// fault.
 	voterFails := func() bool {
-		f := statusOf(small)
-		return f != nil && f.Voter != nil && f.Voter.Error != ""
-	}
-	if leader(r) != small {
-		dead := waitForLeader(r)
-		dead.Kill()
-		b.Until("it says so", 2*convergeTime, voterFails)
-		dead.Start()
+		status := statusOf(smallDiskNode)
+		return status != nil && status.Voter != nil && status.Voter.Error != ""
+	}
+	if leader(c) != smallDiskNode {
+		oldLeader := waitForLeader(c)
+		oldLeader.Kill()
+		loaded.Until("the voter reports the error", 2*convergeTime, voterFails)
+		oldLeader.Start()
 	} else {
-		b.Until("it says so", 2*convergeTime, voterFails)
+		loaded.Until("the voter reports the error", 2*convergeTime, voterFails)
 	}
-	b.Until("another one grants, and all of it is in use", 2*convergeTime, func() bool {
-		g := leader(r)
-		return g != nil && g != small && totalQuota(r.Nodes) >= maxQuota(3)-3
+	loaded.Until("another node is the leader, and the total is leased", 2*convergeTime, func() bool {
+		newLeader := leader(c)
+		return newLeader != nil && newLeader != smallDiskNode && totalQuota(c.Nodes) >= maxQuota(3)-3
 	})
-	tries := 0
-	b.Until("the node serves on", convergeTime, func() bool {
-		tries++
-		return small.Running() && small.Send(fmt.Sprint("after", tries), "/look", time.Second) == 200
+	attempts := 0
+	loaded.Until("the node with the full disk serves", convergeTime, func() bool {
+		attempts++
+		return smallDiskNode.Running() &&
+			smallDiskNode.Send(fmt.Sprint("after", attempts), "/look", time.Second) == 200
 	})
 	if err := os.Remove(filler); err != nil {
 		t.Fatal(err)
 	}
-	b.Until("its voter goes on", 2*convergeTime, func() bool {
-		f := statusOf(small)
-		return f != nil && f.Voter != nil && f.Voter.Error == "" && f.Voter.Leader != ""
+	loaded.Until("the voter runs without an error", 2*convergeTime, func() bool {
+		status := statusOf(smallDiskNode)
+		return status != nil && status.Voter != nil && status.Voter.Error == "" && status.Voter.Leader != ""
 	})
-	b.finish(t, connectTotal)
+	loaded.finish(t, connectTotal)
 }
