--- a/internal/testcluster/signals_test.go
+++ b/internal/testcluster/signals_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// startOutlierCluster is a fleet whose nodes tell each other of servers, or do not.
-func startOutlierCluster(t *testing.T, nodes int, told bool, pause time.Duration) *loadedCluster {
+// startOutlierCluster starts a cluster under load whose nodes share outlier signals by gossip, or don't.
+func startOutlierCluster(t *testing.T, nodes int, shareSignals bool, pause time.Duration) *loadedCluster {
 	plan := fleetPlan(nodes, 3, 12)
 	plan.Gossip = true
 	plan.Settings["Limits"].(map[string]any)["IdleClose"] = 1_000_000
 	delete(plan.Fleet["budgets"].(map[string]any), "connect")
-	if told {
+	if shareSignals {
 		plan.Fleet["signals"] = map[string]any{"quorum": 3}
 	}
-	b := startAll(t, plan)
-	b.Until("all know all", 2*convergeTime, func() bool {
-		for _, n := range b.Nodes {
+	c := startAll(t, plan)
+	c.Until("all nodes list all members", 2*convergeTime, func() bool {
+		for _, n := range c.Nodes {
 			f := statusOf(n)
 			if f == nil || len(f.Members) != nodes {
 				return false
@@ -26,78 +26,83 @@
 		}
 		return true
 	})
-	for _, n := range b.Nodes {
-		b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 1, pause, time.Second))
+	for _, n := range c.Nodes {
+		c.stopLoads = append(c.stopLoads, n.StartLoad("job", "/look", 1, pause, time.Second))
 	}
-	b.RunFor(2 * time.Second)
-	return b
+	c.RunFor(2 * time.Second)
+	return c
 }
 
-// TestOutlierSignals: a server that fails all is left by all nodes after few jobs, since those that it failed tell the
-// others; one node to which it is well does not keep the others at it. Well again it is used by all within seconds.
+// TestOutlierSignals makes a server fail the jobs of all nodes except one. The other nodes must stop using
+// it after few jobs, since they share outlier signals; the one node with successful jobs must not prevent
+// this. Once the server works again, all nodes must use it within seconds.
 func TestOutlierSignals(t *testing.T) {
 	runParallel(t)
 	const nodes = 8
 	wasted := map[bool]int{}
-	for _, told := range []bool{false, true} {
-		b := startOutlierCluster(t, nodes, told, 50*time.Millisecond)
-		bad, friend := b.Servers[3], b.Nodes[7].Name
-		bad.AbortJobsOf(func(node string) bool { return node != friend })
-		since := b.Now()
-		b.RunFor(8 * time.Second)
-		wasted[told] = b.JobsNotFrom(bad, since, friend)
-		if told && b.JobsNotFrom(bad, since, "") == wasted[told] {
-			t.Error("the node to which it is well left it")
+	for _, shareSignals := range []bool{false, true} {
+		c := startOutlierCluster(t, nodes, shareSignals, 50*time.Millisecond)
+		faulty, unaffected := c.Servers[3], c.Nodes[7].Name
+		faulty.AbortJobsOf(func(node string) bool { return node != unaffected })
+		since := c.Now()
+		c.RunFor(8 * time.Second)
+		wasted[shareSignals] = c.JobsNotFrom(faulty, since, unaffected)
+		if shareSignals && c.JobsNotFrom(faulty, since, "") == wasted[shareSignals] {
+			t.Error("the unaffected node stopped using the server, want it to continue")
 		}
-		bad.AbortJobsOf(nil)
-		since = b.Now()
-		took := b.Until("all use it again", 4*convergeTime, func() bool {
-			for _, n := range b.Nodes {
-				if !b.ServersUsedBy(n, since)[bad] {
+		faulty.AbortJobsOf(nil)
+		since = c.Now()
+		took := c.Until("all nodes use the server again", 4*convergeTime, func() bool {
+			for _, n := range c.Nodes {
+				if !c.ServersUsedBy(n, since)[faulty] {
 					return false
 				}
 			}
 			return true
 		})
-		t.Logf("told: %v: %d jobs wasted in 8 s; used by all again after %v", told, wasted[told], took)
-		for i, statuses := range b.stopLoadsEach() {
+		t.Logf("shared signals %v: %d jobs sent to the faulty server in 8 s; used by all nodes again after %v",
+			shareSignals, wasted[shareSignals], took)
+		for i, statuses := range c.stopLoadsEach() {
 			if statuses[0] > 0 || statuses[200] < 50 {
-				t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
+				t.Errorf("%s: responses by status: %v, want none with 0 and at least 50 with 200",
+					c.Nodes[i].Name, statuses)
 			}
 		}
-		b.killAll()
+		c.killAll()
 	}
 	if wasted[true] > wasted[false]/2 {
-		t.Errorf("%d jobs wasted, %d untold", wasted[true], wasted[false])
+		t.Errorf("jobs sent to the faulty server: got %d with shared signals, want at most half of the %d without",
+			wasted[true], wasted[false])
 	}
 }
 
-// TestFalseReports: a node on whose links all servers fail says so of all of them, truly as it seems to it. No
-// other node leaves any.
-func TestFalseReports(t *testing.T) {
+// TestFalseOutlierReports breaks the links of one node to all servers, so that it reports all of them as
+// failing. No other node may stop using a server because of these reports.
+func TestFalseOutlierReports(t *testing.T) {
 	runParallel(t)
-	b := startOutlierCluster(t, 6, true, 25*time.Millisecond)
-	liar := b.Nodes[5].Name
-	for _, e := range b.Servers {
-		e.AbortJobsOf(func(node string) bool { return node == liar })
+	c := startOutlierCluster(t, 6, true, 25*time.Millisecond)
+	isolatedNode := c.Nodes[5].Name
+	for _, server := range c.Servers {
+		server.AbortJobsOf(func(node string) bool { return node == isolatedNode })
 	}
-	since := b.Now()
-	// On a busy machine four seconds do not bring the jobs that the verdict needs, so both are waited for.
-	all, least := 0, 0
-	b.Until("jobs by the others", 8*time.Second, func() bool {
-		all, least = 0, 1<<30
-		for _, e := range b.Servers {
-			n := b.JobsNotFrom(e, since, liar)
-			all, least = all+n, min(least, n)
+	since := c.Now()
+	// On a loaded machine four seconds may be too short for the number of jobs that the check needs.
+	sum, minimum := 0, 0
+	c.Until("300 jobs of the other nodes have arrived, and 4 s have passed", 8*time.Second, func() bool {
+		sum, minimum = 0, 1<<30
+		for _, server := range c.Servers {
+			n := c.JobsNotFrom(server, since, isolatedNode)
+			sum, minimum = sum+n, min(minimum, n)
 		}
-		return all >= 300 && b.Now()-since >= int64(4*time.Second)
+		return sum >= 300 && c.Now()-since >= int64(4*time.Second)
 	})
-	t.Logf("%d jobs by the others, %d at the server that had the fewest", all, least)
-	if mean := all / len(b.Servers); least < mean/2 {
-		t.Errorf("a server had %d jobs of the others, the mean is %d", least, mean)
+	t.Logf("%d jobs of the other nodes; minimum at a server: %d", sum, minimum)
+	if mean := sum / len(c.Servers); minimum < mean/2 {
+		t.Errorf("minimum jobs of the other nodes at a server: got %d, want at least half of the mean of %d",
+			minimum, mean)
 	}
-	if f := statusOf(b.Nodes[0]); f == nil || f.Outliers == nil || len(f.Outliers.Scores) > 0 {
-		t.Errorf("the others are told: %+v", f.Outliers)
+	if f := statusOf(c.Nodes[0]); f == nil || f.Outliers == nil || len(f.Outliers.Scores) > 0 {
+		t.Errorf("outlier status of another node: got %+v, want no scores", f.Outliers)
 	}
-	b.stopLoadsTotal()
+	c.stopLoadsTotal()
 }
--- a/internal/testcluster/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -9,12 +9,14 @@
 	"fernrail/internal/testcluster"
 )
 
-// subsetPlan is a fleet whose nodes use parts of the servers.
+// subsetPlan returns the plan of a cluster with 30 servers. Each node uses a subset of the given size, or
+// all servers if size is 0.
 func subsetPlan(nodes, size int) testcluster.Plan {
 	plan := fleetPlan(nodes, 3, 30)
 	plan.Gossip = true
 	plan.Fleet["most"] = 18
-	// A node that is seldom busy goes on with the few that it has connections to; here all are drawn alike.
+	// A node with little load prefers the few servers to which it has connections. Closing idle connections
+	// at once makes it select all servers of its subset equally.
 	plan.Settings["Limits"].(map[string]any)["IdleClose"] = 1_000_000
 	delete(plan.Fleet["budgets"].(map[string]any), "connect")
 	if size > 0 {
@@ -23,35 +25,38 @@
 	return plan
 }
 
-// TestSubsets: of thirty servers each is used by about as many nodes as the next while a fleet of nine grows to
-// eighteen and falls to five under traffic, all the time but for what gossip needs; no client of a node that lives
-// goes without its one answer. Nodes that use all servers are heard by each: the count can fail.
-func TestSubsets(t *testing.T) {
+// TestSubsetSpread checks that each of thirty servers is used by about the same number of nodes while a
+// cluster under load grows from nine nodes to eighteen and shrinks to five, except for the time that gossip
+// needs after a change. Each request to a running node must get its one response. Without subsets every
+// server is used by all nodes, so the check can fail.
+func TestSubsetSpread(t *testing.T) {
 	runParallel(t)
-	b := &loadedCluster{Cluster: testcluster.New(t, subsetPlan(18, 10))}
-	steady := func(what string, fewest, most int) {
+	c := &loadedCluster{Cluster: testcluster.New(t, subsetPlan(18, 10))}
+	checkSpread := func(description string, fewest, most int) {
 		t.Helper()
 		var since int64
-		took := b.Until(what, 4*convergeTime, func() bool {
-			if b.Now()-since < int64(1500*time.Millisecond) {
+		took := c.Until(description, 4*convergeTime, func() bool {
+			if c.Now()-since < int64(1500*time.Millisecond) {
 				return false
 			}
-			spread := b.Spread(since)
+			spread := c.Spread(since)
 			if spread.FewestNodes >= fewest && spread.MostNodes <= most {
 				return true
 			}
-			since = b.Now()
+			since = c.Now()
 			return false
 		})
-		since = b.Now()
-		b.RunFor(2 * time.Second)
-		spread := b.Spread(since)
-		a, z, idlest, busiest := spread.FewestNodes, spread.MostNodes, spread.LeastWork, spread.MostWork
-		t.Logf("%s after %v; then %d to %d nodes at a server, work %.2f to %.2f of the mean",
-			what, took, a, z, idlest, busiest)
-		if a < fewest || z > most || idlest < 0.3 || busiest > 2 {
-			t.Errorf("%s: %d to %d nodes at a server, %d to %d are promised; work %.2f to %.2f of the mean",
-				what, a, z, fewest, most, idlest, busiest)
+		since = c.Now()
+		c.RunFor(2 * time.Second)
+		spread := c.Spread(since)
+		fewestNodes, mostNodes, leastWork, mostWork :=
+			spread.FewestNodes, spread.MostNodes, spread.LeastWork, spread.MostWork
+		t.Logf("%s: reached after %v; then %d to %d nodes per server, jobs per server %.2f to %.2f of the mean",
+			description, took, fewestNodes, mostNodes, leastWork, mostWork)
+		if fewestNodes < fewest || mostNodes > most || leastWork < 0.3 || mostWork > 2 {
+			t.Errorf("%s: got %d to %d nodes per server, want %d to %d;"+
+				" jobs per server: got %.2f to %.2f of the mean, want 0.3 to 2",
+				description, fewestNodes, mostNodes, fewest, most, leastWork, mostWork)
 		}
 	}
 	start := func(nodes []*testcluster.Node) {
@@ -60,174 +65,192 @@
 		}
 		for _, n := range nodes {
 			n.WaitReady()
-			b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 2, 15*time.Millisecond, time.Second))
+			c.stopLoads = append(c.stopLoads, n.StartLoad("job", "/look", 2, 15*time.Millisecond, time.Second))
 		}
 	}
-	start(b.Nodes[:9])
-	steady("nine", 2, 4)
-	start(b.Nodes[9:])
-	steady("eighteen", 5, 7)
-	for _, n := range b.Nodes[5:] {
+	start(c.Nodes[:9])
+	checkSpread("spread of nine nodes over the servers", 2, 4)
+	start(c.Nodes[9:])
+	checkSpread("spread of eighteen nodes over the servers", 5, 7)
+	for _, n := range c.Nodes[5:] {
 		n.Kill()
 	}
-	steady("five", 2, 4)
-	for i, statuses := range b.stopLoadsEach() {
+	checkSpread("spread of five nodes over the servers", 2, 4)
+	for i, statuses := range c.stopLoadsEach() {
 		if i < 5 && (statuses[0] > 0 || statuses[200] < 100) {
-			t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
+			t.Errorf("%s: responses by status: %v, want none with 0 and at least 100 with 200",
+				c.Nodes[i].Name, statuses)
 		}
 	}
 }
 
-// waitForMembers waits until all nodes take so many others for there, and lets a window pass.
-func waitForMembers(b *loadedCluster, nodes []*testcluster.Node, others int) {
-	b.Until("the nodes that are there are known", 4*convergeTime, func() bool {
+// waitForMembers waits until all nodes count the given number of nodes in the division of the servers, and
+// then for 500 ms.
+func waitForMembers(c *loadedCluster, nodes []*testcluster.Node, memberCount int) {
+	c.Until("all nodes count the running nodes", 4*convergeTime, func() bool {
 		for _, n := range nodes {
-			if f := statusOf(n); f == nil || f.Subset == nil || f.Subset.Nodes != others {
+			if f := statusOf(n); f == nil || f.Subset == nil || f.Subset.Nodes != memberCount {
 				return false
 			}
 		}
 		return true
 	})
-	b.RunFor(500 * time.Millisecond)
+	c.RunFor(500 * time.Millisecond)
 }
 
-// TestSubsetWidens: what a node is to use breaks off for it alone, then drains; it goes on with others, of which it
-// takes no more than it needs, and comes back once it can. The other nodes keep to theirs.
+// TestSubsetWidens makes all servers of one node's subset abort the connections of this node, and then
+// drain. The node must use other servers, but no more than it needs, and return to its subset once this
+// works again. Another node must continue to use only its own subset.
 func TestSubsetWidens(t *testing.T) {
 	runParallel(t)
 	plan := subsetPlan(6, 6)
 	plan.Fleet["subset"] = map[string]any{"size": 6, "cover": 1}
-	b := startAll(t, plan)
-	for _, n := range b.Nodes {
-		b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 2, 15*time.Millisecond, time.Second))
-	}
-	waitForMembers(b, b.Nodes, 6)
-	hurt, other := b.Nodes[4], b.Nodes[5]
-	look := func() (mine, theirs map[*testcluster.StandInServer]bool) {
-		since := b.Now()
-		b.RunFor(1500 * time.Millisecond)
-		return b.ServersUsedBy(hurt, since), b.ServersUsedBy(other, since)
-	}
-	near, theirs := look()
-	if len(near) != statusOf(hurt).Subset.Assigned || len(near) > 8 || len(theirs) > 8 {
-		t.Fatalf("%d and %d servers are used, %d are to be", len(near), len(theirs), statusOf(hurt).Subset.Assigned)
-	}
-	same := func(a, b map[*testcluster.StandInServer]bool) bool {
-		for e := range a {
-			if !b[e] {
+	c := startAll(t, plan)
+	for _, n := range c.Nodes {
+		c.stopLoads = append(c.stopLoads, n.StartLoad("job", "/look", 2, 15*time.Millisecond, time.Second))
+	}
+	waitForMembers(c, c.Nodes, 6)
+	affected, other := c.Nodes[4], c.Nodes[5]
+	serversUsed := func() (affectedUsed, otherUsed map[*testcluster.StandInServer]bool) {
+		since := c.Now()
+		c.RunFor(1500 * time.Millisecond)
+		return c.ServersUsedBy(affected, since), c.ServersUsedBy(other, since)
+	}
+	assigned, otherUsed := serversUsed()
+	if len(assigned) != statusOf(affected).Subset.Assigned || len(assigned) > 8 || len(otherUsed) > 8 {
+		t.Fatalf("servers used by two nodes: got %d and %d, want the %d assigned ones, and at most 8",
+			len(assigned), len(otherUsed), statusOf(affected).Subset.Assigned)
+	}
+	isSubset := func(subset, superset map[*testcluster.StandInServer]bool) bool {
+		for server := range subset {
+			if !superset[server] {
 				return false
 			}
 		}
 		return true
 	}
-	check := func(what string) {
+	checkWidened := func(description string) {
 		t.Helper()
-		took := b.Until(what+": it uses others", convergeTime, func() bool {
-			since := b.Now()
-			b.RunFor(300 * time.Millisecond)
-			for e := range b.ServersUsedBy(hurt, since) {
-				if !near[e] {
+		took := c.Until(description+": the node uses other servers", convergeTime, func() bool {
+			since := c.Now()
+			c.RunFor(300 * time.Millisecond)
+			for server := range c.ServersUsedBy(affected, since) {
+				if !assigned[server] {
 					return true
 				}
 			}
 			return false
 		})
-		b.RunFor(time.Second)
-		mine, now := look()
-		t.Logf("%s: after %v it uses %d, of 30", what, took, len(mine))
-		if len(mine) > 20 || !same(now, theirs) {
-			t.Errorf("%s: it uses %d servers, the other node %d", what, len(mine), len(now))
+		c.RunFor(time.Second)
+		affectedUsed, otherUsedNow := serversUsed()
+		t.Logf("%s: other servers used after %v; the node uses %d of 30 servers",
+			description, took, len(affectedUsed))
+		if len(affectedUsed) > 20 || !isSubset(otherUsedNow, otherUsed) {
+			t.Errorf("%s: the node uses %d servers, want at most 20;"+
+				" the other node uses %d, want only those of its subset",
+				description, len(affectedUsed), len(otherUsedNow))
 		}
 	}
-	back := func() {
+	checkRestored := func() {
 		t.Helper()
-		t.Logf("back after %v", b.Until("it uses its own again", 3*convergeTime, func() bool {
-			since := b.Now()
-			b.RunFor(700 * time.Millisecond)
-			mine := b.ServersUsedBy(hurt, since)
-			return len(mine) > 3 && same(mine, near)
-		}))
-	}
-	for e := range near {
-		e.AbortJobsOf(func(node string) bool { return node == hurt.Name })
-	}
-	check("broken off")
-	for e := range near {
-		e.AbortJobsOf(nil)
-	}
-	back()
-	b.UpdateEndpoints(func(drained map[string]bool) {
-		for e := range near {
-			drained[e.Name] = true
+		t.Logf("subset used again after %v",
+			c.Until("the node uses its own subset again", 3*convergeTime, func() bool {
+				since := c.Now()
+				c.RunFor(700 * time.Millisecond)
+				affectedUsed := c.ServersUsedBy(affected, since)
+				return len(affectedUsed) > 3 && isSubset(affectedUsed, assigned)
+			}))
+	}
+	for server := range assigned {
+		server.AbortJobsOf(func(node string) bool { return node == affected.Name })
+	}
+	checkWidened("connections aborted")
+	for server := range assigned {
+		server.AbortJobsOf(nil)
+	}
+	checkRestored()
+	c.UpdateEndpoints(func(drained map[string]bool) {
+		for server := range assigned {
+			drained[server.Name] = true
 		}
 	})
-	check("drained")
-	b.UpdateEndpoints(func(drained map[string]bool) { clear(drained) })
-	back()
-	for i, statuses := range b.stopLoadsEach() {
-		if t.Log(statuses); statuses[0] > 0 || statuses[503] > statuses[200]/10 {
-			t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
+	checkWidened("drained")
+	c.UpdateEndpoints(func(drained map[string]bool) { clear(drained) })
+	checkRestored()
+	for i, statuses := range c.stopLoadsEach() {
+		if t.Log("responses by status:", statuses); statuses[0] > 0 || statuses[503] > statuses[200]/10 {
+			t.Errorf("%s: responses by status: %v, want none with 0 and at most a tenth as many with 503 as with 200",
+				c.Nodes[i].Name, statuses)
 		}
 	}
 }
 
-// TestSubsetsSplit: gossip is cut into two halves, while all servers are in reach of both. Each half covers all
-// servers by itself; healed they divide them together again, within seconds.
-func TestSubsetsSplit(t *testing.T) {
+// TestSubsetsUnderPartition cuts gossip between two halves of a cluster, while both can reach all servers.
+// Each half must cover all servers by itself. After the links are healed, all nodes must divide the servers
+// together again within seconds.
+func TestSubsetsUnderPartition(t *testing.T) {
 	runParallel(t)
 	plan := subsetPlan(8, 6)
-	b := startAll(t, plan)
-	for _, n := range b.Nodes {
-		b.stopLoads = append(b.stopLoads, n.StartLoad("job", "/look", 2, 15*time.Millisecond, time.Second))
-	}
-	waitForMembers(b, b.Nodes, 8)
-	gossips := func(do func(*testcluster.Relay)) {
-		for i, n := range b.Nodes {
-			for j := range b.Nodes {
+	c := startAll(t, plan)
+	for _, n := range c.Nodes {
+		c.stopLoads = append(c.stopLoads, n.StartLoad("job", "/look", 2, 15*time.Millisecond, time.Second))
+	}
+	waitForMembers(c, c.Nodes, 8)
+	forGossipBetweenHalves := func(apply func(*testcluster.Relay)) {
+		for i, n := range c.Nodes {
+			for j := range c.Nodes {
 				if (i < 4) != (j < 4) {
-					do(n.GossipRelay(j))
+					apply(n.GossipRelay(j))
 				}
 			}
 		}
 	}
-	look := func() (fewest, most int, half [2]int) {
-		since := b.Now()
-		b.RunFor(2 * time.Second)
-		spread := b.Spread(since)
+	measure := func() (fewest, most int, usedByHalf [2]int) {
+		since := c.Now()
+		c.RunFor(2 * time.Second)
+		spread := c.Spread(since)
 		fewest, most = spread.FewestNodes, spread.MostNodes
-		for side := range half {
+		for half := range usedByHalf {
 			used := map[*testcluster.StandInServer]bool{}
-			for _, n := range b.Nodes[4*side : 4*side+4] {
-				for e := range b.ServersUsedBy(n, since) {
-					used[e] = true
+			for _, n := range c.Nodes[4*half : 4*half+4] {
+				for server := range c.ServersUsedBy(n, since) {
+					used[server] = true
 				}
 			}
-			half[side] = len(used)
+			usedByHalf[half] = len(used)
 		}
-		return fewest, most, half
+		return fewest, most, usedByHalf
 	}
-	whole := func() {
+	checkTogether := func() {
 		t.Helper()
-		fewest, most, half := look()
-		t.Logf("together: %d to %d nodes at a server, %v of 30 by each half", fewest, most, half)
+		fewest, most, usedByHalf := measure()
+		t.Logf("without a partition: %d to %d nodes per server; servers used by the halves: %v of 30",
+			fewest, most, usedByHalf)
 		if fewest < 2 || most > 4 {
-			t.Errorf("%d to %d nodes at a server, 2 to 4 are promised", fewest, most)
+			t.Errorf("nodes per server: got %d to %d, want 2 to 4", fewest, most)
 		}
 	}
-	whole()
-	gossips(func(r *testcluster.Relay) { r.Cut(testcluster.Forward); r.Cut(testcluster.Backward) })
-	waitForMembers(b, b.Nodes, 4)
-	if _, _, half := look(); half != [2]int{30, 30} {
-		t.Errorf("the halves use %v servers, of 30", half)
-	}
-	gossips(func(r *testcluster.Relay) { r.Heal(); r.Reset() })
-	from := b.Now()
-	waitForMembers(b, b.Nodes, 8)
-	t.Logf("divided together again after %v", time.Duration(b.Now()-from))
-	whole()
-	for i, statuses := range b.stopLoadsEach() {
+	checkTogether()
+	forGossipBetweenHalves(func(r *testcluster.Relay) {
+		r.Cut(testcluster.Forward)
+		r.Cut(testcluster.Backward)
+	})
+	waitForMembers(c, c.Nodes, 4)
+	if _, _, usedByHalf := measure(); usedByHalf != [2]int{30, 30} {
+		t.Errorf("servers used by the halves: got %v, want all 30 by each", usedByHalf)
+	}
+	forGossipBetweenHalves(func(r *testcluster.Relay) {
+		r.Heal()
+		r.Reset()
+	})
+	from := c.Now()
+	waitForMembers(c, c.Nodes, 8)
+	t.Logf("servers divided among all nodes again after %v", time.Duration(c.Now()-from))
+	checkTogether()
+	for i, statuses := range c.stopLoadsEach() {
 		if statuses[0] > 0 || statuses[200] < 100 {
-			t.Errorf("%s: answers %v", b.Nodes[i].Name, statuses)
+			t.Errorf("%s: responses by status: %v, want none with 0 and at least 100 with 200",
+				c.Nodes[i].Name, statuses)
 		}
 	}
 }
