--- a/internal/testcluster/clock_test.go
+++ b/internal/testcluster/clock_test.go
@@ -55,7 +55,7 @@
 	})
 	maxBefore, _ := countConnections(c)
 	stopFirstLoad()
-	loaded.RunFor(windowTime) // the full quota becomes unused, so that the next load uses it at once
+	loaded.RunFor(windowTime) // the quota becomes unused, so that the next load can use all of it at once
 	// The clock slows down only after the links are cut. While the node is reachable, its slow clock would be
 	// detected, and the total would not be exceeded.
 	stopLoad := slow.StartLoad("job", "/look?close=1", 12, 8*time.Millisecond, 400*time.Millisecond)
--- a/internal/testcluster/counts.go
+++ b/internal/testcluster/counts.go
@@ -10,10 +10,10 @@
 
 // Spread describes how evenly nodes and jobs are distributed over the servers.
 type Spread struct {
-	FewestNodes int     // minimum over all servers of the nodes that sent jobs to a server
-	MostNodes   int     // maximum over all servers of the nodes that sent jobs to a server
-	LeastWork   float64 // jobs of the least used server, divided by the mean
-	MostWork    float64 // jobs of the most used server, divided by the mean
+	MinNodes int     // minimum over all servers of the nodes that sent jobs to a server
+	MaxNodes int     // maximum over all servers of the nodes that sent jobs to a server
+	MinJobs  float64 // jobs of the least used server, divided by the mean
+	MaxJobs  float64 // jobs of the most used server, divided by the mean
 }
 
 // Spread returns the distribution of the jobs that have arrived since a time of the cluster's clock.
@@ -26,14 +26,14 @@
 		nodes := len(senders(jobs))
 		counts[i] = len(jobs)
 		total += len(jobs)
-		if i == 0 || nodes < spread.FewestNodes {
-			spread.FewestNodes = nodes
+		if i == 0 || nodes < spread.MinNodes {
+			spread.MinNodes = nodes
 		}
-		spread.MostNodes = max(spread.MostNodes, nodes)
+		spread.MaxNodes = max(spread.MaxNodes, nodes)
 	}
 	mean := max(float64(total)/float64(len(counts)), 1e-9) // without jobs both quotients are 0
-	spread.LeastWork = float64(slices.Min(counts)) / mean
-	spread.MostWork = float64(slices.Max(counts)) / mean
+	spread.MinJobs = float64(slices.Min(counts)) / mean
+	spread.MaxJobs = float64(slices.Max(counts)) / mean
 	return spread
 }
 
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -198,7 +198,7 @@
 			}
 		}
 	}
-	// Only gossip is cut. Each group considers the other one dead, and all nodes keep their leases.
+	// Only gossip is cut. Each group considers the other one failed, and all nodes keep their leases.
 	forGossipBetweenParts(func(r *testcluster.Relay) {
 		r.Cut(testcluster.Forward)
 		r.Cut(testcluster.Backward)
@@ -208,7 +208,7 @@
 	})
 	for _, n := range c.Nodes {
 		if connectQuota(n) <= connectFloor {
-			t.Errorf("%s lost its lease because other nodes consider it dead", n.Name)
+			t.Errorf("%s lost its lease because other nodes consider it failed", n.Name)
 		}
 	}
 	forGossipBetweenParts(func(r *testcluster.Relay) {
--- a/internal/testcluster/leader_test.go
+++ b/internal/testcluster/leader_test.go
@@ -15,9 +15,9 @@
 func TestLeaderKilled(t *testing.T) {
 	runParallel(t)
 	c := startLoaded(t, fleetPlan(3, 3, 2), 3)
-	dead := waitForLeader(c.Cluster)
-	dead.Kill()
-	rest := without(c.Nodes, dead)
+	killed := waitForLeader(c.Cluster)
+	killed.Kill()
+	rest := without(c.Nodes, killed)
 	t.Logf("leased to the others after %v",
 		c.Until("the quota of the killed node is leased to the others", convergeTime,
 			quotaReaches(rest, maxQuota(2)-2)))
@@ -25,8 +25,8 @@
 }
 
 // TestLeaderStopped stops the leader with SIGSTOP for longer than a lease, with requests waiting in its
-// sockets, and then continues it. Neither its grants nor its own lease are valid any more, though its
-// process can't notice the stop.
+// sockets, and then continues it. Neither its grants nor its own lease may be valid any more, although
+// the process resumes as if nothing had happened.
 func TestLeaderStopped(t *testing.T) {
 	runParallel(t)
 	c := startLoaded(t, fleetPlan(5, 5, 2), 5)
--- a/internal/testcluster/scale_test.go
+++ b/internal/testcluster/scale_test.go
@@ -45,7 +45,7 @@
 // clientRequest records one request. Times are nanoseconds of the cluster's clock.
 type clientRequest struct {
 	sentAt   int64
-	endedAt  int64 // arrival of the response
+	endedAt  int64 // arrival of the response, or failure of the request
 	closedAt int64 // close by the client; 0: the client waited
 	status   int   // 0: no complete response
 }
--- a/internal/testcluster/subset_test.go
+++ b/internal/testcluster/subset_test.go
@@ -32,7 +32,7 @@
 func TestSubsetSpread(t *testing.T) {
 	runParallel(t)
 	c := &loadedCluster{Cluster: testcluster.New(t, subsetPlan(18, 10))}
-	checkSpread := func(description string, fewest, most int) {
+	checkSpread := func(description string, wantMin, wantMax int) {
 		t.Helper()
 		var since int64
 		took := c.Until(description, 4*convergeTime, func() bool {
@@ -40,7 +40,7 @@
 				return false
 			}
 			spread := c.Spread(since)
-			if spread.FewestNodes >= fewest && spread.MostNodes <= most {
+			if spread.MinNodes >= wantMin && spread.MaxNodes <= wantMax {
 				return true
 			}
 			since = c.Now()
@@ -49,14 +49,14 @@
 		since = c.Now()
 		c.RunFor(2 * time.Second)
 		spread := c.Spread(since)
-		fewestNodes, mostNodes, leastWork, mostWork :=
-			spread.FewestNodes, spread.MostNodes, spread.LeastWork, spread.MostWork
+		minNodes, maxNodes, minJobs, maxJobs :=
+			spread.MinNodes, spread.MaxNodes, spread.MinJobs, spread.MaxJobs
 		t.Logf("%s: reached after %v; then %d to %d nodes per server, jobs per server %.2f to %.2f of the mean",
-			description, took, fewestNodes, mostNodes, leastWork, mostWork)
-		if fewestNodes < fewest || mostNodes > most || leastWork < 0.3 || mostWork > 2 {
+			description, took, minNodes, maxNodes, minJobs, maxJobs)
+		if minNodes < wantMin || maxNodes > wantMax || minJobs < 0.3 || maxJobs > 2 {
 			t.Errorf("%s: got %d to %d nodes per server, want %d to %d;"+
 				" jobs per server: got %.2f to %.2f of the mean, want 0.3 to 2",
-				description, fewestNodes, mostNodes, fewest, most, leastWork, mostWork)
+				description, minNodes, maxNodes, wantMin, wantMax, minJobs, maxJobs)
 		}
 	}
 	start := func(nodes []*testcluster.Node) {
@@ -205,11 +205,11 @@
 			}
 		}
 	}
-	measure := func() (fewest, most int, usedByHalf [2]int) {
+	measure := func() (minNodes, maxNodes int, usedByHalf [2]int) {
 		since := c.Now()
 		c.RunFor(2 * time.Second)
 		spread := c.Spread(since)
-		fewest, most = spread.FewestNodes, spread.MostNodes
+		minNodes, maxNodes = spread.MinNodes, spread.MaxNodes
 		for half := range usedByHalf {
 			used := map[*testcluster.StandInServer]bool{}
 			for _, n := range c.Nodes[4*half : 4*half+4] {
@@ -219,15 +219,15 @@
 			}
 			usedByHalf[half] = len(used)
 		}
-		return fewest, most, usedByHalf
+		return minNodes, maxNodes, usedByHalf
 	}
 	checkTogether := func() {
 		t.Helper()
-		fewest, most, usedByHalf := measure()
+		minNodes, maxNodes, usedByHalf := measure()
 		t.Logf("without a partition: %d to %d nodes per server; servers used by the halves: %v of 30",
-			fewest, most, usedByHalf)
-		if fewest < 2 || most > 4 {
-			t.Errorf("nodes per server: got %d to %d, want 2 to 4", fewest, most)
+			minNodes, maxNodes, usedByHalf)
+		if minNodes < 2 || maxNodes > 4 {
+			t.Errorf("nodes per server: got %d to %d, want 2 to 4", minNodes, maxNodes)
 		}
 	}
 	checkTogether()
