--- a/internal/testcluster/budget_test.go
+++ b/internal/testcluster/budget_test.go
@@ -175,7 +175,7 @@
 				kind, maxInWindow, bound)
 		}
 		if kind != "independent" && len(retries) < bound {
-			t.Errorf("%s: got %d retries; too few to test the total", kind, len(retries))
+			t.Errorf("%s: got %d retries, want at least %d to test the bound", kind, len(retries), bound)
 		}
 	}
 }
@@ -255,7 +255,8 @@
 				shared, worstLoad, plannedPart)
 		}
 		if shared && worstLoad < plannedPart/2 {
-			t.Errorf("maximum load is %.2f of the capacity in slow start; too little to test the bound", worstLoad)
+			t.Errorf("maximum load is %.2f of the capacity in slow start, want at least %.2f to test the bound",
+				worstLoad, plannedPart/2)
 		}
 	}
 }
--- a/internal/testcluster/clock_test.go
+++ b/internal/testcluster/clock_test.go
@@ -82,7 +82,8 @@
 	maxInWindow, _ := countConnections(c)
 	t.Logf("maximum connections in a window: %d before the cut, %d after it", maxBefore, maxInWindow)
 	if maxBefore > connectTotal {
-		t.Errorf("connections in a window before the cut: got %d, more than the total", maxBefore)
+		t.Errorf("connections in a window before the cut: got %d, want at most the total of %d",
+			maxBefore, connectTotal)
 	}
 	for _, stop := range loaded.stopLoads {
 		stop()
--- a/internal/testcluster/concurrency_poll_test.go
+++ b/internal/testcluster/concurrency_poll_test.go
@@ -80,8 +80,9 @@
 				maxLarge, total)
 		}
 		if shared && (maxLarge < total/2 || maxSmall == 0 || jobCount < 300) {
-			t.Errorf("concurrent jobs of the tenants: got %d and %d, %d jobs in all; too few to test the total",
-				maxLarge, maxSmall, jobCount)
+			t.Errorf("to test the total: got %d and %d concurrent jobs of the tenants, want at least %d and 1;"+
+				" got %d jobs in all, want at least 300",
+				maxLarge, maxSmall, total/2, jobCount)
 		}
 	}
 }
@@ -157,7 +158,7 @@
 				time.Duration(lastJobAfter), drainLimit)
 		}
 		if shared && len(polls) < 3*total {
-			t.Errorf("got %d polls; too few to test the total", len(polls))
+			t.Errorf("polls: got %d, want at least %d to test the total", len(polls), 3*total)
 		}
 	}
 }
--- a/internal/testcluster/loaded_cluster_test.go
+++ b/internal/testcluster/loaded_cluster_test.go
@@ -84,7 +84,7 @@
 	t.Helper()
 	t.Logf("responses by status: %v", c.stopLoadsTotal())
 	if connections := checkConnectTotal(t, c.Cluster); connections < minConnections {
-		t.Errorf("connections: got %d; too few to test the total", connections)
+		t.Errorf("connections: got %d, want at least %d to test the total", connections, minConnections)
 	}
 	for _, n := range c.Nodes {
 		if log := n.Log(); strings.Contains(log, "DATA RACE") || strings.Contains(log, "panic") {
--- a/internal/testcluster/replay_test.go
+++ b/internal/testcluster/replay_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	if answered < 50 {
-		t.Errorf("replayed calls with a response: got %d; too few for this test", answered)
+		t.Errorf("replayed calls with a response: got %d, want at least 50", answered)
 	}
 	c.finish(t, connectTotal)
 }
@@ -62,7 +62,7 @@
 		loadedNode.VoterRelay(voter).Heal()
 	}
 	if answered < 5 {
-		t.Errorf("replayed calls with a response: got %d; too few for this test", answered)
+		t.Errorf("replayed calls with a response: got %d, want at least 5", answered)
 	}
 	c.finish(t, connectTotal)
 }
--- a/internal/testcluster/scale_test.go
+++ b/internal/testcluster/scale_test.go
@@ -274,8 +274,8 @@
 			missedResponses, attemptsAfterClose, attemptsAtDrained)
 	}
 	if float64(statuses[200]) < s.minServed*float64(len(clients.requests)) {
-		t.Errorf("got %d of %d requests served, want at least the fraction of the scenario",
-			statuses[200], len(clients.requests))
+		t.Errorf("got %d of %d requests served, want at least a fraction of %.2f",
+			statuses[200], len(clients.requests), s.minServed)
 	}
 	return processorTime
 }
