--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -133,8 +133,8 @@
 	return order
 }
 
-// putCrowdedLast moves the servers that are loaded above the mean, according to the endpoint list, behind
-// the others.
+// putCrowdedLast moves the servers whose load in the endpoint list is above crowdedFactor times the mean
+// behind the others.
 func (d *Dispatcher) putCrowdedLast(servers []*Server) {
 	if d.settings.LiveCapacity {
 		crowded := max(crowdedFactor*d.load/float64(len(d.servers.all)), 1)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -31,8 +31,8 @@
 	runtimes      []histogram // by class: running times divided by the work unit
 	recentResults map[rankGroup][]recentResult
 	retrySuccess  []decayingRatio              // by class: retries elsewhere, and the successful ones
-	promptStarts  [zoneRelations]decayingRatio // attempts, and those that started promptly
-	minStartDelay int64                        // minimum time from sending to a start, ns; 0: none seen
+	promptStarts  [zoneRelations]decayingRatio // starts, late or rejected ones included; the prompt ones
+	minStartDelay int64                        // minimum time from sending to the start report, ns; 0: none
 
 	capacityReportedAt  int64 // when a server last reported its capacity
 	reportLifetime      int64 // how long a capacity report is valid, ns
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -5,7 +5,8 @@
 import "testing"
 
 // TestOverloadedIsShed checks that a request that was unread for too long is shed before any other work on
-// it. One that was unread for less is served.
+// it. One that was unread for less is served. Its deadline is earlier by the excess of the time unread over
+// ignoredDelay.
 func TestOverloadedIsShed(t *testing.T) {
 	settings := testSettings()
 	settings.DrainGrace = 2e9
--- a/dispatch/polling.go
+++ b/dispatch/polling.go
@@ -19,7 +19,7 @@
 	deadline int64 // clock time by which the next poll must be sent
 }
 
-// recordSuccess resets the failures.
+// recordSuccess resets the number and the cost of consecutive failed polls after a successful poll.
 func (p *pollSchedule) recordSuccess() { p.failures, p.lastCost = 0, 0 }
 
 // StartPolling schedules the first poll. A node that already has an endpoint list waits for a random time:
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// minChance is the fraction of a request's expected value at arrival below which it is given up.
+	// minChance is the fraction of a request's expected value at arrival. If its wait has reduced the
+	// expected value below that fraction, the request is given up.
 	minChance = 0.5
 	// maxQueueTime is the longest time in the queue, as a multiple of the time from arrival to the latency
 	// objective.
--- a/dispatch/quotas.go
+++ b/dispatch/quotas.go
@@ -9,7 +9,7 @@
 const (
 	BudgetRetries        Budget = iota // attempts of a request after its first
 	BudgetConnections                  // new connections to a server
-	BudgetSlowStart                    // work for a server in slow start, in shares of its total in a window
+	BudgetSlowStart                    // work for a server in slow start; 1 is the total of a window
 	BudgetTenantAttempts               // attempts in flight for one tenant
 	BudgetPolls                        // polls of the endpoint list
 	BudgetCount                        // the number of budgets
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -18,7 +18,7 @@
 	AffinityKey  uint64 // identifies the data that it works on, below 2^53; 0: not known
 	ExpectedWork int64  // expected running time on a standard core, ns; 0: not known
 	Deadline     int64  // clock time, ns
-	UnreadTime   int64  // ns that it may have been unread at this node; Deadline does not include it
+	UnreadTime   int64  // how long it may have been unread, ns; Deadline counts from when it was read
 	Attempts     []*Attempt
 	Done         bool   // it has its final answer, or the client has disconnected
 	Reason       Reason // why it was shed or failed; NoReason before that
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -79,7 +79,7 @@
 	SlowStartShare      float64     // share of its capacity that a server has when it starts
 	SlowStart           int64       // time until a started server has its full capacity
 	OverloadWindow      int64       // time over which the work sent to a server in slow start is summed
-	OverloadFactor      float64     // multiple of its capacity that a server in slow start may be sent
+	OverloadFactor      float64     // multiple of its capacity that may be sent in a window of slow start
 	UnpolledEventAge    int64       // time after which a change counts as notified if no poll is in flight
 	DeadlineMargin      int64       // maximum error of a request's deadline, in either direction
 	StartTimeError      int64       // maximum error of a server's start time, in either direction
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -107,7 +107,7 @@
 	budget := d.slowStartBudget(server, since, turnsPerWindow+1)
 	members := max(int64(min(budget/d.largeSize, float64(nodes))), 1)
 	groups := (int64(nodes) + members - 1) / members
-	const startUnit = 1e6 // ns; gives servers that start together different turns
+	const startUnit = 1e6 // ns; servers that start together have their turns at different nodes
 	return slowStartTurn{
 		nodeBudget: budget / float64(members),
 		since:      since,
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -4,7 +4,8 @@
 
 import "testing"
 
-// TestSlowStartBudget checks the number of attempts that a server in slow start receives in one window.
+// TestSlowStartBudget checks that one node sends a server in slow start 3 to 5 attempts with 0.1 s of work
+// each in one overload window, however many requests arrive.
 func TestSlowStartBudget(t *testing.T) {
 	w := newHarness(t, 1, testSettings())
 	w.addServers(1, false)
@@ -39,9 +40,10 @@
 	}
 }
 
-// TestStartTimeErrorWithinBudget checks a server with an error of its reported start time. If the reported
-// time is in the future, requests to it count from the actual start and stay within the budget. If it is too
-// early, the server stays in slow start for as long as it may actually be.
+// TestStartTimeErrorWithinBudget checks a server whose reported start time is off by StartTimeError. If the
+// reported time is in the future, requests to the server count from the actual start and stay within the
+// budget. If it is too early, the server counts as in slow start for StartTimeError longer, since it may have
+// started that much later.
 func TestStartTimeErrorWithinBudget(t *testing.T) {
 	for _, sign := range []int64{-1, 1} {
 		settings := clockSettings()
