--- a/internal/transport/connection_budget.go
+++ b/internal/transport/connection_budget.go
@@ -53,7 +53,7 @@
 	log zerolog.Logger
 
 	mu            sync.Mutex
-	changed       sync.Cond      // signaled when the condition of a waiter may have become true
+	changed       sync.Cond      // signaled when a permit may be free or the last request may have ended
 	total         int            // maximum permits of both sides
 	maxInUse      [2]int         // maximum permits by side
 	inUse         [2]int         // permits in use by side
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -55,7 +55,7 @@
 
 	mu         sync.Mutex
 	phase      serverPhase
-	unready    bool        // readiness is denied since a drain
+	unready    bool        // a drain has begun, and Activate has not ended it
 	sweepTimer *time.Timer // for sweepSilent, while draining
 }
 
--- a/internal/transport/server_client.go
+++ b/internal/transport/server_client.go
@@ -32,8 +32,9 @@
 	unlimitedIdleConns = 1 << 20
 )
 
-// errUnexpectedResponse is returned if a response arrived before its request was sent.
-var errUnexpectedResponse = errors.New("response received before its request was sent")
+// errUnexpectedResponse is returned if a response arrived before its request was sent. Such a response
+// belongs to an earlier request on the connection.
+var errUnexpectedResponse = errors.New("response to an earlier request received before this request was sent")
 
 // ServerClient sends attempts and probes to the servers of the pool and reuses its connections.
 type ServerClient struct {
