--- a/dispatch/idempotency_test.go
+++ b/dispatch/idempotency_test.go
@@ -12,7 +12,8 @@
 	request := w.arrive(1, 1, 1e8, 9e9)
 	w.endAttempt(w.inFlight[0], ConnectionLost)
 	if len(request.Attempts) != 2 || request.Attempts[0].Server.cell != request.Attempts[1].Server.cell {
-		t.Fatalf("got %d attempts, want 2 in the same cell", len(request.Attempts))
+		t.Fatalf("retry after a lost connection: got %d attempts, want 2 in the same cell",
+			len(request.Attempts))
 	}
 	w.advance(w.settings.Classes[1].DedupWindow)
 	for len(w.inFlight) > 0 {
--- a/dispatch/polling_test.go
+++ b/dispatch/polling_test.go
@@ -110,7 +110,7 @@
 					denied/1e6, took/1e6, step.maxWait/1e6)
 			}
 			if w.advance(2e9); actions.polls != before+1 {
-				t.Errorf("got %d polls, want 1", actions.polls-before)
+				t.Errorf("got %d polls within 2 s more, want 1 in total", actions.polls-before)
 			}
 		}
 	}
--- a/dispatch/scores_test.go
+++ b/dispatch/scores_test.go
@@ -24,7 +24,7 @@
 	}
 	const n = scoreWindowSize
 	if fast.scores.sum != 10*n || medium.scores.sum != 6*n || slow.scores.sum != 2*n {
-		t.Fatalf("got sums of scores %d, %d, %d, want %d, %d, %d",
+		t.Fatalf("sums of scores of fast, medium and slow server: got %d, %d, %d, want %d, %d, %d",
 			fast.scores.sum, medium.scores.sum, slow.scores.sum,
 			10*n, 6*n, 2*n)
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -75,6 +75,6 @@
 		`"status":{"served":0,"refused":0,"failed":0}},` +
 		`"in_flight":0,"attempts":0,"executors_known":10,"executors_excluded":2}`
 	if err != nil || string(encoded) != want || !json.Valid(encoded) {
-		t.Errorf("got %s, error %v, want %s", encoded, err, want)
+		t.Errorf("JSON of a new snapshot: got %s, error %v, want %s", encoded, err, want)
 	}
 }
--- a/internal/transport/connection_budget_test.go
+++ b/internal/transport/connection_budget_test.go
@@ -94,7 +94,7 @@
 	for range 20 {
 		c := dialAndWrite(t, address, requestHead+"b")
 		if got := readResponse(t, c); got.StatusCode != 200 {
-			t.Fatalf("got status %d, want 200", got.StatusCode)
+			t.Fatalf("client that needs a reclaimed permit: got status %d, want 200", got.StatusCode)
 		}
 		// A reclaimed connection uses its permit until it is closed. On a loaded machine the next client
 		// could connect before that and would be rejected.
--- a/internal/transport/discovery_client_test.go
+++ b/internal/transport/discovery_client_test.go
@@ -90,6 +90,6 @@
 	want := []string{"/api/targets", "/api/targets?since=4&timeout_ms=1",
 		"/api/targets?since=5&timeout_ms=3000"}
 	if !slices.Equal(polledURLs[:3], want) {
-		t.Errorf("polled %q, want %q", polledURLs, want)
+		t.Errorf("polled URLs: got %q, want %q", polledURLs, want)
 	}
 }
--- a/internal/transport/eviction_test.go
+++ b/internal/transport/eviction_test.go
@@ -101,7 +101,7 @@
 	for _, c := range all {
 		io.WriteString(c, "b")
 		if got := readResponse(t, c); got.StatusCode != 200 {
-			t.Errorf("got status %d, want 200", got.StatusCode)
+			t.Errorf("client within the eviction grace: got status %d, want 200", got.StatusCode)
 		}
 	}
 }
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -48,7 +48,7 @@
 			}}
 		client.Forward(t.Context(), attempt, func(protocol.JobUpdate) {}, func(e protocol.AttemptResult) {
 			if e.Outcome != dispatch.Succeeded {
-				t.Errorf("got outcome %v, cause %v, want %v", e.Outcome, e.Cause, dispatch.Succeeded)
+				t.Errorf("attempt: got outcome %v, cause %v, want %v", e.Outcome, e.Cause, dispatch.Succeeded)
 			}
 		})
 		if forwarded := <-forwardedTimeouts; forwarded > 700*time.Millisecond-delay ||
--- a/internal/transport/listener_test.go
+++ b/internal/transport/listener_test.go
@@ -60,7 +60,7 @@
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if response, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil ||
 		response.StatusCode != http.StatusOK {
-		t.Errorf("got response %+v, error %v, want status 200", response, err)
+		t.Errorf("client after failed accepts: got response %+v, error %v, want status 200", response, err)
 	}
 	select {
 	case err := <-ended:
--- a/internal/transport/repeat_test.go
+++ b/internal/transport/repeat_test.go
@@ -63,7 +63,7 @@
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	if idempotency != dispatch.Idempotent && pool.maxOpen > 1 {
-		t.Errorf("got %d attempts in flight at once, want at most 1", pool.maxOpen)
+		t.Errorf("request that must not run twice: got %d attempts in flight, want at most 1", pool.maxOpen)
 	}
 	client.transport.CloseIdleConnections()
 	return faultRun{status: response.Status, result: response.Body, arrivals: pool.arrivals,
--- a/internal/transport/server_client_test.go
+++ b/internal/transport/server_client_test.go
@@ -125,7 +125,8 @@
 	forward(t.Context(), client, server.Addr().String(), waitForEnd)
 	forward(t.Context(), client, server.Addr().String(), waitForEnd)
 	if accepted, _ := server.counts(); accepted != 1 || budget.idle[serverSide].Len() != 1 {
-		t.Errorf("got %d connections, %d of them idle, want 1 and 1", accepted, budget.idle[serverSide].Len())
+		t.Errorf("two attempts: got %d connections, %d of them idle, want 1 and 1", accepted,
+			budget.idle[serverSide].Len())
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancels <- cancel
@@ -188,7 +189,7 @@
 	got := forward(t.Context(), client, server.Addr().String())
 	if accepted, requests := server.counts(); got.outcome != dispatch.StaleConnection ||
 		accepted != 1 || requests != 2 {
-		t.Errorf("got %+v, %d connections, %d requests, want outcome %v, 1 connection, 2 requests",
+		t.Errorf("second attempt: got %+v, %d connections, %d requests, want outcome %v, 1 and 2",
 			got, accepted, requests, dispatch.StaleConnection)
 	}
 }
--- a/internal/transport/server_phase_test.go
+++ b/internal/transport/server_phase_test.go
@@ -119,7 +119,7 @@
 	}
 	io.WriteString(c, requestHead[30:]+"b")
 	if text, err := io.ReadAll(c); len(text) > 0 || err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("got %q, error %v, want no data and EOF or a reset", text, err)
+		t.Errorf("incomplete request: got %q, error %v, want no data and EOF or a reset", text, err)
 	}
 }
 
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -110,7 +110,7 @@
 		return &protocol.Response{Status: 200}
 	}, func(h *http.Server) { h.ReadTimeout = 50 * time.Millisecond })
 	if got := readResponse(t, dialAndWrite(t, address, requestHead+"b")); got.StatusCode != 200 {
-		t.Errorf("got status %d, want 200", got.StatusCode)
+		t.Errorf("client that stayed connected: got status %d, want 200", got.StatusCode)
 	}
 	c := dialAndWrite(t, address, requestHead+"b")
 	<-started
