--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -206,7 +206,7 @@
 		// The counts may be halved to 0 while a request waits; the key still has preferred servers.
 		request.keyState.requests, w.d.keys.requests = 0, 5
 		if preferred := w.d.preferredServers(search); len(preferred) != want {
-			t.Errorf("counts halved to 0: got %d preferred servers", len(preferred))
+			t.Errorf("counts halved to 0: got %d preferred servers, want %d", len(preferred), want)
 		}
 	}
 }
--- a/dispatch/polling_test.go
+++ b/dispatch/polling_test.go
@@ -58,13 +58,14 @@
 		}
 		if _, last := failPolls(1); last > c.bound/2 || c.unpolledEventAge == 0 && last > 5e8 {
 			t.Errorf(
-				"%+v: last poll %d ms after one failure, want up to bound/2, or 500 ms without event age",
-				c, last/1e6)
+				"%+v: last poll %d ms after one failure, want at most %d ms, and 500 ms without event age",
+				c, last/1e6, c.bound/2e6)
 		}
 		if later, last := failPolls(6); later > 25 || last > c.bound || last < c.bound/2 {
 			t.Errorf(
-				"%+v: six failures: %d of 80 polls in bound/16, want up to 25; last after %d ms, want bound/2 to bound",
-				c, later, last/1e6)
+				"%+v: six failures: %d of 80 polls in one slot of %d ms, want at most 25; "+
+					"last poll after %d ms, want %d to %d ms",
+				c, later, c.bound/16e6, last/1e6, c.bound/2e6, c.bound/1e6)
 		}
 		for _, node := range h.nodes {
 			node.updateEndpoints()
@@ -72,8 +73,9 @@
 		if first, last := failPolls(1); last > c.bound/2 || c.unpolledEventAge == 0 && last > 5e8 ||
 			c.cost == 0 && first > 35 {
 			t.Errorf(
-				"%+v: last poll %d ms after a list, want up to bound/2; %d of 80 in bound/16, want up to 35",
-				c, last/1e6, first)
+				"%+v: last poll %d ms after a list, want at most %d ms, and 500 ms without event age; "+
+					"%d of 80 polls in one slot of %d ms, want at most 35 without cost",
+				c, last/1e6, c.bound/2e6, first, c.bound/16e6)
 		}
 	}
 }
