--- a/dispatch/arrival_test.go
+++ b/dispatch/arrival_test.go
@@ -43,7 +43,7 @@
 		}
 		if prompt == 0 && shed < 20 || prompt > 0 && shed > 2 {
 			t.Fatalf(
-				"%d of 40 over quota shed with %v of 400 starts prompt; want at least 20 if none, else at most 2",
+				"%d of 40 over quota shed, %v of 400 starts prompt; want 20 or more if none, else up to 2",
 				shed, prompt)
 		}
 	}
