--- a/cmd/fleetsim/emulate.go
+++ b/cmd/fleetsim/emulate.go
@@ -75,7 +75,7 @@
 		return unreadable(err)
 	}
 	defer log.close()
-	rules := scenario.Held()
+	rules := scenario.InvariantRules()
 	err = log.write(rules)
 	checker, collector := invariants.New(rules), invariants.NewCollector()
 	last := int64(0)
@@ -91,7 +91,7 @@
 	fmt.Fprintf(out, "%s, seed %d, %s: ", filepath.Base(c.Scenario), c.Seed, c.Policy)
 	printSummary(out, collector.Summary())
 	printReport(out, report, time.Since(began))
-	fmt.Fprintf(out, "  budgets %s: %.1f of work sent to servers in slow start, %d lease requests\n", scenario.Leases.Mode, report.Cold, report.Calls)
+	fmt.Fprintf(out, "  budgets %s: %.1f of work sent to servers in slow start, %d lease requests\n", scenario.Leases.Mode, report.SlowStartWork, report.LeaseRequests)
 	violations := checker.Violations(last)
 	printViolations(out, violations, c.Max, "  ")
 	if len(violations) > 0 {
@@ -115,9 +115,9 @@
 }
 
 func printReport(out io.Writer, report emulator.Report, took time.Duration) {
-	fmt.Fprintf(out, "  %d handshakes, %.0f connections open in the mean\n", report.Handshakes, report.Held)
+	fmt.Fprintf(out, "  %d handshakes, %.0f connections open in the mean\n", report.Handshakes, report.MeanConnections)
 	fmt.Fprintf(out, "  work done %.1f of %.1f asked for; effects run twice %d; servers overloaded in slow start %d; %d events in %v\n",
-		report.Work, report.Offered, report.Twice, report.Fallen, report.Events, took.Round(time.Millisecond))
+		report.Work, report.OfferedWork, report.DuplicateEffects, report.Overloads, report.Events, took.Round(time.Millisecond))
 }
 
 // eventLog writes JSON values to a file, or nowhere.
--- a/cmd/fleetsim/experiment_run.go
+++ b/cmd/fleetsim/experiment_run.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	checker, collector := invariants.New(prepared.scenario.Held()), invariants.NewCollector()
+	checker, collector := invariants.New(prepared.scenario.InvariantRules()), invariants.NewCollector()
 	last := int64(0)
 	began := time.Now()
 	report := emulator.Run(prepared.scenario, run.Seed, prepared.policy, func(e invariants.Event) {
@@ -101,11 +101,11 @@
 		worstFigure:       summary.WorstTenSeconds,
 		p99Figure:         float64(summary.Latency(0.99)) / float64(time.Millisecond),
 		handshakesFigure:  float64(report.Handshakes),
-		connectionsFigure: report.Held,
-		overloadedFigure:  float64(report.Fallen),
-		slowStartFigure:   report.Cold,
+		connectionsFigure: report.MeanConnections,
+		overloadedFigure:  float64(report.Overloads),
+		slowStartFigure:   report.SlowStartWork,
 		workFigure:        report.Work,
-		twiceFigure:       float64(report.Twice),
+		twiceFigure:       float64(report.DuplicateEffects),
 		violationsFigure:  float64(violations),
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -17,7 +17,7 @@
 	"fernrail/internal/invariants"
 )
 
-func example(t testing.TB, name string) *Scenario {
+func readExample(t testing.TB, name string) *Scenario {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("../../example/scenarios", name))
 	if err != nil {
@@ -30,8 +30,8 @@
 	return s
 }
 
-// play runs a scenario and gives its figures, its breaches and its log.
-func play(t testing.TB, s *Scenario, seed uint64, policy string) (*invariants.Summary, []invariants.Violation, Report, string) {
+// runScenario runs a scenario and gives its figures, its breaches and its log.
+func runScenario(t testing.TB, s *Scenario, seed uint64, policy string) (*invariants.Summary, []invariants.Violation, Report, string) {
 	t.Helper()
 	p, err := PolicyOf(policy)
 	if err != nil {
@@ -39,7 +39,7 @@
 	}
 	var log bytes.Buffer
 	encoder := json.NewEncoder(&log)
-	j, c, last := invariants.New(s.Held()), invariants.NewCollector(), int64(0)
+	j, c, last := invariants.New(s.InvariantRules()), invariants.NewCollector(), int64(0)
 	r := Run(s, seed, p, func(e invariants.Event) {
 		if err := j.Add(e); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -51,10 +51,10 @@
 	return c.Summary(), j.Violations(last), r, log.String()
 }
 
-// record gives the rules that a policy broke.
-func record(t testing.TB, s *Scenario, policy Policy) (rules []int) {
+// violatedRules gives the rules that a policy broke.
+func violatedRules(t testing.TB, s *Scenario, policy Policy) (rules []int) {
 	t.Helper()
-	j, last := invariants.New(s.Held()), int64(0)
+	j, last := invariants.New(s.InvariantRules()), int64(0)
 	Run(s, 5, policy, func(e invariants.Event) {
 		if err := j.Add(e); err != nil {
 			t.Fatal(err)
@@ -67,16 +67,16 @@
 	return rules
 }
 
-// queueing is one node before c servers that share one queue: what theory has an answer for.
-func queueing(servers int, load float64, shape string) *Scenario {
-	s := &Scenario{Length: Span(400e9), Warm: Span(20e9),
-		Fleet: Fleet{Nodes: 1, Executors: 1, Zones: []string{"a"}, Tick: Span(1)},
-		Kinds: []Kind{{Share: 1, Slots: servers, Cores: float64(servers), Speed: 1, Queue: 1e6, Connections: 1e6, Cancel: "none"}},
-		Net:   Net{Dial: Span(1e9), Idle: Span(1e12)},
-		Rules: Rules{Postings: 1, Slack: Span(2e7)},
-		Crowd: Crowd{Rate: load * float64(servers) * 10, Backoff: 1},
-		Scheme: []Scheme{{Name: "s", Share: 1, Run: Span(1e8), Shape: shape, Slots: 1, Sla: Span(1000e9), Expiry: Span(2000e9), Value: 1,
-			Effect: "repeatable"}}}
+// queueScenario is one node before c servers that share one queue: what theory has an answer for.
+func queueScenario(servers int, load float64, shape string) *Scenario {
+	s := &Scenario{Length: Duration(400e9), WarmUp: Duration(20e9),
+		Fleet:        Fleet{Nodes: 1, Servers: 1, Zones: []string{"a"}, Tick: Duration(1)},
+		MachineTypes: []MachineType{{Share: 1, Slots: servers, Cores: float64(servers), Speed: 1, QueueLimit: 1e6, MaxConnections: 1e6, Cancel: "none"}},
+		Network:      Network{DialTimeout: Duration(1e9), IdleTimeout: Duration(1e12)},
+		Rules:        Rules{MaxAttempts: 1, Slack: Duration(2e7)},
+		Clients:      Clients{Rate: load * float64(servers) * 10, Backoff: 1},
+		Classes: []Class{{Name: "s", Share: 1, MeanRuntime: Duration(1e8), Distribution: shape, Slots: 1, LatencyObjective: Duration(1000e9), Deadline: Duration(2000e9), Weight: 1,
+			Idempotency: "repeatable"}}}
 	return s
 }
 
@@ -107,7 +107,7 @@
 		mean, n := 0.0, 0
 		var busy float64
 		for seed := range uint64(4) {
-			f, breaches, r, _ := play(t, queueing(c.servers, c.load, c.shape), seed, "random")
+			f, breaches, r, _ := runScenario(t, queueScenario(c.servers, c.load, c.shape), seed, "random")
 			if len(breaches) > 0 {
 				t.Fatal(breaches[0])
 			}
@@ -116,8 +116,8 @@
 			}
 			n += len(f.Latencies)
 			busy += r.Work / 400 / 4
-			if math.Abs(r.Work-r.Offered) > 1e-3*r.Offered {
-				t.Errorf("work is not conserved: %v done of %v", r.Work, r.Offered)
+			if math.Abs(r.Work-r.OfferedWork) > 1e-3*r.OfferedWork {
+				t.Errorf("work is not conserved: %v done of %v", r.Work, r.OfferedWork)
 			}
 		}
 		mean = mean/float64(n) - 1
@@ -134,12 +134,12 @@
 
 // TestSameSeedSameLog: to the byte, on one core or several; another seed gives another log.
 func TestSameSeedSameLog(t *testing.T) {
-	s := example(t, "troubles.toml")
-	s.Length = Span(10e9)
-	_, _, _, one := play(t, s, 7, "module")
+	s := readExample(t, "troubles.toml")
+	s.Length = Duration(10e9)
+	_, _, _, one := runScenario(t, s, 7, "module")
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	_, _, _, again := play(t, s, 7, "module")
-	_, _, _, other := play(t, s, 8, "module")
+	_, _, _, again := runScenario(t, s, 7, "module")
+	_, _, _, other := runScenario(t, s, 8, "module")
 	if one != again {
 		t.Error("the same seed gave two logs")
 	}
@@ -178,22 +178,22 @@
 	}
 }
 
-// random makes a world with some of everything that goes wrong.
-func random(r *rand.Rand) *Scenario {
-	s := &Scenario{Length: Span(9e9), Warm: Span(1e9),
-		Fleet:  Fleet{Nodes: 2 + r.IntN(6), Executors: 3 + r.IntN(10), Zones: []string{"a", "b"}, Tick: Span(2e6), Decision: Span(r.IntN(50000))},
-		Kinds:  []Kind{{Share: 1, Slots: 1 + r.IntN(6), Cores: 3, Speed: 1, Spread: 0.3, Queue: 5 + r.IntN(30), Connections: 40, Handshake: Span(1e6), Cancel: []string{"none", "queued", "all"}[r.IntN(3)]}},
-		Net:    Net{Same: Span(2e5), Cross: Span(3e6), Jitter: 0.3, Dial: Span(2e8), Idle: Span(2e9)},
-		Lists:  Lists{Notice: Span(1e9), Spread: Span(3e8), Loss: 0.1},
-		Rules:  Rules{Slack: Span(2e7), Grace: Span(1e9), Cold: Span(6e9), ColdShare: 0.3, Fall: Span(2e9), FallMultiple: 3, Postings: 4, Doubles: r.IntN(2) == 0, Started: true, Progress: Span(5e8), Return: Span(1e9)},
-		Crowd:  Crowd{Rate: 40 + 100*r.Float64(), Retries: r.IntN(4), Backoff: Span(5e7), Follow: 0.5, Keys: r.IntN(2) * 30, Hints: r.IntN(2) == 0, Skew: r.Float64() / 2},
-		Tenant: []Tenant{{"x", 0.7}, {"y", 0.3}},
-		Scheme: []Scheme{
-			{Name: "s", Share: 0.5, Run: Span(1e8), Shape: "exponential", Slots: 1, Sla: Span(3e8), Stretch: 2, Expiry: Span(3e9), Value: 1, Effect: "repeatable"},
-			{Name: "r", Share: 0.3, Run: Span(2e8), Shape: "exponential", Slots: 1, Sla: Span(4e8), Stretch: 2, Expiry: Span(4e9), Value: 2, Late: 0.5, Effect: "referenced", Memory: Span(5e9)},
-			{Name: "o", Share: 0.2, Run: Span(2e8), Shape: "exponential", Slots: 1, Sla: Span(6e8), Stretch: 2, Expiry: Span(6e9), Value: 5, Late: 0.5, Effect: "once-only"}}}
+// randomScenario makes a world with some of everything that goes wrong.
+func randomScenario(r *rand.Rand) *Scenario {
+	s := &Scenario{Length: Duration(9e9), WarmUp: Duration(1e9),
+		Fleet:        Fleet{Nodes: 2 + r.IntN(6), Servers: 3 + r.IntN(10), Zones: []string{"a", "b"}, Tick: Duration(2e6), DecisionTime: Duration(r.IntN(50000))},
+		MachineTypes: []MachineType{{Share: 1, Slots: 1 + r.IntN(6), Cores: 3, Speed: 1, SpeedSpread: 0.3, QueueLimit: 5 + r.IntN(30), MaxConnections: 40, HandshakeWork: Duration(1e6), Cancel: []string{"none", "queued", "all"}[r.IntN(3)]}},
+		Network:      Network{SameZoneDelay: Duration(2e5), CrossZoneDelay: Duration(3e6), Jitter: 0.3, DialTimeout: Duration(2e8), IdleTimeout: Duration(2e9)},
+		Discovery:    Discovery{NoticeDelay: Duration(1e9), NotifyDelay: Duration(3e8), Loss: 0.1},
+		Rules:        Rules{Slack: Duration(2e7), DrainGrace: Duration(1e9), SlowStart: Duration(6e9), SlowStartShare: 0.3, OverloadWindow: Duration(2e9), OverloadFactor: 3, MaxAttempts: 4, AllowHedging: r.IntN(2) == 0, StartNotices: true, ProgressInterval: Duration(5e8), MaxRetryAfter: Duration(1e9)},
+		Clients:      Clients{Rate: 40 + 100*r.Float64(), Retries: r.IntN(4), Backoff: Duration(5e7), RetryAfterShare: 0.5, AffinityKeys: r.IntN(2) * 30, WorkHints: r.IntN(2) == 0, ZoneSkew: r.Float64() / 2},
+		Tenants:      []Tenant{{"x", 0.7}, {"y", 0.3}},
+		Classes: []Class{
+			{Name: "s", Share: 0.5, MeanRuntime: Duration(1e8), Distribution: "exponential", Slots: 1, LatencyObjective: Duration(3e8), ObjectivePerRuntime: 2, Deadline: Duration(3e9), Weight: 1, Idempotency: "repeatable"},
+			{Name: "r", Share: 0.3, MeanRuntime: Duration(2e8), Distribution: "exponential", Slots: 1, LatencyObjective: Duration(4e8), ObjectivePerRuntime: 2, Deadline: Duration(4e9), Weight: 2, LateShare: 0.5, Idempotency: "referenced", DedupWindow: Duration(5e9)},
+			{Name: "o", Share: 0.2, MeanRuntime: Duration(2e8), Distribution: "exponential", Slots: 1, LatencyObjective: Duration(6e8), ObjectivePerRuntime: 2, Deadline: Duration(6e9), Weight: 5, LateShare: 0.5, Idempotency: "once-only"}}}
 	for range 2 + r.IntN(4) {
-		f := Fault{Kind: faultKinds[r.IntN(len(faultKinds))], At: Span(1e9 + r.Int64N(5e9)), For: Span(5e8 + r.Int64N(4e9)), Part: 0.1 + 0.6*r.Float64(), Strength: 2 + 3*r.Float64(), Again: Span(1e9)}
+		f := Fault{Kind: faultKinds[r.IntN(len(faultKinds))], At: Duration(1e9 + r.Int64N(5e9)), For: Duration(5e8 + r.Int64N(4e9)), Part: 0.1 + 0.6*r.Float64(), Strength: 2 + 3*r.Float64(), Interval: Duration(1e9)}
 		if f.Kind == "errors" {
 			f.Strength = r.Float64()
 		}
@@ -203,7 +203,7 @@
 		s.Faults = append(s.Faults, f)
 	}
 	if r.IntN(2) == 0 {
-		s.Subset = Subset{Size: 1 + r.IntN(s.Fleet.Executors), Cover: 1, Notice: Span(5e8)}
+		s.Subset = Subset{Size: 1 + r.IntN(s.Fleet.Servers), MinNodesPerServer: 1, NoticeDelay: Duration(5e8)}
 	}
 	return s
 }
@@ -215,10 +215,10 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		s := random(rand.New(rand.NewPCG(seed, 9)))
-		_, breaches, r, _ := play(t, s, seed, "module")
-		if len(breaches) > 0 || r.Twice > 0 || r.Fallen > 0 {
-			t.Fatalf("seed %d: %d breaches, %d effects twice, %d fallen: %+v, faults %+v", seed, len(breaches), r.Twice, r.Fallen, breaches[:min(len(breaches), 3)], s.Faults)
+		s := randomScenario(rand.New(rand.NewPCG(seed, 9)))
+		_, breaches, r, _ := runScenario(t, s, seed, "module")
+		if len(breaches) > 0 || r.DuplicateEffects > 0 || r.Overloads > 0 {
+			t.Fatalf("seed %d: %d breaches, %d effects twice, %d fallen: %+v, faults %+v", seed, len(breaches), r.DuplicateEffects, r.Overloads, breaches[:min(len(breaches), 3)], s.Faults)
 		}
 	})
 }
@@ -226,10 +226,10 @@
 // TestBaselinesAreWorse: on a day of troubles the module serves more than blind choice, and nothing more than what sees all
 // on a quiet one.
 func TestBaselinesAreWorse(t *testing.T) {
-	s := example(t, "troubles.toml")
-	s.Length = Span(25e9)
-	module, _, _, _ := play(t, s, 3, "module")
-	blind, _, _, _ := play(t, s, 3, "random")
+	s := readExample(t, "troubles.toml")
+	s.Length = Duration(25e9)
+	module, _, _, _ := runScenario(t, s, 3, "module")
+	blind, _, _, _ := runScenario(t, s, 3, "random")
 	if module.All.Share() < blind.All.Share()+0.05 {
 		t.Errorf("module %.3f, random %.3f in time", module.All.Share(), blind.All.Share())
 	}
@@ -278,14 +278,14 @@
 		t.Fatal(files)
 	}
 	for _, file := range files {
-		s := example(t, filepath.Base(file))
-		s.Length, s.Crowd.Rate = min(s.Length, Span(12e9)), min(s.Crowd.Rate, 400)
+		s := readExample(t, filepath.Base(file))
+		s.Length, s.Clients.Rate = min(s.Length, Duration(12e9)), min(s.Clients.Rate, 400)
 		s.Faults = append([]Fault{}, s.Faults...)
 		for i := range s.Faults {
-			s.Faults[i].At = min(s.Faults[i].At, Span(10e9))
+			s.Faults[i].At = min(s.Faults[i].At, Duration(10e9))
 		}
-		if _, breaches, r, _ := play(t, s, 1, "module"); len(breaches) > 0 || r.Twice > 0 {
-			t.Errorf("%s: %d effects twice, %+v", file, r.Twice, breaches[:min(len(breaches), 3)])
+		if _, breaches, r, _ := runScenario(t, s, 1, "module"); len(breaches) > 0 || r.DuplicateEffects > 0 {
+			t.Errorf("%s: %d effects twice, %+v", file, r.DuplicateEffects, breaches[:min(len(breaches), 3)])
 		}
 	}
 }
--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -14,51 +14,51 @@
 
 // Leases say how nodes hold budgets together, with the code that real ones use.
 type Leases struct {
-	Mode   string            `toml:"mode"`  // turns: nothing is told; leased; alone: each node takes itself for the only one; all: one that sees all
-	Lease  Span              `toml:"lease"` //
-	Margin float64           `toml:"margin"`
-	Budget map[string]Shared `toml:"budget"` // again, connect, cold
+	Mode          string                  `toml:"mode"`  // turns: nothing is told; leased; alone: each node takes itself for the only one; all: one that sees all
+	LeaseDuration Duration                `toml:"lease"` //
+	ClockMargin   float64                 `toml:"margin"`
+	Budgets       map[string]BudgetLimits `toml:"budget"` // again, connect, cold
 }
 
-// Shared is one budget.
-type Shared struct {
-	Whole   int64 `toml:"whole"`
-	Floor   int64 `toml:"floor"`
-	Reserve int64 `toml:"reserve"`
-	Step    int64 `toml:"step"`
-	Window  Span  `toml:"window"`
-	Parts   int64 `toml:"parts"`
+// BudgetLimits is one budget.
+type BudgetLimits struct {
+	Total      int64    `toml:"whole"`
+	Floor      int64    `toml:"floor"`
+	Reserve    int64    `toml:"reserve"`
+	Step       int64    `toml:"step"`
+	Window     Duration `toml:"window"`
+	Partitions int64    `toml:"parts"`
 }
 
-var modes = []string{"turns", "leased", "alone", "all"}
+var leaseModes = []string{"turns", "leased", "alone", "all"}
 
-// budgets are the module's, by the scenario's words.
-var budgets = [dispatch.BudgetCount]string{dispatch.BudgetRetries: "again", dispatch.BudgetConnections: "connect", dispatch.BudgetSlowStart: "cold"}
+// budgetNames are the module's, by the scenario's words.
+var budgetNames = [dispatch.BudgetCount]string{dispatch.BudgetRetries: "again", dispatch.BudgetConnections: "connect", dispatch.BudgetSlowStart: "cold"}
 
 func (l *Leases) agreement(nodes int) budget.Agreement {
-	p := budget.Agreement{MaxNodes: int64(nodes), Lease: int64(l.Lease), ClockMargin: l.Margin, Budgets: map[string]budget.Limits{}}
-	for name, b := range l.Budget {
-		p.Budgets[name] = budget.Limits{Total: b.Whole, Floor: b.Floor, Reserve: b.Reserve, Step: max(b.Step, 1), Window: int64(b.Window), Partitions: b.Parts}
+	p := budget.Agreement{MaxNodes: int64(nodes), Lease: int64(l.LeaseDuration), ClockMargin: l.ClockMargin, Budgets: map[string]budget.Limits{}}
+	for name, b := range l.Budgets {
+		p.Budgets[name] = budget.Limits{Total: b.Total, Floor: b.Floor, Reserve: b.Reserve, Step: max(b.Step, 1), Window: int64(b.Window), Partitions: b.Partitions}
 	}
 	return p
 }
 
-// isShared says whether the nodes are told what they may use.
-func (l *Leases) isShared() bool { return l.Mode == "leased" || l.Mode == "all" }
+// usesQuotas says whether the nodes are told what they may use.
+func (l *Leases) usesQuotas() bool { return l.Mode == "leased" || l.Mode == "all" }
 
-func (l *Leases) check(nodes int, fall Span) error {
-	if !slices.Contains(modes, l.Mode) {
-		return fmt.Errorf("leases.mode: %q is not one of %v", l.Mode, modes)
+func (l *Leases) check(nodes int, fall Duration) error {
+	if !slices.Contains(leaseModes, l.Mode) {
+		return fmt.Errorf("leases.mode: %q is not one of %v", l.Mode, leaseModes)
 	}
-	if !l.isShared() {
+	if !l.usesQuotas() {
 		return nil
 	}
-	for name := range l.Budget {
-		if !slices.Contains(budgets[:], name) {
-			return fmt.Errorf("leases.budget.%s: no such budget; there are %v", name, budgets)
+	for name := range l.Budgets {
+		if !slices.Contains(budgetNames[:], name) {
+			return fmt.Errorf("leases.budget.%s: no such budget; there are %v", name, budgetNames)
 		}
 	}
-	if b, is := l.Budget["cold"]; !is || b.Window < fall {
+	if b, is := l.Budgets["cold"]; !is || b.Window < fall {
 		return fmt.Errorf("leases.budget.cold: missing, or its window is under rules.fall")
 	}
 	p := l.agreement(nodes)
@@ -101,7 +101,7 @@
 
 func (g *leader) elect() {
 	g.epoch++
-	entry := &budget.LogEntry{NewTerm: true, Epoch: g.epoch, Agreement: &g.world.pact}
+	entry := &budget.LogEntry{NewTerm: true, Epoch: g.epoch, Agreement: &g.world.agreement}
 	if _, err := g.ledger.Apply(entry); err != nil {
 		panic(err) // epochs only rise here
 	}
@@ -123,44 +123,44 @@
 	answer(answers[0])
 }
 
-// nodeQuota is a node's part of what all hold together.
-type nodeQuota struct {
+// nodeQuotas is a node's part of what all hold together.
+type nodeQuotas struct {
 	node        *node
 	holder      *budget.LeaseHolder // nil: it sees all, and needs no lease
 	demand      *budget.DemandEstimator
 	meters      map[string]*budget.UsageMeter
 	requestedAt int64
-	logged      map[string]quota
+	logged      map[string]leasedQuota
 }
 
-// join gives a node that starts its part.
-func (n *node) join() *nodeQuota {
+// newQuotas gives a node that starts its part.
+func (n *node) newQuotas() *nodeQuotas {
 	w := n.world
-	s := &nodeQuota{node: n, meters: w.seen, logged: map[string]quota{}}
-	if w.s.Leases.Mode == "leased" {
-		s.meters = w.meters()
-		s.holder = budget.NewLeaseHolder(n.name, fmt.Sprint(n.name, ".", n.lives), &w.pact, w.now)
-		s.demand = budget.NewDemandEstimator(n.name, &w.pact)
-		s.request(n.lives)
+	s := &nodeQuotas{node: n, meters: w.sharedMeters, logged: map[string]leasedQuota{}}
+	if w.scenario.Leases.Mode == "leased" {
+		s.meters = w.newMeters()
+		s.holder = budget.NewLeaseHolder(n.name, fmt.Sprint(n.name, ".", n.incarnation), &w.agreement, w.now)
+		s.demand = budget.NewDemandEstimator(n.name, &w.agreement)
+		s.requestLease(n.incarnation)
 	}
 	return s
 }
 
-func (w *world) meters() map[string]*budget.UsageMeter {
+func (w *world) newMeters() map[string]*budget.UsageMeter {
 	out := map[string]*budget.UsageMeter{}
-	for b := range w.pact.Budgets {
-		for _, name := range w.pact.PartitionNames(b) {
-			out[name] = budget.NewUsageMeter(&w.pact, name)
+	for b := range w.agreement.Budgets {
+		for _, name := range w.agreement.PartitionNames(b) {
+			out[name] = budget.NewUsageMeter(&w.agreement, name)
 		}
 	}
 	return out
 }
 
-// request calls the granter, and again when that is due. What gets lost is asked for once more.
-func (s *nodeQuota) request(life int) {
+// requestLease calls the granter, and again when that is due. What gets lost is asked for once more.
+func (s *nodeQuotas) requestLease(life int) {
 	n := s.node
 	w := n.world
-	if !n.up || n.lives != life {
+	if !n.up || n.incarnation != life {
 		return
 	}
 	s.requestedAt = w.now
@@ -170,23 +170,23 @@
 	w.send(n.zone, 0, func() {
 		w.leader.handleRequest(a, func(answer *budget.LeaseResponse) {
 			w.send(0, n.zone, func() {
-				if n.up && n.lives == life && s.holder.ApplyResponse(answer, w.now) {
+				if n.up && n.incarnation == life && s.holder.ApplyResponse(answer, w.now) {
 					s.demand.ObserveResponse(answer)
 					s.logQuotas()
-					w.after(max(s.holder.NextRequestTime()-w.now, w.pact.Lease/15), func() { s.retry(life, a.Seq) })
+					w.after(max(s.holder.NextRequestTime()-w.now, w.agreement.Lease/15), func() { s.retry(life, a.Seq) })
 				}
 			})
 		})
 	})
-	w.after(w.pact.Lease/3, func() { s.retry(life, a.Seq) })
+	w.after(w.agreement.Lease/3, func() { s.retry(life, a.Seq) })
 }
 
 // logQuotas logs what changed of what this node may use, for the judge.
-func (s *nodeQuota) logQuotas() {
+func (s *nodeQuotas) logQuotas() {
 	w := s.node.world
-	for _, b := range slices.Sorted(maps.Keys(w.pact.Budgets)) {
-		for _, name := range w.pact.PartitionNames(b) {
-			now := quota{s.holder.LeasedUnits(name, w.now), s.holder.LeaseExpiry()}
+	for _, b := range slices.Sorted(maps.Keys(w.agreement.Budgets)) {
+		for _, name := range w.agreement.PartitionNames(b) {
+			now := leasedQuota{s.holder.LeasedUnits(name, w.now), s.holder.LeaseExpiry()}
 			if was := s.logged[name]; now == was || now.units == 0 && was.units == 0 {
 				continue
 			}
@@ -196,16 +196,16 @@
 	}
 }
 
-type quota struct{ units, until int64 }
+type leasedQuota struct{ units, until int64 }
 
 // retry asks once more if nothing was asked since.
-func (s *nodeQuota) retry(life int, seq uint64) {
+func (s *nodeQuotas) retry(life int, seq uint64) {
 	if s.holder.Seq() == seq {
-		s.request(life)
+		s.requestLease(life)
 	}
 }
 
-func (s *nodeQuota) units(name string, whole int64) int64 {
+func (s *nodeQuotas) units(name string, whole int64) int64 {
 	if s.holder == nil {
 		return whole
 	}
@@ -213,21 +213,21 @@
 }
 
 // partition is the share that a sending to an executor falls to, its meter, key and whole.
-func (s *nodeQuota) partition(b dispatch.Budget, e *dispatch.Server) (name string, m *budget.UsageMeter, key string, whole int64) {
+func (s *nodeQuotas) partition(b dispatch.Budget, e *dispatch.Server) (name string, m *budget.UsageMeter, key string, whole int64) {
 	w := s.node.world
-	if name = budgets[b]; b != dispatch.BudgetRetries {
-		name, key = w.pact.PartitionName(name, e.Hash), e.Tag
+	if name = budgetNames[b]; b != dispatch.BudgetRetries {
+		name, key = w.agreement.PartitionName(name, e.Hash), e.Tag
 	}
-	return name, s.meters[name], key, w.pact.Budgets[budgets[b]].Total
+	return name, s.meters[name], key, w.agreement.Budgets[budgetNames[b]].Total
 }
 
 // Allow implements dispatch.Shares. Tenants' jobs and calls for the list are not held together here.
-func (s *nodeQuota) Allow(b dispatch.Budget, e *dispatch.Server, _ *dispatch.Request, units float64) bool {
-	if budgets[b] == "" {
+func (s *nodeQuotas) Allow(b dispatch.Budget, e *dispatch.Server, _ *dispatch.Request, units float64) bool {
+	if budgetNames[b] == "" {
 		return true
 	}
 	name, m, key, whole := s.partition(b, e)
-	if m == nil || b == dispatch.BudgetConnections && len(s.node.idle[s.node.places[e]]) > 0 {
+	if m == nil || b == dispatch.BudgetConnections && len(s.node.idleUntil[s.node.serverIndex[e]]) > 0 {
 		return true
 	}
 	if b == dispatch.BudgetSlowStart {
@@ -243,28 +243,28 @@
 }
 
 // hurryRequest asks soon where more is needed, some times in a lease at most.
-func (s *nodeQuota) hurryRequest() {
-	if w := s.node.world; s.holder != nil && w.now-s.requestedAt >= w.pact.Lease/15 {
+func (s *nodeQuotas) hurryRequest() {
+	if w := s.node.world; s.holder != nil && w.now-s.requestedAt >= w.agreement.Lease/15 {
 		s.requestedAt = w.now
-		life, seq := s.node.lives, s.holder.Seq()
+		life, seq := s.node.incarnation, s.holder.Seq()
 		w.after(1, func() { s.retry(life, seq) })
 	}
 }
 
 // Quota implements dispatch.Shares.
-func (s *nodeQuota) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
+func (s *nodeQuotas) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
 	name, m, _, whole := s.partition(b, e)
 	if m == nil {
 		return 1
 	}
 	if s.holder == nil {
-		return 1 / float64(s.node.world.s.Fleet.Nodes) // all may, as any of them
+		return 1 / float64(s.node.world.scenario.Fleet.Nodes) // all may, as any of them
 	}
 	return float64(s.units(name, whole)) / float64(whole)
 }
 
 // reserve charges a posting as it goes out; false: it may not.
-func (s *nodeQuota) reserve(p *dispatch.Attempt, connects bool) bool {
+func (s *nodeQuotas) reserve(p *dispatch.Attempt, connects bool) bool {
 	now := s.node.world.now
 	undo := func() {}
 	for b := range dispatch.BudgetCount {
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -16,14 +16,14 @@
 	return dispatch.New(terms, seed, door, now)
 }
 
-// choice picks one of the executors that are up; none is empty.
-type choice func(b *baseline, up []*dispatch.Server) *dispatch.Server
+// selector picks one of the executors that are up; none is empty.
+type selector func(b *baseline, up []*dispatch.Server) *dispatch.Server
 
 // The baselines are there to be compared with, and keep the rules in the plainest way: a txn goes out at once, to another
 // executor while that is harmless, and is given up at its expiry or when it has spent its postings.
-var baselines = map[string]choice{
+var baselines = map[string]selector{
 	"random":      func(b *baseline, up []*dispatch.Server) *dispatch.Server { return up[b.chance.IntN(len(up))] },
-	"round-robin": func(b *baseline, up []*dispatch.Server) *dispatch.Server { b.turn++; return up[b.turn%len(up)] },
+	"round-robin": func(b *baseline, up []*dispatch.Server) *dispatch.Server { b.rotation++; return up[b.rotation%len(up)] },
 	"least":       func(b *baseline, up []*dispatch.Server) *dispatch.Server { return b.least(up) },
 	"two-choices": func(b *baseline, up []*dispatch.Server) *dispatch.Server {
 		return b.least([]*dispatch.Server{up[b.chance.IntN(len(up))], up[b.chance.IntN(len(up))]})
@@ -62,22 +62,22 @@
 	}
 	return func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider {
 		return &baseline{terms: terms, door: door, now: now, pick: pick, truth: truth, chance: rand.New(rand.NewPCG(seed, 4)),
-			busy: map[*dispatch.Server]int{}, state: map[*dispatch.Attempt]bool{}, forget: map[*dispatch.Request]func(){}}
+			inFlight: map[*dispatch.Server]int{}, mayHaveRun: map[*dispatch.Attempt]bool{}, cancelDeadline: map[*dispatch.Request]func(){}}
 	}, nil
 }
 
 type baseline struct {
-	terms  *dispatch.Settings
-	door   dispatch.Actions
-	now    int64
-	pick   choice
-	truth  func(*dispatch.Server) float64
-	chance *rand.Rand
-	turn   int
-	up     []*dispatch.Server
-	busy   map[*dispatch.Server]int
-	state  map[*dispatch.Attempt]bool // that may have run
-	forget map[*dispatch.Request]func()
+	terms          *dispatch.Settings
+	door           dispatch.Actions
+	now            int64
+	pick           selector
+	truth          func(*dispatch.Server) float64
+	chance         *rand.Rand
+	rotation       int
+	up             []*dispatch.Server
+	inFlight       map[*dispatch.Server]int
+	mayHaveRun     map[*dispatch.Attempt]bool // that may have run
+	cancelDeadline map[*dispatch.Request]func()
 }
 
 func (b *baseline) Advance(now int64) { b.now = now }
@@ -97,7 +97,7 @@
 func (b *baseline) least(of []*dispatch.Server) *dispatch.Server {
 	best, from := of[0], b.chance.IntN(len(of))
 	for i := range of {
-		if e := of[(from+i)%len(of)]; i == 0 || b.busy[e] < b.busy[best] {
+		if e := of[(from+i)%len(of)]; i == 0 || b.inFlight[e] < b.inFlight[best] {
 			best = e
 		}
 	}
@@ -105,40 +105,40 @@
 }
 
 func (b *baseline) Arrive(t *dispatch.Request) {
-	b.forget[t] = b.door.Schedule(t.Deadline-b.now-2*b.terms.Tick, func() { b.finish(t) })
-	b.place(t)
+	b.cancelDeadline[t] = b.door.Schedule(t.Deadline-b.now-2*b.terms.Tick, func() { b.giveUp(t) })
+	b.startAttempt(t)
 }
 
 // mayRun says whether some posting of a txn may have run.
 func (b *baseline) mayRun(t *dispatch.Request) bool {
-	return slices.ContainsFunc(t.Attempts, func(p *dispatch.Attempt) bool { return b.state[p] })
+	return slices.ContainsFunc(t.Attempts, func(p *dispatch.Attempt) bool { return b.mayHaveRun[p] })
 }
 
-func (b *baseline) place(t *dispatch.Request) {
+func (b *baseline) startAttempt(t *dispatch.Request) {
 	s := t.Class
 	switch {
 	case t.Done:
 	case len(b.up) == 0 || len(t.Attempts) >= b.terms.MaxAttempts || b.mayRun(t) && s.Idempotency != dispatch.Idempotent:
-		b.finish(t)
+		b.giveUp(t)
 	default:
 		e := b.pick(b, b.up)
 		p := &dispatch.Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true}
 		t.Attempts = append(t.Attempts, p)
-		b.state[p] = true
-		b.busy[e]++
+		b.mayHaveRun[p] = true
+		b.inFlight[e]++
 		b.door.StartAttempt(p)
 	}
 }
 
 func (b *baseline) AttemptEnded(p *dispatch.Attempt, o dispatch.Outcome, _ int64, over bool) {
 	p.InFlight = false
-	b.busy[p.Server]--
-	b.state[p] = o != dispatch.Rejected && o != dispatch.ConnectFailed && o != dispatch.NotSent
+	b.inFlight[p.Server]--
+	b.mayHaveRun[p] = o != dispatch.Rejected && o != dispatch.ConnectFailed && o != dispatch.NotSent
 	if over {
 		b.Finish(p.Request)
 		return
 	}
-	b.place(p.Request)
+	b.startAttempt(p.Request)
 }
 
 func (b *baseline) Finish(t *dispatch.Request) {
@@ -146,8 +146,8 @@
 		return
 	}
 	t.Done = true
-	b.forget[t]()
-	delete(b.forget, t)
+	b.cancelDeadline[t]()
+	delete(b.cancelDeadline, t)
 	for _, p := range t.Attempts {
 		if p.InFlight {
 			b.door.CancelAttempt(p)
@@ -155,7 +155,7 @@
 	}
 }
 
-func (b *baseline) finish(t *dispatch.Request) {
+func (b *baseline) giveUp(t *dispatch.Request) {
 	if t.Done {
 		return
 	}
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -10,8 +10,8 @@
 // event happens at a time; of several at one time the one that was put in first.
 type event struct {
 	at, order int64
-	do        func()
-	off       bool
+	action    func()
+	canceled  bool
 }
 
 type queue []*event
@@ -32,16 +32,16 @@
 
 // clock is virtual time, in nanoseconds from the start, with what is still to happen.
 type clock struct {
-	now    int64
-	queue  queue
-	orders int64
-	done   int64 // events, ever
+	now       int64
+	queue     queue
+	scheduled int64
+	executed  int64 // events, ever
 }
 
 // after has something happen later; what it gives back calls that off.
-func (c *clock) after(span int64, do func()) *event {
-	c.orders++
-	e := &event{at: c.now + max(span, 0), order: c.orders, do: do}
+func (c *clock) after(delay int64, do func()) *event {
+	c.scheduled++
+	e := &event{at: c.now + max(delay, 0), order: c.scheduled, action: do}
 	heap.Push(&c.queue, e)
 	return e
 }
@@ -50,12 +50,12 @@
 func (c *clock) run(end int64) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		e := heap.Pop(&c.queue).(*event)
-		if e.off {
+		if e.canceled {
 			continue
 		}
 		c.now = e.at
-		c.done++
-		e.do()
+		c.executed++
+		e.action()
 	}
 	c.now = end
 }
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -30,7 +30,9 @@
 	c.want(value >= 0 && value <= 1, key, "%v is no share from 0 to 1", value)
 }
 
-func (c *checker) above(key string, value float64) { c.want(value > 0, key, "missing, or not above 0") }
+func (c *checker) positive(key string, value float64) {
+	c.want(value > 0, key, "missing, or not above 0")
+}
 
 // faultKinds are the kinds of faults that a scenario may name. Tests draw from them by index, so that their order stays.
 var faultKinds = []string{
@@ -49,81 +51,81 @@
 	if c.err != nil {
 		return c.err
 	}
-	return cmp.Or(s.Leases.check(s.Fleet.Nodes, s.Rules.Fall), s.Subset.check(s.Fleet.Executors))
+	return cmp.Or(s.Leases.check(s.Fleet.Nodes, s.Rules.OverloadWindow), s.Subset.check(s.Fleet.Servers))
 }
 
 func (s *Scenario) checkFleet(c *checker) {
-	c.above("length", float64(s.Length))
-	c.want(s.Warm >= 0 && s.Warm < s.Length, "warm", "not within the length")
-	c.above("fleet.nodes", float64(s.Fleet.Nodes))
-	c.above("fleet.executors", float64(s.Fleet.Executors))
-	c.above("fleet.tick", float64(s.Fleet.Tick))
-	c.want(s.Fleet.Decision >= 0, "fleet.decision", "below 0")
+	c.positive("length", float64(s.Length))
+	c.want(s.WarmUp >= 0 && s.WarmUp < s.Length, "warm", "not within the length")
+	c.positive("fleet.nodes", float64(s.Fleet.Nodes))
+	c.positive("fleet.executors", float64(s.Fleet.Servers))
+	c.positive("fleet.tick", float64(s.Fleet.Tick))
+	c.want(s.Fleet.DecisionTime >= 0, "fleet.decision", "below 0")
 	c.want(len(s.Fleet.Zones) > 0, "fleet.zones", "empty")
-	c.above("clients.rate", s.Crowd.Rate)
-	c.want(s.Crowd.Retries >= 0, "clients.retries", "below 0")
-	c.want(s.Crowd.Keys >= 0, "clients.keys", "below 0")
-	c.above("clients.backoff", float64(s.Crowd.Backoff))
-	c.share("clients.follow", s.Crowd.Follow)
-	c.share("clients.skew", s.Crowd.Skew)
-	c.share("network.loss", s.Net.Loss)
-	c.share("discovery.loss", s.Lists.Loss)
-	c.share("rules.cold_share", s.Rules.ColdShare)
-	c.above("rules.postings", float64(s.Rules.Postings))
+	c.positive("clients.rate", s.Clients.Rate)
+	c.want(s.Clients.Retries >= 0, "clients.retries", "below 0")
+	c.want(s.Clients.AffinityKeys >= 0, "clients.keys", "below 0")
+	c.positive("clients.backoff", float64(s.Clients.Backoff))
+	c.share("clients.follow", s.Clients.RetryAfterShare)
+	c.share("clients.skew", s.Clients.ZoneSkew)
+	c.share("network.loss", s.Network.Loss)
+	c.share("discovery.loss", s.Discovery.Loss)
+	c.share("rules.cold_share", s.Rules.SlowStartShare)
+	c.positive("rules.postings", float64(s.Rules.MaxAttempts))
 }
 
 // checkTimes refuses times below 0.
 func (s *Scenario) checkTimes(c *checker) {
 	for _, time := range []struct {
 		key   string
-		value Span
+		value Duration
 	}{
-		{"network.same", s.Net.Same},
-		{"network.cross", s.Net.Cross},
-		{"network.dial", s.Net.Dial},
-		{"network.idle", s.Net.Idle},
-		{"discovery.notice", s.Lists.Notice},
-		{"discovery.spread", s.Lists.Spread},
+		{"network.same", s.Network.SameZoneDelay},
+		{"network.cross", s.Network.CrossZoneDelay},
+		{"network.dial", s.Network.DialTimeout},
+		{"network.idle", s.Network.IdleTimeout},
+		{"discovery.notice", s.Discovery.NoticeDelay},
+		{"discovery.spread", s.Discovery.NotifyDelay},
 		{"rules.slack", s.Rules.Slack},
-		{"rules.grace", s.Rules.Grace},
-		{"rules.cold", s.Rules.Cold},
-		{"rules.fall", s.Rules.Fall},
-		{"rules.progress", s.Rules.Progress},
-		{"rules.return", s.Rules.Return},
+		{"rules.grace", s.Rules.DrainGrace},
+		{"rules.cold", s.Rules.SlowStart},
+		{"rules.fall", s.Rules.OverloadWindow},
+		{"rules.progress", s.Rules.ProgressInterval},
+		{"rules.return", s.Rules.MaxRetryAfter},
 	} {
 		c.want(time.value >= 0, time.key, "below 0")
 	}
 }
 
 func (s *Scenario) checkKinds(c *checker) {
-	c.want(len(s.Kinds) > 0, "kind", "none")
-	for i, k := range s.Kinds {
+	c.want(len(s.MachineTypes) > 0, "kind", "none")
+	for i, k := range s.MachineTypes {
 		at := fmt.Sprintf("kind %d: ", i+1)
 		c.share(at+"share", k.Share)
-		c.above(at+"slots", float64(k.Slots))
-		c.above(at+"cores", k.Cores)
-		c.above(at+"speed", k.Speed)
-		c.want(k.Spread >= 0 && k.Spread < 1, at+"spread", "not from 0 to under 1")
-		c.want(k.Queue >= 0 && k.Handshake >= 0, at+"queue, handshake", "below 0")
-		c.above(at+"connections", float64(k.Connections))
+		c.positive(at+"slots", float64(k.Slots))
+		c.positive(at+"cores", k.Cores)
+		c.positive(at+"speed", k.Speed)
+		c.want(k.SpeedSpread >= 0 && k.SpeedSpread < 1, at+"spread", "not from 0 to under 1")
+		c.want(k.QueueLimit >= 0 && k.HandshakeWork >= 0, at+"queue, handshake", "below 0")
+		c.positive(at+"connections", float64(k.MaxConnections))
 		c.want(slices.Contains([]string{"none", "queued", "all"}, k.Cancel), at+"cancel", "%q is not one of none, queued, all", k.Cancel)
 	}
 }
 
 func (s *Scenario) checkSchemes(c *checker) {
-	c.want(len(s.Scheme) > 0, "scheme", "none")
-	for i, scheme := range s.Scheme {
+	c.want(len(s.Classes) > 0, "scheme", "none")
+	for i, scheme := range s.Classes {
 		at := fmt.Sprintf("scheme %d: ", i+1)
 		c.want(scheme.Name != "", at+"name", "missing")
 		c.share(at+"share", scheme.Share)
-		c.above(at+"run", float64(scheme.Run))
-		c.above(at+"slots", float64(scheme.Slots))
-		c.above(at+"sla", float64(scheme.Sla))
-		c.above(at+"expiry", float64(scheme.Expiry))
-		c.above(at+"value", scheme.Value)
-		c.share(at+"late", scheme.Late)
-		c.want(slices.Contains([]string{"exponential", "fixed"}, scheme.Shape), at+"shape", "%q is not exponential or fixed", scheme.Shape)
-		c.want(effectOf(scheme.Effect) >= 0, at+"effect", "%q is not one of repeatable, referenced, once-only", scheme.Effect)
+		c.positive(at+"run", float64(scheme.MeanRuntime))
+		c.positive(at+"slots", float64(scheme.Slots))
+		c.positive(at+"sla", float64(scheme.LatencyObjective))
+		c.positive(at+"expiry", float64(scheme.Deadline))
+		c.positive(at+"value", scheme.Weight)
+		c.share(at+"late", scheme.LateShare)
+		c.want(slices.Contains([]string{"exponential", "fixed"}, scheme.Distribution), at+"shape", "%q is not exponential or fixed", scheme.Distribution)
+		c.want(idempotencyOf(scheme.Idempotency) >= 0, at+"effect", "%q is not one of repeatable, referenced, once-only", scheme.Idempotency)
 	}
 }
 
@@ -132,21 +134,21 @@
 		at := fmt.Sprintf("fault %d: ", i+1)
 		c.want(slices.Contains(faultKinds, f.Kind), at+"kind", "%q is not one of %v", f.Kind, faultKinds)
 		c.want(f.At >= 0 && f.At < s.Length, at+"at", "not within the length")
-		c.above(at+"for", float64(f.For))
+		c.positive(at+"for", float64(f.For))
 		c.share(at+"part", f.Part)
 		c.want(f.Zone == "" || slices.Contains(s.Fleet.Zones, f.Zone), at+"zone", "%q is none of the fleet's", f.Zone)
 		c.want(f.Strength >= 0, at+"strength", "below 0")
 		c.want(f.Kind != "slow" && f.Kind != "burst" || f.Strength > 0, at+"strength", "missing")
-		c.want(f.Kind != "flap" || f.Again > 0, at+"again", "missing")
-		c.want(f.Scheme == "" || s.hasScheme(f.Scheme), at+"scheme", "%q is none", f.Scheme)
+		c.want(f.Kind != "flap" || f.Interval > 0, at+"again", "missing")
+		c.want(f.Class == "" || s.hasScheme(f.Class), at+"scheme", "%q is none", f.Class)
 		c.want(f.Tenant == "" || s.hasTenant(f.Tenant), at+"tenant", "%q is none", f.Tenant)
 	}
 }
 
 func (s *Scenario) hasScheme(name string) bool {
-	return slices.ContainsFunc(s.Scheme, func(scheme Scheme) bool { return scheme.Name == name })
+	return slices.ContainsFunc(s.Classes, func(scheme Class) bool { return scheme.Name == name })
 }
 
 func (s *Scenario) hasTenant(name string) bool {
-	return slices.ContainsFunc(s.Tenant, func(tenant Tenant) bool { return tenant.Name == name })
+	return slices.ContainsFunc(s.Tenants, func(tenant Tenant) bool { return tenant.Name == name })
 }
--- a/internal/emulator/subset.go
+++ b/internal/emulator/subset.go
@@ -11,41 +11,41 @@
 // Subset says which part of the executors each node uses, with the code that real ones use. What nodes know of each other is
 // the same at all of them, some time late.
 type Subset struct {
-	Size   int  `toml:"size"` // 0: each uses all
-	Cover  int  `toml:"cover"`
-	Notice Span `toml:"notice"` // until all know that a node came or went
+	Size              int      `toml:"size"` // 0: each uses all
+	MinNodesPerServer int      `toml:"cover"`
+	NoticeDelay       Duration `toml:"notice"` // until all know that a node came or went
 }
 
 func (s *Subset) check(executors int) error {
-	if s.Size < 0 || s.Size > executors || s.Size > 0 && (s.Cover < 1 || s.Notice <= 0) {
-		return fmt.Errorf("subset: size %d of %d executors, cover %d, notice %d: out of bounds", s.Size, executors, s.Cover, s.Notice)
+	if s.Size < 0 || s.Size > executors || s.Size > 0 && (s.MinNodesPerServer < 1 || s.NoticeDelay <= 0) {
+		return fmt.Errorf("subset: size %d of %d executors, cover %d, notice %d: out of bounds", s.Size, executors, s.MinNodesPerServer, s.NoticeDelay)
 	}
 	return nil
 }
 
-// regroup has executors divided anew once all know of a node that came or went.
-func (w *world) regroup() {
-	if w.s.Subset.Size == 0 || w.regroups {
+// scheduleSubsetUpdate has executors divided anew once all know of a node that came or went.
+func (w *world) scheduleSubsetUpdate() {
+	if w.scenario.Subset.Size == 0 || w.subsetUpdatePending {
 		return
 	}
-	w.regroups = true
-	w.after(int64(w.s.Subset.Notice), func() {
-		w.regroups = false
+	w.subsetUpdatePending = true
+	w.after(int64(w.scenario.Subset.NoticeDelay), func() {
+		w.subsetUpdatePending = false
 		var nodes []string
 		for _, n := range w.nodes {
 			if n.up {
 				nodes = append(nodes, n.name)
 			}
 		}
-		executors := make([]subset.Server, len(w.executors))
-		for i, e := range w.executors {
-			executors[i] = subset.Server{Name: e.id, Zone: e.zone, MachineType: w.listing[i].MachineType, Size: float64(e.kind.Slots)}
+		executors := make([]subset.Server, len(w.servers))
+		for i, e := range w.servers {
+			executors[i] = subset.Server{Name: e.id, Zone: e.zone, MachineType: w.endpoints[i].MachineType, Size: float64(e.machineType.Slots)}
 		}
-		d := subset.Assign(nodes, executors, subset.Settings{Size: w.s.Subset.Size, MinNodesPerServer: w.s.Subset.Cover})
+		d := subset.Assign(nodes, executors, subset.Settings{Size: w.scenario.Subset.Size, MinNodesPerServer: w.scenario.Subset.MinNodesPerServer})
 		for _, n := range w.nodes {
 			if n.up {
 				far := d.Distances(n.name)
-				for _, e := range n.fleet {
+				for _, e := range n.servers {
 					e.Distance = far[e.Tag]
 				}
 			}
@@ -53,21 +53,21 @@
 	})
 }
 
-// look is between two counts of what connections there are.
-const look = int64(250e6)
+// connectionSampleInterval is between two counts of what connections there are.
+const connectionSampleInterval = int64(250e6)
 
-// open counts the connections that nodes hold, kept and in use, from time to time.
-func (w *world) open() {
-	w.looks++
+// sampleConnections counts the connections that nodes hold, kept and in use, from time to time.
+func (w *world) sampleConnections() {
+	w.connectionSamples++
 	for _, n := range w.nodes {
-		for _, kept := range n.idle {
+		for _, kept := range n.idleUntil {
 			for _, till := range kept {
 				if till >= w.now {
-					w.held++
+					w.connectionSum++
 				}
 			}
 		}
-		w.held += len(n.out)
+		w.connectionSum += len(n.attempts)
 	}
-	w.after(look, w.open)
+	w.after(connectionSampleInterval, w.sampleConnections)
 }
--- a/internal/emulator/wrong_test.go
+++ b/internal/emulator/violations_test.go
@@ -9,19 +9,19 @@
 	"fernrail/dispatch"
 )
 
-// mute is a door on which some answers are lost.
-type mute struct{ dispatch.Actions }
+// unansweringActions is a door on which some answers are lost.
+type unansweringActions struct{ dispatch.Actions }
 
-func (mute) Shed(*dispatch.Request, int64) {}
-func (mute) Compensate(*dispatch.Request)  {}
+func (unansweringActions) Shed(*dispatch.Request, int64) {}
+func (unansweringActions) Compensate(*dispatch.Request)  {}
 
-// deaf hears the list once.
-type deaf struct {
+// staleEndpoints hears the list once.
+type staleEndpoints struct {
 	Decider
 	heard bool
 }
 
-func (d *deaf) UpdateEndpoints(whole bool, members []dispatch.Endpoint) {
+func (d *staleEndpoints) UpdateEndpoints(whole bool, members []dispatch.Endpoint) {
 	if !d.heard {
 		d.heard = true
 		d.Decider.UpdateEndpoints(whole, members)
@@ -50,24 +50,24 @@
 		faults []Fault
 		policy Policy
 	}{
-		{"keeps them", 0, []Fault{{Kind: "errors", At: Span(2e9), For: Span(3e9), Part: 0.5, Strength: 0.5}}, plain("random")},
-		{"forgets answers", 1, []Fault{{Kind: "hang", At: Span(2e9), For: Span(5e9), Part: 0.5}},
+		{"keeps them", 0, []Fault{{Kind: "errors", At: Duration(2e9), For: Duration(3e9), Part: 0.5, Strength: 0.5}}, plain("random")},
+		{"forgets answers", 1, []Fault{{Kind: "hang", At: Duration(2e9), For: Duration(5e9), Part: 0.5}},
 			func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider {
-				return plain("random")(terms, seed, mute{door}, now, truth)
+				return plain("random")(terms, seed, unansweringActions{door}, now, truth)
 			}},
-		{"repeats what must not run twice", 2, []Fault{{Kind: "errors", At: Span(2e9), For: Span(3e9), Part: 0.5, Strength: 0.5}},
+		{"repeats what must not run twice", 2, []Fault{{Kind: "errors", At: Duration(2e9), For: Duration(3e9), Part: 0.5, Strength: 0.5}},
 			func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider {
 				return plain("random")(repeats(terms), seed, door, now, truth)
 			}},
-		{"sends to what drains", 3, []Fault{{Kind: "deploy", At: Span(2e9), For: Span(3e9), Part: 0.5}},
+		{"sends to what drains", 3, []Fault{{Kind: "deploy", At: Duration(2e9), For: Duration(3e9), Part: 0.5}},
 			func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider {
-				return &deaf{Decider: plain("random")(terms, seed, door, now, truth)}
+				return &staleEndpoints{Decider: plain("random")(terms, seed, door, now, truth)}
 			}},
-		{"floods the cold", 4, []Fault{{Kind: "crash", At: Span(2e9), For: Span(1e9), Part: 0.9}, {Kind: "burst", At: Span(2e9), For: Span(5e9), Strength: 3}}, plain("least")},
+		{"floods the cold", 4, []Fault{{Kind: "crash", At: Duration(2e9), For: Duration(1e9), Part: 0.9}, {Kind: "burst", At: Duration(2e9), For: Duration(5e9), Strength: 3}}, plain("least")},
 	} {
-		s := example(t, "quiet.toml")
-		s.Length, s.Faults = Span(8e9), c.faults
-		log := record(t, s, c.policy)
+		s := readExample(t, "quiet.toml")
+		s.Length, s.Faults = Duration(8e9), c.faults
+		log := violatedRules(t, s, c.policy)
 		if c.rule == 0 {
 			if len(log) > 0 {
 				t.Errorf("%s: accused of %+v", c.what, log[0])
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -16,69 +16,69 @@
 // world owns everything of one run.
 type world struct {
 	clock
-	s         *Scenario
-	chance    *rand.Rand // of the network, executors and faults
-	arrivals  *rand.Rand // of the clients, so that policies meet the same traffic
-	executors []*executor
-	nodes     []*node
-	listing   []dispatch.Endpoint // what discovery knows
-	version   int
-	silent    bool // discovery is
-	cuts      map[[2]int]int
-	loss      float64
-	bursts    []*Fault // that are on
-	spoilt    float64  // share of txns that err wherever they go
-	out       func(invariants.Event)
-	leader    *leader
-	pact      budget.Agreement
-	seen      map[string]*budget.UsageMeter // of one that sees all
+	scenario         *Scenario
+	random           *rand.Rand // of the network, executors and faults
+	clientRandom     *rand.Rand // of the clients, so that policies meet the same traffic
+	servers          []*server
+	nodes            []*node
+	endpoints        []dispatch.Endpoint // what discovery knows
+	listVersion      int
+	discoveryStopped bool // discovery is
+	cuts             map[[2]int]int
+	messageLoss      float64
+	bursts           []*Fault // that are on
+	failingShare     float64  // share of txns that err wherever they go
+	emit             func(invariants.Event)
+	leader           *leader
+	agreement        budget.Agreement
+	sharedMeters     map[string]*budget.UsageMeter // of one that sees all
 
-	marks            map[*origin]int64 // of referenced txns: when one first ran
-	taken            int
-	fallen, messages int
-	handshakes       int
-	looks, held      int     // at connections; how many there were in all of them
-	regroups         bool    // a division of executors is due
-	busy             float64 // work done
-	cold             float64 // work sent to cold executors
-	offered          float64 // work that first tries ask for
-	effects          map[*origin]int
-	postings         int
+	lastEffectAt                     map[*operation]int64 // of referenced txns: when one first ran
+	requestCount                     int
+	overloadCount, messageCount      int
+	handshakeCount                   int
+	connectionSamples, connectionSum int     // at connections; how many there were in all of them
+	subsetUpdatePending              bool    // a division of executors is due
+	completedWork                    float64 // work done
+	slowStartWork                    float64 // work sent to cold executors
+	offeredWork                      float64 // work that first tries ask for
+	effectCounts                     map[*operation]int
+	attemptCount                     int
 }
 
-// epoch is where clocks begin.
-const epoch = int64(1e12)
+// startTime is where clocks begin.
+const startTime = int64(1e12)
 
 // Report is what came of a run, beside its log.
 type Report struct {
-	Events     int64   // of the queue
-	Txns       int     // taken by nodes, later tries among them
-	Postings   int     //
-	Handshakes int     //
-	Held       float64 // connections, the mean over time
-	Fallen     int     // cold executors that were pushed over
-	Work       float64 // slots times seconds that executors did
-	Offered    float64 // the same, of first tries
-	Cold       float64 // slots times seconds of work sent to cold executors
-	Calls      int     // for leases
-	Twice      int     // effects of txns that must not run twice, beyond the first
+	Events           int64   // of the queue
+	Requests         int     // taken by nodes, later tries among them
+	Attempts         int     //
+	Handshakes       int     //
+	MeanConnections  float64 // connections, the mean over time
+	Overloads        int     // cold executors that were pushed over
+	Work             float64 // slots times seconds that executors did
+	OfferedWork      float64 // the same, of first tries
+	SlowStartWork    float64 // slots times seconds of work sent to cold executors
+	LeaseRequests    int     // for leases
+	DuplicateEffects int     // effects of txns that must not run twice, beyond the first
 }
 
 // Run plays a scenario. Policy makes what decides on one node; log hears every event in order.
 func Run(s *Scenario, seed uint64, policy Policy, log func(invariants.Event)) Report {
-	w := &world{s: s, chance: rand.New(rand.NewPCG(seed, 1)), arrivals: rand.New(rand.NewPCG(seed, 2)), cuts: map[[2]int]int{},
-		out: log, marks: map[*origin]int64{}, effects: map[*origin]int{}}
-	w.now = epoch
+	w := &world{scenario: s, random: rand.New(rand.NewPCG(seed, 1)), clientRandom: rand.New(rand.NewPCG(seed, 2)), cuts: map[[2]int]int{},
+		emit: log, lastEffectAt: map[*operation]int64{}, effectCounts: map[*operation]int{}}
+	w.now = startTime
 	place := rand.New(rand.NewPCG(seed, 3))
-	for i, best := range s.kinds() {
-		k := &s.Kinds[best]
-		e := &executor{world: w, id: "e" + strconv.Itoa(i), zone: i % len(s.Fleet.Zones), kind: k, at: w.now, up: true,
-			speed: k.Speed * (1 + k.Spread*(2*place.Float64()-1))}
-		w.executors = append(w.executors, e)
-		w.listing = append(w.listing, dispatch.Endpoint{Zone: e.zone, MachineType: best, Capacity: 1})
+	for i, best := range s.machineTypeIndexes() {
+		k := &s.MachineTypes[best]
+		e := &server{world: w, id: "e" + strconv.Itoa(i), zone: i % len(s.Fleet.Zones), machineType: k, advancedUntil: w.now, up: true,
+			speed: k.Speed * (1 + k.SpeedSpread*(2*place.Float64()-1))}
+		w.servers = append(w.servers, e)
+		w.endpoints = append(w.endpoints, dispatch.Endpoint{Zone: e.zone, MachineType: best, Capacity: 1})
 	}
-	w.pact = s.Leases.agreement(s.Fleet.Nodes)
-	w.seen = w.meters()
+	w.agreement = s.Leases.agreement(s.Fleet.Nodes)
+	w.sharedMeters = w.newMeters()
 	if s.Leases.Mode == "leased" {
 		w.startLeader()
 	}
@@ -90,33 +90,33 @@
 	for i := range s.Faults {
 		w.schedule(&s.Faults[i])
 	}
-	w.clients()
-	w.after(int64(s.Warm), w.open)
-	end := epoch + int64(s.Length)
+	w.scheduleArrivals()
+	w.after(int64(s.WarmUp), w.sampleConnections)
+	end := startTime + int64(s.Length)
 	w.run(end)
-	longest := Span(0)
-	for _, c := range s.Scheme {
-		longest = max(longest, c.Expiry)
+	longest := Duration(0)
+	for _, c := range s.Classes {
+		longest = max(longest, c.Deadline)
 	}
 	w.run(end + int64(longest) + int64(1e9))
-	r := Report{Events: w.done, Txns: w.taken, Postings: w.postings, Handshakes: w.handshakes, Held: float64(w.held) / float64(max(w.looks, 1)), Fallen: w.fallen, Work: w.busy / 1e9}
-	for _, n := range w.effects {
-		r.Twice += n - 1
+	r := Report{Events: w.executed, Requests: w.requestCount, Attempts: w.attemptCount, Handshakes: w.handshakeCount, MeanConnections: float64(w.connectionSum) / float64(max(w.connectionSamples, 1)), Overloads: w.overloadCount, Work: w.completedWork / 1e9}
+	for _, n := range w.effectCounts {
+		r.DuplicateEffects += n - 1
 	}
-	r.Offered, r.Cold = w.offered/1e9, w.cold/1e9
+	r.OfferedWork, r.SlowStartWork = w.offeredWork/1e9, w.slowStartWork/1e9
 	if w.leader != nil {
-		r.Calls = w.leader.requests
+		r.LeaseRequests = w.leader.requests
 	}
 	return r
 }
 
-// kinds is which kind each executor is of, by their shares.
-func (s *Scenario) kinds() (out []int) {
-	left := make([]float64, len(s.Kinds))
-	for range s.Fleet.Executors {
+// machineTypeIndexes is which kind each executor is of, by their shares.
+func (s *Scenario) machineTypeIndexes() (out []int) {
+	left := make([]float64, len(s.MachineTypes))
+	for range s.Fleet.Servers {
 		best := 0
-		for k := range s.Kinds {
-			if left[k] += s.Kinds[k].Share; left[k] > left[best] {
+		for k := range s.MachineTypes {
+			if left[k] += s.MachineTypes[k].Share; left[k] > left[best] {
 				best = k
 			}
 		}
@@ -126,15 +126,15 @@
 	return out
 }
 
-// Held gives the figures that the judge holds a log of this scenario against.
-func (s *Scenario) Held() invariants.Rules {
-	r := invariants.Rules{Slack: int64(s.Rules.Slack), DrainGrace: int64(s.Rules.Grace), OverloadWindow: int64(s.Rules.Fall), OverloadFactor: s.Rules.FallMultiple,
-		SlowStart: int64(s.Rules.Cold), SlowStartShare: s.Rules.ColdShare, AllowHedging: s.Rules.Doubles, Classes: map[string]invariants.Class{}, Servers: map[string]invariants.ServerPlace{}}
-	for i, k := range s.kinds() {
-		r.Servers["e"+strconv.Itoa(i)] = invariants.ServerPlace{Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)], Slots: float64(s.Kinds[k].Slots)}
+// InvariantRules gives the figures that the judge holds a log of this scenario against.
+func (s *Scenario) InvariantRules() invariants.Rules {
+	r := invariants.Rules{Slack: int64(s.Rules.Slack), DrainGrace: int64(s.Rules.DrainGrace), OverloadWindow: int64(s.Rules.OverloadWindow), OverloadFactor: s.Rules.OverloadFactor,
+		SlowStart: int64(s.Rules.SlowStart), SlowStartShare: s.Rules.SlowStartShare, AllowHedging: s.Rules.AllowHedging, Classes: map[string]invariants.Class{}, Servers: map[string]invariants.ServerPlace{}}
+	for i, k := range s.machineTypeIndexes() {
+		r.Servers["e"+strconv.Itoa(i)] = invariants.ServerPlace{Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)], Slots: float64(s.MachineTypes[k].Slots)}
 	}
-	for _, c := range s.Scheme {
-		r.Classes[c.Name] = invariants.Class{Idempotency: c.Effect, DedupScope: "all", DedupWindow: int64(c.Memory)}
+	for _, c := range s.Classes {
+		r.Classes[c.Name] = invariants.Class{Idempotency: c.Idempotency, DedupScope: "all", DedupWindow: int64(c.DedupWindow)}
 	}
 	if s.Leases.Mode == "leased" {
 		p := s.Leases.agreement(s.Fleet.Nodes)
@@ -150,112 +150,112 @@
 
 func (w *world) log(e invariants.Event) {
 	e.At = w.now
-	w.out(e)
+	w.emit(e)
 }
 
 // send takes something over the network, if it gets through.
 func (w *world) send(from, to int, then func()) {
-	w.messages++
-	if w.cuts[[2]int{from, to}] > 0 || w.chance.Float64() < max(w.s.Net.Loss, w.loss) {
+	w.messageCount++
+	if w.cuts[[2]int{from, to}] > 0 || w.random.Float64() < max(w.scenario.Network.Loss, w.messageLoss) {
 		return
 	}
-	base := float64(w.s.Net.Same)
+	base := float64(w.scenario.Network.SameZoneDelay)
 	if from != to {
-		base = float64(w.s.Net.Cross)
+		base = float64(w.scenario.Network.CrossZoneDelay)
 	}
-	w.after(int64(base*(1+w.s.Net.Jitter*w.chance.ExpFloat64())), then)
+	w.after(int64(base*(1+w.scenario.Network.Jitter*w.random.ExpFloat64())), then)
 }
 
-// tell has discovery learn what an executor is now, after a while, and then all nodes.
-func (w *world) tell(i int, state dispatch.EndpointState) {
-	since := w.executors[i].begun
-	w.after(int64(w.s.Lists.Notice), func() {
-		if m := &w.listing[i]; m.StartedAt <= since {
+// publishState has discovery learn what an executor is now, after a while, and then all nodes.
+func (w *world) publishState(i int, state dispatch.EndpointState) {
+	since := w.servers[i].startedAt
+	w.after(int64(w.scenario.Discovery.NoticeDelay), func() {
+		if m := &w.endpoints[i]; m.StartedAt <= since {
 			m.State, m.StartedAt = state, since
-			w.version++
+			w.listVersion++
 		}
-		w.spread()
+		w.notifyNodes()
 	})
 }
 
-// spread brings the nodes that want to hear of it what discovery knows.
-func (w *world) spread() {
-	if w.silent {
+// notifyNodes brings the nodes that want to hear of it what discovery knows.
+func (w *world) notifyNodes() {
+	if w.discoveryStopped {
 		return
 	}
 	for _, n := range w.nodes {
-		if n.watches {
-			w.news(n)
+		if n.polls {
+			w.sendEndpoints(n)
 		}
 	}
 }
 
-// news brings one node the list after a while; one that is lost on the way comes a notice later.
-func (w *world) news(n *node) {
-	life := n.lives
-	delay := w.chance.Int64N(int64(w.s.Lists.Spread) + 1)
-	if w.chance.Float64() < w.s.Lists.Loss {
-		delay += int64(w.s.Lists.Notice)
+// sendEndpoints brings one node the list after a while; one that is lost on the way comes a notice later.
+func (w *world) sendEndpoints(n *node) {
+	life := n.incarnation
+	delay := w.random.Int64N(int64(w.scenario.Discovery.NotifyDelay) + 1)
+	if w.random.Float64() < w.scenario.Discovery.Loss {
+		delay += int64(w.scenario.Discovery.NoticeDelay)
 	}
 	w.after(delay, func() {
-		if n.lives == life && n.up && !w.silent && n.had < w.version {
-			n.listed()
+		if n.incarnation == life && n.up && !w.discoveryStopped && n.listVersion < w.listVersion {
+			n.updateEndpoints()
 		}
 	})
 }
 
-// ran notes that a job has had its effect; that of a referenced txn which its group remembers is dropped.
-func (w *world) ran(j *job) {
-	if effectOf(j.txn.scheme.Effect) == dispatch.Idempotent || w.remembers(j) {
+// recordEffect notes that a job has had its effect; that of a referenced txn which its group remembers is dropped.
+func (w *world) recordEffect(j *job) {
+	if idempotencyOf(j.request.class.Idempotency) == dispatch.Idempotent || w.isDeduplicated(j) {
 		return
 	}
-	w.effects[j.txn.origin]++
-	w.marks[j.txn.origin] = w.now
+	w.effectCounts[j.request.operation]++
+	w.lastEffectAt[j.request.operation] = w.now
 }
 
-// remembers says whether a referenced txn's mark is known, so that it is not run again.
-func (w *world) remembers(j *job) bool {
-	at, known := w.marks[j.txn.origin]
-	return known && j.txn.scheme.Effect == "referenced" && w.now-at <= int64(j.txn.scheme.Memory)
+// isDeduplicated says whether a referenced txn's mark is known, so that it is not run again.
+func (w *world) isDeduplicated(j *job) bool {
+	at, known := w.lastEffectAt[j.request.operation]
+	return known && j.request.class.Idempotency == "referenced" && w.now-at <= int64(j.request.class.DedupWindow)
 }
 
-// pick draws a part of so many, at least one.
-func (w *world) pick(n int, part float64) []int {
-	return w.chance.Perm(n)[:min(max(int(math.Round(part*float64(n))), 1), n)]
+// sampleIndexes draws a part of so many, at least one.
+func (w *world) sampleIndexes(n int, part float64) []int {
+	return w.random.Perm(n)[:min(max(int(math.Round(part*float64(n))), 1), n)]
 }
 
-func (w *world) place(e *executor) int { return slices.Index(w.executors, e) }
+func (w *world) serverIndex(e *server) int { return slices.Index(w.servers, e) }
 
-// crash ends an executor and has it come back cold.
-func (w *world) crash(e *executor, away int64) {
+// crashServer ends an executor and has it come back cold.
+func (w *world) crashServer(e *server, away int64) {
 	if !e.up {
 		return
 	}
-	i := w.place(e)
+	i := w.serverIndex(e)
 	e.stop(false)
-	w.tell(i, dispatch.Removed)
+	w.publishState(i, dispatch.Removed)
 	w.after(away, func() {
 		e.start()
-		w.tell(i, dispatch.Up)
+		w.publishState(i, dispatch.Up)
 	})
 }
 
-// swap has an executor drain for the grace and what it was told of takes, then start anew.
-func (w *world) swap(e *executor) {
+// replaceServer has an executor drain for the grace and what it was told of takes, then start anew.
+func (w *world) replaceServer(e *server) {
 	if !e.up {
 		return
 	}
-	i, life := w.place(e), e.lives
-	w.tell(i, dispatch.Draining)
-	wait := int64(w.s.Lists.Notice + w.s.Lists.Spread + w.s.Rules.Grace)
+	i, life := w.serverIndex(e), e.incarnation
+	w.publishState(i, dispatch.Draining)
+	wait := int64(w.scenario.Discovery.NoticeDelay + w.scenario.Discovery.NotifyDelay + w.scenario.Rules.DrainGrace)
 	w.after(wait, func() {
-		if e.lives != life {
+		if e.incarnation != life {
 			return
 		}
 		e.draining = true
 		w.after(wait, func() {
-			if e.lives == life {
-				w.crash(e, int64(1e8))
+			if e.incarnation == life {
+				w.crashServer(e, int64(1e8))
 			}
 		})
 	})
