--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -9,15 +9,15 @@
 	"fernrail/dispatch"
 )
 
-// What a client hears in the end.
+// The final results that a client receives.
 const (
 	resultSucceeded   = "settled"
 	resultShed        = "declined"
 	resultCompensated = "reversed"
-	resultReset       = "reset" // its node died
+	resultReset       = "reset" // its node was killed
 )
 
-// operation is what a client wants, however often it asks.
+// operation is a client's unit of work. All of its retries share one operation.
 type operation struct {
 	id                                   string
 	firstRequestedAt, latencyObjectiveAt int64
@@ -26,22 +26,23 @@
 	done                                 bool
 }
 
-// request is one try.
+// request is one try of an operation.
 type request struct {
 	id               string
 	operation        *operation
 	class            *Class
 	tenant           int
 	affinityKey      uint64
-	work             float64 // slots times ns on the yardstick
+	work             float64 // slots times ns on a core of speed 1
 	deadline         int64
 	retryAfter       int64
 	failsEverywhere  bool
 	zone             int
-	remainingRetries int // left
+	remainingRetries int
 }
 
-// scheduleArrivals has first tries arrive, each at its own time whatever becomes of those before.
+// scheduleArrivals schedules the first requests of all operations as an open loop: arrivals do not wait for
+// answers.
 func (w *world) scheduleArrivals() {
 	end, number := startTime+int64(w.scenario.Length), 0
 	var next func()
@@ -68,25 +69,26 @@
 	return slices.IndexFunc(w.scenario.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// drawByShare picks one of so many by their shares.
+// drawByShare draws an index below n with a probability in proportion to its share.
 func (w *world) drawByShare(n int, share func(int) float64) int {
 	sum := 0.0
 	for i := range n {
 		sum += share(i)
 	}
-	at := w.clientRandom.Float64() * sum
+	remaining := w.clientRandom.Float64() * sum
 	for i := range n {
-		if at -= share(i); at < 0 {
+		if remaining -= share(i); remaining < 0 {
 			return i
 		}
 	}
 	return n - 1
 }
 
-// sendFirstRequest makes a client's sendFirstRequest try.
+// sendFirstRequest creates an operation and sends its first request.
 func (w *world) sendFirstRequest(number int) {
-	s := &w.scenario.Classes[w.drawByShare(len(w.scenario.Classes), func(i int) float64 { return w.scenario.Classes[i].Share })]
-	q := &request{class: s, remainingRetries: w.scenario.Clients.Retries}
+	class := &w.scenario.Classes[w.drawByShare(len(w.scenario.Classes),
+		func(i int) float64 { return w.scenario.Classes[i].Share })]
+	q := &request{class: class, remainingRetries: w.scenario.Clients.Retries}
 	if n := len(w.scenario.Tenants); n > 0 {
 		q.tenant = w.drawByShare(n, func(i int) float64 {
 			share := w.scenario.Tenants[i].Share
@@ -98,12 +100,12 @@
 			return share
 		})
 	}
-	run := float64(s.MeanRuntime)
-	if s.Distribution == "exponential" {
-		run *= w.clientRandom.ExpFloat64()
+	runtime := float64(class.MeanRuntime)
+	if class.Distribution == "exponential" {
+		runtime *= w.clientRandom.ExpFloat64()
 	}
-	run = max(run, 1e3)
-	q.work = run * float64(s.Slots)
+	runtime = max(runtime, 1e3)
+	q.work = runtime * float64(class.Slots)
 	if n := w.scenario.Clients.AffinityKeys; n > 0 {
 		q.affinityKey = 1 + uint64(w.drawByShare(n, func(i int) float64 { return 1 / float64(i+1) }))
 	}
@@ -112,16 +114,18 @@
 		q.zone = 0
 	}
 	q.failsEverywhere = w.failingShare > 0 && w.clientRandom.Float64() < w.failingShare
-	q.operation = &operation{id: "c" + strconv.Itoa(number), firstRequestedAt: w.now, latencyObjectiveAt: w.now + int64(s.LatencyObjective) + int64(s.ObjectivePerRuntime*run),
-		weight: s.Weight, deadline: w.now + int64(s.Deadline)}
+	q.operation = &operation{id: "c" + strconv.Itoa(number), firstRequestedAt: w.now,
+		latencyObjectiveAt: w.now + int64(class.LatencyObjective) + int64(class.ObjectivePerRuntime*runtime),
+		weight:             class.Weight, deadline: w.now + int64(class.Deadline)}
 	if w.now-startTime < int64(w.scenario.WarmUp) || q.failsEverywhere {
-		q.operation.weight = 0 // not counted
+		q.operation.weight = 0 // excluded from the summary
 	}
 	w.offeredWork += q.work
 	w.sendRequest(q)
 }
 
-// sendRequest sends a try to a node of the client's zone, drawn by a front that knows of none which are down.
+// sendRequest sends a request to a random node of the client's zone. The front end that selects the node has
+// no health information, so that a node that is down may be selected.
 func (w *world) sendRequest(q *request) {
 	var nodes []*node
 	for _, n := range w.nodes {
@@ -137,14 +141,15 @@
 	})
 }
 
-// answerClient is what a client hears; it may come again.
+// answerClient delivers a final answer to the client, which may retry after one that is not a success.
 func (w *world) answerClient(_ *node, q *request, result string) {
 	w.after(int64(w.scenario.Network.SameZoneDelay), func() {
 		if result == resultSucceeded {
 			q.operation.done = true
 			return
 		}
-		harmless := result == resultShed || result == resultReset && q.class.Idempotency != "once-only" || q.class.Idempotency == "repeatable"
+		harmless := result == resultShed || result == resultReset && q.class.Idempotency != "once-only" ||
+			q.class.Idempotency == "repeatable"
 		if q.remainingRetries == 0 || !harmless || w.now >= q.operation.deadline {
 			return
 		}
@@ -152,12 +157,13 @@
 		if q.retryAfter > 0 && w.clientRandom.Float64() < w.scenario.Clients.RetryAfterShare {
 			wait = q.retryAfter
 		}
-		again := *q
-		again.remainingRetries, again.retryAfter = q.remainingRetries-1, 0
-		w.after(wait, func() { w.sendRequest(&again) })
+		retry := *q
+		retry.remainingRetries, retry.retryAfter = q.remainingRetries-1, 0
+		w.after(wait, func() { w.sendRequest(&retry) })
 	})
 }
 
-func (w *world) classAt(n *node, s *Class) *dispatch.Class {
-	return n.classes[slices.IndexFunc(w.scenario.Classes, func(c Class) bool { return c.Name == s.Name })]
+// classAt returns a node's dispatch class for a class of the scenario.
+func (w *world) classAt(n *node, class *Class) *dispatch.Class {
+	return n.classes[slices.IndexFunc(w.scenario.Classes, func(c Class) bool { return c.Name == class.Name })]
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -208,8 +208,8 @@
 	return s
 }
 
-// FuzzRules: whatever goes wrong, singly and together, the module keeps the rules, no effect comes twice, and no cold executor
-// is pushed over.
+// FuzzRules: whatever goes wrong, singly and together, the module keeps the rules, no effect comes twice, and
+// no cold executor is pushed over.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(6) {
 		f.Add(seed)
@@ -223,8 +223,8 @@
 	})
 }
 
-// TestBaselinesAreWorse: on a day of troubles the module serves more than blind choice, and nothing more than what sees all
-// on a quiet one.
+// TestBaselinesAreWorse: on a day of troubles the module serves more than blind choice, and nothing more than
+// what sees all on a quiet one.
 func TestBaselinesAreWorse(t *testing.T) {
 	s := readExample(t, "troubles.toml")
 	s.Length = Duration(25e9)
--- a/internal/emulator/leases.go
+++ b/internal/emulator/leases.go
@@ -12,15 +12,19 @@
 	"fernrail/internal/invariants"
 )
 
-// Leases say how nodes hold budgets together, with the code that real ones use.
+// Leases configures how nodes share budgets, with the code that real nodes run. Mode is one of:
+//   - turns: nodes receive no quotas;
+//   - leased: nodes lease quotas from the leader;
+//   - alone: each node acts as the only one;
+//   - all: each node has the usage of all nodes, without leases.
 type Leases struct {
-	Mode          string                  `toml:"mode"`  // turns: nothing is told; leased; alone: each node takes itself for the only one; all: one that sees all
-	LeaseDuration Duration                `toml:"lease"` //
+	Mode          string                  `toml:"mode"`
+	LeaseDuration Duration                `toml:"lease"`
 	ClockMargin   float64                 `toml:"margin"`
-	Budgets       map[string]BudgetLimits `toml:"budget"` // again, connect, cold
+	Budgets       map[string]BudgetLimits `toml:"budget"` // by name: again, connect, cold
 }
 
-// BudgetLimits is one budget.
+// BudgetLimits are the limits of one budget, in units. The budget package documents them.
 type BudgetLimits struct {
 	Total      int64    `toml:"whole"`
 	Floor      int64    `toml:"floor"`
@@ -32,21 +36,25 @@
 
 var leaseModes = []string{"turns", "leased", "alone", "all"}
 
-// budgetNames are the module's, by the scenario's words.
-var budgetNames = [dispatch.BudgetCount]string{dispatch.BudgetRetries: "again", dispatch.BudgetConnections: "connect", dispatch.BudgetSlowStart: "cold"}
+// budgetNames are the names that scenarios have for the budgets of the dispatch package; empty: not shared
+// here.
+var budgetNames = [dispatch.BudgetCount]string{dispatch.BudgetRetries: "again",
+	dispatch.BudgetConnections: "connect", dispatch.BudgetSlowStart: "cold"}
 
 func (l *Leases) agreement(nodes int) budget.Agreement {
-	p := budget.Agreement{MaxNodes: int64(nodes), Lease: int64(l.LeaseDuration), ClockMargin: l.ClockMargin, Budgets: map[string]budget.Limits{}}
+	agreement := budget.Agreement{MaxNodes: int64(nodes), Lease: int64(l.LeaseDuration),
+		ClockMargin: l.ClockMargin, Budgets: map[string]budget.Limits{}}
 	for name, b := range l.Budgets {
-		p.Budgets[name] = budget.Limits{Total: b.Total, Floor: b.Floor, Reserve: b.Reserve, Step: max(b.Step, 1), Window: int64(b.Window), Partitions: b.Partitions}
+		agreement.Budgets[name] = budget.Limits{Total: b.Total, Floor: b.Floor, Reserve: b.Reserve,
+			Step: max(b.Step, 1), Window: int64(b.Window), Partitions: b.Partitions}
 	}
-	return p
+	return agreement
 }
 
-// usesQuotas says whether the nodes are told what they may use.
+// usesQuotas reports whether nodes have quotas of the budgets.
 func (l *Leases) usesQuotas() bool { return l.Mode == "leased" || l.Mode == "all" }
 
-func (l *Leases) check(nodes int, fall Duration) error {
+func (l *Leases) check(nodes int, overloadWindow Duration) error {
 	if !slices.Contains(leaseModes, l.Mode) {
 		return fmt.Errorf("leases.mode: %q is not one of %v", l.Mode, leaseModes)
 	}
@@ -55,37 +63,39 @@
 	}
 	for name := range l.Budgets {
 		if !slices.Contains(budgetNames[:], name) {
-			return fmt.Errorf("leases.budget.%s: no such budget; there are %v", name, budgetNames)
+			return fmt.Errorf("leases.budget.%s: unknown budget, want one of %v", name, budgetNames)
 		}
 	}
-	if b, is := l.Budgets["cold"]; !is || b.Window < fall {
-		return fmt.Errorf("leases.budget.cold: missing, or its window is under rules.fall")
+	if b, ok := l.Budgets["cold"]; !ok || b.Window < overloadWindow {
+		return fmt.Errorf("leases.budget.cold: missing, or its window is shorter than rules.fall")
 	}
-	p := l.agreement(nodes)
-	if err := p.Validate(); err != nil {
+	agreement := l.agreement(nodes)
+	if err := agreement.Validate(); err != nil {
 		return fmt.Errorf("leases.%w", err)
 	}
 	return nil
 }
 
-// leader is the voters, as one actor of the world. While it is down nobody answers; what comes after it is another term.
+// leader simulates all voters as one actor. While it is stopped, lease requests get no response. Its restart
+// begins a new term.
 type leader struct {
 	world    *world
 	ledger   *budget.Ledger
-	term     *budget.LeaderTerm
+	term     *budget.LeaderTerm // nil: stopped
 	epoch    uint64
 	requests int
 }
 
-// expiryInterval is between two looks at what has run out.
+// expiryInterval is the time between two checks for expired leases, in nanoseconds.
 const expiryInterval = int64(25e6)
 
+// startLeader starts the leader and the periodic expiry of leases.
 func (w *world) startLeader() {
 	g := &leader{world: w, ledger: budget.NewLedger()}
 	w.leader = g
 	g.elect()
-	var look func()
-	look = func() {
+	var expireLeases func()
+	expireLeases = func() {
 		if g.term != nil {
 			if due := g.term.DueExpirations(w.now); due != nil {
 				// The leader's own term is the current one, so that its entries are always applied.
@@ -94,46 +104,48 @@
 				}
 			}
 		}
-		w.after(expiryInterval, look)
+		w.after(expiryInterval, expireLeases)
 	}
-	look()
+	expireLeases()
 }
 
+// elect starts a new leader term.
 func (g *leader) elect() {
 	g.epoch++
 	entry := &budget.LogEntry{NewTerm: true, Epoch: g.epoch, Agreement: &g.world.agreement}
 	if _, err := g.ledger.Apply(entry); err != nil {
-		panic(err) // epochs only rise here
+		panic(err) // Apply rejects outdated epochs only, and each election increases the epoch
 	}
 	g.term = budget.NewLeaderTerm(g.ledger, g.epoch, g.world.now)
 }
 
-func (g *leader) handleRequest(a budget.LeaseRequest, answer func(*budget.LeaseResponse)) {
+// handleRequest applies a lease request and passes on the response, if there is one.
+func (g *leader) handleRequest(request budget.LeaseRequest, respond func(*budget.LeaseResponse)) {
 	if g.term == nil {
 		return
 	}
 	g.requests++
-	e := &budget.LogEntry{Epoch: g.epoch, Requests: []budget.LeaseRequest{a}}
-	answers, err := g.ledger.Apply(e)
-	if err != nil || answers[0] == nil {
+	entry := &budget.LogEntry{Epoch: g.epoch, Requests: []budget.LeaseRequest{request}}
+	responses, err := g.ledger.Apply(entry)
+	if err != nil || responses[0] == nil {
 		return
 	}
-	g.term.RecordApplied(g.ledger, e, answers, g.world.now)
-	answers[0].LeaderTime = g.world.now
-	answer(answers[0])
+	g.term.RecordApplied(g.ledger, entry, responses, g.world.now)
+	responses[0].LeaderTime = g.world.now
+	respond(responses[0])
 }
 
-// nodeQuotas is a node's part of what all hold together.
+// nodeQuotas are a node's quotas of the shared budgets.
 type nodeQuotas struct {
 	node        *node
-	holder      *budget.LeaseHolder // nil: it sees all, and needs no lease
+	holder      *budget.LeaseHolder // nil: lease mode "all", which needs no lease
 	demand      *budget.DemandEstimator
 	meters      map[string]*budget.UsageMeter
 	requestedAt int64
 	logged      map[string]leasedQuota
 }
 
-// newQuotas gives a node that starts its part.
+// newQuotas returns the quotas of a node that starts, and sends its first lease request.
 func (n *node) newQuotas() *nodeQuotas {
 	w := n.world
 	s := &nodeQuotas{node: n, meters: w.sharedMeters, logged: map[string]leasedQuota{}}
@@ -146,146 +158,157 @@
 	return s
 }
 
+// newMeters returns a usage meter for each partition of each budget.
 func (w *world) newMeters() map[string]*budget.UsageMeter {
-	out := map[string]*budget.UsageMeter{}
+	meters := map[string]*budget.UsageMeter{}
 	for b := range w.agreement.Budgets {
 		for _, name := range w.agreement.PartitionNames(b) {
-			out[name] = budget.NewUsageMeter(&w.agreement, name)
+			meters[name] = budget.NewUsageMeter(&w.agreement, name)
 		}
 	}
-	return out
+	return meters
 }
 
-// requestLease calls the granter, and again when that is due. What gets lost is asked for once more.
-func (s *nodeQuotas) requestLease(life int) {
+// requestLease sends a lease request to the leader and schedules the next one. A request without a response
+// is repeated after a third of the lease.
+func (s *nodeQuotas) requestLease(incarnation int) {
 	n := s.node
 	w := n.world
-	if !n.up || n.incarnation != life {
+	if !n.up || n.incarnation != incarnation {
 		return
 	}
 	s.requestedAt = w.now
 	defer s.logQuotas()
-	a := s.holder.NextRequest(s.demand.Estimate(func(name string) (float64, bool) { return s.meters[name].PeakDemand(w.now) },
+	request := s.holder.NextRequest(s.demand.Estimate(
+		func(name string) (float64, bool) { return s.meters[name].PeakDemand(w.now) },
 		func(name string) int64 { return s.holder.Units(name, w.now) }), w.now)
 	w.send(n.zone, 0, func() {
-		w.leader.handleRequest(a, func(answer *budget.LeaseResponse) {
+		w.leader.handleRequest(request, func(response *budget.LeaseResponse) {
 			w.send(0, n.zone, func() {
-				if n.up && n.incarnation == life && s.holder.ApplyResponse(answer, w.now) {
-					s.demand.ObserveResponse(answer)
+				if n.up && n.incarnation == incarnation && s.holder.ApplyResponse(response, w.now) {
+					s.demand.ObserveResponse(response)
 					s.logQuotas()
-					w.after(max(s.holder.NextRequestTime()-w.now, w.agreement.Lease/15), func() { s.retry(life, a.Seq) })
+					w.after(max(s.holder.NextRequestTime()-w.now, w.agreement.Lease/15),
+						func() { s.retry(incarnation, request.Seq) })
 				}
 			})
 		})
 	})
-	w.after(w.agreement.Lease/3, func() { s.retry(life, a.Seq) })
+	w.after(w.agreement.Lease/3, func() { s.retry(incarnation, request.Seq) })
 }
 
-// logQuotas logs what changed of what this node may use, for the judge.
+// logQuotas logs the node's leased quotas that have changed, for the checker.
 func (s *nodeQuotas) logQuotas() {
 	w := s.node.world
 	for _, b := range slices.Sorted(maps.Keys(w.agreement.Budgets)) {
 		for _, name := range w.agreement.PartitionNames(b) {
-			now := leasedQuota{s.holder.LeasedUnits(name, w.now), s.holder.LeaseExpiry()}
-			if was := s.logged[name]; now == was || now.units == 0 && was.units == 0 {
+			current := leasedQuota{s.holder.LeasedUnits(name, w.now), s.holder.LeaseExpiry()}
+			if previous := s.logged[name]; current == previous || current.units == 0 && previous.units == 0 {
 				continue
 			}
-			s.logged[name] = now
-			w.log(invariants.Event{Kind: invariants.QuotaHeld, Node: s.node.name, Budget: name, Units: now.units, Until: now.until})
+			s.logged[name] = current
+			w.log(invariants.Event{Kind: invariants.QuotaHeld, Node: s.node.name, Budget: name,
+				Units: current.units, Until: current.until})
 		}
 	}
 }
 
+// leasedQuota is a number of units that a node may use until a time.
 type leasedQuota struct{ units, until int64 }
 
-// retry asks once more if nothing was asked since.
-func (s *nodeQuotas) retry(life int, seq uint64) {
+// retry sends a lease request unless another one was sent after the one with this sequence number.
+func (s *nodeQuotas) retry(incarnation int, seq uint64) {
 	if s.holder.Seq() == seq {
-		s.requestLease(life)
+		s.requestLease(incarnation)
 	}
 }
 
-func (s *nodeQuotas) units(name string, whole int64) int64 {
+// units returns the node's quota of a partition; the total in lease mode "all".
+func (s *nodeQuotas) units(name string, total int64) int64 {
 	if s.holder == nil {
-		return whole
+		return total
 	}
 	return s.holder.Units(name, s.node.world.now)
 }
 
-// partition is the share that a sending to an executor falls to, its meter, key and whole.
-func (s *nodeQuotas) partition(b dispatch.Budget, e *dispatch.Server) (name string, m *budget.UsageMeter, key string, whole int64) {
+// partition returns the partition that an attempt at a server is charged to, its meter, the meter's key, and
+// the budget's total.
+func (s *nodeQuotas) partition(b dispatch.Budget, server *dispatch.Server) (
+	name string, meter *budget.UsageMeter, key string, total int64) {
 	w := s.node.world
 	if name = budgetNames[b]; b != dispatch.BudgetRetries {
-		name, key = w.agreement.PartitionName(name, e.Hash), e.Tag
+		name, key = w.agreement.PartitionName(name, server.Hash), server.Tag
 	}
 	return name, s.meters[name], key, w.agreement.Budgets[budgetNames[b]].Total
 }
 
-// Allow implements dispatch.Shares. Tenants' jobs and calls for the list are not held together here.
-func (s *nodeQuotas) Allow(b dispatch.Budget, e *dispatch.Server, _ *dispatch.Request, units float64) bool {
+// Allow implements dispatch.QuotaSource. The emulator does not share the budgets of tenants' requests and
+// discovery polls.
+func (s *nodeQuotas) Allow(b dispatch.Budget, server *dispatch.Server, _ *dispatch.Request,
+	units float64) bool {
 	if budgetNames[b] == "" {
 		return true
 	}
-	name, m, key, whole := s.partition(b, e)
-	if m == nil || b == dispatch.BudgetConnections && len(s.node.idleUntil[s.node.serverIndex[e]]) > 0 {
+	name, meter, key, total := s.partition(b, server)
+	if meter == nil || b == dispatch.BudgetConnections && len(s.node.idleUntil[s.node.serverIndex[server]]) > 0 {
 		return true
 	}
 	if b == dispatch.BudgetSlowStart {
-		units *= float64(whole)
+		units *= float64(total)
 	}
 	now := s.node.world.now
-	if m.Used(key, now)+units <= float64(s.units(name, whole)) {
+	if meter.Used(key, now)+units <= float64(s.units(name, total)) {
 		return true
 	}
-	m.RecordRejected(key, units, now)
+	meter.RecordRejected(key, units, now)
 	s.hurryRequest()
 	return false
 }
 
-// hurryRequest asks soon where more is needed, some times in a lease at most.
+// hurryRequest sends a lease request early after a rejection, at most once in a fifteenth of the lease.
 func (s *nodeQuotas) hurryRequest() {
 	if w := s.node.world; s.holder != nil && w.now-s.requestedAt >= w.agreement.Lease/15 {
 		s.requestedAt = w.now
-		life, seq := s.node.incarnation, s.holder.Seq()
-		w.after(1, func() { s.retry(life, seq) })
+		incarnation, seq := s.node.incarnation, s.holder.Seq()
+		w.after(1, func() { s.retry(incarnation, seq) })
 	}
 }
 
-// Quota implements dispatch.Shares.
-func (s *nodeQuotas) Quota(b dispatch.Budget, e *dispatch.Server) float64 {
-	name, m, _, whole := s.partition(b, e)
-	if m == nil {
+// Quota implements dispatch.QuotaSource.
+func (s *nodeQuotas) Quota(b dispatch.Budget, server *dispatch.Server) float64 {
+	name, meter, _, total := s.partition(b, server)
+	if meter == nil {
 		return 1
 	}
 	if s.holder == nil {
-		return 1 / float64(s.node.world.scenario.Fleet.Nodes) // all may, as any of them
+		return 1 / float64(s.node.world.scenario.Fleet.Nodes) // each node may use the total
 	}
-	return float64(s.units(name, whole)) / float64(whole)
+	return float64(s.units(name, total)) / float64(total)
 }
 
-// reserve charges a posting as it goes out; false: it may not.
-func (s *nodeQuotas) reserve(p *dispatch.Attempt, connects bool) bool {
+// reserve charges an attempt to all budgets that it uses; false: a quota is exceeded, and nothing is charged.
+func (s *nodeQuotas) reserve(p *dispatch.Attempt, newConnection bool) bool {
 	now := s.node.world.now
 	undo := func() {}
 	for b := range dispatch.BudgetCount {
-		name, m, key, whole := s.partition(b, p.Server)
+		name, meter, key, total := s.partition(b, p.Server)
 		units := 0.0
 		switch {
 		case b == dispatch.BudgetSlowStart:
-			units = p.SlowStartShare * float64(whole)
-		case b == dispatch.BudgetRetries && p.Number > 0, b == dispatch.BudgetConnections && connects:
+			units = p.SlowStartShare * float64(total)
+		case b == dispatch.BudgetRetries && p.Number > 0, b == dispatch.BudgetConnections && newConnection:
 			units = 1
 		}
-		if m == nil || units == 0 {
+		if meter == nil || units == 0 {
 			continue
 		}
-		u := m.Reserve(key, units, s.units(name, whole), now)
-		if u == nil || !m.Send(u, s.units(name, whole), now) {
+		reservation := meter.Reserve(key, units, s.units(name, total), now)
+		if reservation == nil || !meter.Send(reservation, s.units(name, total), now) {
 			undo()
 			return false
 		}
-		before := undo
-		undo = func() { before(); m.Cancel(u) }
+		undoEarlier := undo
+		undo = func() { undoEarlier(); meter.Cancel(reservation) }
 	}
 	return true
 }
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -11,27 +11,29 @@
 	"fernrail/dispatch"
 )
 
-// Module is the decision module as the node runs it.
-func Module(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, _ func(*dispatch.Server) float64) Decider {
-	return dispatch.New(terms, seed, door, now)
+// Module is the policy that real nodes run: the dispatch package.
+func Module(settings *dispatch.Settings, seed uint64, actions dispatch.Actions, now int64,
+	_ func(*dispatch.Server) float64) Decider {
+	return dispatch.New(settings, seed, actions, now)
 }
 
-// selector picks one of the executors that are up; none is empty.
-type selector func(b *baseline, up []*dispatch.Server) *dispatch.Server
+// selector selects one of the servers that are up; there is at least one.
+type selector func(b *baseline, servers []*dispatch.Server) *dispatch.Server
 
-// The baselines are there to be compared with, and keep the rules in the plainest way: a txn goes out at once, to another
-// executor while that is harmless, and is given up at its expiry or when it has spent its postings.
+// baselines are simple policies for comparison. They follow the rules of the service: an attempt is sent
+// immediately, the request is retried at another server while a repeat does no harm, and it is given up
+// shortly before its deadline or when its attempts are used up.
 var baselines = map[string]selector{
-	"random":      func(b *baseline, up []*dispatch.Server) *dispatch.Server { return up[b.chance.IntN(len(up))] },
+	"random":      func(b *baseline, up []*dispatch.Server) *dispatch.Server { return up[b.random.IntN(len(up))] },
 	"round-robin": func(b *baseline, up []*dispatch.Server) *dispatch.Server { b.rotation++; return up[b.rotation%len(up)] },
 	"least":       func(b *baseline, up []*dispatch.Server) *dispatch.Server { return b.least(up) },
 	"two-choices": func(b *baseline, up []*dispatch.Server) *dispatch.Server {
-		return b.least([]*dispatch.Server{up[b.chance.IntN(len(up))], up[b.chance.IntN(len(up))]})
+		return b.least([]*dispatch.Server{up[b.random.IntN(len(up))], up[b.random.IntN(len(up))]})
 	},
-	// It sees the true state of every executor at once, which no node can: an upper bound.
+	// Uses the actual state of each server without delay, which no real node can: an upper bound.
 	"truth": func(b *baseline, up []*dispatch.Server) *dispatch.Server {
 		return slices.MinFunc(up, func(x, y *dispatch.Server) int {
-			if a, c := b.truth(x), b.truth(y); a < c {
+			if a, c := b.trueLoad(x), b.trueLoad(y); a < c {
 				return -1
 			} else if a > c {
 				return 1
@@ -41,130 +43,143 @@
 	},
 }
 
-// Policies names all there are, the module first.
+// Policies returns the names of all policies, "module" first.
 func Policies() []string {
-	out := []string{}
+	names := []string{}
 	for name := range baselines {
-		out = append(out, name)
+		names = append(names, name)
 	}
-	slices.Sort(out)
-	return append([]string{"module"}, out...)
+	slices.Sort(names)
+	return append([]string{"module"}, names...)
 }
 
-// PolicyOf finds one by name.
+// PolicyOf returns the policy with a name.
 func PolicyOf(name string) (Policy, error) {
 	if name == "module" {
 		return Module, nil
 	}
-	pick, known := baselines[name]
+	selectServer, known := baselines[name]
 	if !known {
-		return nil, fmt.Errorf("%q is no policy; there are %s", name, strings.Join(Policies(), ", "))
+		return nil, fmt.Errorf("unknown policy %q, want one of %s", name, strings.Join(Policies(), ", "))
 	}
-	return func(terms *dispatch.Settings, seed uint64, door dispatch.Actions, now int64, truth func(*dispatch.Server) float64) Decider {
-		return &baseline{terms: terms, door: door, now: now, pick: pick, truth: truth, chance: rand.New(rand.NewPCG(seed, 4)),
-			inFlight: map[*dispatch.Server]int{}, mayHaveRun: map[*dispatch.Attempt]bool{}, cancelDeadline: map[*dispatch.Request]func(){}}
+	return func(settings *dispatch.Settings, seed uint64, actions dispatch.Actions, now int64,
+		trueLoad func(*dispatch.Server) float64) Decider {
+		return &baseline{settings: settings, actions: actions, now: now, selectServer: selectServer,
+			trueLoad: trueLoad, random: rand.New(rand.NewPCG(seed, 4)),
+			inFlight: map[*dispatch.Server]int{}, mayHaveRun: map[*dispatch.Attempt]bool{},
+			cancelDeadline: map[*dispatch.Request]func(){}}
 	}, nil
 }
 
+// baseline is the decider of all baselines, which differ in how they select a server.
 type baseline struct {
-	terms          *dispatch.Settings
-	door           dispatch.Actions
+	settings       *dispatch.Settings
+	actions        dispatch.Actions
 	now            int64
-	pick           selector
-	truth          func(*dispatch.Server) float64
-	chance         *rand.Rand
+	selectServer   selector
+	trueLoad       func(*dispatch.Server) float64
+	random         *rand.Rand
 	rotation       int
-	up             []*dispatch.Server
+	servers        []*dispatch.Server
 	inFlight       map[*dispatch.Server]int
-	mayHaveRun     map[*dispatch.Attempt]bool // that may have run
+	mayHaveRun     map[*dispatch.Attempt]bool // attempts that may have run
 	cancelDeadline map[*dispatch.Request]func()
 }
 
 func (b *baseline) Advance(now int64) { b.now = now }
 
-func (b *baseline) UpdateEndpoints(whole bool, members []dispatch.Endpoint) {
-	if whole {
-		b.up = nil
+func (b *baseline) UpdateEndpoints(full bool, endpoints []dispatch.Endpoint) {
+	if full {
+		b.servers = nil
 	}
-	for _, m := range members {
-		b.up = slices.DeleteFunc(b.up, func(e *dispatch.Server) bool { return e == m.Server })
-		if m.State == dispatch.Up {
-			b.up = append(b.up, m.Server)
+	for _, endpoint := range endpoints {
+		b.servers = slices.DeleteFunc(b.servers,
+			func(server *dispatch.Server) bool { return server == endpoint.Server })
+		if endpoint.State == dispatch.Up {
+			b.servers = append(b.servers, endpoint.Server)
 		}
 	}
 }
 
-func (b *baseline) least(of []*dispatch.Server) *dispatch.Server {
-	best, from := of[0], b.chance.IntN(len(of))
-	for i := range of {
-		if e := of[(from+i)%len(of)]; i == 0 || b.inFlight[e] < b.inFlight[best] {
-			best = e
+// least returns the server with the fewest attempts in flight from this node, a random one among equals.
+func (b *baseline) least(servers []*dispatch.Server) *dispatch.Server {
+	least, start := servers[0], b.random.IntN(len(servers))
+	for i := range servers {
+		if server := servers[(start+i)%len(servers)]; i == 0 || b.inFlight[server] < b.inFlight[least] {
+			least = server
 		}
 	}
-	return best
+	return least
 }
 
-func (b *baseline) Arrive(t *dispatch.Request) {
-	b.cancelDeadline[t] = b.door.Schedule(t.Deadline-b.now-2*b.terms.Tick, func() { b.giveUp(t) })
-	b.startAttempt(t)
+func (b *baseline) Arrive(request *dispatch.Request) {
+	b.cancelDeadline[request] = b.actions.Schedule(request.Deadline-b.now-2*b.settings.Tick,
+		func() { b.giveUp(request) })
+	b.startAttempt(request)
 }
 
-// mayRun says whether some posting of a txn may have run.
-func (b *baseline) mayRun(t *dispatch.Request) bool {
-	return slices.ContainsFunc(t.Attempts, func(p *dispatch.Attempt) bool { return b.mayHaveRun[p] })
+// mayRun reports whether any attempt of a request may have run.
+func (b *baseline) mayRun(request *dispatch.Request) bool {
+	return slices.ContainsFunc(request.Attempts,
+		func(attempt *dispatch.Attempt) bool { return b.mayHaveRun[attempt] })
 }
 
-func (b *baseline) startAttempt(t *dispatch.Request) {
-	s := t.Class
+func (b *baseline) startAttempt(request *dispatch.Request) {
+	class := request.Class
 	switch {
-	case t.Done:
-	case len(b.up) == 0 || len(t.Attempts) >= b.terms.MaxAttempts || b.mayRun(t) && s.Idempotency != dispatch.Idempotent:
-		b.giveUp(t)
+	case request.Done:
+	case len(b.servers) == 0 || len(request.Attempts) >= b.settings.MaxAttempts ||
+		b.mayRun(request) && class.Idempotency != dispatch.Idempotent:
+		b.giveUp(request)
 	default:
-		e := b.pick(b, b.up)
-		p := &dispatch.Attempt{Request: t, Server: e, Number: len(t.Attempts), InFlight: true}
-		t.Attempts = append(t.Attempts, p)
-		b.mayHaveRun[p] = true
-		b.inFlight[e]++
-		b.door.StartAttempt(p)
+		server := b.selectServer(b, b.servers)
+		attempt := &dispatch.Attempt{Request: request, Server: server, Number: len(request.Attempts),
+			InFlight: true}
+		request.Attempts = append(request.Attempts, attempt)
+		b.mayHaveRun[attempt] = true
+		b.inFlight[server]++
+		b.actions.StartAttempt(attempt)
 	}
 }
 
-func (b *baseline) AttemptEnded(p *dispatch.Attempt, o dispatch.Outcome, _ int64, over bool) {
-	p.InFlight = false
-	b.inFlight[p.Server]--
-	b.mayHaveRun[p] = o != dispatch.Rejected && o != dispatch.ConnectFailed && o != dispatch.NotSent
-	if over {
-		b.Finish(p.Request)
+func (b *baseline) AttemptEnded(attempt *dispatch.Attempt, outcome dispatch.Outcome, _ int64,
+	requestDone bool) {
+	attempt.InFlight = false
+	b.inFlight[attempt.Server]--
+	b.mayHaveRun[attempt] = outcome != dispatch.Rejected &&
+		outcome != dispatch.ConnectFailed && outcome != dispatch.NotSent
+	if requestDone {
+		b.Finish(attempt.Request)
 		return
 	}
-	b.startAttempt(p.Request)
+	b.startAttempt(attempt.Request)
 }
 
-func (b *baseline) Finish(t *dispatch.Request) {
-	if t.Done {
+func (b *baseline) Finish(request *dispatch.Request) {
+	if request.Done {
 		return
 	}
-	t.Done = true
-	b.cancelDeadline[t]()
-	delete(b.cancelDeadline, t)
-	for _, p := range t.Attempts {
-		if p.InFlight {
-			b.door.CancelAttempt(p)
+	request.Done = true
+	b.cancelDeadline[request]()
+	delete(b.cancelDeadline, request)
+	for _, attempt := range request.Attempts {
+		if attempt.InFlight {
+			b.actions.CancelAttempt(attempt)
 		}
 	}
 }
 
-func (b *baseline) giveUp(t *dispatch.Request) {
-	if t.Done {
+func (b *baseline) giveUp(request *dispatch.Request) {
+	if request.Done {
 		return
 	}
-	harmless := !b.mayRun(t) || t.Class.Idempotency == dispatch.Idempotent || t.Class.Idempotency == dispatch.IdempotentInGroup && t.Class.DedupScope == dispatch.DedupAll
-	b.Finish(t)
+	harmless := !b.mayRun(request) || request.Class.Idempotency == dispatch.Idempotent ||
+		request.Class.Idempotency == dispatch.IdempotentInGroup && request.Class.DedupScope == dispatch.DedupAll
+	b.Finish(request)
 	if harmless {
-		b.door.Shed(t, 0)
+		b.actions.Shed(request, 0)
 	} else {
-		b.door.Compensate(t)
+		b.actions.Compensate(request)
 	}
 }
 
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -1,13 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package emulator plays a whole fleet in virtual time: clients, nodes with the decision module or a baseline on them,
-// executors, discovery, the network between them, and what goes wrong. One event queue, one thread: the same scenario and
-// seed give the same log to the byte. It decides nothing about txns; docs/emulator.md says how it is put together.
+// Package emulator simulates a fleet in virtual time: clients, nodes that run the dispatch package or a
+// baseline policy, servers, discovery, the network between them, and faults. It has a single event queue and
+// a single thread, so that the same scenario and seed give the same log to the byte. It makes no dispatch
+// decisions itself. docs/emulator.md describes its structure.
 package emulator
 
 import "container/heap"
 
-// event happens at a time; of several at one time the one that was put in first.
+// event is an action at a virtual time. Events at the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at, order int64
 	action    func()
@@ -30,15 +32,15 @@
 	return e
 }
 
-// clock is virtual time, in nanoseconds from the start, with what is still to happen.
+// clock is the virtual time in nanoseconds, with the queue of pending events.
 type clock struct {
 	now       int64
 	queue     queue
 	scheduled int64
-	executed  int64 // events, ever
+	executed  int64 // number of events that have run
 }
 
-// after has something happen later; what it gives back calls that off.
+// after schedules an action after a delay in nanoseconds. Setting canceled on the returned event prevents it.
 func (c *clock) after(delay int64, do func()) *event {
 	c.scheduled++
 	e := &event{at: c.now + max(delay, 0), order: c.scheduled, action: do}
@@ -46,7 +48,7 @@
 	return e
 }
 
-// run lets time go by until an end; what is to happen at that very time still does.
+// run executes events in order up to and including an end time.
 func (c *clock) run(end int64) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		e := heap.Pop(&c.queue).(*event)
--- a/internal/emulator/scenario_check.go
+++ b/internal/emulator/scenario_check.go
@@ -30,11 +30,10 @@
 	c.want(value >= 0 && value <= 1, key, "%v is no share from 0 to 1", value)
 }
 
-func (c *checker) positive(key string, value float64) {
-	c.want(value > 0, key, "missing, or not above 0")
-}
+func (c *checker) above(key string, value float64) { c.want(value > 0, key, "missing, or not above 0") }
 
-// faultKinds are the kinds of faults that a scenario may name. Tests draw from them by index, so that their order stays.
+// faultKinds are the kinds of faults that a scenario may name. Tests draw from them by index, so that their
+// order stays.
 var faultKinds = []string{
 	"crash", "hang", "slow", "errors", "flap", "deploy", "cut", "loss", "restart-nodes", "no-discovery", "burst", "spoilt",
 	"no-granter",
@@ -55,23 +54,23 @@
 }
 
 func (s *Scenario) checkFleet(c *checker) {
-	c.positive("length", float64(s.Length))
+	c.above("length", float64(s.Length))
 	c.want(s.WarmUp >= 0 && s.WarmUp < s.Length, "warm", "not within the length")
-	c.positive("fleet.nodes", float64(s.Fleet.Nodes))
-	c.positive("fleet.executors", float64(s.Fleet.Servers))
-	c.positive("fleet.tick", float64(s.Fleet.Tick))
+	c.above("fleet.nodes", float64(s.Fleet.Nodes))
+	c.above("fleet.executors", float64(s.Fleet.Servers))
+	c.above("fleet.tick", float64(s.Fleet.Tick))
 	c.want(s.Fleet.DecisionTime >= 0, "fleet.decision", "below 0")
 	c.want(len(s.Fleet.Zones) > 0, "fleet.zones", "empty")
-	c.positive("clients.rate", s.Clients.Rate)
+	c.above("clients.rate", s.Clients.Rate)
 	c.want(s.Clients.Retries >= 0, "clients.retries", "below 0")
 	c.want(s.Clients.AffinityKeys >= 0, "clients.keys", "below 0")
-	c.positive("clients.backoff", float64(s.Clients.Backoff))
+	c.above("clients.backoff", float64(s.Clients.Backoff))
 	c.share("clients.follow", s.Clients.RetryAfterShare)
 	c.share("clients.skew", s.Clients.ZoneSkew)
 	c.share("network.loss", s.Network.Loss)
 	c.share("discovery.loss", s.Discovery.Loss)
 	c.share("rules.cold_share", s.Rules.SlowStartShare)
-	c.positive("rules.postings", float64(s.Rules.MaxAttempts))
+	c.above("rules.postings", float64(s.Rules.MaxAttempts))
 }
 
 // checkTimes refuses times below 0.
@@ -102,12 +101,12 @@
 	for i, k := range s.MachineTypes {
 		at := fmt.Sprintf("kind %d: ", i+1)
 		c.share(at+"share", k.Share)
-		c.positive(at+"slots", float64(k.Slots))
-		c.positive(at+"cores", k.Cores)
-		c.positive(at+"speed", k.Speed)
+		c.above(at+"slots", float64(k.Slots))
+		c.above(at+"cores", k.Cores)
+		c.above(at+"speed", k.Speed)
 		c.want(k.SpeedSpread >= 0 && k.SpeedSpread < 1, at+"spread", "not from 0 to under 1")
 		c.want(k.QueueLimit >= 0 && k.HandshakeWork >= 0, at+"queue, handshake", "below 0")
-		c.positive(at+"connections", float64(k.MaxConnections))
+		c.above(at+"connections", float64(k.MaxConnections))
 		c.want(slices.Contains([]string{"none", "queued", "all"}, k.Cancel), at+"cancel", "%q is not one of none, queued, all", k.Cancel)
 	}
 }
@@ -118,11 +117,11 @@
 		at := fmt.Sprintf("scheme %d: ", i+1)
 		c.want(scheme.Name != "", at+"name", "missing")
 		c.share(at+"share", scheme.Share)
-		c.positive(at+"run", float64(scheme.MeanRuntime))
-		c.positive(at+"slots", float64(scheme.Slots))
-		c.positive(at+"sla", float64(scheme.LatencyObjective))
-		c.positive(at+"expiry", float64(scheme.Deadline))
-		c.positive(at+"value", scheme.Weight)
+		c.above(at+"run", float64(scheme.MeanRuntime))
+		c.above(at+"slots", float64(scheme.Slots))
+		c.above(at+"sla", float64(scheme.LatencyObjective))
+		c.above(at+"expiry", float64(scheme.Deadline))
+		c.above(at+"value", scheme.Weight)
 		c.share(at+"late", scheme.LateShare)
 		c.want(slices.Contains([]string{"exponential", "fixed"}, scheme.Distribution), at+"shape", "%q is not exponential or fixed", scheme.Distribution)
 		c.want(idempotencyOf(scheme.Idempotency) >= 0, at+"effect", "%q is not one of repeatable, referenced, once-only", scheme.Idempotency)
@@ -134,7 +133,7 @@
 		at := fmt.Sprintf("fault %d: ", i+1)
 		c.want(slices.Contains(faultKinds, f.Kind), at+"kind", "%q is not one of %v", f.Kind, faultKinds)
 		c.want(f.At >= 0 && f.At < s.Length, at+"at", "not within the length")
-		c.positive(at+"for", float64(f.For))
+		c.above(at+"for", float64(f.For))
 		c.share(at+"part", f.Part)
 		c.want(f.Zone == "" || slices.Contains(s.Fleet.Zones, f.Zone), at+"zone", "%q is none of the fleet's", f.Zone)
 		c.want(f.Strength >= 0, at+"strength", "below 0")
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -9,7 +9,7 @@
 	"fernrail/internal/invariants"
 )
 
-// server is the truth about one worker. Its jobs share its cores; the rest waits in order.
+// server simulates one server. Running jobs share its cores; further jobs wait in order of arrival.
 type server struct {
 	world       *world
 	id          string
@@ -18,35 +18,36 @@
 	speed       float64
 
 	up, draining, hung bool
-	startedAt          int64 // its latest start; 0: long ago, and warm
-	incarnation        int   // starts, ever: what an earlier life had is gone
+	startedAt          int64 // latest start; 0: before the run, slow start is over
+	incarnation        int   // incremented at each stop; events of an earlier incarnation are ignored
 	slowdown           float64
-	errorRate          float64 // share of jobs that fail at once
-	failingClass       string  // of this scheme alone
+	errorRate          float64 // share of jobs that fail immediately
+	failingClass       string  // the only class that fails; empty: all
 	running, waiting   []*job
-	usedSlots          int // in use
+	usedSlots          int
 	connections        int
-	advancedUntil      int64      // until when the running jobs have been worked on
-	nextStep           *event     // the next end or change of pace
-	slowStartSends     []sentWork // while cold
+	advancedUntil      int64      // time up to which the progress of running jobs is accounted for
+	nextStep           *event     // next completion or change of speed
+	slowStartSends     []sentWork // during slow start
 }
 
+// sentWork is work that a server in slow start received, in slots times ns.
 type sentWork struct {
 	at   int64
 	work float64
 }
 
-// job is one posting as its executor has it.
+// job is an attempt as its server processes it.
 type job struct {
 	request   *request
 	slots     int
-	remaining float64 // work, in ns on a core of speed one
+	remaining float64 // work in ns on a core of speed 1
 	attempt   int
-	report    func(jobEvent) // to the node, over the network
+	report    func(jobEvent) // sends an event to the node over the network
 	canceled  bool
 }
 
-// jobEvent is what an executor says of a job.
+// jobEvent is a report of a server about a job.
 type jobEvent int
 
 const (
@@ -58,179 +59,188 @@
 	jobConnectionReset
 )
 
-// capacityShare is the share of its capacity that it has now.
-func (e *server) capacityShare() float64 {
-	r := &e.world.scenario.Rules
-	age := e.world.now - e.startedAt
-	if e.startedAt == 0 || age >= int64(r.SlowStart) {
+// capacityShare returns the share of its full capacity that the server has now; it is below 1 during slow
+// start.
+func (s *server) capacityShare() float64 {
+	rules := &s.world.scenario.Rules
+	age := s.world.now - s.startedAt
+	if s.startedAt == 0 || age >= int64(rules.SlowStart) {
 		return 1
 	}
-	return r.SlowStartShare + (1-r.SlowStartShare)*float64(age)/float64(r.SlowStart)
+	return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(age)/float64(rules.SlowStart)
 }
 
-// slotSpeed is how much work each running slot gets done in a nanosecond.
-func (e *server) slotSpeed() float64 {
-	if e.hung || e.usedSlots == 0 {
+// slotSpeed returns the work that each used slot completes per nanosecond.
+func (s *server) slotSpeed() float64 {
+	if s.hung || s.usedSlots == 0 {
 		return 0
 	}
-	return e.speed * e.capacityShare() / max(e.slowdown, 1) * min(1, e.machineType.Cores/float64(e.usedSlots))
+	return s.speed * s.capacityShare() / max(s.slowdown, 1) * min(1, s.machineType.Cores/float64(s.usedSlots))
 }
 
-// advance brings the running jobs up to now.
-func (e *server) advance() {
-	done := float64(e.world.now-e.advancedUntil) * e.slotSpeed()
-	for _, j := range e.running {
+// advance accounts for the progress of running jobs up to now.
+func (s *server) advance() {
+	done := float64(s.world.now-s.advancedUntil) * s.slotSpeed()
+	for _, j := range s.running {
 		j.remaining -= done
 	}
-	e.advancedUntil = e.world.now
+	s.advancedUntil = s.world.now
 }
 
-// scheduleStep sees to the next end, and looks again while the pace changes by itself.
-func (e *server) scheduleStep() {
-	if e.nextStep != nil {
-		e.nextStep.canceled = true
-		e.nextStep = nil
+// scheduleStep schedules the next completion of a job. During slow start, when the speed rises, it schedules
+// a step at least every 1/64 of the slow start.
+func (s *server) scheduleStep() {
+	if s.nextStep != nil {
+		s.nextStep.canceled = true
+		s.nextStep = nil
 	}
-	e.advance()
-	pace := e.slotSpeed()
-	if len(e.running) == 0 || pace == 0 {
+	s.advance()
+	speed := s.slotSpeed()
+	if len(s.running) == 0 || speed == 0 {
 		return
 	}
-	least := math.Inf(1)
-	for _, j := range e.running {
-		least = min(least, j.remaining)
+	shortest := math.Inf(1)
+	for _, j := range s.running {
+		shortest = min(shortest, j.remaining)
 	}
-	span := int64(max(math.Ceil(least/pace), 1))
-	if e.capacityShare() < 1 {
-		span = min(span, int64(e.world.scenario.Rules.SlowStart)/64)
+	delay := int64(max(math.Ceil(shortest/speed), 1))
+	if s.capacityShare() < 1 {
+		delay = min(delay, int64(s.world.scenario.Rules.SlowStart)/64)
 	}
-	e.nextStep = e.world.after(span, e.completeJobs)
+	s.nextStep = s.world.after(delay, s.completeJobs)
 }
 
-// completeJobs ends what is done, begins what fits, and plans on.
-func (e *server) completeJobs() {
-	e.advance()
-	e.running = slices.DeleteFunc(e.running, func(j *job) bool {
+// completeJobs ends the jobs that are complete, starts waiting ones, and schedules the next step.
+func (s *server) completeJobs() {
+	s.advance()
+	s.running = slices.DeleteFunc(s.running, func(j *job) bool {
 		if j.remaining > 1e-6 {
 			return false
 		}
-		e.usedSlots -= j.slots
-		e.world.completedWork += j.request.work
-		e.world.recordEffect(j)
+		s.usedSlots -= j.slots
+		s.world.completedWork += j.request.work
+		s.world.recordEffect(j)
 		if !j.canceled {
 			j.report(jobSucceeded)
 		}
 		return true
 	})
-	e.startWaitingJobs()
+	s.startWaitingJobs()
 }
 
-func (e *server) startWaitingJobs() {
-	for len(e.waiting) > 0 && e.usedSlots+e.waiting[0].slots <= e.machineType.Slots && !e.hung {
-		j := e.waiting[0]
-		e.waiting = e.waiting[1:]
-		e.advance()
-		e.running, e.usedSlots = append(e.running, j), e.usedSlots+j.slots
-		if e.world.scenario.Rules.StartNotices {
+// startWaitingJobs starts jobs from the head of the queue while their slots are free.
+func (s *server) startWaitingJobs() {
+	for len(s.waiting) > 0 && s.usedSlots+s.waiting[0].slots <= s.machineType.Slots && !s.hung {
+		j := s.waiting[0]
+		s.waiting = s.waiting[1:]
+		s.advance()
+		s.running, s.usedSlots = append(s.running, j), s.usedSlots+j.slots
+		if s.world.scenario.Rules.StartNotices {
 			j.report(jobStarted)
 		}
-		e.scheduleProgress(j, e.incarnation)
+		s.scheduleProgress(j, s.incarnation)
 	}
-	e.scheduleStep()
+	s.scheduleStep()
 }
 
-// scheduleProgress tells of a running job while the executor does not stand still.
-func (e *server) scheduleProgress(j *job, life int) {
-	period := int64(e.world.scenario.Rules.ProgressInterval)
-	if period == 0 {
+// scheduleProgress reports progress of a running job at each interval, except while the server hangs.
+func (s *server) scheduleProgress(j *job, incarnation int) {
+	interval := int64(s.world.scenario.Rules.ProgressInterval)
+	if interval == 0 {
 		return
 	}
-	e.world.after(period, func() {
-		if e.incarnation == life && e.up && j.remaining > 0 && !j.canceled && slices.Contains(e.running, j) {
-			if !e.hung {
+	s.world.after(interval, func() {
+		if s.incarnation == incarnation && s.up && j.remaining > 0 && !j.canceled && slices.Contains(s.running, j) {
+			if !s.hung {
 				j.report(jobProgressed)
 			}
-			e.scheduleProgress(j, life)
+			s.scheduleProgress(j, incarnation)
 		}
 	})
 }
 
-// accept is what comes over a connection.
-func (e *server) accept(j *job) {
-	if !e.up || !e.recordSlowStartWork(j) {
+// accept handles a job that arrives over a connection.
+func (s *server) accept(j *job) {
+	if !s.up || !s.recordSlowStartWork(j) {
 		return
 	}
-	if e.hung {
-		e.waiting = append(e.waiting, j)
+	if s.hung {
+		s.waiting = append(s.waiting, j)
 		return
 	}
-	if e.draining || j.slots > e.machineType.Slots || len(e.waiting) >= e.machineType.QueueLimit && e.usedSlots+j.slots > e.machineType.Slots {
+	if s.draining || j.slots > s.machineType.Slots ||
+		len(s.waiting) >= s.machineType.QueueLimit && s.usedSlots+j.slots > s.machineType.Slots {
 		j.report(jobRejected)
 		return
 	}
-	if e.world.isDeduplicated(j) {
+	if s.world.isDeduplicated(j) {
 		j.report(jobSucceeded)
 		return
 	}
-	if j.request.failsEverywhere || e.errorRate > 0 && (e.failingClass == "" || e.failingClass == j.request.class.Name) && e.world.random.Float64() < e.errorRate {
-		if e.world.random.IntN(2) == 0 { // what failed may have done its work all the same
-			e.world.recordEffect(j)
+	if j.request.failsEverywhere || s.errorRate > 0 &&
+		(s.failingClass == "" || s.failingClass == j.request.class.Name) && s.world.random.Float64() < s.errorRate {
+		if s.world.random.IntN(2) == 0 { // a job that reports an error may have had its effect
+			s.world.recordEffect(j)
 		}
-		e.world.after(int64(2e6), func() { j.report(jobFailed) })
+		s.world.after(int64(2e6), func() { j.report(jobFailed) })
 		return
 	}
-	e.waiting = append(e.waiting, j)
-	e.startWaitingJobs()
+	s.waiting = append(s.waiting, j)
+	s.startWaitingJobs()
 }
 
-// recordSlowStartWork counts what a cold executor is sent; too much in any window, and it falls over for good.
-func (e *server) recordSlowStartWork(j *job) bool {
-	if e.capacityShare() == 1 {
+// recordSlowStartWork records the work of a job that a server in slow start receives. If the sum in the
+// overload window exceeds the server's limit, the server stops and does not restart; it returns false.
+func (s *server) recordSlowStartWork(j *job) bool {
+	if s.capacityShare() == 1 {
 		return true
 	}
-	r := &e.world.scenario.Rules
-	e.world.slowStartWork += j.request.work
-	e.slowStartSends = slices.DeleteFunc(append(e.slowStartSends, sentWork{e.world.now, j.request.work}), func(l sentWork) bool { return e.world.now-l.at > int64(r.OverloadWindow) })
+	rules := &s.world.scenario.Rules
+	s.world.slowStartWork += j.request.work
+	s.slowStartSends = slices.DeleteFunc(
+		append(s.slowStartSends, sentWork{s.world.now, j.request.work}),
+		func(sent sentWork) bool { return s.world.now-sent.at > int64(rules.OverloadWindow) })
 	sum := 0.0
-	for _, l := range e.slowStartSends {
-		sum += l.work
+	for _, sent := range s.slowStartSends {
+		sum += sent.work
 	}
-	// The judge's budget is stated; a machine falls when well beyond it.
-	if sum > 1.5*r.OverloadFactor*e.capacityShare()*float64(e.machineType.Slots)*float64(r.OverloadWindow) {
-		e.world.overloadCount++
-		e.stop(false)
+	// The checker's limit is the stated budget. The simulated server fails only at 1.5 times that limit.
+	if sum > 1.5*rules.OverloadFactor*s.capacityShare()*
+		float64(s.machineType.Slots)*float64(rules.OverloadWindow) {
+		s.world.overloadCount++
+		s.stop(false)
 		return false
 	}
 	return true
 }
 
-// cancel takes a job back, as far as this kind does so.
-func (e *server) cancel(j *job) {
+// cancel cancels a job as far as the machine type supports it: no jobs, waiting jobs, or all jobs.
+func (s *server) cancel(j *job) {
 	j.canceled = true
-	if e.machineType.Cancel == "none" {
+	if s.machineType.Cancel == "none" {
 		return
 	}
-	e.waiting = slices.DeleteFunc(e.waiting, func(x *job) bool { return x == j })
-	if e.machineType.Cancel == "all" {
-		e.advance()
-		e.running = slices.DeleteFunc(e.running, func(x *job) bool {
+	s.waiting = slices.DeleteFunc(s.waiting, func(x *job) bool { return x == j })
+	if s.machineType.Cancel == "all" {
+		s.advance()
+		s.running = slices.DeleteFunc(s.running, func(x *job) bool {
 			if x == j {
-				e.usedSlots -= j.slots
+				s.usedSlots -= j.slots
 			}
 			return x == j
 		})
-		e.startWaitingJobs()
+		s.startWaitingJobs()
 	}
 }
 
-// stop ends the process. Loud, its connections are reset; silent, nobody hears of it.
-func (e *server) stop(silent bool) {
-	e.advance()
-	e.up, e.draining, e.hung, e.connections = false, false, false, 0
-	e.incarnation++
-	lost := append(e.running, e.waiting...)
-	e.running, e.waiting, e.usedSlots, e.slowStartSends = nil, nil, 0, nil
-	e.scheduleStep()
+// stop ends the server process. Unless it is silent, the nodes receive a connection reset for each job.
+func (s *server) stop(silent bool) {
+	s.advance()
+	s.up, s.draining, s.hung, s.connections = false, false, false, 0
+	s.incarnation++
+	lost := append(s.running, s.waiting...)
+	s.running, s.waiting, s.usedSlots, s.slowStartSends = nil, nil, 0, nil
+	s.scheduleStep()
 	if !silent {
 		for _, j := range lost {
 			j.report(jobConnectionReset)
@@ -238,11 +248,12 @@
 	}
 }
 
-// start begins a new life, cold.
-func (e *server) start() {
-	if e.up {
+// start starts the server again, in slow start.
+func (s *server) start() {
+	if s.up {
 		return
 	}
-	e.up, e.startedAt, e.advancedUntil, e.slowdown, e.errorRate, e.failingClass = true, e.world.now, e.world.now, 0, 0, ""
-	e.world.log(invariants.Event{Kind: invariants.ServerStarted, Server: e.id})
+	s.up, s.startedAt, s.advancedUntil, s.slowdown, s.errorRate, s.failingClass =
+		true, s.world.now, s.world.now, 0, 0, ""
+	s.world.log(invariants.Event{Kind: invariants.ServerStarted, Server: s.id})
 }
--- a/internal/emulator/subset.go
+++ b/internal/emulator/subset.go
@@ -8,22 +8,23 @@
 	"fernrail/internal/fleet/subset"
 )
 
-// Subset says which part of the executors each node uses, with the code that real ones use. What nodes know of each other is
-// the same at all of them, some time late.
+// Subset configures the subset of servers that each node uses; the subsets are assigned by the code that real
+// nodes run. All nodes have the same view of the other nodes, after a delay.
 type Subset struct {
-	Size              int      `toml:"size"` // 0: each uses all
+	Size              int      `toml:"size"` // servers that a node uses; 0: all
 	MinNodesPerServer int      `toml:"cover"`
-	NoticeDelay       Duration `toml:"notice"` // until all know that a node came or went
+	NoticeDelay       Duration `toml:"notice"` // until all nodes have noticed a node's start or stop
 }
 
-func (s *Subset) check(executors int) error {
-	if s.Size < 0 || s.Size > executors || s.Size > 0 && (s.MinNodesPerServer < 1 || s.NoticeDelay <= 0) {
-		return fmt.Errorf("subset: size %d of %d executors, cover %d, notice %d: out of bounds", s.Size, executors, s.MinNodesPerServer, s.NoticeDelay)
+func (s *Subset) check(servers int) error {
+	if s.Size < 0 || s.Size > servers || s.Size > 0 && (s.MinNodesPerServer < 1 || s.NoticeDelay <= 0) {
+		return fmt.Errorf("subset: size %d of %d servers, cover %d, notice %d ns: out of bounds",
+			s.Size, servers, s.MinNodesPerServer, s.NoticeDelay)
 	}
 	return nil
 }
 
-// scheduleSubsetUpdate has executors divided anew once all know of a node that came or went.
+// scheduleSubsetUpdate assigns new subsets once all nodes have noticed a node's start or stop.
 func (w *world) scheduleSubsetUpdate() {
 	if w.scenario.Subset.Size == 0 || w.subsetUpdatePending {
 		return
@@ -37,32 +38,34 @@
 				nodes = append(nodes, n.name)
 			}
 		}
-		executors := make([]subset.Server, len(w.servers))
-		for i, e := range w.servers {
-			executors[i] = subset.Server{Name: e.id, Zone: e.zone, MachineType: w.endpoints[i].MachineType, Size: float64(e.machineType.Slots)}
+		servers := make([]subset.Server, len(w.servers))
+		for i, server := range w.servers {
+			servers[i] = subset.Server{Name: server.id, Zone: server.zone, MachineType: w.endpoints[i].MachineType,
+				Size: float64(server.machineType.Slots)}
 		}
-		d := subset.Assign(nodes, executors, subset.Settings{Size: w.scenario.Subset.Size, MinNodesPerServer: w.scenario.Subset.MinNodesPerServer})
+		assignment := subset.Assign(nodes, servers, subset.Settings{Size: w.scenario.Subset.Size,
+			MinNodesPerServer: w.scenario.Subset.MinNodesPerServer})
 		for _, n := range w.nodes {
 			if n.up {
-				far := d.Distances(n.name)
-				for _, e := range n.servers {
-					e.Distance = far[e.Tag]
+				distances := assignment.Distances(n.name)
+				for _, server := range n.servers {
+					server.Distance = distances[server.Tag]
 				}
 			}
 		}
 	})
 }
 
-// connectionSampleInterval is between two counts of what connections there are.
+// connectionSampleInterval is the time between two samples of the number of open connections, in nanoseconds.
 const connectionSampleInterval = int64(250e6)
 
-// sampleConnections counts the connections that nodes hold, kept and in use, from time to time.
+// sampleConnections periodically counts the nodes' connections, idle and in use.
 func (w *world) sampleConnections() {
 	w.connectionSamples++
 	for _, n := range w.nodes {
-		for _, kept := range n.idleUntil {
-			for _, till := range kept {
-				if till >= w.now {
+		for _, idle := range n.idleUntil {
+			for _, until := range idle {
+				if until >= w.now {
 					w.connectionSum++
 				}
 			}
--- a/internal/emulator/violations_test.go
+++ b/internal/emulator/violations_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestWrongPoliciesAreCaught: for each rule a policy that breaks it is named by the judge, from the log alone, and the same
-// without that fault is not.
+// TestWrongPoliciesAreCaught: for each rule a policy that breaks it is named by the judge, from the log
+// alone, and the same without that fault is not.
 func TestWrongPoliciesAreCaught(t *testing.T) {
 	plain := func(name string) Policy {
 		p, err := PolicyOf(name)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -13,69 +13,72 @@
 	"fernrail/internal/invariants"
 )
 
-// world owns everything of one run.
+// world is the state of one simulation run.
 type world struct {
 	clock
 	scenario         *Scenario
-	random           *rand.Rand // of the network, executors and faults
-	clientRandom     *rand.Rand // of the clients, so that policies meet the same traffic
+	random           *rand.Rand // for the network, servers and faults
+	clientRandom     *rand.Rand // for clients alone, so that all policies receive the same traffic
 	servers          []*server
 	nodes            []*node
-	endpoints        []dispatch.Endpoint // what discovery knows
+	endpoints        []dispatch.Endpoint // the list that discovery has
 	listVersion      int
-	discoveryStopped bool // discovery is
-	cuts             map[[2]int]int
+	discoveryStopped bool           // discovery sends no lists
+	cuts             map[[2]int]int // by zones from and to: number of active faults that cut the link
 	messageLoss      float64
-	bursts           []*Fault // that are on
-	failingShare     float64  // share of txns that err wherever they go
+	bursts           []*Fault // active bursts
+	failingShare     float64  // share of requests that fail at every server
 	emit             func(invariants.Event)
 	leader           *leader
 	agreement        budget.Agreement
-	sharedMeters     map[string]*budget.UsageMeter // of one that sees all
+	sharedMeters     map[string]*budget.UsageMeter // shared by all nodes in lease mode "all"
 
-	lastEffectAt                     map[*operation]int64 // of referenced txns: when one first ran
+	lastEffectAt                     map[*operation]int64 // time of the last effect; for deduplication
 	requestCount                     int
 	overloadCount, messageCount      int
 	handshakeCount                   int
-	connectionSamples, connectionSum int     // at connections; how many there were in all of them
-	subsetUpdatePending              bool    // a division of executors is due
-	completedWork                    float64 // work done
-	slowStartWork                    float64 // work sent to cold executors
-	offeredWork                      float64 // work that first tries ask for
+	connectionSamples, connectionSum int     // number of samples, and sum of the connections in them
+	subsetUpdatePending              bool    // an assignment of subsets is scheduled
+	completedWork                    float64 // slots times ns
+	slowStartWork                    float64 // sent to servers in slow start, slots times ns
+	offeredWork                      float64 // of first requests, slots times ns
 	effectCounts                     map[*operation]int
 	attemptCount                     int
 }
 
-// startTime is where clocks begin.
+// startTime is the virtual time at which a run starts, in nanoseconds.
 const startTime = int64(1e12)
 
-// Report is what came of a run, beside its log.
+// Report has the figures of a run that its event log does not show.
 type Report struct {
-	Events           int64   // of the queue
-	Requests         int     // taken by nodes, later tries among them
-	Attempts         int     //
-	Handshakes       int     //
-	MeanConnections  float64 // connections, the mean over time
-	Overloads        int     // cold executors that were pushed over
-	Work             float64 // slots times seconds that executors did
-	OfferedWork      float64 // the same, of first tries
-	SlowStartWork    float64 // slots times seconds of work sent to cold executors
-	LeaseRequests    int     // for leases
-	DuplicateEffects int     // effects of txns that must not run twice, beyond the first
+	Events           int64 // run by the event queue
+	Requests         int   // accepted by nodes, retries of clients included
+	Attempts         int
+	Handshakes       int
+	MeanConnections  float64 // open connections, mean over time
+	Overloads        int     // servers overloaded in slow start
+	Work             float64 // completed by servers, slots times seconds
+	OfferedWork      float64 // of first requests, slots times seconds
+	SlowStartWork    float64 // sent to servers in slow start, slots times seconds
+	LeaseRequests    int     // that the leader handled
+	DuplicateEffects int     // effects of operations that must have one effect only, beyond the first
 }
 
-// Run plays a scenario. Policy makes what decides on one node; log hears every event in order.
+// Run simulates a scenario. policy creates the decider of each node; log receives every event in order of
+// time.
 func Run(s *Scenario, seed uint64, policy Policy, log func(invariants.Event)) Report {
-	w := &world{scenario: s, random: rand.New(rand.NewPCG(seed, 1)), clientRandom: rand.New(rand.NewPCG(seed, 2)), cuts: map[[2]int]int{},
+	w := &world{scenario: s, random: rand.New(rand.NewPCG(seed, 1)),
+		clientRandom: rand.New(rand.NewPCG(seed, 2)), cuts: map[[2]int]int{},
 		emit: log, lastEffectAt: map[*operation]int64{}, effectCounts: map[*operation]int{}}
 	w.now = startTime
-	place := rand.New(rand.NewPCG(seed, 3))
-	for i, best := range s.machineTypeIndexes() {
-		k := &s.MachineTypes[best]
-		e := &server{world: w, id: "e" + strconv.Itoa(i), zone: i % len(s.Fleet.Zones), machineType: k, advancedUntil: w.now, up: true,
-			speed: k.Speed * (1 + k.SpeedSpread*(2*place.Float64()-1))}
-		w.servers = append(w.servers, e)
-		w.endpoints = append(w.endpoints, dispatch.Endpoint{Zone: e.zone, MachineType: best, Capacity: 1})
+	speedRandom := rand.New(rand.NewPCG(seed, 3))
+	for i, typeIndex := range s.machineTypeIndexes() {
+		machineType := &s.MachineTypes[typeIndex]
+		server := &server{world: w, id: "e" + strconv.Itoa(i), zone: i % len(s.Fleet.Zones),
+			machineType: machineType, advancedUntil: w.now, up: true,
+			speed: machineType.Speed * (1 + machineType.SpeedSpread*(2*speedRandom.Float64()-1))}
+		w.servers = append(w.servers, server)
+		w.endpoints = append(w.endpoints, dispatch.Endpoint{Zone: server.zone, MachineType: typeIndex, Capacity: 1})
 	}
 	w.agreement = s.Leases.agreement(s.Fleet.Nodes)
 	w.sharedMeters = w.newMeters()
@@ -94,14 +97,17 @@
 	w.after(int64(s.WarmUp), w.sampleConnections)
 	end := startTime + int64(s.Length)
 	w.run(end)
-	longest := Duration(0)
-	for _, c := range s.Classes {
-		longest = max(longest, c.Deadline)
+	longestDeadline := Duration(0)
+	for _, class := range s.Classes {
+		longestDeadline = max(longestDeadline, class.Deadline)
 	}
-	w.run(end + int64(longest) + int64(1e9))
-	r := Report{Events: w.executed, Requests: w.requestCount, Attempts: w.attemptCount, Handshakes: w.handshakeCount, MeanConnections: float64(w.connectionSum) / float64(max(w.connectionSamples, 1)), Overloads: w.overloadCount, Work: w.completedWork / 1e9}
-	for _, n := range w.effectCounts {
-		r.DuplicateEffects += n - 1
+	w.run(end + int64(longestDeadline) + int64(1e9))
+	r := Report{Events: w.executed, Requests: w.requestCount, Attempts: w.attemptCount,
+		Handshakes:      w.handshakeCount,
+		MeanConnections: float64(w.connectionSum) / float64(max(w.connectionSamples, 1)),
+		Overloads:       w.overloadCount, Work: w.completedWork / 1e9}
+	for _, count := range w.effectCounts {
+		r.DuplicateEffects += count - 1
 	}
 	r.OfferedWork, r.SlowStartWork = w.offeredWork/1e9, w.slowStartWork/1e9
 	if w.leader != nil {
@@ -110,51 +116,57 @@
 	return r
 }
 
-// machineTypeIndexes is which kind each executor is of, by their shares.
-func (s *Scenario) machineTypeIndexes() (out []int) {
-	left := make([]float64, len(s.MachineTypes))
+// machineTypeIndexes returns the index of each server's machine type, in proportion to the types' shares.
+func (s *Scenario) machineTypeIndexes() (indexes []int) {
+	credit := make([]float64, len(s.MachineTypes))
 	for range s.Fleet.Servers {
-		best := 0
+		largest := 0
 		for k := range s.MachineTypes {
-			if left[k] += s.MachineTypes[k].Share; left[k] > left[best] {
-				best = k
+			if credit[k] += s.MachineTypes[k].Share; credit[k] > credit[largest] {
+				largest = k
 			}
 		}
-		left[best]--
-		out = append(out, best)
+		credit[largest]--
+		indexes = append(indexes, largest)
 	}
-	return out
+	return indexes
 }
 
-// InvariantRules gives the figures that the judge holds a log of this scenario against.
+// InvariantRules returns the rules that a log of this scenario is checked against.
 func (s *Scenario) InvariantRules() invariants.Rules {
-	r := invariants.Rules{Slack: int64(s.Rules.Slack), DrainGrace: int64(s.Rules.DrainGrace), OverloadWindow: int64(s.Rules.OverloadWindow), OverloadFactor: s.Rules.OverloadFactor,
-		SlowStart: int64(s.Rules.SlowStart), SlowStartShare: s.Rules.SlowStartShare, AllowHedging: s.Rules.AllowHedging, Classes: map[string]invariants.Class{}, Servers: map[string]invariants.ServerPlace{}}
-	for i, k := range s.machineTypeIndexes() {
-		r.Servers["e"+strconv.Itoa(i)] = invariants.ServerPlace{Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)], Slots: float64(s.MachineTypes[k].Slots)}
+	r := invariants.Rules{Slack: int64(s.Rules.Slack), DrainGrace: int64(s.Rules.DrainGrace),
+		OverloadWindow: int64(s.Rules.OverloadWindow), OverloadFactor: s.Rules.OverloadFactor,
+		SlowStart: int64(s.Rules.SlowStart), SlowStartShare: s.Rules.SlowStartShare,
+		AllowHedging: s.Rules.AllowHedging, Classes: map[string]invariants.Class{}, Servers: map[string]invariants.ServerPlace{}}
+	for i, typeIndex := range s.machineTypeIndexes() {
+		r.Servers["e"+strconv.Itoa(i)] = invariants.ServerPlace{Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)],
+			Slots: float64(s.MachineTypes[typeIndex].Slots)}
 	}
-	for _, c := range s.Classes {
-		r.Classes[c.Name] = invariants.Class{Idempotency: c.Idempotency, DedupScope: "all", DedupWindow: int64(c.DedupWindow)}
+	for _, class := range s.Classes {
+		r.Classes[class.Name] = invariants.Class{Idempotency: class.Idempotency, DedupScope: "all",
+			DedupWindow: int64(class.DedupWindow)}
 	}
 	if s.Leases.Mode == "leased" {
-		p := s.Leases.agreement(s.Fleet.Nodes)
+		agreement := s.Leases.agreement(s.Fleet.Nodes)
 		r.Totals = map[string]int64{}
-		for b, t := range p.Budgets {
-			for _, name := range p.PartitionNames(b) {
-				r.Totals[name] = t.Total - t.Floor*p.MaxNodes // nodes tell of their leases; floors are carved out
+		for b, limits := range agreement.Budgets {
+			for _, name := range agreement.PartitionNames(b) {
+				// Nodes log leased units only, without their floors.
+				r.Totals[name] = limits.Total - limits.Floor*agreement.MaxNodes
 			}
 		}
 	}
 	return r
 }
 
+// log passes an event to the run's log with the current time.
 func (w *world) log(e invariants.Event) {
 	e.At = w.now
 	w.emit(e)
 }
 
-// send takes something over the network, if it gets through.
-func (w *world) send(from, to int, then func()) {
+// send delivers a message between two zones after the network's delay, unless it is lost.
+func (w *world) send(from, to int, deliver func()) {
 	w.messageCount++
 	if w.cuts[[2]int{from, to}] > 0 || w.random.Float64() < max(w.scenario.Network.Loss, w.messageLoss) {
 		return
@@ -163,22 +175,23 @@
 	if from != to {
 		base = float64(w.scenario.Network.CrossZoneDelay)
 	}
-	w.after(int64(base*(1+w.scenario.Network.Jitter*w.random.ExpFloat64())), then)
+	w.after(int64(base*(1+w.scenario.Network.Jitter*w.random.ExpFloat64())), deliver)
 }
 
-// publishState has discovery learn what an executor is now, after a while, and then all nodes.
+// publishState reports a server's state to discovery, which applies it after the notice delay and notifies
+// the nodes.
 func (w *world) publishState(i int, state dispatch.EndpointState) {
-	since := w.servers[i].startedAt
+	startedAt := w.servers[i].startedAt
 	w.after(int64(w.scenario.Discovery.NoticeDelay), func() {
-		if m := &w.endpoints[i]; m.StartedAt <= since {
-			m.State, m.StartedAt = state, since
+		if endpoint := &w.endpoints[i]; endpoint.StartedAt <= startedAt {
+			endpoint.State, endpoint.StartedAt = state, startedAt
 			w.listVersion++
 		}
 		w.notifyNodes()
 	})
 }
 
-// notifyNodes brings the nodes that want to hear of it what discovery knows.
+// notifyNodes sends the endpoint list to all nodes that poll for it.
 func (w *world) notifyNodes() {
 	if w.discoveryStopped {
 		return
@@ -190,21 +203,23 @@
 	}
 }
 
-// sendEndpoints brings one node the list after a while; one that is lost on the way comes a notice later.
+// sendEndpoints sends one node the endpoint list after a random delay. A list that is lost is sent again,
+// which adds the notice delay.
 func (w *world) sendEndpoints(n *node) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	delay := w.random.Int64N(int64(w.scenario.Discovery.NotifyDelay) + 1)
 	if w.random.Float64() < w.scenario.Discovery.Loss {
 		delay += int64(w.scenario.Discovery.NoticeDelay)
 	}
 	w.after(delay, func() {
-		if n.incarnation == life && n.up && !w.discoveryStopped && n.listVersion < w.listVersion {
+		if n.incarnation == incarnation && n.up && !w.discoveryStopped && n.listVersion < w.listVersion {
 			n.updateEndpoints()
 		}
 	})
 }
 
-// recordEffect notes that a job has had its effect; that of a referenced txn which its group remembers is dropped.
+// recordEffect records that a job had its effect. It ignores idempotent requests, and repeats that are
+// deduplicated.
 func (w *world) recordEffect(j *job) {
 	if idempotencyOf(j.request.class.Idempotency) == dispatch.Idempotent || w.isDeduplicated(j) {
 		return
@@ -213,49 +228,53 @@
 	w.lastEffectAt[j.request.operation] = w.now
 }
 
-// isDeduplicated says whether a referenced txn's mark is known, so that it is not run again.
+// isDeduplicated reports whether a repeat of an operation is within the dedup window of its class, so that
+// servers do not run it again.
 func (w *world) isDeduplicated(j *job) bool {
-	at, known := w.lastEffectAt[j.request.operation]
-	return known && j.request.class.Idempotency == "referenced" && w.now-at <= int64(j.request.class.DedupWindow)
+	effectAt, known := w.lastEffectAt[j.request.operation]
+	return known && j.request.class.Idempotency == "referenced" &&
+		w.now-effectAt <= int64(j.request.class.DedupWindow)
 }
 
-// sampleIndexes draws a part of so many, at least one.
+// sampleIndexes draws a random part of the indexes below n, at least one.
 func (w *world) sampleIndexes(n int, part float64) []int {
 	return w.random.Perm(n)[:min(max(int(math.Round(part*float64(n))), 1), n)]
 }
 
-func (w *world) serverIndex(e *server) int { return slices.Index(w.servers, e) }
+func (w *world) serverIndex(server *server) int { return slices.Index(w.servers, server) }
 
-// crashServer ends an executor and has it come back cold.
-func (w *world) crashServer(e *server, away int64) {
-	if !e.up {
+// crashServer stops a server and starts it again, in slow start, after a delay in nanoseconds.
+func (w *world) crashServer(server *server, downtime int64) {
+	if !server.up {
 		return
 	}
-	i := w.serverIndex(e)
-	e.stop(false)
+	i := w.serverIndex(server)
+	server.stop(false)
 	w.publishState(i, dispatch.Removed)
-	w.after(away, func() {
-		e.start()
+	w.after(downtime, func() {
+		server.start()
 		w.publishState(i, dispatch.Up)
 	})
 }
 
-// replaceServer has an executor drain for the grace and what it was told of takes, then start anew.
-func (w *world) replaceServer(e *server) {
-	if !e.up {
+// replaceServer drains a server and restarts it. The server accepts requests until all nodes have been
+// notified and the drain grace is over, and restarts after the same time again.
+func (w *world) replaceServer(server *server) {
+	if !server.up {
 		return
 	}
-	i, life := w.serverIndex(e), e.incarnation
+	i, incarnation := w.serverIndex(server), server.incarnation
 	w.publishState(i, dispatch.Draining)
-	wait := int64(w.scenario.Discovery.NoticeDelay + w.scenario.Discovery.NotifyDelay + w.scenario.Rules.DrainGrace)
-	w.after(wait, func() {
-		if e.incarnation != life {
+	drainTime := int64(w.scenario.Discovery.NoticeDelay + w.scenario.Discovery.NotifyDelay +
+		w.scenario.Rules.DrainGrace)
+	w.after(drainTime, func() {
+		if server.incarnation != incarnation {
 			return
 		}
-		e.draining = true
-		w.after(wait, func() {
-			if e.incarnation == life {
-				w.crashServer(e, int64(1e8))
+		server.draining = true
+		w.after(drainTime, func() {
+			if server.incarnation == incarnation {
+				w.crashServer(server, int64(1e8))
 			}
 		})
 	})
