--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -8,7 +8,7 @@
 	"fmt"
 )
 
-// Violation is a broken rule and the event that proves it, by its number from 0 on.
+// Violation is a violated rule with the number of the event that proves it, from 0.
 type Violation struct {
 	Rule, Event int
 	Message     string
@@ -20,16 +20,16 @@
 	eventCount int
 	now        int64
 	requests   map[string]*requestState
-	unanswered deadlineQueue               // may still hold some that have been answered
-	stoppedAt  map[string]map[string]int64 // by node and server: since when the node knows that it drains or is gone
+	unanswered deadlineQueue               // may contain answered requests
+	stoppedAt  map[string]map[string]int64 // by node and server: when the node learned that it drains or is gone
 	startedAt  map[string]int64            // by server
-	sends      map[string][]send           // by server in slow start: sends within the last window
+	sends      map[string][]send           // by server in slow start: attempts sent within the last window
 	quotas     map[string]map[string]quota // by budget and process
-	overTotal  map[string]bool             // budgets reported as over their total, until they are within it again
+	overTotal  map[string]bool             // budgets that were above their total at the last event
 	violations []Violation
 }
 
-// New returns a checker that has seen no event.
+// New returns a checker without events.
 func New(rules Rules) *Checker {
 	return &Checker{
 		rules:     rules,
@@ -42,10 +42,10 @@
 	}
 }
 
-// Add checks the next event. An error says that the log makes no sense, which is no violation of a rule.
+// Add checks the next event. An error means that the log is invalid, which is not a violation of a rule.
 func (c *Checker) Add(e Event) error {
 	if e.At < c.now {
-		return fmt.Errorf("event %d: time goes back from %d to %d", c.eventCount, c.now, e.At)
+		return fmt.Errorf("event %d: time goes back from %d ns to %d ns", c.eventCount, c.now, e.At)
 	}
 	c.now = e.At
 	c.reportOverdue()
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Violations closes the log at a time and returns all violations, in the order of the events that prove them.
+// Violations ends the log at a time and returns all violations, in the order of the events that prove them.
 func (c *Checker) Violations(at int64) []Violation {
 	c.now = max(c.now, at)
 	c.reportOverdue()
@@ -74,7 +74,7 @@
 	case AttemptSent, AttemptEnded, RequestAnswered, ClientLeft:
 		request := c.requests[e.Request]
 		if request == nil {
-			return fmt.Errorf("%s of an unknown request %q", e.Kind, e.Request)
+			return fmt.Errorf("%s event of an unknown request %q", e.Kind, e.Request)
 		}
 		return c.applyToRequest(request, e)
 	case EndpointNotified:
@@ -87,7 +87,7 @@
 	case QuotaHeld:
 		return c.holdQuota(e)
 	default:
-		return fmt.Errorf("unknown kind %q", e.Kind)
+		return fmt.Errorf("unknown event kind %q", e.Kind)
 	}
 	return nil
 }
@@ -95,7 +95,8 @@
 func (c *Checker) acceptRequest(e Event) error {
 	class, known := c.rules.Classes[e.Class]
 	if c.requests[e.Request] != nil || !known || e.Request == "" || e.Node == "" {
-		return fmt.Errorf("request %q of class %q accepted by %q: seen before, or its class or node is unknown", e.Request, e.Class, e.Node)
+		return fmt.Errorf("request %q of class %q accepted by node %q: duplicate or empty id, unknown class, or empty node",
+			e.Request, e.Class, e.Node)
 	}
 	request := &requestState{node: e.Node, class: class, deadline: e.Deadline, acceptedBy: c.eventCount}
 	c.requests[e.Request] = request
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// notifyEndpoint notes since when a node knows that a server takes nothing more.
+// notifyEndpoint records when a node was first notified that a server accepts no more requests.
 func (c *Checker) notifyEndpoint(e Event) {
 	stopped := c.stoppedAt[e.Node]
 	if stopped == nil {
@@ -119,7 +120,7 @@
 	}
 }
 
-// removeNode forgets a node that died, and what it owed.
+// removeNode removes a killed node; its requests require no answer.
 func (c *Checker) removeNode(node string) {
 	delete(c.stoppedAt, node)
 	for _, byProcess := range c.quotas {
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -10,14 +10,17 @@
 )
 
 func testRules() Rules {
-	return Rules{Slack: 10, DrainGrace: 100, OverloadWindow: 1e9, OverloadFactor: 2, SlowStart: 10e9, SlowStartShare: 0.25,
+	return Rules{Slack: 10, DrainGrace: 100, OverloadWindow: 1e9, OverloadFactor: 2, SlowStart: 10e9,
+		SlowStartShare: 0.25,
 		Classes: map[string]Class{"free": {Idempotency: "repeatable"}, "once": {Idempotency: "once-only"},
-			"cell": {Idempotency: "referenced", DedupScope: "cell", DedupWindow: 500}, "zone": {Idempotency: "referenced", DedupScope: "zone", DedupWindow: 500},
+			"cell": {Idempotency: "referenced", DedupScope: "cell",
+				DedupWindow: 500}, "zone": {Idempotency: "referenced", DedupScope: "zone", DedupWindow: 500},
 			"all": {Idempotency: "referenced", DedupScope: "all", DedupWindow: 500}},
-		Servers: map[string]ServerPlace{"a": {"z1", "c1", 4}, "b": {"z1", "c1", 4}, "c": {"z1", "c2", 4}, "d": {"z2", "c3", 4}}}
+		Servers: map[string]ServerPlace{"a": {"z1", "c1", 4}, "b": {"z1", "c1", 4}, "c": {"z1", "c2", 4},
+			"d": {"z2", "c3", 4}}}
 }
 
-// parse makes events of words: time, kind and the fields of that kind.
+// parse decodes events separated by semicolons, each with its time, its kind and the fields of that kind.
 func parse(t *testing.T, text string) (events []Event) {
 	t.Helper()
 	for part := range strings.SplitSeq(text, ";") {
@@ -45,38 +48,55 @@
 	return events
 }
 
-// TestEachRuleIsCaught: what breaks a rule is reported with the event that proves it, and what does not is not reported.
-func TestEachRuleIsCaught(t *testing.T) {
+// TestViolationsAreReported checks that logs that violate a rule are reported with the event that proves it,
+// and that lawful logs are not reported.
+func TestViolationsAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		log         string
-		rule, event int // 0: no breach
+		rule, event int // 0: no violation
 	}{
-		"served":                      {"0 taken x once; 1 posted x a 0; 9 ended x 0 settled; 9 answered x settled", 0, 0},
-		"just in time":                {"0 taken x once; 1010 answered x declined", 0, 0},
-		"client left":                 {"0 taken x once; 5 left x; 2000 told a up", 0, 0},
-		"node killed":                 {"0 taken x once; 5 killed; 2000 told a up", 0, 0},
-		"answers twice":               {"0 taken x free; 3 answered x declined; 4 answered x declined", 1, 2},
-		"answers one who left":        {"0 taken x free; 3 left x; 4 answered x declined", 1, 2},
-		"forgets at expiry":           {"0 taken x free; 500 told a up; 1011 told a up", 1, 2},
-		"forgets to the end":          {"0 taken x free", 1, 1},
-		"sends after the answer":      {"0 taken x free; 3 answered x declined; 4 posted x a 0", 1, 2},
-		"repeats after a refusal":     {"0 taken x once; 1 posted x a 0; 2 ended x 0 full; 3 posted x b 1; 9 ended x 1 settled; 9 answered x settled", 0, 0},
-		"repeats after a break":       {"0 taken x once; 1 posted x a 0; 2 ended x 0 broken; 3 posted x b 1; 9 answered x reversed", 2, 3},
-		"repeats after a time-out":    {"0 taken x once; 1 posted x a 0; 2 ended x 0 late; 3 posted x a 1; 9 answered x reversed", 2, 3},
-		"declines what may have run":  {"0 taken x once; 1 posted x a 0; 2 ended x 0 broken; 3 answered x declined", 2, 3},
-		"declines what is out":        {"0 taken x cell; 1 posted x a 0; 3 answered x declined", 2, 2},
-		"declines what never ran":     {"0 taken x once; 1 posted x a 0; 2 ended x 0 undialed; 3 answered x declined", 0, 0},
-		"declines where all remember": {"0 taken x all; 1 posted x a 0; 2 ended x 0 broken; 3 answered x declined", 0, 0},
-		"stays in the cell":           {"0 taken x cell; 1 posted x a 0; 2 ended x 0 broken; 3 posted x b 1; 9 answered x reversed", 0, 0},
-		"leaves the cell":             {"0 taken x cell; 1 posted x a 0; 2 ended x 0 broken; 3 posted x c 1; 9 answered x reversed", 2, 3},
-		"stays in the zone":           {"0 taken x zone; 1 posted x a 0; 2 ended x 0 broken; 3 posted x c 1; 9 answered x reversed", 0, 0},
-		"leaves the zone":             {"0 taken x zone; 1 posted x a 0; 2 ended x 0 broken; 3 posted x d 1; 9 answered x reversed", 2, 3},
-		"after it is forgotten":       {"0 taken x all; 1 posted x a 0; 2 ended x 0 broken; 502 posted x b 1; 510 answered x reversed", 2, 3},
-		"two out at once":             {"0 taken x free; 1 posted x a 0; 2 posted x b 1; 9 answered x settled", 2, 2},
-		"drained within the grace":    {"0 told a draining; 1 taken x free; 100 posted x a 0; 200 answered x settled", 0, 0},
-		"drained beyond it":           {"0 told a draining; 1 taken x free; 101 posted x a 0; 200 answered x settled", 3, 2},
-		"gone, told twice":            {"0 told a draining; 90 told a gone; 91 taken x free; 101 posted x a 0; 200 answered x settled", 3, 3},
-		"drained and back":            {"0 told a draining; 90 told a up; 91 taken x free; 300 posted x a 0; 400 answered x settled", 0, 0},
+		"served":                    {"0 taken x once; 1 posted x a 0; 9 ended x 0 settled; 9 answered x settled", 0, 0},
+		"answered within the slack": {"0 taken x once; 1010 answered x declined", 0, 0},
+		"client left":               {"0 taken x once; 5 left x; 2000 told a up", 0, 0},
+		"node killed":               {"0 taken x once; 5 killed; 2000 told a up", 0, 0},
+		"two answers":               {"0 taken x free; 3 answered x declined; 4 answered x declined", 1, 2},
+		"answer after client left":  {"0 taken x free; 3 left x; 4 answered x declined", 1, 2},
+		"no answer at deadline":     {"0 taken x free; 500 told a up; 1011 told a up", 1, 2},
+		"no answer at log end":      {"0 taken x free", 1, 1},
+		"attempt after the answer":  {"0 taken x free; 3 answered x declined; 4 posted x a 0", 1, 2},
+		"retry after rejection": {
+			"0 taken x once; 1 posted x a 0; 2 ended x 0 full; 3 posted x b 1; 9 ended x 1 settled; 9 answered x settled", 0, 0},
+		"retry after connection loss": {
+			"0 taken x once; 1 posted x a 0; 2 ended x 0 broken; 3 posted x b 1; 9 answered x reversed", 2, 3},
+		"retry after time-out": {
+			"0 taken x once; 1 posted x a 0; 2 ended x 0 late; 3 posted x a 1; 9 answered x reversed", 2, 3},
+		"shed after it may have run": {
+			"0 taken x once; 1 posted x a 0; 2 ended x 0 broken; 3 answered x declined", 2, 3},
+		"shed with attempt in flight": {"0 taken x cell; 1 posted x a 0; 3 answered x declined", 2, 2},
+		"shed, never ran": {
+			"0 taken x once; 1 posted x a 0; 2 ended x 0 undialed; 3 answered x declined", 0, 0},
+		"shed, all servers deduplicate": {
+			"0 taken x all; 1 posted x a 0; 2 ended x 0 broken; 3 answered x declined", 0, 0},
+		"retry in the cell": {
+			"0 taken x cell; 1 posted x a 0; 2 ended x 0 broken; 3 posted x b 1; 9 answered x reversed", 0, 0},
+		"retry in another cell": {
+			"0 taken x cell; 1 posted x a 0; 2 ended x 0 broken; 3 posted x c 1; 9 answered x reversed", 2, 3},
+		"retry in the zone": {
+			"0 taken x zone; 1 posted x a 0; 2 ended x 0 broken; 3 posted x c 1; 9 answered x reversed", 0, 0},
+		"retry in another zone": {
+			"0 taken x zone; 1 posted x a 0; 2 ended x 0 broken; 3 posted x d 1; 9 answered x reversed", 2, 3},
+		"retry after dedup window": {
+			"0 taken x all; 1 posted x a 0; 2 ended x 0 broken; 502 posted x b 1; 510 answered x reversed", 2, 3},
+		"two attempts in flight": {
+			"0 taken x free; 1 posted x a 0; 2 posted x b 1; 9 answered x settled", 2, 2},
+		"drained within the grace": {
+			"0 told a draining; 1 taken x free; 100 posted x a 0; 200 answered x settled", 0, 0},
+		"drained beyond the grace": {
+			"0 told a draining; 1 taken x free; 101 posted x a 0; 200 answered x settled", 3, 2},
+		"draining, then gone": {
+			"0 told a draining; 90 told a gone; 91 taken x free; 101 posted x a 0; 200 answered x settled", 3, 3},
+		"drained, then up again": {
+			"0 told a draining; 90 told a up; 91 taken x free; 300 posted x a 0; 400 answered x settled", 0, 0},
 	} {
 		checker := New(testRules())
 		for _, e := range parse(t, c.log) {
@@ -85,19 +105,23 @@
 			}
 		}
 		violations := checker.Violations(3000)
-		if c.rule == 0 && len(violations) > 0 || c.rule > 0 && (len(violations) != 1 || violations[0].Rule != c.rule || violations[0].Event != c.event) {
-			t.Errorf("%s: %+v, want rule %d at event %d", name, violations, c.rule, c.event)
+		if c.rule == 0 && len(violations) > 0 || c.rule > 0 && (len(violations) != 1 ||
+			violations[0].Rule != c.rule || violations[0].Event != c.event) {
+			t.Errorf("%s: got violations %+v, want rule %d at event %d (0: none)", name, violations, c.rule,
+				c.event)
 		}
 	}
 }
 
-// flood sends work to a server that has just started, from many nodes, a little each.
+// flood sends work in slots times seconds to a server that has just started, from many nodes with one request
+// each.
 func flood(nodes int, each float64) []Violation {
 	checker := New(testRules())
 	checker.Add(Event{Kind: ServerStarted, Server: "a"})
 	for i := range nodes {
 		at, id := int64(i)*1e6, fmt.Sprint(i)
-		checker.Add(Event{At: at, Kind: RequestAccepted, Node: id, Request: id, Class: "free", Deadline: 1e12})
+		checker.Add(Event{At: at, Kind: RequestAccepted, Node: id, Request: id, Class: "free",
+			Deadline: 1e12})
 		checker.Add(Event{At: at, Kind: AttemptSent, Request: id, Server: "a", Work: each})
 		checker.Add(Event{At: at, Kind: AttemptEnded, Request: id, Result: "full"})
 		checker.Add(Event{At: at, Kind: RequestAnswered, Request: id, Result: "declined"})
@@ -105,32 +129,36 @@
 	return checker.Violations(2e9)
 }
 
-// TestSlowStartIsCountedOverNodes: no node sends much, and all is rejected; together it is too much all the same.
+// TestSlowStartIsCountedOverNodes checks that the work for a server in slow start is summed over all nodes,
+// rejected attempts included.
 func TestSlowStartIsCountedOverNodes(t *testing.T) {
-	// At the start a quarter of four slots, twice that for a second: 2 s of work, 2.3 at 0.2 s.
+	// The limit is twice a quarter of four slots over 1 s: 2 slots times s of work, and 2.3 at 0.2 s.
 	if b := flood(200, 0.01); len(b) > 0 {
-		t.Errorf("%+v", b[0])
+		t.Errorf("2 slots times s of work: got violation %+v, want none", b[0])
 	}
 	if b := flood(200, 0.03); len(b) == 0 || b[0].Rule != 4 {
-		t.Errorf("%+v", b)
+		t.Errorf("6 slots times s of work: got violations %+v, want rule 4", b)
 	}
 }
 
-// TestInvalidLogIsNoViolation: a log that makes no sense is an error, and no violation.
+// TestInvalidLogIsNoViolation checks that an invalid log is an error and not a violation.
 func TestInvalidLogIsNoViolation(t *testing.T) {
-	for _, log := range []string{"5 told a up; 4 told a up", "0 posted x a 0", "0 taken x odd", "0 taken x free; 1 taken x free",
-		"0 taken x free; 1 posted x e 0", "0 taken x free; 1 posted x a 1", "0 taken x free; 1 ended x 0 full", "0 odd"} {
+	for _, log := range []string{"5 told a up; 4 told a up", "0 posted x a 0", "0 taken x odd",
+		"0 taken x free; 1 taken x free",
+		"0 taken x free; 1 posted x e 0", "0 taken x free; 1 posted x a 1", "0 taken x free; 1 ended x 0 full",
+		"0 odd"} {
 		checker, failed := New(testRules()), false
 		for _, e := range parse(t, log) {
 			failed = failed || checker.Add(e) != nil
 		}
 		if !failed || len(checker.violations) > 0 {
-			t.Errorf("%s: %v %+v", log, failed, checker.violations)
+			t.Errorf("%s: got error %v and violations %+v, want an error and no violation", log, failed,
+				checker.violations)
 		}
 	}
 }
 
-// FuzzLawful: random histories that keep the rules have no violation; the same with a second answer have one.
+// FuzzLawful checks that random lawful logs have no violation, and that a second answer at their end is one.
 func FuzzLawful(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
@@ -164,16 +192,16 @@
 			add(last)
 		}
 		if b := checker.Violations(at + 5000); len(b) > 0 {
-			t.Fatalf("a violation where the rules are kept: %+v", b[0])
+			t.Fatalf("lawful log: got violation %+v, want none", b[0])
 		}
 		at += 5000
 		if add(last); len(checker.Violations(at)) != 1 {
-			t.Fatal("a second answer is not seen")
+			t.Fatal("second answer: got no single violation, want one")
 		}
 	})
 }
 
-// TestSharedBudgets: quotas in force never add up to more than the total, by events alone.
+// TestSharedBudgets checks the sum of the quotas in force against the total of 10 units.
 func TestSharedBudgets(t *testing.T) {
 	held := func(at int64, node string, units, until int64) Event {
 		return Event{At: at, Kind: QuotaHeld, Node: node, Budget: "b", Units: units, Until: until}
@@ -182,16 +210,19 @@
 		events     []Event
 		violations int
 	}{
-		"within":                 {[]Event{held(1, "a", 4, 10), held(2, "b", 6, 10)}, 0},
-		"over":                   {[]Event{held(1, "a", 4, 10), held(2, "b", 7, 10)}, 1},
-		"one that ended":         {[]Event{held(1, "a", 4, 10), held(10, "b", 7, 20)}, 0},
-		"one moment before":      {[]Event{held(1, "a", 4, 10), held(9, "b", 7, 20)}, 1},
-		"in place of before":     {[]Event{held(1, "a", 10, 10), held(2, "a", 3, 12), held(3, "b", 7, 12)}, 0},
-		"given back":             {[]Event{held(1, "a", 10, 10), held(2, "a", 0, 10), held(2, "b", 10, 10)}, 0},
-		"for good":               {[]Event{held(1, "a", 4, 0), held(1000, "b", 7, 2000)}, 1},
-		"dead":                   {[]Event{held(1, "a", 4, 0), {At: 2, Kind: NodeKilled, Node: "a"}, held(3, "b", 10, 9)}, 0},
-		"told once for as long":  {[]Event{held(1, "a", 11, 90), held(2, "b", 1, 90), held(3, "b", 2, 90)}, 1},
-		"and again after a time": {[]Event{held(1, "a", 11, 5), held(6, "b", 1, 90), held(7, "a", 10, 90)}, 2},
+		"within":             {[]Event{held(1, "a", 4, 10), held(2, "b", 6, 10)}, 0},
+		"over":               {[]Event{held(1, "a", 4, 10), held(2, "b", 7, 10)}, 1},
+		"after expiry":       {[]Event{held(1, "a", 4, 10), held(10, "b", 7, 20)}, 0},
+		"just before expiry": {[]Event{held(1, "a", 4, 10), held(9, "b", 7, 20)}, 1},
+		"quota replaced":     {[]Event{held(1, "a", 10, 10), held(2, "a", 3, 12), held(3, "b", 7, 12)}, 0},
+		"quota returned": {[]Event{held(1, "a", 10, 10), held(2, "a", 0, 10),
+			held(2, "b", 10, 10)}, 0},
+		"without expiry": {[]Event{held(1, "a", 4, 0), held(1000, "b", 7, 2000)}, 1},
+		"node killed": {[]Event{held(1, "a", 4, 0), {At: 2, Kind: NodeKilled, Node: "a"},
+			held(3, "b", 10, 9)}, 0},
+		"reported once while above": {[]Event{held(1, "a", 11, 90), held(2, "b", 1, 90),
+			held(3, "b", 2, 90)}, 1},
+		"reported again later": {[]Event{held(1, "a", 11, 5), held(6, "b", 1, 90), held(7, "a", 10, 90)}, 2},
 	} {
 		checker := New(Rules{Totals: map[string]int64{"b": 10}})
 		for _, e := range c.events {
@@ -200,10 +231,10 @@
 			}
 		}
 		if got := checker.Violations(2000); len(got) != c.violations || len(got) > 0 && got[0].Rule != 5 {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got violations %v, want %d of rule 5", name, got, c.violations)
 		}
 	}
 	if err := New(Rules{}).Add(held(1, "a", 1, 2)); err == nil {
-		t.Error("a budget that nobody knows")
+		t.Error("quota of an unknown budget: got no error, want one")
 	}
 }
--- a/internal/invariants/requests.go
+++ b/internal/invariants/requests.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// attempt is one sending of a request.
+// attempt is one attempt of a request.
 type attempt struct {
 	sentAt    int64
 	server    string
@@ -17,17 +17,17 @@
 	provedOff bool // its outcome proves that it never ran
 }
 
-// requestState is a request that was accepted.
+// requestState is the state of an accepted request.
 type requestState struct {
 	node       string
 	class      Class
 	deadline   int64
 	attempts   []*attempt
-	done       bool // answered, or nothing is owed any more
-	acceptedBy int  // the number of the event
+	done       bool // answered, or no answer is required any more
+	acceptedBy int  // number of the event
 }
 
-// firstThatMayHaveRun returns the first attempt that may have run, or may yet; nil: none.
+// firstThatMayHaveRun returns the first attempt that may have run, or may still run; nil: none.
 func (r *requestState) firstThatMayHaveRun() *attempt {
 	i := slices.IndexFunc(r.attempts, func(a *attempt) bool { return !a.provedOff })
 	if i < 0 {
@@ -57,7 +57,7 @@
 
 func (c *Checker) sendAttempt(request *requestState, e Event) error {
 	if e.Attempt != len(request.attempts) {
-		return fmt.Errorf("attempt %d where %d is the next", e.Attempt, len(request.attempts))
+		return fmt.Errorf("attempt %d out of order, want attempt %d", e.Attempt, len(request.attempts))
 	}
 	if _, known := c.rules.Servers[e.Server]; !known {
 		return fmt.Errorf("unknown server %q", e.Server)
@@ -69,7 +69,7 @@
 
 func endAttempt(request *requestState, e Event) error {
 	if e.Attempt < 0 || e.Attempt >= len(request.attempts) || !request.attempts[e.Attempt].inFlight {
-		return fmt.Errorf("end of attempt %d, which is not in flight", e.Attempt)
+		return fmt.Errorf("attempt %d ended, but is not in flight", e.Attempt)
 	}
 	ended := request.attempts[e.Attempt]
 	ended.inFlight = false
@@ -80,35 +80,39 @@
 // checkAnswer checks a final answer against rules 1 and 2.
 func (c *Checker) checkAnswer(request *requestState, e Event) {
 	if request.done {
-		c.report(ruleNoneLost, "request %s: a second final answer, %s, or one that nobody waits for", e.Request, e.Result)
+		c.report(ruleNoneLost, "request %s: final answer %s after an earlier one or after the client left",
+			e.Request, e.Result)
 		return
 	}
 	first := request.firstThatMayHaveRun()
 	if e.Result == resultShed && first != nil && !request.class.mayRepeatAnywhere() {
-		c.report(ruleNoEffectTwice, "request %s: shed though its attempt at %s may have run", e.Request, first.server)
+		c.report(ruleNoEffectTwice, "request %s: shed though its attempt at %s may have run", e.Request,
+			first.server)
 	}
 }
 
 // checkSend checks one attempt against rules 1 to 4.
 func (c *Checker) checkSend(request *requestState, e Event) {
 	if request.done {
-		c.report(ruleNoneLost, "request %s: sent to %s after its end", e.Request, e.Server)
+		c.report(ruleNoneLost, "request %s: sent to %s after its final answer or after the client left",
+			e.Request, e.Server)
 	}
 	if !c.rules.AllowHedging && request.hasAttemptInFlight() {
-		c.report(ruleNoEffectTwice, "request %s: a second attempt in flight", e.Request)
+		c.report(ruleNoEffectTwice, "request %s: second attempt in flight, but hedging is not allowed",
+			e.Request)
 	}
 	if first := request.firstThatMayHaveRun(); first != nil {
 		c.checkRepeat(request, first, e)
 	}
 	since, stopped := c.stoppedAt[request.node][e.Server]
 	if stopped && e.At-since > c.rules.DrainGrace {
-		c.report(ruleDrainsKept, "request %s: sent to %s %d ms after %s was notified that it stops",
+		c.report(ruleDrainsKept, "request %s: sent to %s %d ms after %s was notified that it drains or is gone",
 			e.Request, e.Server, (e.At-since)/nanosPerMilli, request.node)
 	}
 	c.checkSlowStart(e)
 }
 
-// checkRepeat checks an attempt after another one that may have run against rule 2.
+// checkRepeat checks an attempt that follows one that may have run against rule 2.
 func (c *Checker) checkRepeat(request *requestState, first *attempt, e Event) {
 	class := request.class
 	switch {
@@ -123,7 +127,7 @@
 	}
 }
 
-// reportOverdue reports requests without an answer at their deadline and slack.
+// reportOverdue reports requests that have no answer at their deadline plus the slack.
 func (c *Checker) reportOverdue() {
 	for len(c.unanswered) > 0 {
 		next := c.unanswered[0]
@@ -132,14 +136,15 @@
 		}
 		heap.Pop(&c.unanswered)
 		if !next.done {
-			c.report(ruleNoneLost, "the request accepted by event %d has no final answer by its deadline", next.acceptedBy)
+			c.report(ruleNoneLost, "the request accepted by event %d has no final answer by its deadline",
+				next.acceptedBy)
 			next.done = true
 		}
 	}
 }
 
-// deadlineQueue is a heap of requests by deadline, and by acceptance among equal ones. A heap, since a scan of all requests at each
-// event takes most of the time of a run with hundreds of nodes.
+// deadlineQueue is a heap of requests by deadline, then by order of acceptance. It is a heap because a scan
+// of all requests at each event takes most of the time of a run with hundreds of nodes.
 type deadlineQueue []*requestState
 
 // Len implements heap.Interface.
@@ -147,7 +152,8 @@
 
 // Less implements heap.Interface.
 func (q deadlineQueue) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(q[i].deadline, q[j].deadline), cmp.Compare(q[i].acceptedBy, q[j].acceptedBy)) < 0
+	return cmp.Or(cmp.Compare(q[i].deadline, q[j].deadline),
+		cmp.Compare(q[i].acceptedBy, q[j].acceptedBy)) < 0
 }
 
 // Swap implements heap.Interface.
--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -2,11 +2,11 @@
 
 package invariants
 
-// The rules by number, as violations name them.
+// The numbers of the rules in violations.
 const (
 	ruleNoneLost      = 1 // one final answer by the deadline, nothing sent after it
-	ruleNoEffectTwice = 2 // a request that may have run is not run again where that does harm
-	ruleDrainsKept    = 3 // nothing is sent to a server that has drained for longer than the grace
+	ruleNoEffectTwice = 2 // a request that may have run is not repeated unless that is safe
+	ruleDrainsKept    = 3 // no attempt is sent to a server that has drained for longer than the grace period
 	ruleSlowStart     = 4 // all nodes together do not overload a server in slow start
 	ruleSharedBudgets = 5 // quotas in force do not add up to more than a budget's total
 )
@@ -16,27 +16,28 @@
 	nanosPerSecond = 1_000_000_000
 )
 
-// The idempotency of a class, in the words of the log.
+// The idempotency of a class, as written to logs.
 const (
 	nonIdempotent     = "once-only"
-	idempotentInGroup = "referenced" // "repeatable", the third one, has no rule
+	idempotentInGroup = "referenced" // the third value, "repeatable", has no rule
 )
 
-// The groups of servers that drop repeats of a request that is idempotent within a group.
+// The groups of servers within which repeats of a request are deduplicated.
 const (
 	dedupAll  = "all"
 	dedupZone = "zone"
 	dedupCell = "cell"
 )
 
-// Class is what the rules say of a class of requests.
+// Class has the settings of a class of requests that the rules depend on.
 type Class struct {
 	Idempotency string `json:"effect"` // repeatable, referenced, once-only
-	DedupScope  string `json:"group"`  // of a referenced one: all, zone, cell
-	DedupWindow int64  `json:"memory"` // nanoseconds for which a group drops its repeats
+	DedupScope  string `json:"group"`  // of a referenced class: all, zone, cell
+	DedupWindow int64  `json:"memory"` // nanoseconds in which a group deduplicates repeats
 }
 
-// mayRepeatAnywhere says whether a client may repeat a request of this class anywhere after it may have run.
+// mayRepeatAnywhere reports whether a client may retry a request of this class at any server after it may
+// have run.
 func (c Class) mayRepeatAnywhere() bool {
 	switch c.Idempotency {
 	case nonIdempotent:
@@ -47,7 +48,7 @@
 	return true
 }
 
-// sameGroup says whether two servers drop each other's repeats of a request of this class.
+// sameGroup reports whether two servers deduplicate requests of this class together.
 func (c Class) sameGroup(a, b ServerPlace) bool {
 	switch c.DedupScope {
 	case dedupZone:
@@ -58,7 +59,7 @@
 	return true
 }
 
-// ServerPlace is where a server stands, and how many slots it has when warm.
+// ServerPlace is the location of a server, and its number of slots after slow start.
 type ServerPlace struct {
 	Zone  string  `json:"zone"`
 	Cell  string  `json:"cell"`
@@ -67,14 +68,14 @@
 
 // Rules are the settings that a log is checked against. Times are in nanoseconds.
 type Rules struct {
-	Slack          int64                  `json:"slack"` // after the deadline, in which an answer still counts
-	DrainGrace     int64                  `json:"grace"` // in which sends to a draining server have to stop
+	Slack          int64                  `json:"slack"` // after the deadline; an answer still counts
+	DrainGrace     int64                  `json:"grace"` // after the notice of a drain; attempts are allowed
 	OverloadWindow int64                  `json:"fall"`
-	OverloadFactor float64                `json:"fall_multiple"` // of what a server can do in a window, above which it is overloaded
+	OverloadFactor float64                `json:"fall_multiple"` // overload limit, times the capacity in a window
 	SlowStart      int64                  `json:"cold"`
-	SlowStartShare float64                `json:"cold_share"` // of its capacity that a server has at its start
-	AllowHedging   bool                   `json:"doubles"`    // two attempts of one request may be in flight at once
+	SlowStartShare float64                `json:"cold_share"` // share of the capacity at the start
+	AllowHedging   bool                   `json:"doubles"`    // two attempts of a request may be in flight
 	Classes        map[string]Class       `json:"schemes"`
 	Servers        map[string]ServerPlace `json:"executors"`
-	Totals         map[string]int64       `json:"wholes,omitempty"` // of budgets that nodes hold together, in units
+	Totals         map[string]int64       `json:"wholes,omitempty"` // of shared budgets, in units
 }
--- a/internal/invariants/slow_start.go
+++ b/internal/invariants/slow_start.go
@@ -4,13 +4,14 @@
 
 import "slices"
 
-// send is work that was sent to a server in slow start, in slots times seconds.
+// send is the work of an attempt sent to a server in slow start, in slots times seconds.
 type send struct {
 	at   int64
 	work float64
 }
 
-// checkSlowStart compares what all nodes sent to a server in slow start in one window with what it can do (rule 4).
+// checkSlowStart checks the work that all nodes sent to a server in slow start within a window against its
+// limit (rule 4).
 func (c *Checker) checkSlowStart(e Event) {
 	startedAt, known := c.startedAt[e.Server]
 	age := e.At - startedAt
@@ -25,12 +26,15 @@
 		sent += s.work
 	}
 	if limit := c.overloadLimit(e.Server, age); sent > limit {
-		c.report(ruleSlowStart, "%s, in slow start: %.2f s of work in a window that allows %.2f", e.Server, sent, limit)
+		c.report(ruleSlowStart, "%s in slow start: sent %.2f slots times s of work in a window, above the limit of %.2f",
+			e.Server, sent, limit)
 	}
 }
 
-// overloadLimit is the work in a window above which a server of an age is overloaded, in slots times seconds.
+// overloadLimit returns the work in a window above which a server is overloaded, in slots times seconds. age
+// is the time since its start in nanoseconds.
 func (c *Checker) overloadLimit(server string, age int64) float64 {
 	share := c.rules.SlowStartShare + (1-c.rules.SlowStartShare)*float64(age)/float64(c.rules.SlowStart)
-	return c.rules.OverloadFactor * share * c.rules.Servers[server].Slots * float64(c.rules.OverloadWindow) / nanosPerSecond
+	return c.rules.OverloadFactor * share * c.rules.Servers[server].Slots *
+		float64(c.rules.OverloadWindow) / nanosPerSecond
 }
--- a/internal/invariants/summary.go
+++ b/internal/invariants/summary.go
@@ -8,17 +8,18 @@
 	"slices"
 )
 
-// worstSpan is the length of the worst stretch of time, in seconds.
+// worstSpan is the length in seconds of the spans of which the worst is reported.
 const worstSpan = 10
 
-// Service is what a class, a tenant or a stretch of time got, in priority weight of clients' requests.
+// Service is the service that a class, a tenant or a span of time received, in priority weight of clients'
+// requests.
 type Service struct {
 	Requested float64 `json:"asked"`
 	OnTime    float64 `json:"on_time"`
 	Late      float64 `json:"late"` // answered after the latency objective, with the full weight
 }
 
-// Share is the part served on time; 1 where nothing was requested.
+// Share returns the share served on time; 1 if nothing was requested.
 func (s Service) Share() float64 {
 	if s.Requested == 0 {
 		return 1
@@ -26,28 +27,29 @@
 	return s.OnTime / s.Requested
 }
 
-// Summary is the service that a log shows. All retries of one client count as one request, from its first sending on.
+// Summary is the service that a log shows. A client's retries count as one request that starts with the first
+// of them.
 type Summary struct {
 	All             Service            `json:"all"`
 	Classes         map[string]Service `json:"schemes"`
 	Tenants         map[string]Service `json:"tenants,omitempty"`
 	WorstTenSeconds float64            `json:"worst_10s"` // share on time of the worst ten seconds in a row
-	Latencies       []int64            `json:"-"`         // nanoseconds from first sending to answer of what was served, sorted
-	Requests        int                `json:"tries"`     // clients' retries among them
+	Latencies       []int64            `json:"-"`         // of served requests, from first sending to answer, in ns; sorted
+	Requests        int                `json:"tries"`     // clients' retries included
 	Attempts        int                `json:"postings"`
 	Shed            int                `json:"declined"`
 	Compensated     int                `json:"reversed"`
 }
 
-// Latency returns the latency that a part of the served requests, from 0 to 1, did not exceed; 0 if none was served.
-func (s *Summary) Latency(part float64) int64 {
+// Latency returns a quantile, from 0 to 1, of the latencies in nanoseconds; 0 if no request was served.
+func (s *Summary) Latency(quantile float64) int64 {
 	if len(s.Latencies) == 0 {
 		return 0
 	}
-	return s.Latencies[min(int(part*float64(len(s.Latencies))), len(s.Latencies)-1)]
+	return s.Latencies[min(int(quantile*float64(len(s.Latencies))), len(s.Latencies)-1)]
 }
 
-// clientRequest is what a client wanted, over all its retries.
+// clientRequest is a client's request with all of its retries.
 type clientRequest struct {
 	class, tenant      string
 	firstRequestedAt   int64
@@ -76,7 +78,7 @@
 	counts    Summary
 }
 
-// NewCollector returns a collector that has seen no event.
+// NewCollector returns a collector without events.
 func NewCollector() *Collector {
 	return &Collector{byClient: map[string]*clientRequest{}, byRequest: map[string]*clientRequest{}}
 }
@@ -119,31 +121,33 @@
 	}
 }
 
-// Summary returns the figures of all events so far.
+// Summary returns the summary of all events so far.
 func (c *Collector) Summary() *Summary {
-	out := c.counts
-	out.Classes = map[string]Service{}
-	out.Tenants = map[string]Service{}
+	summary := c.counts
+	summary.Classes = map[string]Service{}
+	summary.Tenants = map[string]Service{}
 	bySecond := map[int64]Service{}
-	for _, client := range slices.Sorted(maps.Keys(c.byClient)) { // in order, since sums of fractions depend on it
+	// Sorted, since floating-point sums depend on the order.
+	for _, client := range slices.Sorted(maps.Keys(c.byClient)) {
 		r := c.byClient[client]
 		second := r.firstRequestedAt / nanosPerSecond
-		out.All = r.addTo(out.All)
-		out.Classes[r.class] = r.addTo(out.Classes[r.class])
+		summary.All = r.addTo(summary.All)
+		summary.Classes[r.class] = r.addTo(summary.Classes[r.class])
 		bySecond[second] = r.addTo(bySecond[second])
 		if r.tenant != "" {
-			out.Tenants[r.tenant] = r.addTo(out.Tenants[r.tenant])
+			summary.Tenants[r.tenant] = r.addTo(summary.Tenants[r.tenant])
 		}
 		if r.answeredAt > 0 && r.weight > 0 {
-			out.Latencies = append(out.Latencies, r.answeredAt-r.firstRequestedAt)
+			summary.Latencies = append(summary.Latencies, r.answeredAt-r.firstRequestedAt)
 		}
 	}
-	slices.Sort(out.Latencies)
-	out.WorstTenSeconds = min(out.All.Share(), worstShare(bySecond))
-	return &out
+	slices.Sort(summary.Latencies)
+	summary.WorstTenSeconds = min(summary.All.Share(), worstShare(bySecond))
+	return &summary
 }
 
-// worstShare is the least share on time of a span whose first and last seconds have requests; 1 if there is none.
+// worstShare returns the lowest share on time of all spans whose first and last seconds have requests; 1 if
+// there is no such span.
 func worstShare(bySecond map[int64]Service) float64 {
 	worst := 1.0
 	for first := range bySecond {
