--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package experiment says which runs a grid of scenarios, variants and seeds consists of, and summarizes their results: means, and
-// differences to a base by pairs of runs with the same seed. It plays nothing itself.
+// Package experiment enumerates the runs of a grid of scenarios, variants and seeds, and summarizes their
+// results: means, and differences to a base variant by pairs of runs with the same seed. It does not execute
+// runs.
 package experiment
 
 import (
@@ -13,34 +14,34 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Bounds of a plan; larger numbers are typing errors.
+// Bounds of a plan. Larger numbers are taken for typing errors.
 const (
 	maxSeeds    = 1000
 	maxVariants = 64
 )
 
-// defaultPolicy is what decides on the nodes of a variant that names no policy: the decision package.
+// defaultPolicy is the policy of a variant that names none: the dispatch package.
 const defaultPolicy = "module"
 
-// Plan is an experiment's file.
+// Plan is the content of an experiment's file.
 type Plan struct {
 	Title     string    `toml:"title"`
 	Scenarios []string  `toml:"scenarios"` // files, relative to the plan's own folder
-	Seeds     uint64    `toml:"seeds"`     // 1 to this many
+	Seeds     uint64    `toml:"seeds"`     // number of seeds, which are 1 to this number
 	Base      string    `toml:"base"`      // the variant that others are compared with
 	Variants  []Variant `toml:"variant"`
 }
 
-// Variant is one way to run each scenario. What it leaves out is the scenario's.
+// Variant is a set of changes to each scenario. Settings that it leaves out are those of the scenario.
 type Variant struct {
 	Name    string `toml:"name" json:"name"`
-	Policy  string `toml:"policy" json:"policy"`         // empty in a plan: the decision package
+	Policy  string `toml:"policy" json:"policy"`         // empty in a plan: the dispatch package
 	Nodes   int    `toml:"nodes" json:"nodes,omitempty"` // of the fleet
 	Subset  *int   `toml:"subset" json:"subset"`         // servers that a node uses; 0: all
 	Budgets string `toml:"budgets" json:"budgets"`       // turns, leased, alone, all
 }
 
-// PlanError says which key of a plan is at fault, and why.
+// PlanError is an invalid key of a plan, with the reason.
 type PlanError struct {
 	Key    string
 	Reason string
@@ -71,15 +72,17 @@
 	return plan, nil
 }
 
-// check fills in defaults and returns the first key that is at fault.
+// check fills in defaults and returns the first invalid key.
 func (p *Plan) check() error {
 	switch {
 	case len(p.Scenarios) == 0:
-		return planError("scenarios", "none")
+		return planError("scenarios", "empty, want at least one file")
 	case p.Seeds < 2 || p.Seeds > maxSeeds:
-		return planError("seeds", "%d is not from 2 to %d; intervals need pairs", p.Seeds, maxSeeds)
+		return planError("seeds", "%d is not between 2 and %d; confidence intervals require at least 2 runs",
+			p.Seeds, maxSeeds)
 	case len(p.Variants) == 0 || len(p.Variants) > maxVariants:
-		return planError("variant", "%d are not from 1 to %d", len(p.Variants), maxVariants)
+		return planError("variant", "number of variants: %d is not between 1 and %d", len(p.Variants),
+			maxVariants)
 	}
 	names := map[string]bool{}
 	for i := range p.Variants {
@@ -89,19 +92,20 @@
 	}
 	p.Base = cmp.Or(p.Base, p.Variants[0].Name)
 	if !names[p.Base] {
-		return planError("base", "no variant is called %q", p.Base)
+		return planError("base", "no variant has the name %q", p.Base)
 	}
 	return nil
 }
 
-// check checks the variant at an index and adds its name to those that are taken.
+// check checks the variant at an index and adds its name to the set of names.
 func (v *Variant) check(index int, names map[string]bool) error {
 	if v.Name == "" || names[v.Name] {
-		return planError(fmt.Sprintf("variant.%d.name", index), "%q is empty or another's", v.Name)
+		return planError(fmt.Sprintf("variant.%d.name", index), "%q is empty or the name of another variant",
+			v.Name)
 	}
 	names[v.Name] = true
 	if v.Nodes < 0 {
-		return planError(fmt.Sprintf("variant.%d.nodes", index), "%d is no number of nodes", v.Nodes)
+		return planError(fmt.Sprintf("variant.%d.nodes", index), "%d nodes: below 0", v.Nodes)
 	}
 	v.Policy = cmp.Or(v.Policy, defaultPolicy)
 	return nil
--- a/internal/experiment/rows.go
+++ b/internal/experiment/rows.go
@@ -9,10 +9,10 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// upperQuantile leaves 2.5% on either side of an interval of 95%.
+// upperQuantile is the upper quantile of a two-sided 95% interval.
 const upperQuantile = 0.975
 
-// Interval is a mean with the half width of its 95% confidence interval, by Student's t.
+// Interval is a mean with half the width of its 95% confidence interval, by Student's t-distribution.
 type Interval struct{ Mean, Half float64 }
 
 func newInterval(values []float64) Interval {
@@ -29,16 +29,16 @@
 	Scenario, Variant string
 	Runs              int
 	Means             map[string]Interval
-	Against           map[string]Interval // differences to the base, by seeds that both were run with; empty for the base
+	Against           map[string]Interval // differences to the base by common seeds; empty for the base
 }
 
-// cell names the runs of one row.
+// cell identifies a row of the table.
 type cell struct{ scenario, variant string }
 
-// figuresBySeed are the figures of a row's runs.
+// figuresBySeed has the figures of a row's runs by seed and name.
 type figuresBySeed map[uint64]map[string]float64
 
-// Rows summarizes the results of a grid; results of other runs are left out.
+// Rows summarizes the results of a grid and ignores results of other runs.
 func (p *Plan) Rows(runs []Run, results []Result) (rows []Row) {
 	figures := groupFigures(runs, results)
 	for _, scenario := range p.Scenarios {
@@ -97,9 +97,9 @@
 }
 
 func intervals(values map[string][]float64) map[string]Interval {
-	out := map[string]Interval{}
-	for name, of := range values {
-		out[name] = newInterval(of)
+	byName := map[string]Interval{}
+	for name, samples := range values {
+		byName[name] = newInterval(samples)
 	}
-	return out
+	return byName
 }
--- a/internal/experiment/runs.go
+++ b/internal/experiment/runs.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// Lengths of digests, in bytes: enough to tell the runs of all experiments apart.
+// Lengths of digests in bytes, sufficient to distinguish the runs of all experiments.
 const (
 	runKeyBytes       = 12
 	scenarioHashBytes = 8
@@ -17,11 +17,11 @@
 
 // Run is one cell of the grid.
 type Run struct {
-	Scenario string  `json:"scenario"` // its file's name
-	Hash     string  `json:"hash"`     // of its text
+	Scenario string  `json:"scenario"` // file name
+	Hash     string  `json:"hash"`     // digest of the scenario's text
 	Variant  Variant `json:"variant"`
 	Seed     uint64  `json:"seed"`
-	Program  string  `json:"program"` // the version that played it
+	Program  string  `json:"program"` // version of the program that executed it
 }
 
 // Key identifies a run by everything that determines its result.
@@ -40,7 +40,7 @@
 	return hex.EncodeToString(sum[:scenarioHashBytes])
 }
 
-// Result is a run and its figures, one line of runs.jsonl.
+// Result is a run with its figures. Each one is a line of runs.jsonl.
 type Result struct {
 	Run
 	Key     string             `json:"key"`
@@ -49,7 +49,7 @@
 	Figures map[string]float64 `json:"figures"`
 }
 
-// Grid returns all runs in order of scenarios, variants and seeds. hashes has the scenarios' digests by name.
+// Grid returns all runs in order of scenario, variant and seed. hashes has the scenarios' digests by name.
 func (p *Plan) Grid(hashes map[string]string, program string) (runs []Run) {
 	for _, scenario := range p.Scenarios {
 		for _, variant := range p.Variants {
--- a/internal/experiment/stored_test.go
+++ b/internal/experiment/stored_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestStoredResults: results that earlier releases wrote are read, have the key that they were stored with, so that
-// their runs are not played again, and are written with the same bytes.
+// TestStoredResults checks that results of earlier releases are decoded, keep their key, so that their runs
+// are not repeated, and are encoded with the same bytes.
 func TestStoredResults(t *testing.T) {
 	text, err := os.ReadFile("testdata/runs.jsonl")
 	if err != nil {
@@ -25,28 +25,30 @@
 			t.Fatal(err)
 		}
 		if key := result.Run.Key(); key != result.Key {
-			t.Errorf("the key of %+v is %s, was %s", result.Run, key, result.Key)
+			t.Errorf("key of %+v: got %s, want the stored %s", result.Run, key, result.Key)
 		}
 		written, err := json.Marshal(result)
 		if err != nil || string(written) != strings.TrimSpace(line) {
-			t.Errorf("wrote %s, %v, want %s", written, err, line)
+			t.Errorf("encoded result: got %s, error %v, want %s", written, err, line)
 		}
 		results = append(results, result)
 	}
 	if len(results) != 2 {
-		t.Fatalf("%d results", len(results))
+		t.Fatalf("got %d results, want 2", len(results))
 	}
-	grown, divided := results[0], results[1]
-	if grown.Variant.Nodes != 4 || grown.Variant.Subset != nil || grown.Seed != 3 || grown.Took != 1.859279694 {
-		t.Errorf("%+v", grown)
+	moreNodes, withSubset := results[0], results[1]
+	if moreNodes.Variant.Nodes != 4 || moreNodes.Variant.Subset != nil ||
+		moreNodes.Seed != 3 || moreNodes.Took != 1.859279694 {
+		t.Errorf("first result: got %+v, want 4 nodes, no subset, seed 3 and 1.859279694 s", moreNodes)
 	}
-	if divided.Variant.Subset == nil || *divided.Variant.Subset != 0 || divided.Variant.Budgets != "turns" {
-		t.Errorf("%+v", divided)
+	if withSubset.Variant.Subset == nil || *withSubset.Variant.Subset != 0 ||
+		withSubset.Variant.Budgets != "turns" {
+		t.Errorf("second result: got %+v, want subset 0 and budgets turns", withSubset)
 	}
 	want := []string{
 		"breaches", "cold work", "fallen", "handshakes", "held", "in time", "p99 ms", "twice", "work", "worst 10 s",
 	}
-	if names := slices.Sorted(maps.Keys(grown.Figures)); !slices.Equal(names, want) {
-		t.Errorf("figures %q, want %q", names, want)
+	if names := slices.Sorted(maps.Keys(moreNodes.Figures)); !slices.Equal(names, want) {
+		t.Errorf("figures: got %q, want %q", names, want)
 	}
 }
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Table writes rows as Markdown, a table for each scenario with these figures.
+// Table formats rows as Markdown, with a table of the given figures for each scenario.
 func Table(plan *Plan, rows []Row, figures []string) []byte {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "# %s\n\nEmulated. Means over seeds with 95%% intervals; differences to \"%s\" by pairs of runs with the same seed.\n",
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -65,7 +65,8 @@
 		"no answer at log end":      {"0 taken x free", 1, 1},
 		"attempt after the answer":  {"0 taken x free; 3 answered x declined; 4 posted x a 0", 1, 2},
 		"retry after rejection": {
-			"0 taken x once; 1 posted x a 0; 2 ended x 0 full; 3 posted x b 1; 9 ended x 1 settled; 9 answered x settled", 0, 0},
+			"0 taken x once; 1 posted x a 0; 2 ended x 0 full; 3 posted x b 1; 9 ended x 1 settled; 9 answered x settled",
+			0, 0},
 		"retry after connection loss": {
 			"0 taken x once; 1 posted x a 0; 2 ended x 0 broken; 3 posted x b 1; 9 answered x reversed", 2, 3},
 		"retry after time-out": {
--- a/internal/invariants/event.go
+++ b/internal/invariants/event.go
@@ -46,7 +46,7 @@
 	Weight           float64   `json:"value,omitempty"`    // RequestAccepted: priority weight
 	Deadline         int64     `json:"expiry,omitempty"`   // RequestAccepted
 	Server           string    `json:"executor,omitempty"` // AttemptSent, EndpointNotified, ServerStarted
-	Attempt          int       `json:"posting"`            // AttemptSent, AttemptEnded: number in the request, from 0
+	Attempt          int       `json:"posting"`            // AttemptSent, AttemptEnded: number from 0
 	Work             float64   `json:"work,omitempty"`     // AttemptSent: slots times seconds
 	StartedAt        int64     `json:"since,omitempty"`    // ServerStarted: the time, if earlier than At
 	Budget           string    `json:"budget,omitempty"`   // QuotaHeld
--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -71,7 +71,7 @@
 	Slack          int64                  `json:"slack"` // after the deadline; an answer still counts
 	DrainGrace     int64                  `json:"grace"` // after the notice of a drain; attempts are allowed
 	OverloadWindow int64                  `json:"fall"`
-	OverloadFactor float64                `json:"fall_multiple"` // overload limit, times the capacity in a window
+	OverloadFactor float64                `json:"fall_multiple"` // overload limit, times the capacity
 	SlowStart      int64                  `json:"cold"`
 	SlowStartShare float64                `json:"cold_share"` // share of the capacity at the start
 	AllowHedging   bool                   `json:"doubles"`    // two attempts of a request may be in flight
--- a/internal/invariants/summary.go
+++ b/internal/invariants/summary.go
@@ -34,7 +34,7 @@
 	Classes         map[string]Service `json:"schemes"`
 	Tenants         map[string]Service `json:"tenants,omitempty"`
 	WorstTenSeconds float64            `json:"worst_10s"` // share on time of the worst ten seconds in a row
-	Latencies       []int64            `json:"-"`         // of served requests, from first sending to answer, in ns; sorted
+	Latencies       []int64            `json:"-"`         // of served requests, in nanoseconds; sorted
 	Requests        int                `json:"tries"`     // clients' retries included
 	Attempts        int                `json:"postings"`
 	Shed            int                `json:"declined"`
