--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command toy is a small world for one node: a few executors that run a job for a while and a discovery that lists
-// them. One of the executors answers with errors now and then, so that there is something to see.
+// Command toy runs discovery and a few servers for trying out one node. The servers process each request for
+// a while; the first one fails a quarter of its requests, to show retries.
 package main
 
 import (
@@ -17,6 +17,7 @@
 	"time"
 )
 
+// entry is a server in the endpoint list.
 type entry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -29,9 +30,9 @@
 }
 
 func main() {
-	discovery := flag.String("discovery", "127.0.0.1:8500", "where discovery listens")
-	count := flag.Int("executors", 3, "how many executors there are")
-	work := flag.Duration("work", 200*time.Millisecond, "how long a job runs on average")
+	discovery := flag.String("discovery", "127.0.0.1:8500", "address that discovery listens on")
+	count := flag.Int("executors", 3, "number of servers")
+	work := flag.Duration("work", 200*time.Millisecond, "mean processing time of a request")
 	flag.Parse()
 
 	var servers []entry
@@ -41,15 +42,17 @@
 			log.Fatal(err)
 		}
 		id := fmt.Sprintf("s-%d", i)
-		servers = append(servers, entry{ID: id, Addr: l.Addr().String(), Zone: "home", Kind: "toy", State: "Ready", Weight: 4})
-		go func() { log.Fatal(http.Serve(l, executor(id, *work, i == 0))) }()
+		servers = append(servers, entry{ID: id, Addr: l.Addr().String(), Zone: "home", Kind: "toy",
+			State: "Ready", Weight: 4})
+		go func() { log.Fatal(http.Serve(l, serveRequests(id, *work, i == 0))) }()
 	}
-	log.Printf("%d executors, discovery on %s", *count, *discovery)
+	log.Printf("%d servers, discovery listens on %s", *count, *discovery)
 	log.Fatal(http.ListenAndServe(*discovery, list(servers)))
 }
 
-// executor takes a job, tells when it starts, and gives its result.
-func executor(id string, work time.Duration, flawed bool) http.HandlerFunc {
+// serveRequests returns the handler of a server, which reports the start and the result of each request. A
+// flaky server fails a quarter of its requests.
+func serveRequests(id string, work time.Duration, flaky bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		job := r.Header.Get("X-Call-Id")
 		body, err := io.ReadAll(r.Body)
@@ -57,35 +60,36 @@
 			http.NotFound(w, r)
 			return
 		}
-		if flawed && rand.IntN(4) == 0 {
+		if flaky && rand.IntN(4) == 0 {
 			http.Error(w, "out of luck", http.StatusInternalServerError)
 			return
 		}
-		say := func(state, result string) {
+		send := func(state, result string) {
 			line := map[string]string{"id": job, "from": id, "state": state}
 			if state == "done" {
 				line["result"] = result
 			}
-			// A node that has closed its connection has nobody left to tell.
+			// Errors are ignored: the node has closed the connection.
 			_ = json.NewEncoder(w).Encode(line)
 			_ = http.NewResponseController(w).Flush()
 		}
-		say("started", "")
+		send("started", "")
 		time.Sleep(work/2 + rand.N(work))
-		say("done", fmt.Sprintf("%s did %s with %d bytes\n", id, r.URL.Path, len(body)))
+		send("done", fmt.Sprintf("%s did %s with %d bytes\n", id, r.URL.Path, len(body)))
 		log.Printf("%s %s %s", id, job, r.URL.Path)
 	}
 }
 
-// list tells of the executors, which never change; a watch ends without news when its time is over.
+// list returns the handler of discovery. The list never changes, so that a poll for changes returns an empty
+// update after its timeout.
 func list(servers []entry) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		answer := map[string]any{"version": 1, "full": true, "servers": servers}
+		response := map[string]any{"version": 1, "full": true, "servers": servers}
 		if r.URL.Query().Get("since") == "1" {
 			wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 			time.Sleep(time.Duration(wait) * time.Millisecond)
-			answer = map[string]any{"version": 1, "full": false, "servers": []entry{}}
+			response = map[string]any{"version": 1, "full": false, "servers": []entry{}}
 		}
-		_ = json.NewEncoder(w).Encode(answer) // a node that has closed asks again
+		_ = json.NewEncoder(w).Encode(response) // a node that has disconnected polls again
 	}
 }
