--- a/cmd/fleetsim/chart.go
+++ b/cmd/fleetsim/chart.go
@@ -15,16 +15,16 @@
 const (
 	chartInches  = 4
 	inchesPerBar = 1.6
-	minChartBars = 3 // a chart is as wide as for so many bars at least
+	minChartBars = 3 // minimum width of a chart, in bars
 )
 
-// meanBars are a mean and its interval for each variant.
+// meanBars has the mean and its interval of each variant.
 type meanBars struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// saveChart draws the share in time of each variant of a scenario, with intervals.
+// saveChart draws the share served in time of each variant of a scenario, with intervals.
 func saveChart(path, scenario string, rows []experiment.Row) error {
 	p := plot.New()
 	p.Title.Text = scenario + " (emulated)"
--- a/cmd/fleetsim/check.go
+++ b/cmd/fleetsim/check.go
@@ -28,7 +28,7 @@
 	return c.check(f, os.Stdout)
 }
 
-// check reads a log and prints its violations. A log cut short is checked up to the break, where time ends.
+// check reads a log and prints its violations. A truncated log is checked up to its last complete event.
 func (c *checkCommand) check(log io.Reader, out io.Writer) error {
 	in := json.NewDecoder(log)
 	in.DisallowUnknownFields()
@@ -61,14 +61,14 @@
 	printViolations(out, violations, c.Max, "")
 	fmt.Fprintf(out, "%d events, %d violations\n", events, len(violations))
 	if len(violations) > 0 {
-		return ruleBroken("rules are broken")
+		return ruleBroken("the log violates the rules")
 	}
 	return nil
 }
 
-// printViolations prints the first of some violations, a line each.
-func printViolations(out io.Writer, violations []invariants.Violation, most int, indent string) {
-	for _, v := range violations[:min(len(violations), most)] {
+// printViolations prints up to a maximum number of violations, one per line.
+func printViolations(out io.Writer, violations []invariants.Violation, limit int, indent string) {
+	for _, v := range violations[:min(len(violations), limit)] {
 		fmt.Fprintf(out, "%srule %d, event %d: %s\n", indent, v.Rule, v.Event, v.Message)
 	}
 }
--- a/cmd/fleetsim/count.go
+++ b/cmd/fleetsim/count.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// countCommand adds up what all nodes did, from logs written with EDGE_LOG=trace.
+// countCommand counts the attempts and endpoint updates in the logs of nodes that ran with EDGE_LOG=trace.
 type countCommand struct {
 	Logs []string      `name:"logs" arg:"" type:"existingfile" help:"The nodes' logs. A line's JSON object may follow other text."`
 	Step time.Duration `name:"step" default:"1s" help:"Width of a row in time."`
@@ -25,7 +25,7 @@
 	endpointMessage = "list"
 )
 
-// maxLineBytes bounds a log line; stacks of failed steps are the longest.
+// maxLineBytes is the maximum length of a log line. The longest lines contain stack traces.
 const maxLineBytes = 1 << 20
 
 // logLine is one log line of a node; times of attempts are Unix time in microseconds.
@@ -40,7 +40,7 @@
 	StartedAt int64     `json:"began_us"` // 0: no start was reported
 }
 
-// at is the time that a line counts at, in microseconds.
+// at returns the time that a line is counted at, in microseconds.
 func (l *logLine) at() int64 {
 	if l.Message == endpointMessage {
 		return l.Time.UnixMicro()
@@ -48,7 +48,7 @@
 	return l.SentAt
 }
 
-// decodeLine decodes one log line; false: it is none that is counted, or the line that a killed node cut short.
+// decodeLine decodes a log line; false: the line is not counted, or was truncated when a node was killed.
 func decodeLine(text []byte) (line logLine, counted bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
@@ -60,7 +60,7 @@
 	return line, line.Message == attemptMessage || line.Message == endpointMessage
 }
 
-// Run counts and prints to standard output.
+// Run counts the lines of all logs and prints the tables to standard output.
 func (c *countCommand) Run() error {
 	var lines []logLine
 	for _, path := range c.Logs {
@@ -74,19 +74,19 @@
 	return nil
 }
 
-// readLog returns the lines of a log that are counted.
+// readLog returns the counted lines of a log.
 func readLog(path string) (lines []logLine, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	in := bufio.NewScanner(f)
-	in.Buffer(nil, maxLineBytes)
-	for in.Scan() {
-		if line, counted := decodeLine(in.Bytes()); counted {
+	scanner := bufio.NewScanner(f)
+	scanner.Buffer(nil, maxLineBytes)
+	for scanner.Scan() {
+		if line, counted := decodeLine(scanner.Bytes()); counted {
 			lines = append(lines, line)
 		}
 	}
-	return lines, in.Err()
+	return lines, scanner.Err()
 }
--- a/cmd/fleetsim/count_test.go
+++ b/cmd/fleetsim/count_test.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-const logged = `0.1 {"message":"node serves","node":"n1"}
+const nodeLogs = `0.1 {"message":"node serves","node":"n1"}
 0.2 {"message":"posting","node":"n1","executor":"a","outcome":"settled","number":0,"sent_us":1000000,"began_us":1001000}
 0.2 {"message":"posting","node":"n2","executor":"a","outcome":"full","number":1,"sent_us":1500000,"began_us":0}
 0.3 {"message":"posting","node":"n2","executor":"b","outcome":"settled","number":2,"sent_us":2100000,"began_us":2500000}
 0.4 {"message":"list","node":"n2","time":"1970-01-01T00:00:02.2Z"}
 0.5 {"message":"posting","node":"n2","exec`
 
-// TestCountOverNodes: rows add up what several nodes logged; the line that a killed node cut short is passed over.
+// TestCountOverNodes checks that rows sum the lines of several nodes, and that a truncated line of a killed
+// node is ignored.
 func TestCountOverNodes(t *testing.T) {
 	var lines []logLine
-	for text := range strings.Lines(logged) {
+	for text := range strings.Lines(nodeLogs) {
 		if l, ok := decodeLine([]byte(text)); ok {
 			lines = append(lines, l)
 		}
 	}
 	if len(lines) != 4 {
-		t.Fatalf("%d lines are counted, want 4", len(lines))
+		t.Fatalf("got %d counted lines, want 4", len(lines))
 	}
 	var out strings.Builder
 	c := &countCommand{Step: time.Second, Late: 20 * time.Millisecond, By: "both"}
@@ -37,7 +38,7 @@
 		"b 1.10 1 1 1 400.0 settled 1",
 	} {
 		if !strings.Contains(fields, want) {
-			t.Errorf("%q is not in\n%s", want, out.String())
+			t.Errorf("row %q is missing in\n%s", want, out.String())
 		}
 	}
 }
--- a/cmd/fleetsim/emulate.go
+++ b/cmd/fleetsim/emulate.go
@@ -16,7 +16,7 @@
 	"fernrail/internal/invariants"
 )
 
-// emulateCommand plays a scenario in virtual time.
+// emulateCommand simulates a scenario in virtual time.
 type emulateCommand struct {
 	Scenario string `name:"scenario" arg:"" type:"existingfile" help:"A scenario; docs/emulator.md has its keys, example/scenarios some of them."`
 	Seed     uint64 `name:"seed" default:"1" help:"Of all that is drawn. The same scenario and seed give the same log to the byte."`
@@ -27,10 +27,10 @@
 	Max      int    `name:"max" default:"5" help:"How many violations are printed."`
 }
 
-// Run plays the scenario and prints to standard output.
+// Run simulates the scenario and prints the results to standard output.
 func (c *emulateCommand) Run() error { return c.play(os.Stdout) }
 
-// readScenario reads a scenario; an error names file and place.
+// readScenario reads a scenario. An error names the file and the line or key.
 func readScenario(path string) (*emulator.Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,6 +61,7 @@
 	return scenario, nil
 }
 
+// play simulates the scenario and prints the results. A violation of a rule is an error.
 func (c *emulateCommand) play(out io.Writer) error {
 	scenario, err := c.scenario()
 	if err != nil {
@@ -79,7 +80,7 @@
 	err = log.write(rules)
 	checker, collector := invariants.New(rules), invariants.NewCollector()
 	last := int64(0)
-	began := time.Now()
+	startedAt := time.Now()
 	report := emulator.Run(scenario, c.Seed, policy, func(e invariants.Event) {
 		err = errors.Join(err, log.write(e), checker.Add(e))
 		collector.Add(e)
@@ -90,19 +91,21 @@
 	}
 	fmt.Fprintf(out, "%s, seed %d, %s: ", filepath.Base(c.Scenario), c.Seed, c.Policy)
 	printSummary(out, collector.Summary())
-	printReport(out, report, time.Since(began))
-	fmt.Fprintf(out, "  budgets %s: %.1f of work sent to servers in slow start, %d lease requests\n", scenario.Leases.Mode, report.SlowStartWork, report.LeaseRequests)
+	printReport(out, report, time.Since(startedAt))
+	fmt.Fprintf(out, "  budgets %s: %.1f of work sent to servers in slow start, %d lease requests\n",
+		scenario.Leases.Mode, report.SlowStartWork, report.LeaseRequests)
 	violations := checker.Violations(last)
 	printViolations(out, violations, c.Max, "  ")
 	if len(violations) > 0 {
-		return ruleBroken("%d violations; again with: fleetsim emulate %s --seed %d --policy %s",
+		return ruleBroken("%d violations; to reproduce: fleetsim emulate %s --seed %d --policy %s",
 			len(violations), c.Scenario, c.Seed, c.Policy)
 	}
 	return nil
 }
 
 func printSummary(out io.Writer, summary *invariants.Summary) {
-	fmt.Fprintf(out, "%.4f in time, worst 10 s %.4f (emulated)\n", summary.All.Share(), summary.WorstTenSeconds)
+	fmt.Fprintf(out, "%.4f in time, worst 10 s %.4f (emulated)\n", summary.All.Share(),
+		summary.WorstTenSeconds)
 	for _, name := range invariants.SortedNames(summary.Classes) {
 		fmt.Fprintf(out, "  class %-12s %.4f in time\n", name, summary.Classes[name].Share())
 	}
@@ -110,24 +113,27 @@
 		fmt.Fprintf(out, "  tenant %-12s %.4f in time\n", name, summary.Tenants[name].Share())
 	}
 	fmt.Fprintf(out, "  latency: median %v, p99 %v; %d requests, %d attempts, %d shed, %d compensated\n",
-		time.Duration(summary.Latency(0.5)).Round(time.Millisecond), time.Duration(summary.Latency(0.99)).Round(time.Millisecond),
+		time.Duration(summary.Latency(0.5)).Round(time.Millisecond),
+		time.Duration(summary.Latency(0.99)).Round(time.Millisecond),
 		summary.Requests, summary.Attempts, summary.Shed, summary.Compensated)
 }
 
 func printReport(out io.Writer, report emulator.Report, took time.Duration) {
-	fmt.Fprintf(out, "  %d handshakes, %.0f connections open in the mean\n", report.Handshakes, report.MeanConnections)
+	fmt.Fprintf(out, "  %d handshakes, %.0f connections open in the mean\n", report.Handshakes,
+		report.MeanConnections)
 	fmt.Fprintf(out, "  work done %.1f of %.1f asked for; effects run twice %d; servers overloaded in slow start %d; %d events in %v\n",
-		report.Work, report.OfferedWork, report.DuplicateEffects, report.Overloads, report.Events, took.Round(time.Millisecond))
+		report.Work, report.OfferedWork, report.DuplicateEffects, report.Overloads, report.Events,
+		took.Round(time.Millisecond))
 }
 
-// eventLog writes JSON values to a file, or nowhere.
+// eventLog writes JSON values to a file, if there is one.
 type eventLog struct {
 	file    *os.File // nil: nothing is written
 	buffer  *bufio.Writer
 	encoder *json.Encoder
 }
 
-// openEventLog creates a log; an empty path is a log that keeps nothing.
+// openEventLog creates a log. With an empty path nothing is written.
 func openEventLog(path string) (*eventLog, error) {
 	if path == "" {
 		return &eventLog{}, nil
@@ -160,12 +166,12 @@
 	}
 }
 
-// scenarioCheckCommand reads scenarios and runs nothing.
+// scenarioCheckCommand validates scenarios without running them.
 type scenarioCheckCommand struct {
 	Scenario []string `name:"scenario" arg:"" type:"existingfile" help:"Scenarios."`
 }
 
-// Run returns what is wrong with the first scenario that can't be read.
+// Run returns the error of the first invalid scenario.
 func (c *scenarioCheckCommand) Run() error {
 	for _, path := range c.Scenario {
 		if _, err := readScenario(path); err != nil {
--- a/cmd/fleetsim/exit.go
+++ b/cmd/fleetsim/exit.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// Exit codes beside 0, which scripts rely on.
+// Exit codes other than 0. Scripts rely on them.
 const (
 	exitRuleBroken = 1
 	exitUnreadable = 2
@@ -16,16 +16,16 @@
 	code int
 }
 
-// ExitCode is read by the command line parser.
+// ExitCode returns the exit code; the command line parser calls it.
 func (e exitError) ExitCode() int { return e.code }
 
 // Unwrap returns the error that the program ends with.
 func (e exitError) Unwrap() error { return e.error }
 
-// unreadable is the exit for input that can't be read or output that can't be written.
+// unreadable returns the error for input that can't be read or output that can't be written.
 func unreadable(err error) error { return exitError{err, exitUnreadable} }
 
-// ruleBroken is the exit for a run or log that breaks a rule.
+// ruleBroken returns the error for a run or log that violates a rule.
 func ruleBroken(format string, args ...any) error {
 	return exitError{fmt.Errorf(format, args...), exitRuleBroken}
 }
--- a/cmd/fleetsim/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -15,7 +15,7 @@
 	"fernrail/internal/experiment"
 )
 
-// experimentCommand plays a grid of scenarios, variants and seeds, and keeps the results.
+// experimentCommand executes a grid of scenarios, variants and seeds, and stores the results.
 type experimentCommand struct {
 	Plan    string   `name:"plan" arg:"" type:"existingfile" help:"The experiment; docs/emulator.md has its keys, example/experiments some of them."`
 	Out     string   `name:"out" required:"" help:"A directory for results: runs.jsonl with a line for each run, table.md, and a chart for each scenario. What is there already is not run again."`
@@ -23,9 +23,10 @@
 	Figures []string `name:"figures" default:"in time,worst 10 s,handshakes,held" help:"What the table shows, of: in time, worst 10 s, p99 ms, handshakes, held, fallen, cold work, work, twice, breaches."`
 }
 
-// Run plays the experiment and prints to standard output.
+// Run executes the experiment and prints progress and results to standard output.
 func (c *experimentCommand) Run() error { return c.play(os.Stdout) }
 
+// play executes the runs without results, then prints and writes the summary of all runs.
 func (c *experimentCommand) play(out io.Writer) error {
 	plan, scenarios, err := c.readPlan()
 	if err != nil {
@@ -36,7 +37,8 @@
 		return unreadable(err)
 	}
 	runs := plan.Grid(scenarios.hashes(), program)
-	// All runs are checked first: the last one's error would else come after an hour of the others.
+	// All runs are checked first, since an error in the last one would otherwise appear only after an hour of
+	// other runs.
 	for i := range runs {
 		if _, err := scenarios.prepare(&runs[i]); err != nil {
 			return unreadable(err)
@@ -78,8 +80,9 @@
 	return plan, scenarios, nil
 }
 
-// playAll plays runs, some at a time, and appends each result to a file as it is there.
-func (c *experimentCommand) playAll(out io.Writer, scenarios scenarioTexts, runs []experiment.Run, path string) ([]experiment.Result, error) {
+// playAll executes runs concurrently and appends each result to a file as soon as the run ends.
+func (c *experimentCommand) playAll(out io.Writer, scenarios scenarioTexts, runs []experiment.Run,
+	path string) ([]experiment.Result, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -103,7 +106,7 @@
 	return recorder.results, recorder.err
 }
 
-// resultRecorder keeps the results of runs that end in any order.
+// resultRecorder collects the results of concurrent runs.
 type resultRecorder struct {
 	file *os.File
 	out  io.Writer
@@ -113,8 +116,8 @@
 	err     error
 }
 
-// record appends a result, or keeps the error of a run. A line is one write, so that a file that is cut off ends between runs, or in a
-// line that can be told.
+// record appends a result, or stores the error of a run. Each line is a single write, so that a truncated
+// file ends between results or in an incomplete last line, which readResults detects.
 func (r *resultRecorder) record(result *experiment.Result, err error) {
 	var line []byte
 	if err == nil {
@@ -134,8 +137,9 @@
 		result.Scenario, result.Variant.Name, result.Seed, result.Figures[inTimeFigure], result.Took)
 }
 
-// summarize writes the table and the charts, and returns an error if any run broke a rule.
-func (c *experimentCommand) summarize(out io.Writer, plan *experiment.Plan, runs []experiment.Run, results []experiment.Result) error {
+// summarize writes the table and the charts, and returns an error if any run violated a rule.
+func (c *experimentCommand) summarize(out io.Writer, plan *experiment.Plan, runs []experiment.Run,
+	results []experiment.Result) error {
 	rows := plan.Rows(runs, results)
 	table := experiment.Table(plan, rows, c.Figures)
 	if err := os.WriteFile(filepath.Join(c.Out, "table.md"), table, 0o644); err != nil {
@@ -145,7 +149,8 @@
 		return unreadable(err)
 	}
 	for _, scenario := range plan.Scenarios {
-		if err := saveChart(filepath.Join(c.Out, filepath.Base(scenario)+".svg"), scenario, rows); err != nil {
+		if err := saveChart(filepath.Join(c.Out, filepath.Base(scenario)+".svg"), scenario,
+			rows); err != nil {
 			return unreadable(err)
 		}
 	}
--- a/cmd/fleetsim/experiment_run.go
+++ b/cmd/fleetsim/experiment_run.go
@@ -13,7 +13,7 @@
 	"fernrail/internal/invariants"
 )
 
-// Figures of a run by the names that runs.jsonl has for them.
+// The names of a run's figures, as stored in runs.jsonl.
 const (
 	inTimeFigure      = "in time"
 	worstFigure       = "worst 10 s"
@@ -27,7 +27,7 @@
 	violationsFigure  = "breaches"
 )
 
-// scenarioTexts are the scenarios of a plan by name.
+// scenarioTexts has the texts of a plan's scenarios by name.
 type scenarioTexts map[string][]byte
 
 func (t scenarioTexts) hashes() map[string]string {
@@ -38,12 +38,13 @@
 	return hashes
 }
 
-// preparedRun is a scenario as a variant has it, with the variant's policy.
+// preparedRun is a scenario with a variant applied, and the variant's policy.
 type preparedRun struct {
 	scenario *emulator.Scenario
 	policy   emulator.Policy
 }
 
+// prepare reads the scenario of a run and applies the variant.
 func (t scenarioTexts) prepare(run *experiment.Run) (*preparedRun, error) {
 	scenario, err := emulator.Read(t[run.Scenario])
 	if err != nil {
@@ -69,7 +70,7 @@
 	return &preparedRun{scenario, policy}, nil
 }
 
-// play plays one run and checks it against the rules.
+// play executes a run and checks its events against the rules.
 func (t scenarioTexts) play(run *experiment.Run) (*experiment.Result, error) {
 	prepared, err := t.prepare(run)
 	if err != nil {
@@ -77,7 +78,7 @@
 	}
 	checker, collector := invariants.New(prepared.scenario.InvariantRules()), invariants.NewCollector()
 	last := int64(0)
-	began := time.Now()
+	startedAt := time.Now()
 	report := emulator.Run(prepared.scenario, run.Seed, prepared.policy, func(e invariants.Event) {
 		err = errors.Join(err, checker.Add(e))
 		collector.Add(e)
@@ -87,10 +88,11 @@
 		return nil, err
 	}
 	return &experiment.Result{
-		Run:     *run,
-		Key:     run.Key(),
-		Machine: fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version()),
-		Took:    time.Since(began).Seconds(),
+		Run: *run,
+		Key: run.Key(),
+		Machine: fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(),
+			runtime.Version()),
+		Took:    time.Since(startedAt).Seconds(),
 		Figures: runFigures(collector.Summary(), report, len(checker.Violations(last))),
 	}, nil
 }
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command fleetsim looks at fleets of nodes from outside: it emulates them, runs experiments on the emulator, checks event logs, and
-// counts over the logs of real nodes.
+// Command fleetsim simulates and analyzes fleets of nodes: it emulates them, runs experiments on the
+// emulator, checks event logs, and counts attempts in the logs of real nodes.
 package main
 
 import "github.com/alecthomas/kong"
--- a/cmd/fleetsim/results.go
+++ b/cmd/fleetsim/results.go
@@ -12,7 +12,8 @@
 	"fernrail/internal/experiment"
 )
 
-// readResults reads the results that are there; a last line that was cut off is dropped from the file, and its run is played again.
+// readResults reads the stored results. An incomplete last line is removed from the file, so that its run is
+// repeated.
 func readResults(path string) (results []experiment.Result, err error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/cmd/fleetsim/revision.go
+++ b/cmd/fleetsim/revision.go
@@ -9,8 +9,8 @@
 	"fernrail/internal/experiment"
 )
 
-// revision identifies the program: its commit, or the digest of its binary where the build has no commit or a modified one, so that
-// results of another program are not taken for this one's.
+// revision identifies the program by its commit, or by the digest of its binary if the build has no commit or
+// a modified one, so that results of different programs are not mixed.
 func revision() (string, error) {
 	commit, modified := "", false
 	if b, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/fleetsim/tally.go
+++ b/cmd/fleetsim/tally.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// tally is one row of a table: what a span of time, or a server, saw.
+// tally is a row of a table: the counts of a span of time or of a server.
 type tally struct {
 	attempts, retries    int
 	started, startedLate int
-	totalStartDelay      time.Duration // of the attempts that were reported to start
+	totalStartDelay      time.Duration // of attempts with a reported start
 	endpointUpdates      int
 	nodes, servers       map[string]bool
 	outcomes             map[string]int
@@ -59,12 +59,12 @@
 	}
 }
 
-// meanStartDelay is the mean time from sending to the start, in milliseconds.
+// meanStartDelay returns the mean time from sending to the reported start, in milliseconds.
 func (t *tally) meanStartDelay() float64 {
 	return float64(t.totalStartDelay.Microseconds()) / 1e3 / float64(max(t.started, 1))
 }
 
-// outcomeCounts lists the outcomes in order of their names.
+// outcomeCounts lists the count of each outcome, sorted by name.
 func (t *tally) outcomeCounts() string {
 	var out strings.Builder
 	for _, outcome := range slices.Sorted(maps.Keys(t.outcomes)) {
@@ -73,7 +73,7 @@
 	return out.String()
 }
 
-// addTo adds a line to the tally of a key, which is made if it is new.
+// addTo adds a line to the tally of a key, and creates the tally if necessary.
 func addTo[Key comparable](tallies map[Key]*tally, key Key, line *logLine, lateAfter time.Duration) {
 	if tallies[key] == nil {
 		tallies[key] = newTally(line.SentAt, lateAfter)
@@ -103,24 +103,29 @@
 	}
 }
 
+// printSpans prints a row for each span of time.
 func (c *countCommand) printSpans(out io.Writer, bySpan map[int64]*tally) {
-	fmt.Fprintf(out, "%8s %7s %6s %6s %6s %7s %8s %6s  outcomes\n", "from_s", "sent", "retry", "late", "nodes", "servers", "mean_ms", "lists")
+	fmt.Fprintf(out, "%8s %7s %6s %6s %6s %7s %8s %6s  outcomes\n", "from_s", "sent", "retry", "late",
+		"nodes", "servers", "mean_ms", "lists")
 	for _, span := range slices.Sorted(maps.Keys(bySpan)) {
 		t := bySpan[span]
-		fmt.Fprintf(out, "%8.2f %7d %6d %6d %6d %7d %8.1f %6d  %s\n", float64(span)*c.Step.Seconds(), t.attempts, t.retries, t.startedLate,
+		fmt.Fprintf(out, "%8.2f %7d %6d %6d %6d %7d %8.1f %6d  %s\n", float64(span)*c.Step.Seconds(),
+			t.attempts, t.retries, t.startedLate,
 			len(t.nodes), len(t.servers), t.meanStartDelay(), t.endpointUpdates, t.outcomeCounts())
 	}
 }
 
-// printServers lists the servers in order of the first attempt that each got.
+// printServers prints the servers in order of the first attempt at each.
 func printServers(out io.Writer, byServer map[string]*tally, start int64) {
-	fmt.Fprintf(out, "%-14s %8s %7s %6s %6s %9s  outcomes\n", "server", "first_s", "sent", "late", "nodes", "mean_ms")
-	inOrder := slices.SortedFunc(maps.Keys(byServer), func(a, b string) int {
+	fmt.Fprintf(out, "%-14s %8s %7s %6s %6s %9s  outcomes\n", "server", "first_s", "sent", "late", "nodes",
+		"mean_ms")
+	byFirstAttempt := slices.SortedFunc(maps.Keys(byServer), func(a, b string) int {
 		return cmp.Or(cmp.Compare(byServer[a].firstSentAt, byServer[b].firstSentAt), cmp.Compare(a, b))
 	})
-	for _, server := range inOrder {
+	for _, server := range byFirstAttempt {
 		t := byServer[server]
-		fmt.Fprintf(out, "%-14s %8.2f %7d %6d %6d %9.1f  %s\n", server, float64(t.firstSentAt-start)/1e6, t.attempts, t.startedLate,
+		fmt.Fprintf(out, "%-14s %8.2f %7d %6d %6d %9.1f  %s\n", server, float64(t.firstSentAt-start)/1e6,
+			t.attempts, t.startedLate,
 			len(t.nodes), t.meanStartDelay(), t.outcomeCounts())
 	}
 }
