--- a/cmd/fleetsim/check.go
+++ b/cmd/fleetsim/check.go
@@ -14,8 +14,8 @@
 
 // checkCommand checks an event log against the rules.
 type checkCommand struct {
-	Log string `name:"log" arg:"" type:"existingfile" help:"JSON values: the rules first, then one event each, in order of time."`
-	Max int    `name:"max" default:"20" help:"How many violations are printed."`
+	Log string `name:"log" arg:"" type:"existingfile" help:"Event log: JSON values, first the rules, then the events in order of time."`
+	Max int    `name:"max" default:"20" help:"Maximum number of violations to print."`
 }
 
 // Run checks the log and prints to standard output.
--- a/cmd/fleetsim/count.go
+++ b/cmd/fleetsim/count.go
@@ -14,9 +14,9 @@
 // countCommand counts the attempts and endpoint updates in the logs of nodes that ran with EDGE_LOG=trace.
 type countCommand struct {
 	Logs []string      `name:"logs" arg:"" type:"existingfile" help:"The nodes' logs. A line's JSON object may follow other text."`
-	Step time.Duration `name:"step" default:"1s" help:"Width of a row in time."`
-	Late time.Duration `name:"late" default:"20ms" help:"A start that took longer counts as late."`
-	By   string        `name:"by" enum:"time,executor,both" default:"both" help:"What to tell apart: ${enum}."`
+	Step time.Duration `name:"step" default:"1s" help:"Time span of a row."`
+	Late time.Duration `name:"late" default:"20ms" help:"Attempts that started after a longer delay count as late."`
+	By   string        `name:"by" enum:"time,executor,both" default:"both" help:"Tables to print: ${enum}."`
 }
 
 // The log lines that are counted, by their message.
--- a/cmd/fleetsim/emulate.go
+++ b/cmd/fleetsim/emulate.go
@@ -18,13 +18,13 @@
 
 // emulateCommand simulates a scenario in virtual time.
 type emulateCommand struct {
-	Scenario string `name:"scenario" arg:"" type:"existingfile" help:"A scenario; docs/emulator.md has its keys, example/scenarios some of them."`
-	Seed     uint64 `name:"seed" default:"1" help:"Of all that is drawn. The same scenario and seed give the same log to the byte."`
-	Policy   string `name:"policy" default:"module" help:"What decides on the nodes: module, random, round-robin, least, two-choices, or truth, which sees all."`
-	Subset   int    `name:"subset" default:"-1" help:"In place of the scenario's subset.size: servers that a node uses; 0: all."`
-	Budgets  string `name:"budgets" help:"In place of the scenario's leases.mode: turns, leased, alone, or all, where one sees what all send."`
-	Log      string `name:"log" help:"Where the event log goes, for fleetsim judge."`
-	Max      int    `name:"max" default:"5" help:"How many violations are printed."`
+	Scenario string `name:"scenario" arg:"" type:"existingfile" help:"Scenario file; docs/emulator.md documents its keys, example/scenarios has examples."`
+	Seed     uint64 `name:"seed" default:"1" help:"Seed of all random numbers. The same scenario and seed give the same log to the byte."`
+	Policy   string `name:"policy" default:"module" help:"Policy of the nodes: module, random, round-robin, least, two-choices, or truth, which uses the actual load of all servers."`
+	Subset   int    `name:"subset" default:"-1" help:"Overrides the scenario's subset.size: servers that a node uses; 0: all."`
+	Budgets  string `name:"budgets" help:"Overrides the scenario's leases.mode: turns, leased, alone, or all, in which each node has the usage of all nodes."`
+	Log      string `name:"log" help:"File to write the event log to, for fleetsim judge."`
+	Max      int    `name:"max" default:"5" help:"Maximum number of violations to print."`
 }
 
 // Run simulates the scenario and prints the results to standard output.
@@ -168,7 +168,7 @@
 
 // scenarioCheckCommand validates scenarios without running them.
 type scenarioCheckCommand struct {
-	Scenario []string `name:"scenario" arg:"" type:"existingfile" help:"Scenarios."`
+	Scenario []string `name:"scenario" arg:"" type:"existingfile" help:"Scenario files."`
 }
 
 // Run returns the error of the first invalid scenario.
--- a/cmd/fleetsim/experiment.go
+++ b/cmd/fleetsim/experiment.go
@@ -17,10 +17,10 @@
 
 // experimentCommand executes a grid of scenarios, variants and seeds, and stores the results.
 type experimentCommand struct {
-	Plan    string   `name:"plan" arg:"" type:"existingfile" help:"The experiment; docs/emulator.md has its keys, example/experiments some of them."`
-	Out     string   `name:"out" required:"" help:"A directory for results: runs.jsonl with a line for each run, table.md, and a chart for each scenario. What is there already is not run again."`
-	Jobs    int      `name:"jobs" default:"0" help:"Runs at a time; 0: one a core. The results are the same."`
-	Figures []string `name:"figures" default:"in time,worst 10 s,handshakes,held" help:"What the table shows, of: in time, worst 10 s, p99 ms, handshakes, held, fallen, cold work, work, twice, breaches."`
+	Plan    string   `name:"plan" arg:"" type:"existingfile" help:"Experiment file; docs/emulator.md documents its keys, example/experiments has examples."`
+	Out     string   `name:"out" required:"" help:"A directory for results: runs.jsonl with a line for each run, table.md, and a chart for each scenario. Runs that it has results of are not repeated."`
+	Jobs    int      `name:"jobs" default:"0" help:"Number of concurrent runs; 0: one per core. It does not change the results."`
+	Figures []string `name:"figures" default:"in time,worst 10 s,handshakes,held" help:"Figures in the table, of: in time, worst 10 s, p99 ms, handshakes, held, fallen, cold work, work, twice, breaches."`
 }
 
 // Run executes the experiment and prints progress and results to standard output.
--- a/cmd/fleetsim/main.go
+++ b/cmd/fleetsim/main.go
@@ -8,13 +8,13 @@
 
 func main() {
 	var commands struct {
-		Count      countCommand      `name:"count" cmd:"" help:"Count attempts over a whole fleet from all its nodes' logs, by time and by server."`
-		Experiment experimentCommand `name:"experiment" cmd:"" help:"Play a grid of scenarios, variants and seeds; keep results, a table with paired intervals, and charts."`
-		Emulate    emulateCommand    `name:"emulate" cmd:"" help:"Play a scenario in virtual time. Ends with 0 if the rules are kept, 1 if not, 2 if it can't be read."`
+		Count      countCommand      `name:"count" cmd:"" help:"Count the attempts of a fleet from the logs of all its nodes, by time and by server."`
+		Experiment experimentCommand `name:"experiment" cmd:"" help:"Run a grid of scenarios, variants and seeds; write results, a table with paired intervals, and charts."`
+		Emulate    emulateCommand    `name:"emulate" cmd:"" help:"Simulate a scenario in virtual time. Exit codes: 0 if no rule is violated, 1 if one is, 2 if the scenario is invalid."`
 		Scenario   struct {
-			Check scenarioCheckCommand `name:"check" cmd:"" help:"Read scenarios and say what is wrong with them."`
-		} `name:"scenario" cmd:"" help:"Look at scenarios."`
-		Judge checkCommand `name:"judge" cmd:"" help:"Check an event log against the rules. Ends with 0 if they are kept, 1 if not, 2 if the log can't be read."`
+			Check scenarioCheckCommand `name:"check" cmd:"" help:"Validate scenarios."`
+		} `name:"scenario" cmd:"" help:"Work with scenario files."`
+		Judge checkCommand `name:"judge" cmd:"" help:"Check an event log against the rules. Exit codes: 0 if no rule is violated, 1 if one is, 2 if the log is invalid."`
 	}
 	run := kong.Parse(&commands, kong.Name("fleetsim"), kong.UsageOnError())
 	run.FatalIfErrorf(run.Run())
