--- a/cmd/fleetsim/experiment_test.go
+++ b/cmd/fleetsim/experiment_test.go
@@ -52,8 +52,7 @@
 			uninterrupted, other)
 	}
 	// Nine nodes in place of four; each node opens its own connections.
-	if fourNodes, nineNodes := withNodes(t, dir, 0), withNodes(t, dir,
-		9); nineNodes["held"] <= fourNodes["held"] {
+	if fourNodes, nineNodes := withNodes(t, dir, 0), withNodes(t, dir, 9); nineNodes["held"] <= fourNodes["held"] {
 		t.Errorf("mean connections: got %v with 9 nodes, want more than the %v with 4", nineNodes["held"],
 			fourNodes["held"])
 	}
@@ -64,18 +63,18 @@
 	}
 	os.WriteFile(runs, text[:len(text)-20], 0o600)
 	// Without a version, the results of all programs would count as those of one.
-	if program, err := revision(); err != nil || len(program) < 16 || !strings.Contains(string(text),
-		program) {
+	if program, err := revision(); err != nil || len(program) < 16 ||
+		!strings.Contains(string(text), program) {
 		t.Errorf("revision: got %q and error %v, want at least 16 bytes that are in runs.jsonl", program, err)
 	}
-	if output, resumed := play("a", 2); resumed != uninterrupted || !strings.Contains(output,
-		"4 runs, 1 of them to be played") {
+	if output, resumed := play("a", 2); resumed != uninterrupted ||
+		!strings.Contains(output, "4 runs, 1 of them to be played") {
 		t.Errorf("resumed experiment: got output\n%s\nand table\n%s\nwant 1 run and the same table", output,
 			resumed)
 	}
 	file("e.toml", "title = \"x\"\nscenarios = [\"s.toml\"]\nseeds = 2\n[[variant]]\nname = \"m\"\nsubset = 9999\n")
-	if err := (&experimentCommand{Plan: plan, Out: filepath.Join(dir,
-		"c")}).play(io.Discard); err == nil || !strings.Contains(err.Error(), "variant m") {
+	if err := (&experimentCommand{Plan: plan, Out: filepath.Join(dir, "c")}).play(io.Discard); err == nil ||
+		!strings.Contains(err.Error(), "variant m") {
 		t.Errorf("subset above the number of servers: got error %v, want one that names variant m", err)
 	}
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -113,10 +113,9 @@
 		mean, n := 0.0, 0
 		var inProgress float64
 		for seed := range uint64(4) {
-			summary, violations, r, _ := runScenario(t, queueScenario(c.servers, c.load, c.shape), seed,
-				"random")
+			summary, violations, r, _ := runScenario(t, queueScenario(c.servers, c.load, c.shape), seed, "random")
 			if len(violations) > 0 {
-				t.Fatal(violations[0])
+				t.Fatalf("%d slots, load %v: got violation %+v, want none", c.servers, c.load, violations[0])
 			}
 			for _, latency := range summary.Latencies {
 				mean += float64(latency) / 1e8
@@ -170,7 +169,7 @@
 		at := r.Int64N(20)
 		c.after(at, func() {
 			if c.now < last {
-				t.Fatal("time goes back")
+				t.Fatalf("time goes back from %d ns to %d ns", last, c.now)
 			}
 			last = c.now
 			seen = append(seen, fmt.Sprintf("%02d %03d", c.now, i))
@@ -247,7 +246,8 @@
 		s := randomScenario(rand.New(rand.NewPCG(seed, 9)))
 		_, violations, r, _ := runScenario(t, s, seed, "module")
 		if len(violations) > 0 || r.DuplicateEffects > 0 || r.Overloads > 0 {
-			t.Fatalf("seed %d: got %d violations, %d duplicate effects, %d overloads, want none: %+v, faults %+v", seed, len(violations), r.DuplicateEffects, r.Overloads, violations[:min(len(violations), 3)], s.Faults)
+			t.Fatalf("seed %d: got %d violations, %d duplicate effects, %d overloads, want none: %+v, faults %+v",
+				seed, len(violations), r.DuplicateEffects, r.Overloads, violations[:min(len(violations), 3)], s.Faults)
 		}
 	})
 }
--- a/internal/invariants/checker_test.go
+++ b/internal/invariants/checker_test.go
@@ -204,26 +204,27 @@
 
 // TestSharedBudgets checks the sum of the quotas in force against the total of 10 units.
 func TestSharedBudgets(t *testing.T) {
-	held := func(at int64, node string, units, until int64) Event {
+	quotaEvent := func(at int64, node string, units, until int64) Event {
 		return Event{At: at, Kind: QuotaHeld, Node: node, Budget: "b", Units: units, Until: until}
 	}
 	for name, c := range map[string]struct {
 		events     []Event
 		violations int
 	}{
-		"within":             {[]Event{held(1, "a", 4, 10), held(2, "b", 6, 10)}, 0},
-		"over":               {[]Event{held(1, "a", 4, 10), held(2, "b", 7, 10)}, 1},
-		"after expiry":       {[]Event{held(1, "a", 4, 10), held(10, "b", 7, 20)}, 0},
-		"just before expiry": {[]Event{held(1, "a", 4, 10), held(9, "b", 7, 20)}, 1},
-		"quota replaced":     {[]Event{held(1, "a", 10, 10), held(2, "a", 3, 12), held(3, "b", 7, 12)}, 0},
-		"quota returned": {[]Event{held(1, "a", 10, 10), held(2, "a", 0, 10),
-			held(2, "b", 10, 10)}, 0},
-		"without expiry": {[]Event{held(1, "a", 4, 0), held(1000, "b", 7, 2000)}, 1},
-		"node killed": {[]Event{held(1, "a", 4, 0), {At: 2, Kind: NodeKilled, Node: "a"},
-			held(3, "b", 10, 9)}, 0},
-		"reported once while above": {[]Event{held(1, "a", 11, 90), held(2, "b", 1, 90),
-			held(3, "b", 2, 90)}, 1},
-		"reported again later": {[]Event{held(1, "a", 11, 5), held(6, "b", 1, 90), held(7, "a", 10, 90)}, 2},
+		"within":             {[]Event{quotaEvent(1, "a", 4, 10), quotaEvent(2, "b", 6, 10)}, 0},
+		"over":               {[]Event{quotaEvent(1, "a", 4, 10), quotaEvent(2, "b", 7, 10)}, 1},
+		"after expiry":       {[]Event{quotaEvent(1, "a", 4, 10), quotaEvent(10, "b", 7, 20)}, 0},
+		"just before expiry": {[]Event{quotaEvent(1, "a", 4, 10), quotaEvent(9, "b", 7, 20)}, 1},
+		"quota replaced": {[]Event{quotaEvent(1, "a", 10, 10), quotaEvent(2, "a", 3, 12),
+			quotaEvent(3, "b", 7, 12)}, 0},
+		"quota returned": {[]Event{quotaEvent(1, "a", 10, 10), quotaEvent(2, "a", 0, 10),
+			quotaEvent(2, "b", 10, 10)}, 0},
+		"without expiry": {[]Event{quotaEvent(1, "a", 4, 0), quotaEvent(1000, "b", 7, 2000)}, 1},
+		"node killed": {[]Event{quotaEvent(1, "a", 4, 0), {At: 2, Kind: NodeKilled, Node: "a"},
+			quotaEvent(3, "b", 10, 9)}, 0},
+		"reported once while above": {[]Event{quotaEvent(1, "a", 11, 90), quotaEvent(2, "b", 1, 90),
+			quotaEvent(3, "b", 2, 90)}, 1},
+		"reported again later": {[]Event{quotaEvent(1, "a", 11, 5), quotaEvent(6, "b", 1, 90), quotaEvent(7, "a", 10, 90)}, 2},
 	} {
 		checker := New(Rules{Totals: map[string]int64{"b": 10}})
 		for _, e := range c.events {
@@ -235,7 +236,7 @@
 			t.Errorf("%s: got violations %v, want %d of rule 5", name, got, c.violations)
 		}
 	}
-	if err := New(Rules{}).Add(held(1, "a", 1, 2)); err == nil {
+	if err := New(Rules{}).Add(quotaEvent(1, "a", 1, 2)); err == nil {
 		t.Error("quota of an unknown budget: got no error, want one")
 	}
 }
