--- a/cmd/fleetsim/experiment_run.go
+++ b/cmd/fleetsim/experiment_run.go
@@ -13,7 +13,7 @@
 	"fernrail/internal/invariants"
 )
 
-// Figures of a run by the names that runs.jsonl has for them.
+// The names of a run's figures, as stored in runs.jsonl.
 const (
 	inTimeFigure      = "in time"
 	worstFigure       = "worst 10 s"
@@ -27,7 +27,7 @@
 	violationsFigure  = "breaches"
 )
 
-// scenarioTexts are the scenarios of a plan by name.
+// scenarioTexts has the texts of a plan's scenarios by name.
 type scenarioTexts map[string][]byte
 
 func (t scenarioTexts) hashes() map[string]string {
@@ -38,12 +38,13 @@
 	return hashes
 }
 
-// preparedRun is a scenario as a variant has it, with the variant's policy.
+// preparedRun is a scenario with a variant applied, and the variant's policy.
 type preparedRun struct {
 	scenario *emulator.Scenario
 	policy   emulator.Policy
 }
 
+// prepare reads the scenario of a run and applies the variant.
 func (t scenarioTexts) prepare(run *experiment.Run) (*preparedRun, error) {
 	scenario, err := emulator.Read(t[run.Scenario])
 	if err != nil {
@@ -69,15 +70,15 @@
 	return &preparedRun{scenario, policy}, nil
 }
 
-// play plays one run and checks it against the rules.
+// play executes a run and checks its events against the rules.
 func (t scenarioTexts) play(run *experiment.Run) (*experiment.Result, error) {
 	prepared, err := t.prepare(run)
 	if err != nil {
 		return nil, err
 	}
-	checker, collector := invariants.New(prepared.scenario.Held()), invariants.NewCollector()
+	checker, collector := invariants.New(prepared.scenario.InvariantRules()), invariants.NewCollector()
 	last := int64(0)
-	began := time.Now()
+	startedAt := time.Now()
 	report := emulator.Run(prepared.scenario, run.Seed, prepared.policy, func(e invariants.Event) {
 		err = errors.Join(err, checker.Add(e))
 		collector.Add(e)
@@ -87,10 +88,11 @@
 		return nil, err
 	}
 	return &experiment.Result{
-		Run:     *run,
-		Key:     run.Key(),
-		Machine: fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version()),
-		Took:    time.Since(began).Seconds(),
+		Run: *run,
+		Key: run.Key(),
+		Machine: fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(),
+			runtime.Version()),
+		Took:    time.Since(startedAt).Seconds(),
 		Figures: runFigures(collector.Summary(), report, len(checker.Violations(last))),
 	}, nil
 }
@@ -101,11 +103,11 @@
 		worstFigure:       summary.WorstTenSeconds,
 		p99Figure:         float64(summary.Latency(0.99)) / float64(time.Millisecond),
 		handshakesFigure:  float64(report.Handshakes),
-		connectionsFigure: report.Held,
-		overloadedFigure:  float64(report.Fallen),
-		slowStartFigure:   report.Cold,
+		connectionsFigure: report.MeanConnections,
+		overloadedFigure:  float64(report.Overloads),
+		slowStartFigure:   report.SlowStartWork,
 		workFigure:        report.Work,
-		twiceFigure:       float64(report.Twice),
+		twiceFigure:       float64(report.DuplicateEffects),
 		violationsFigure:  float64(violations),
 	}
 }
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -1,17 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package emulator plays a whole fleet in virtual time: clients, nodes with the decision module or a baseline on them,
-// executors, discovery, the network between them, and what goes wrong. One event queue, one thread: the same scenario and
-// seed give the same log to the byte. It decides nothing about txns; docs/emulator.md says how it is put together.
+// Package emulator simulates a fleet in virtual time: clients, nodes that run the dispatch package or a
+// baseline policy, servers, discovery, the network between them, and faults. It has a single event queue and
+// a single thread, so that the same scenario and seed give the same log to the byte. It makes no dispatch
+// decisions itself. docs/emulator.md describes its structure.
 package emulator
 
 import "container/heap"
 
-// event happens at a time; of several at one time the one that was put in first.
+// event is an action at a virtual time. Events at the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at, order int64
-	do        func()
-	off       bool
+	action    func()
+	canceled  bool
 }
 
 type queue []*event
@@ -30,32 +32,32 @@
 	return e
 }
 
-// clock is virtual time, in nanoseconds from the start, with what is still to happen.
+// clock is the virtual time in nanoseconds, with the queue of pending events.
 type clock struct {
-	now    int64
-	queue  queue
-	orders int64
-	done   int64 // events, ever
+	now       int64
+	queue     queue
+	scheduled int64
+	executed  int64 // number of events that have run
 }
 
-// after has something happen later; what it gives back calls that off.
-func (c *clock) after(span int64, do func()) *event {
-	c.orders++
-	e := &event{at: c.now + max(span, 0), order: c.orders, do: do}
+// after schedules an action after a delay in nanoseconds. Setting canceled on the returned event prevents it.
+func (c *clock) after(delay int64, do func()) *event {
+	c.scheduled++
+	e := &event{at: c.now + max(delay, 0), order: c.scheduled, action: do}
 	heap.Push(&c.queue, e)
 	return e
 }
 
-// run lets time go by until an end; what is to happen at that very time still does.
+// run executes events in order up to and including an end time.
 func (c *clock) run(end int64) {
 	for len(c.queue) > 0 && c.queue[0].at <= end {
 		e := heap.Pop(&c.queue).(*event)
-		if e.off {
+		if e.canceled {
 			continue
 		}
 		c.now = e.at
-		c.done++
-		e.do()
+		c.executed++
+		e.action()
 	}
 	c.now = end
 }
--- a/internal/emulator/subset.go
+++ b/internal/emulator/subset.go
@@ -8,66 +8,69 @@
 	"fernrail/internal/fleet/subset"
 )
 
-// Subset says which part of the executors each node uses, with the code that real ones use. What nodes know of each other is
-// the same at all of them, some time late.
+// Subset configures the subset of servers that each node uses; the subsets are assigned by the code that real
+// nodes run. All nodes have the same view of the other nodes, after a delay.
 type Subset struct {
-	Size   int  `toml:"size"` // 0: each uses all
-	Cover  int  `toml:"cover"`
-	Notice Span `toml:"notice"` // until all know that a node came or went
+	Size              int      `toml:"size"` // servers that a node uses; 0: all
+	MinNodesPerServer int      `toml:"cover"`
+	NoticeDelay       Duration `toml:"notice"` // until all nodes have noticed a node's start or stop
 }
 
-func (s *Subset) check(executors int) error {
-	if s.Size < 0 || s.Size > executors || s.Size > 0 && (s.Cover < 1 || s.Notice <= 0) {
-		return fmt.Errorf("subset: size %d of %d executors, cover %d, notice %d: out of bounds", s.Size, executors, s.Cover, s.Notice)
+func (s *Subset) check(servers int) error {
+	if s.Size < 0 || s.Size > servers || s.Size > 0 && (s.MinNodesPerServer < 1 || s.NoticeDelay <= 0) {
+		return fmt.Errorf("subset: size %d of %d servers, cover %d, notice %d ns: out of bounds",
+			s.Size, servers, s.MinNodesPerServer, s.NoticeDelay)
 	}
 	return nil
 }
 
-// regroup has executors divided anew once all know of a node that came or went.
-func (w *world) regroup() {
-	if w.s.Subset.Size == 0 || w.regroups {
+// scheduleSubsetUpdate assigns new subsets once all nodes have noticed a node's start or stop.
+func (w *world) scheduleSubsetUpdate() {
+	if w.scenario.Subset.Size == 0 || w.subsetUpdatePending {
 		return
 	}
-	w.regroups = true
-	w.after(int64(w.s.Subset.Notice), func() {
-		w.regroups = false
+	w.subsetUpdatePending = true
+	w.after(int64(w.scenario.Subset.NoticeDelay), func() {
+		w.subsetUpdatePending = false
 		var nodes []string
 		for _, n := range w.nodes {
 			if n.up {
 				nodes = append(nodes, n.name)
 			}
 		}
-		executors := make([]subset.Server, len(w.executors))
-		for i, e := range w.executors {
-			executors[i] = subset.Server{Name: e.id, Zone: e.zone, MachineType: w.listing[i].MachineType, Size: float64(e.kind.Slots)}
+		servers := make([]subset.Server, len(w.servers))
+		for i, server := range w.servers {
+			servers[i] = subset.Server{Name: server.id, Zone: server.zone, MachineType: w.endpoints[i].MachineType,
+				Size: float64(server.machineType.Slots)}
 		}
-		d := subset.Assign(nodes, executors, subset.Settings{Size: w.s.Subset.Size, MinNodesPerServer: w.s.Subset.Cover})
+		assignment := subset.Assign(nodes, servers, subset.Settings{Size: w.scenario.Subset.Size,
+			MinNodesPerServer: w.scenario.Subset.MinNodesPerServer})
 		for _, n := range w.nodes {
 			if n.up {
-				far := d.Distances(n.name)
-				for _, e := range n.fleet {
-					e.Distance = far[e.Tag]
+				distances := assignment.Distances(n.name)
+				for _, server := range n.servers {
+					server.Distance = distances[server.Tag]
 				}
 			}
 		}
 	})
 }
 
-// look is between two counts of what connections there are.
-const look = int64(250e6)
+// connectionSampleInterval is the time between two samples of the number of open connections, in nanoseconds.
+const connectionSampleInterval = int64(250e6)
 
-// open counts the connections that nodes hold, kept and in use, from time to time.
-func (w *world) open() {
-	w.looks++
+// sampleConnections periodically counts the nodes' connections, idle and in use.
+func (w *world) sampleConnections() {
+	w.connectionSamples++
 	for _, n := range w.nodes {
-		for _, kept := range n.idle {
-			for _, till := range kept {
-				if till >= w.now {
-					w.held++
+		for _, idle := range n.idleUntil {
+			for _, until := range idle {
+				if until >= w.now {
+					w.connectionSum++
 				}
 			}
 		}
-		w.held += len(n.out)
+		w.connectionSum += len(n.attempts)
 	}
-	w.after(look, w.open)
+	w.after(connectionSampleInterval, w.sampleConnections)
 }
