--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -16,9 +16,10 @@
 	"fernrail/dispatch"
 )
 
-// ErrNoNews means that discovery processed a poll and responded without an endpoint list. It must not be
-// polled again immediately. A poll that got no response, or an unreadable one, does not count as processed.
-var ErrNoNews = errors.New("no endpoint list in the response")
+// ErrNoEndpointList means that discovery processed a poll and responded without an endpoint list. It must not
+// be polled again immediately. A poll that got no response, or an unreadable one, does not count as
+// processed.
+var ErrNoEndpointList = errors.New("no endpoint list in the response")
 
 // MaxEndpointListBytes is the maximum size of an encoded endpoint list. Several thousand servers fit.
 const MaxEndpointListBytes = 4 << 20
--- a/internal/routing/endpoint_watcher.go
+++ b/internal/routing/endpoint_watcher.go
@@ -187,7 +187,7 @@
 		state.needComplete = true
 	}
 	discoveryTime := time.Duration(0) // how long discovery worked on the poll
-	if errors.Is(err, protocol.ErrNoNews) {
+	if errors.Is(err, protocol.ErrNoEndpointList) {
 		discoveryTime = duration
 	}
 	err = r.tryEvent(func() { r.module.PollFailed(int64(duration), int64(discoveryTime)) })
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -105,7 +105,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery responded %s: %w", response.Status, protocol.ErrNoNews)
+		return nil, fmt.Errorf("discovery responded %s: %w", response.Status, protocol.ErrNoEndpointList)
 	}
 	body := &progressReader{Reader: response.Body, onProgress: onProgress}
 	text, err := io.ReadAll(io.LimitReader(body, protocol.MaxEndpointListBytes+1))
