--- a/internal/protocol/timing.go
+++ b/internal/protocol/timing.go
@@ -15,9 +15,9 @@
 	NotificationDeadline = 6 * time.Second
 	// WatchWait is how long discovery may wait for a change before it responds to a poll.
 	WatchWait = NotificationDeadline / 2
-	// WatchSilence is how long the node waits for the response to a poll beyond WatchWait.
-	WatchSilence = NotificationDeadline / 6
+	// WatchResponseMargin is how long the node waits for the response to a poll beyond WatchWait.
+	WatchResponseMargin = NotificationDeadline / 6
 	// PollRetryInterval is the time from the start of a failed poll to the start of the next one. The
 	// rest of the deadline is for the response to the next poll.
-	PollRetryInterval = NotificationDeadline - 2*WatchSilence/4
+	PollRetryInterval = NotificationDeadline - 2*WatchResponseMargin/4
 )
--- a/internal/transport/discovery_client.go
+++ b/internal/transport/discovery_client.go
@@ -58,17 +58,17 @@
 	return d.pollChanges(ctx, since)
 }
 
-// pollList gets the full list. The poll fails if discovery sends nothing for protocol.WatchSilence, or if the
-// response takes longer than the larger of protocol.WatchSilence and protocol.WatchWait. If
-// protocol.WatchSilence applied to the whole response, a list of thousands of endpoints that arrives slowly
-// would never be accepted.
+// pollList gets the full list. The poll fails if discovery sends nothing for protocol.WatchResponseMargin, or
+// if the response takes longer than the larger of protocol.WatchResponseMargin and protocol.WatchWait. If
+// protocol.WatchResponseMargin applied to the whole response, a list of thousands of endpoints that arrives
+// slowly would never be accepted.
 func (d *DiscoveryClient) pollList(ctx context.Context) (*protocol.EndpointList, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := time.AfterFunc(protocol.WatchSilence, func() { cancel(errDiscoveryTimeout) })
+	timer := time.AfterFunc(protocol.WatchResponseMargin, func() { cancel(errDiscoveryTimeout) })
 	defer timer.Stop()
-	deadline := time.Now().Add(max(protocol.WatchSilence, protocol.WatchWait))
-	onProgress := func() { timer.Reset(min(protocol.WatchSilence, time.Until(deadline))) }
+	deadline := time.Now().Add(max(protocol.WatchResponseMargin, protocol.WatchWait))
+	onProgress := func() { timer.Reset(min(protocol.WatchResponseMargin, time.Until(deadline))) }
 	return d.get(ctx, d.target(), onProgress)
 }
 
@@ -81,7 +81,7 @@
 	d.polledChanges = true
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := time.AfterFunc(wait+protocol.WatchSilence, func() { cancel(errDiscoveryTimeout) })
+	timer := time.AfterFunc(wait+protocol.WatchResponseMargin, func() { cancel(errDiscoveryTimeout) })
 	defer timer.Stop()
 	target := fmt.Sprintf("%s?since=%d&timeout_ms=%d", d.target(), since, wait.Milliseconds())
 	return d.get(ctx, target, func() {})
--- a/internal/transport/discovery_client_test.go
+++ b/internal/transport/discovery_client_test.go
@@ -18,7 +18,7 @@
 )
 
 // TestSlowListIsAccepted checks that a full list of thousands of endpoints that arrives in pieces is
-// accepted, even if it takes longer in total than protocol.WatchSilence. A list that stalls is abandoned
+// accepted, even if it takes longer in total than protocol.WatchResponseMargin. A list that stalls is abandoned
 // after a silence of that length. Otherwise the node would drop the slow list, poll for it again and never
 // receive the update of a drain.
 func TestSlowListIsAccepted(t *testing.T) {
@@ -34,7 +34,7 @@
 			for i := range sentPieces {
 				w.Write([]byte(list[len(list)*i/pieces : len(list)*(i+1)/pieces]))
 				http.NewResponseController(w).Flush()
-				time.Sleep(protocol.WatchSilence * 2 / pieces)
+				time.Sleep(protocol.WatchResponseMargin * 2 / pieces)
 			}
 			if sentPieces < pieces {
 				<-r.Context().Done()
