--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -82,7 +82,7 @@
 	checkEqual(t, "server", endpoint.ID, "s-1")
 	checkEqual(t, "server's zone", endpoint.Zone, 1)
 	checkEqual(t, "server's machine type", endpoint.MachineType, 1)
-	checkEqual(t, "server's start", endpoint.Started, 12e6)
+	checkEqual(t, "server's start", endpoint.StartedAt, 12e6)
 
 	pay := node.Settings.Classes[1]
 	checkEqual(t, "idempotency", pay.Idempotency, dispatch.IdempotentInGroup)
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -36,10 +36,10 @@
 		InitialEndpoints: &protocol.EndpointList{Version: 4, Complete: true, Endpoints: []protocol.Endpoint{
 			{
 				ID: "s-1", Address: "10.0.0.1:7", State: dispatch.Up, Zone: 1, MachineType: 1, Cell: 3,
-				Started: 12e6, Capacity: 1.5,
+				StartedAt: 12e6, Capacity: 1.5,
 			},
-			{ID: "s-2", Address: "10.0.0.2:7", State: dispatch.Draining, Cell: 1, Started: 5e6, Capacity: 2},
-			{ID: "s-3", Address: "10.0.0.3:7", State: dispatch.Up, Cell: 2, Started: 7e6, Capacity: 3},
+			{ID: "s-2", Address: "10.0.0.2:7", State: dispatch.Draining, Cell: 1, StartedAt: 5e6, Capacity: 2},
+			{ID: "s-3", Address: "10.0.0.3:7", State: dispatch.Up, Cell: 2, StartedAt: 7e6, Capacity: 3},
 		}},
 		Names: &protocol.Names{
 			Zones:        []string{"home", "away"},
--- a/internal/protocol/endpoint_list_test.go
+++ b/internal/protocol/endpoint_list_test.go
@@ -21,7 +21,7 @@
 	if err != nil || list.Version != 41 || !list.Complete || len(list.Endpoints) != 3 {
 		t.Fatalf("got list %+v and error %v, want a complete list of version 41 with 3 endpoints", list, err)
 	}
-	first := Endpoint{ID: "s-1", Address: "10.0.0.1:7", Zone: 1, Cell: 3, Started: 17e17, Capacity: 1.5}
+	first := Endpoint{ID: "s-1", Address: "10.0.0.1:7", Zone: 1, Cell: 3, StartedAt: 17e17, Capacity: 1.5}
 	if list.Endpoints[0] != first || list.Endpoints[1].State != dispatch.Draining ||
 		list.Endpoints[1].Zone != -1 || list.Endpoints[2].State != dispatch.Removed {
 		t.Errorf("got endpoints %+v, want s-1 up, s-2 draining in an unknown zone and s-3 removed", list.Endpoints)
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -169,7 +169,7 @@
 		for _, endpoint := range list.Endpoints {
 			fmt.Fprintf(&got, "id %q address %q state %d zone %d machine type %d cell %d started %d capacity %v\n",
 				endpoint.ID, endpoint.Address, endpoint.State, endpoint.Zone, endpoint.MachineType, endpoint.Cell,
-				endpoint.Started, endpoint.Capacity)
+				endpoint.StartedAt, endpoint.Capacity)
 		}
 		checkGolden(t, name+".golden", got.Bytes())
 	}
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -88,7 +88,7 @@
 		Zone:        e.listed.Zone,
 		MachineType: e.listed.MachineType,
 		Cell:        e.listed.Cell,
-		StartedAt:   e.listed.Started,
+		StartedAt:   e.listed.StartedAt,
 		Capacity:    e.listed.Capacity,
 	}
 }
--- a/internal/routing/exclusions_test.go
+++ b/internal/routing/exclusions_test.go
@@ -44,7 +44,7 @@
 		if known, excluded := router.ServerCounts(); known != 2 || excluded != 1 {
 			t.Errorf("got %d known and %d excluded servers, want 2 and 1", known, excluded)
 		}
-		restarted := protocol.Endpoint{ID: "a", Address: "elsewhere:7", Started: time.Now().UnixNano()}
+		restarted := protocol.Endpoint{ID: "a", Address: "elsewhere:7", StartedAt: time.Now().UnixNano()}
 		for name, list := range map[string]*protocol.EndpointList{
 			"no changes": {}, "complete list": completeList("a", "b"),
 			"change":  changedList(testEndpoint("a", dispatch.Up)),
--- a/internal/routing/rules_fuzz_test.go
+++ b/internal/routing/rules_fuzz_test.go
@@ -98,7 +98,7 @@
 		if randomInt(5) == 0 {
 			endpoint, complete := testEndpoint(
 				ids[randomInt(len(ids))], dispatch.EndpointState(randomInt(3))), randomInt(2) == 0
-			endpoint.Started = time.Now().UnixNano() * int64(randomInt(2)) // the start time of a restarted server
+			endpoint.StartedAt = time.Now().UnixNano() * int64(randomInt(2)) // the start time of a restarted server
 			router.event(func() {
 				mu.Lock()
 				defer mu.Unlock()
