--- a/internal/protocol/job_updates.go
+++ b/internal/protocol/job_updates.go
@@ -21,7 +21,7 @@
 	Done
 	Failed
 	Returned // the server has returned the job without starting it
-	Killed
+	Lost
 )
 
 var jobStates = map[string]JobState{
@@ -30,7 +30,7 @@
 	"done":     Done,
 	"failed":   Failed,
 	"returned": Returned,
-	"lost":     Killed,
+	"lost":     Lost,
 }
 
 const (
--- a/internal/transport/server_client.go
+++ b/internal/transport/server_client.go
@@ -195,7 +195,7 @@
 		}
 	case protocol.Returned:
 		return protocol.AttemptResult{Outcome: dispatch.Rejected}
-	case protocol.Killed:
+	case protocol.Lost:
 		return protocol.AttemptResult{Outcome: dispatch.ConnectionLost}
 	default:
 		return protocol.AttemptResult{Outcome: dispatch.Failed}
