--- a/cmd/fernrail/process_coordinator.go
+++ b/cmd/fernrail/process_coordinator.go
@@ -141,7 +141,7 @@
 // recordListed stores newly listed servers for the other processes. If that fails, the next sync retries it.
 // The caller holds mu.
 func (c *processCoordinator) recordListed() {
-	listed := c.router.EverListed(c.recorded)
+	listed := c.router.ListedIDs(c.recorded)
 	if len(listed) == 0 {
 		return
 	}
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -138,9 +138,9 @@
 	return r.listedIDs[id]
 }
 
-// EverListed returns the ids that were ever listed, in the order of their first listing and without the
+// ListedIDs returns the ids that were ever listed, in the order of their first listing and without the
 // first skip ids.
-func (r *Router) EverListed(skip int) []string {
+func (r *Router) ListedIDs(skip int) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.listedOrder[skip:])
