--- a/cmd/fernrail/run.go
+++ b/cmd/fernrail/run.go
@@ -140,7 +140,7 @@
 		return true
 	}
 	select {
-	case <-n.router.FirstUpdate():
+	case <-n.router.FirstPollSucceeded():
 	case <-time.After(discoveryWait):
 		n.log.Warn().Msgf(
 			"discovery did not answer within %v; serving with the endpoint list of the configuration", discoveryWait)
--- a/internal/routing/endpoint_watcher.go
+++ b/internal/routing/endpoint_watcher.go
@@ -68,8 +68,8 @@
 	r.pollRequested <- on
 }
 
-// FirstUpdate returns a channel that is closed after the first successful poll of discovery.
-func (r *Router) FirstUpdate() <-chan struct{} { return r.firstUpdate }
+// FirstPollSucceeded returns a channel that is closed after the first successful poll of discovery.
+func (r *Router) FirstPollSucceeded() <-chan struct{} { return r.firstUpdate }
 
 // WatchEndpoints polls discovery for the endpoint list whenever the module requests it, until the
 // context ends. After a failed poll it waits until the module requests the next one. It also runs the
