--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -46,7 +46,7 @@
 	ID, Address             string
 	State                   dispatch.EndpointState
 	Zone, MachineType, Cell int     // Zone and MachineType are indexes into Names; -1: unknown name
-	StartedAt                 int64   // Unix time, ns; 0: long ago
+	StartedAt               int64   // Unix time, ns; 0: long ago
 	Capacity                float64 // the settings define the unit
 }
 
@@ -190,7 +190,7 @@
 		Zone:        slices.Index(names.Zones, e.Zone),
 		MachineType: slices.Index(names.MachineTypes, e.MachineType),
 		Cell:        e.Cell,
-		StartedAt:     e.StartedMillis * int64(time.Millisecond),
+		StartedAt:   e.StartedMillis * int64(time.Millisecond),
 		Capacity:    capacity,
 	}, nil
 }
--- a/internal/transport/discovery_client_test.go
+++ b/internal/transport/discovery_client_test.go
@@ -18,9 +18,9 @@
 )
 
 // TestSlowListIsAccepted checks that a full list of thousands of endpoints that arrives in pieces is
-// accepted, even if it takes longer in total than protocol.WatchResponseMargin. A list that stalls is abandoned
-// after a silence of that length. Otherwise the node would drop the slow list, poll for it again and never
-// receive the update of a drain.
+// accepted, even if it takes longer in total than protocol.WatchResponseMargin. A list that stalls is
+// abandoned after a silence of that length. Otherwise the node would drop the slow list, poll for it again
+// and never receive the update of a drain.
 func TestSlowListIsAccepted(t *testing.T) {
 	entries := make([]string, 3200)
 	for i := range entries {
