--- a/cmd/fernrail/main.go
+++ b/cmd/fernrail/main.go
@@ -20,7 +20,7 @@
 const maxSampledLines = 20
 
 // clock is the clock for leases. Builds for tests replace it.
-var clock fleet.Clock = fleet.Boottime
+var clock fleet.Clock = fleet.BootTime
 
 func main() {
 	if len(os.Args) > 1 {
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -10,9 +10,9 @@
 // machine sleeps.
 type Clock func() int64
 
-// Boottime is the Clock of this machine. The monotonic clock of the Go runtime is unsuitable: it stops while
+// BootTime is the Clock of this machine. The monotonic clock of the Go runtime is unsuitable: it stops while
 // the machine sleeps, so a lease would appear to last longer than it does.
-func Boottime() int64 {
+func BootTime() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // available on every Linux since 2.6.39
