--- a/cmd/fernrail/run.go
+++ b/cmd/fernrail/run.go
@@ -187,7 +187,7 @@
 func (n *node) shutDown() {
 	handedOver := n.processes.handOver()
 	if n.budgets != nil && handedOver {
-		n.budgets.HandOver()
+		n.budgets.ReleaseAddresses()
 	}
 	n.log.Info().Bool("successor", handedOver).Msg("node stops")
 	timeout := shutdownTime(n.config)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -257,9 +257,9 @@
 	f.holder.SetFloorOwner(owner, f.clock())
 }
 
-// HandOver releases the addresses of the voter and of gossip to another process of this node. Leases are
+// ReleaseAddresses releases the addresses of the voter and of gossip to another process of this node. Leases are
 // still renewed.
-func (f *Fleet) HandOver() {
+func (f *Fleet) ReleaseAddresses() {
 	v, m := f.takeServices()
 	if m != nil {
 		m.shutdown()
