--- a/cmd/fernrail/fleet_command.go
+++ b/cmd/fernrail/fleet_command.go
@@ -104,7 +104,7 @@
 	for _, name := range slices.Sorted(maps.Keys(status.Budgets)) {
 		b := status.Budgets[name]
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.1f\t%.1f\t%d\t%d\t%d\t\n",
-			name, b.Total, b.Quota, b.Floor, b.Used, b.Demand, b.Sent, b.HeldBack, b.SentAfterExpiry)
+			name, b.Total, b.Quota, b.Floor, b.Used, b.Demand, b.Sent, b.BlockedSends, b.SentAfterExpiry)
 	}
 	return table.Flush()
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -31,7 +31,7 @@
 	Used            float64 `json:"used"` // highest usage of any single key
 	Demand          float64 `json:"want"`
 	Sent            int64   `json:"sent"`    // number of charged sends
-	HeldBack        int64   `json:"lapsed"`  // sends prevented, since the lease had expired or been reduced
+	BlockedSends    int64   `json:"lapsed"`  // sends prevented, since the lease had expired or been reduced
 	SentAfterExpiry int64   `json:"slipped"` // sends whose lease had expired, or that could not wait for one
 }
 
@@ -69,7 +69,7 @@
 			Used:            q.meter.Peak(now),
 			Demand:          f.demand.LastEstimate(name),
 			Sent:            q.sent,
-			HeldBack:        q.blocked,
+			BlockedSends:    q.blocked,
 			SentAfterExpiry: q.sentAfterExpiry,
 		}
 	}
