--- a/internal/config/fleet_gossip.go
+++ b/internal/config/fleet_gossip.go
@@ -20,7 +20,7 @@
 
 // decodeGossip decodes the gossip addresses and the routes.
 func (d *fleetDecoder) decodeGossip() error {
-	d.fleet.Gossip = d.text("fleet.gossip")
+	d.fleet.GossipAddress = d.text("fleet.gossip")
 	d.fleet.Join = d.list("fleet.join")
 	d.fleet.Routes = map[string]string{}
 	for key, target := range d.values {
@@ -28,13 +28,13 @@
 			d.fleet.Routes[address] = target
 		}
 	}
-	for _, address := range append(slices.Clone(d.fleet.Join), d.fleet.Gossip) {
+	for _, address := range append(slices.Clone(d.fleet.Join), d.fleet.GossipAddress) {
 		if address != "" && !isIPAndPort(address) {
 			return keyErrorf("fleet.gossip, fleet.join", "%q is not IP:port; host names are not resolved",
 				address)
 		}
 	}
-	if d.fleet.Gossip == "" && len(d.fleet.Join) > 0 {
+	if d.fleet.GossipAddress == "" && len(d.fleet.Join) > 0 {
 		return keyErrorf("fleet.join", "requires fleet.gossip, which is not set")
 	}
 	return nil
@@ -67,7 +67,7 @@
 			size, minSize)
 	case known > 0 && size > known:
 		return keyErrorf("fleet.subset.size", "%d is more than the %d known executors", size, known)
-	case d.fleet.Gossip == "":
+	case d.fleet.GossipAddress == "":
 		return keyErrorf("fleet.subset", "requires fleet.gossip, which is not set")
 	}
 	return nil
@@ -82,7 +82,7 @@
 	switch {
 	case d.err != nil:
 		return d.err
-	case d.fleet.Gossip == "":
+	case d.fleet.GossipAddress == "":
 		return keyErrorf("fleet.signals", "requires fleet.gossip, which is not set")
 	case d.fleet.Zone == "":
 		return keyErrorf("fleet.signals",
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -121,7 +121,7 @@
 			"jobs":    {Total: 48, Floor: 3, Reserve: 5, Step: 4, Window: 6e9, Partitions: 3},
 			"calls":   {Total: 12, Floor: 1, Reserve: 2, Step: 5, Window: 700e6, Partitions: 1},
 		}},
-		Gossip:        "127.0.0.1:7301",
+		GossipAddress: "127.0.0.1:7301",
 		Join:          []string{"127.0.0.1:7300", "127.0.0.1:7301"},
 		Routes:        map[string]string{"127.0.0.1:7200": "127.0.0.1:7400"},
 		Subset:        &subset.Settings{Size: 3, MinNodesPerServer: 2},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -63,7 +63,7 @@
 			return nil, err
 		}
 	}
-	if cfg.Gossip != "" {
+	if cfg.GossipAddress != "" {
 		if err := f.startGossip(ctx, othersRunning); err != nil {
 			f.Close()
 			return nil, err
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -105,7 +105,7 @@
 // settings returns the library's configuration, with all intervals and timeouts proportional to the election
 // timeout.
 func (m *membership) settings() (*memberlist.Config, error) {
-	host, port, err := net.SplitHostPort(m.fleet.Gossip)
+	host, port, err := net.SplitHostPort(m.fleet.GossipAddress)
 	if err != nil {
 		return nil, err
 	}
