--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -25,7 +25,7 @@
 	ElectionTimeout time.Duration // without a leader's messages, until a voter starts an election
 	Agreement       budget.Agreement
 	GossipAddress   string            // gossip address of this node; empty: gossip is off
-	Join            []string          // gossip addresses of some other nodes
+	GossipSeeds     []string          // gossip addresses of some other nodes
 	Routes          map[string]string // addresses that this node replaces by others when it connects
 	Subset          *subset.Settings  // nil: each node uses all servers
 	WitnessQuorum   int               // nodes that must agree on an outlier; 0: no scores are exchanged
--- a/internal/config/fleet_gossip.go
+++ b/internal/config/fleet_gossip.go
@@ -21,20 +21,20 @@
 // decodeGossip decodes the gossip addresses and the routes.
 func (d *fleetDecoder) decodeGossip() error {
 	d.fleet.GossipAddress = d.text("fleet.gossip")
-	d.fleet.Join = d.list("fleet.join")
+	d.fleet.GossipSeeds = d.list("fleet.join")
 	d.fleet.Routes = map[string]string{}
 	for key, target := range d.values {
 		if address, isRoute := strings.CutPrefix(key, "fleet.routes."); isRoute {
 			d.fleet.Routes[address] = target
 		}
 	}
-	for _, address := range append(slices.Clone(d.fleet.Join), d.fleet.GossipAddress) {
+	for _, address := range append(slices.Clone(d.fleet.GossipSeeds), d.fleet.GossipAddress) {
 		if address != "" && !isIPAndPort(address) {
 			return keyErrorf("fleet.gossip, fleet.join", "%q is not IP:port; host names are not resolved",
 				address)
 		}
 	}
-	if d.fleet.GossipAddress == "" && len(d.fleet.Join) > 0 {
+	if d.fleet.GossipAddress == "" && len(d.fleet.GossipSeeds) > 0 {
 		return keyErrorf("fleet.join", "requires fleet.gossip, which is not set")
 	}
 	return nil
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -122,7 +122,7 @@
 			"calls":   {Total: 12, Floor: 1, Reserve: 2, Step: 5, Window: 700e6, Partitions: 1},
 		}},
 		GossipAddress: "127.0.0.1:7301",
-		Join:          []string{"127.0.0.1:7300", "127.0.0.1:7301"},
+		GossipSeeds:   []string{"127.0.0.1:7300", "127.0.0.1:7301"},
 		Routes:        map[string]string{"127.0.0.1:7200": "127.0.0.1:7400"},
 		Subset:        &subset.Settings{Size: 3, MinNodesPerServer: 2},
 		WitnessQuorum: 2,
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -174,7 +174,7 @@
 	for _, address := range m.alive {
 		alive[address] = true
 	}
-	addresses := slices.Clone(m.fleet.Join)
+	addresses := slices.Clone(m.fleet.GossipSeeds)
 	for _, address := range m.departed {
 		addresses = append(addresses, address)
 	}
