--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -18,18 +18,18 @@
 
 // Fleet configures the budgets that a node shares with other nodes.
 type Fleet struct {
-	Listen          string // listener of a voter, host:port
-	Secret          string // shared by all nodes of a fleet, which authenticate each other with it
-	DataDir         string // for the log and snapshots of a voter; empty: in memory only
-	Voters          []Voter
-	ElectionTimeout time.Duration // without a leader's messages, until a voter starts an election
-	Agreement       budget.Agreement
-	GossipAddress   string            // gossip address of this node; empty: gossip is off
-	GossipSeeds     []string          // gossip addresses of some other nodes
-	Routes          map[string]string // addresses that this node replaces by others when it connects
-	Subset          *subset.Settings  // nil: each node uses all servers
-	WitnessQuorum   int               // nodes that must agree on an outlier; 0: no scores are exchanged
-	Zone            string            // of this node; empty: not set
+	Listen           string // listener of a voter, host:port
+	Secret           string // shared by all nodes of a fleet, which authenticate each other with it
+	DataDir          string // for the log and snapshots of a voter; empty: in memory only
+	Voters           []Voter
+	ElectionTimeout  time.Duration // without a leader's messages, until a voter starts an election
+	Agreement        budget.Agreement
+	GossipAddress    string            // gossip address of this node; empty: gossip is off
+	GossipSeeds      []string          // gossip addresses of some other nodes
+	AddressOverrides map[string]string // addresses that this node replaces by others when it connects
+	Subset           *subset.Settings  // nil: each node uses all servers
+	WitnessQuorum    int               // nodes that must agree on an outlier; 0: no scores are exchanged
+	Zone             string            // of this node; empty: not set
 }
 
 const (
--- a/internal/config/fleet_gossip.go
+++ b/internal/config/fleet_gossip.go
@@ -22,10 +22,10 @@
 func (d *fleetDecoder) decodeGossip() error {
 	d.fleet.GossipAddress = d.text("fleet.gossip")
 	d.fleet.GossipSeeds = d.list("fleet.join")
-	d.fleet.Routes = map[string]string{}
+	d.fleet.AddressOverrides = map[string]string{}
 	for key, target := range d.values {
 		if address, isRoute := strings.CutPrefix(key, "fleet.routes."); isRoute {
-			d.fleet.Routes[address] = target
+			d.fleet.AddressOverrides[address] = target
 		}
 	}
 	for _, address := range append(slices.Clone(d.fleet.GossipSeeds), d.fleet.GossipAddress) {
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -121,12 +121,12 @@
 			"jobs":    {Total: 48, Floor: 3, Reserve: 5, Step: 4, Window: 6e9, Partitions: 3},
 			"calls":   {Total: 12, Floor: 1, Reserve: 2, Step: 5, Window: 700e6, Partitions: 1},
 		}},
-		GossipAddress: "127.0.0.1:7301",
-		GossipSeeds:   []string{"127.0.0.1:7300", "127.0.0.1:7301"},
-		Routes:        map[string]string{"127.0.0.1:7200": "127.0.0.1:7400"},
-		Subset:        &subset.Settings{Size: 3, MinNodesPerServer: 2},
-		WitnessQuorum: 2,
-		Zone:          "away",
+		GossipAddress:    "127.0.0.1:7301",
+		GossipSeeds:      []string{"127.0.0.1:7300", "127.0.0.1:7301"},
+		AddressOverrides: map[string]string{"127.0.0.1:7200": "127.0.0.1:7400"},
+		Subset:           &subset.Settings{Size: 3, MinNodesPerServer: 2},
+		WitnessQuorum:    2,
+		Zone:             "away",
 	}
 }
 
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	settings.Transport = &routedTransport{NetTransport: transport, routes: m.fleet.Routes}
+	settings.Transport = &routedTransport{NetTransport: transport, routes: m.fleet.AddressOverrides}
 	m.list, err = memberlist.Create(settings)
 	if err != nil {
 		// The error of Create is the one to report.
