--- a/cmd/fernrail/commands.go
+++ b/cmd/fernrail/commands.go
@@ -77,7 +77,7 @@
 	}
 	role := "no seat"
 	if node.Fleet.Voter(node.Name) != nil {
-		role = "a seat at " + node.Fleet.Listen
+		role = "a seat at " + node.Fleet.VoterListen
 	}
 	budgets := slices.Sorted(maps.Keys(node.Fleet.Agreement.Budgets))
 	return fmt.Sprintf("fleet: %s, %d seats, budgets %s",
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -18,7 +18,7 @@
 
 // Fleet configures the budgets that a node shares with other nodes.
 type Fleet struct {
-	Listen           string // listener of a voter, host:port
+	VoterListen      string // listener of a voter, host:port
 	Secret           string // shared by all nodes of a fleet, which authenticate each other with it
 	DataDir          string // for the log and snapshots of a voter; empty: in memory only
 	Voters           []Voter
@@ -111,7 +111,7 @@
 
 // decodeBasics decodes the scalar values at the top level of the section.
 func (d *fleetDecoder) decodeBasics() error {
-	d.fleet.Listen = d.text("fleet.listen")
+	d.fleet.VoterListen = d.text("fleet.listen")
 	d.fleet.Secret = d.text("fleet.secret")
 	d.fleet.DataDir = d.text("fleet.dir")
 	d.fleet.ElectionTimeout = d.milliseconds("fleet.pace_ms", defaultElectionTimeout, minElectionTimeout)
@@ -202,10 +202,10 @@
 	if voter == nil {
 		return nil
 	}
-	if d.fleet.Listen == "" {
-		d.fleet.Listen = voter.Address
+	if d.fleet.VoterListen == "" {
+		d.fleet.VoterListen = voter.Address
 	}
-	listen := d.fleet.Listen
+	listen := d.fleet.VoterListen
 	if _, _, err := net.SplitHostPort(listen); err != nil {
 		return keyErrorf("fleet.listen", "%q is not host:port", listen)
 	}
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -102,7 +102,7 @@
 			if err != nil || n.Fleet == nil || n.FleetDisabled {
 				t.Errorf("example configuration: got error %v, node %+v; want a fleet that is enabled",
 					err, n)
-			} else if n.Fleet.Voter("n1") == nil || n.Fleet.Listen != "127.0.0.1:7201" {
+			} else if n.Fleet.Voter("n1") == nil || n.Fleet.VoterListen != "127.0.0.1:7201" {
 				t.Errorf("got fleet %+v, want voter n1 and the listen address 127.0.0.1:7201", n.Fleet)
 			}
 			continue
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -109,7 +109,7 @@
 
 func storedFleet() *Fleet {
 	return &Fleet{
-		Listen:          "127.0.0.1:7299",
+		VoterListen:     "127.0.0.1:7299",
 		Secret:          "walk-through",
 		DataDir:         "/var/lib/fernrail",
 		Voters:          []Voter{{"n0", "127.0.0.1:7200"}, {"n1", "127.0.0.1:7201"}, {"n2", "127.0.0.1:7202"}},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -106,7 +106,7 @@
 // startFirstVoter starts the node's voter. If another process of the node uses its address, as during an
 // upgrade, the voter starts after that process has released it.
 func (f *Fleet) startFirstVoter(ctx context.Context, othersRunning bool) error {
-	listener, err := net.Listen("tcp", f.cfg.Listen)
+	listener, err := net.Listen("tcp", f.cfg.VoterListen)
 	if errors.Is(err, syscall.EADDRINUSE) && othersRunning {
 		f.tasks.Go(func() { f.retryStartVoter(ctx) })
 		return nil
@@ -161,7 +161,7 @@
 // retryStartVoter starts the voter as soon as its address is free.
 func (f *Fleet) retryStartVoter(ctx context.Context) {
 	retryUntilDone(ctx, func() bool {
-		listener, err := net.Listen("tcp", f.cfg.Listen)
+		listener, err := net.Listen("tcp", f.cfg.VoterListen)
 		if errors.Is(err, syscall.EADDRINUSE) {
 			return false
 		}
--- a/internal/fleet/stored_data_test.go
+++ b/internal/fleet/stored_data_test.go
@@ -28,7 +28,7 @@
 // fixtureConfig returns the configuration of the voter that wrote the fixtures.
 func fixtureConfig(address, dataDir string) *config.Fleet {
 	return &config.Fleet{
-		Listen:          address,
+		VoterListen:     address,
 		Secret:          "only for tests",
 		DataDir:         dataDir,
 		Voters:          []config.Voter{{Name: "n0", Address: address}},
