--- a/cmd/fernrail/node.go
+++ b/cmd/fernrail/node.go
@@ -30,7 +30,7 @@
 // newNode creates the components of a node. budgets is nil if it shares none with other nodes.
 func newNode(c *config.Node, budgets *fleet.Fleet, log zerolog.Logger) *node {
 	n := &node{config: c, budgets: budgets, counters: metrics.New(c.Names.Classes), log: log}
-	connections := transport.NewConnectionBudget(c.Sockets)
+	connections := transport.NewConnectionBudget(c.MaxDescriptors)
 	connections.SetLogger(log)
 	n.router = newRouter(n, connections)
 	n.server = transport.NewServer(connections, c.Names, n.router.Serve, n.router.Ready, n.counters, log)
--- a/cmd/fernrail/process_coordinator.go
+++ b/cmd/fernrail/process_coordinator.go
@@ -120,9 +120,9 @@
 		return
 	}
 	c.limitShare = share
-	sockets := int(share * float64(c.config.Sockets))
+	sockets := int(share * float64(c.config.MaxDescriptors))
 	if c.config.AdminAddress != "" {
-		sockets -= adminConnectionLimit(c.config.Sockets) + 1
+		sockets -= adminConnectionLimit(c.config.MaxDescriptors) + 1
 	}
 	c.connections.Resize(sockets)
 	debug.SetMemoryLimit(int64(heapFraction * share * float64(c.config.Memory)))
--- a/cmd/fernrail/process_coordinator_test.go
+++ b/cmd/fernrail/process_coordinator_test.go
@@ -27,7 +27,7 @@
 	}
 	c := &config.Node{
 		Name:             "n",
-		Sockets:          200,
+		MaxDescriptors:   200,
 		Memory:           1 << 30,
 		Names:            &protocol.Names{},
 		InitialEndpoints: &protocol.EndpointList{},
--- a/cmd/fernrail/run.go
+++ b/cmd/fernrail/run.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server := admin.New(n.adminHandler(), adminConnectionLimit(n.config.Sockets), n.log)
+	server := admin.New(n.adminHandler(), adminConnectionLimit(n.config.MaxDescriptors), n.log)
 	go server.Serve(l)
 	return func() { l.Close() }, nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,7 +25,7 @@
 	Seed                    uint64
 	Cores                   float64
 	Memory                  int64 // bytes
-	Sockets                 int   // file descriptors that the node may use
+	MaxDescriptors          int   // file descriptors that the node may use
 	InitialEndpoints        *protocol.EndpointList
 	Names                   *protocol.Names
 	Settings                *dispatch.Settings
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -71,7 +71,7 @@
 	checkEqual(t, "seed", node.Seed, 0x8c1f)
 	checkEqual(t, "cores", node.Cores, 0.5)
 	checkEqual(t, "memory", node.Memory, 192<<20)
-	checkEqual(t, "sockets", node.Sockets, 1024)
+	checkEqual(t, "sockets", node.MaxDescriptors, 1024)
 	checkEqual(t, "dial timeout", node.DialTimeout, 120*time.Millisecond)
 	checkEqual(t, "idle timeout", node.IdleTimeout, time.Minute)
 	checkEqual(t, "longest deadline", node.MaxDeadline, 5*time.Second)
--- a/internal/config/node.go
+++ b/internal/config/node.go
@@ -179,7 +179,7 @@
 	n.Cores = r.float("limits.cores", defaultCores)
 	n.Memory = r.integer("limits.memory_mb", defaultMemoryMB, minMemoryMB) << 20
 	n.ProbeTimeout = r.milliseconds("limits.probe_ms", defaultProbeTimeout, time.Millisecond)
-	n.Sockets = int(r.integer("limits.sockets", defaultSockets, minSockets))
+	n.MaxDescriptors = int(r.integer("limits.sockets", defaultSockets, minSockets))
 }
 
 func decodeSeed(text string) (uint64, error) {
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -25,14 +25,14 @@
 // written for it.
 func storedNode() *Node {
 	return &Node{
-		Name:         "n1",
-		Listen:       "127.0.0.1:7081",
-		Discovery:    "127.0.0.1:8500",
-		AdminAddress: "127.0.0.1:7091",
-		Seed:         0x8c1f,
-		Cores:        0.5,
-		Memory:       200 << 20,
-		Sockets:      1000,
+		Name:           "n1",
+		Listen:         "127.0.0.1:7081",
+		Discovery:      "127.0.0.1:8500",
+		AdminAddress:   "127.0.0.1:7091",
+		Seed:           0x8c1f,
+		Cores:          0.5,
+		Memory:         200 << 20,
+		MaxDescriptors: 1000,
 		InitialEndpoints: &protocol.EndpointList{Version: 4, Complete: true, Endpoints: []protocol.Endpoint{
 			{
 				ID: "s-1", Address: "10.0.0.1:7", State: dispatch.Up, Zone: 1, MachineType: 1, Cell: 3,
