--- a/dispatch/probes.go
+++ b/dispatch/probes.go
@@ -80,15 +80,15 @@
 func (d *Dispatcher) reserveCapacity(request *Request, server *Server) {
 	server.freeMemory -= request.Memory
 	d.startAttempt(request, server)
-	d.SlotsReserved(server, request.Slots)
+	d.RecordReservation(server, request.Slots)
 	if d.settings.PeerMessages && request.probeRounds > 1 {
 		d.actions.NotifyPeers(server, request.Slots)
 	}
 }
 
-// SlotsReserved records a reservation of slots by this or another node. It counts for as long as the
+// RecordReservation records a reservation of slots by this or another node. It counts for as long as the
 // server's reports may not include it yet.
-func (d *Dispatcher) SlotsReserved(server *Server, slots float64) {
+func (d *Dispatcher) RecordReservation(server *Server, slots float64) {
 	server.reservations = server.reservations.add(d.now, -slots, reservationLifetimes*d.reportLifetime)
 	server.freeSlots -= slots
 }
--- a/dispatch/probes_test.go
+++ b/dispatch/probes_test.go
@@ -118,7 +118,7 @@
 			len(second.Attempts), len(w.notified))
 	}
 	other, server := start()
-	other.d.SlotsReserved(server, w.notified[0])
+	other.d.RecordReservation(server, w.notified[0])
 	waiting := other.arrive(0, 1, 1e9, 9e9)
 	if other.d.CapacityReported(server, true, 1, 9); len(waiting.Attempts) > 0 {
 		t.Errorf("slot reserved by another node: got %d attempts, want 0", len(waiting.Attempts))
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -73,7 +73,7 @@
 		w.probes = slices.Delete(w.probes, i, i+1)
 		w.d.CapacityReported(server, w.IntN(3) > 0, float64(w.IntN(3)), float64(w.IntN(3)))
 	case n == 18 && len(w.endpoints) > 0:
-		w.d.SlotsReserved(w.endpoints[w.IntN(len(w.endpoints))].Server, float64(w.IntN(300)))
+		w.d.RecordReservation(w.endpoints[w.IntN(len(w.endpoints))].Server, float64(w.IntN(300)))
 	case n == 16:
 		w.d.PollFailed(0, 0)
 	default:
--- a/internal/simwire/messages.go
+++ b/internal/simwire/messages.go
@@ -215,6 +215,6 @@
 		return
 	}
 	if server := n.serversByHash[binary.BigEndian.Uint32(message[1:])]; server != nil {
-		n.module.SlotsReserved(server, float64(message[0]))
+		n.module.RecordReservation(server, float64(message[0]))
 	}
 }
