--- a/dispatch/arrival.go
+++ b/dispatch/arrival.go
@@ -32,7 +32,7 @@
 		d.giveUp(request, Overloaded)
 		return
 	}
-	unreadExcess := max(request.UnreadTime-ignoredDelay, 0)
+	unreadExcess := max(request.MaxUnreadDuration-ignoredDelay, 0)
 	request.arrivedAt = d.now - unreadExcess
 	request.Deadline -= unreadExcess
 	request.Deadline = d.adjustedDeadline(request)
--- a/dispatch/overload.go
+++ b/dispatch/overload.go
@@ -43,7 +43,7 @@
 
 // overloaded reports whether a request that has just been read has to be shed.
 func (d *Dispatcher) overloaded(request *Request) bool {
-	return request.UnreadTime > d.maxUnreadTime(request.Deadline-d.now)
+	return request.MaxUnreadDuration > d.maxUnreadTime(request.Deadline-d.now)
 }
 
 // endpointsMayBeStale reports whether this process is so late that updates of the endpoint list may lie
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -13,7 +13,7 @@
 	w.addServers(4, false)
 	for _, unread := range []int64{0, 1e8, 3e8, 3e9} {
 		request := &Request{Class: settings.Classes[0], Slots: 1, ExpectedWork: 1e7, Deadline: w.now + 5e9,
-			UnreadTime: unread}
+			MaxUnreadDuration: unread}
 		w.admit(request)
 		shed, attempts := unread > settings.DrainGrace/8, len(request.Attempts)
 		if request.Done != shed || shed && (request.Reason != Overloaded || attempts > 0) {
@@ -32,7 +32,7 @@
 		w.addServers(4, false)
 		class := w.settings.Classes[0]
 		request := &Request{
-			Class: class, Slots: 1, Deadline: w.now + class.LatencyObjective + 1, UnreadTime: unread}
+			Class: class, Slots: 1, Deadline: w.now + class.LatencyObjective + 1, MaxUnreadDuration: unread}
 		w.requests = append(w.requests, request)
 		w.d.Arrive(request)
 		if w.d.ProcessQueue(); request.Done || len(request.Attempts) != 1 {
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -10,18 +10,18 @@
 
 // Request is one request of a client. It must receive exactly one final answer.
 type Request struct {
-	Tag          string
-	Class        *Class
-	Tenant       int
-	Slots        float64
-	Memory       float64
-	AffinityKey  uint64 // identifies the data that it works on, below 2^53; 0: not known
-	ExpectedWork int64  // expected running time on a standard core, ns; 0: not known
-	Deadline     int64  // clock time, ns
-	UnreadTime   int64  // ns that it may have been unread at this node; Deadline does not include it
-	Attempts     []*Attempt
-	Done         bool   // it has its final answer, or the client has disconnected
-	Reason       Reason // why it was shed or failed; NoReason before that
+	Tag               string
+	Class             *Class
+	Tenant            int
+	Slots             float64
+	Memory            float64
+	AffinityKey       uint64 // identifies the data that it works on, below 2^53; 0: not known
+	ExpectedWork      int64  // expected running time on a standard core, ns; 0: not known
+	Deadline          int64  // clock time, ns
+	MaxUnreadDuration int64  // upper bound of its time unread at this node, ns; Deadline does not include it
+	Attempts          []*Attempt
+	Done              bool   // it has its final answer, or the client has disconnected
+	Reason            Reason // why it was shed or failed; NoReason before that
 
 	arrivedAt      int64
 	objectiveAt    int64 // clock time of its latency objective
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -64,7 +64,7 @@
 		ExpectedWork: received.ExpectedWork,
 		// The client's timeout starts when it sends the request. A process that is short of CPU time
 		// reads the request from the socket later.
-		UnreadTime: r.delay.Delay(),
+		MaxUnreadDuration: r.delay.Delay(),
 	}
 }
 
