--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -24,7 +24,7 @@
 	Voters           []Voter
 	ElectionTimeout  time.Duration // without a leader's messages, until a voter starts an election
 	Agreement        budget.Agreement
-	GossipAddress    string            // gossip address of this node; empty: gossip is off
+	GossipAddress    string            // of this node; empty: gossip is off
 	GossipSeeds      []string          // gossip addresses of some other nodes
 	AddressOverrides map[string]string // addresses that this node replaces by others when it connects
 	Subset           *subset.Settings  // nil: each node uses all servers
--- a/internal/config/fleet_gossip.go
+++ b/internal/config/fleet_gossip.go
@@ -18,7 +18,7 @@
 // may be faulty itself.
 const minWitnesses = 2
 
-// decodeGossip decodes the gossip addresses and the routes.
+// decodeGossip decodes the gossip addresses and the address overrides.
 func (d *fleetDecoder) decodeGossip() error {
 	d.fleet.GossipAddress = d.text("fleet.gossip")
 	d.fleet.GossipSeeds = d.list("fleet.join")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -257,8 +257,8 @@
 	f.holder.SetFloorOwner(owner, f.clock())
 }
 
-// ReleaseAddresses releases the addresses of the voter and of gossip to another process of this node. Leases are
-// still renewed.
+// ReleaseAddresses releases the addresses of the voter and of gossip to another process of this node. Leases
+// are still renewed.
 func (f *Fleet) ReleaseAddresses() {
 	v, m := f.takeServices()
 	if m != nil {
