--- a/cmd/fernrail/test_clock.go
+++ b/cmd/fernrail/test_clock.go
@@ -23,7 +23,7 @@
 	if n, _ := fmt.Sscanf(os.Getenv("FERNRAIL_TEST_CLOCK"), "%f,%f,%f", &rate, &ahead, &after); n < 3 {
 		return
 	}
-	start := fleet.Boottime()
+	start := fleet.BootTime()
 	var trueRateUntil atomic.Int64 // ns after the start
 	trueRateUntil.Store(int64(after * 1e9))
 	if after < 0 {
@@ -32,11 +32,11 @@
 		signal.Notify(signals, syscall.SIGUSR1)
 		go func() {
 			<-signals
-			trueRateUntil.Store(fleet.Boottime() - start)
+			trueRateUntil.Store(fleet.BootTime() - start)
 		}()
 	}
 	clock = func() int64 {
-		elapsed := fleet.Boottime() - start
+		elapsed := fleet.BootTime() - start
 		atTrueRate := min(elapsed, trueRateUntil.Load())
 		return start + int64(ahead*1e9) + atTrueRate + int64(rate*float64(elapsed-atTrueRate))
 	}
