--- a/cmd/fernrail/process_coordinator.go
+++ b/cmd/fernrail/process_coordinator.go
@@ -120,9 +120,9 @@
 		return
 	}
 	c.limitShare = share
-	sockets := int(share * float64(c.config.Sockets))
+	sockets := int(share * float64(c.config.MaxDescriptors))
 	if c.config.AdminAddress != "" {
-		sockets -= adminConnectionLimit(c.config.Sockets) + 1
+		sockets -= adminConnectionLimit(c.config.MaxDescriptors) + 1
 	}
 	c.connections.Resize(sockets)
 	debug.SetMemoryLimit(int64(heapFraction * share * float64(c.config.Memory)))
@@ -141,7 +141,7 @@
 // recordListed stores newly listed servers for the other processes. If that fails, the next sync retries it.
 // The caller holds mu.
 func (c *processCoordinator) recordListed() {
-	listed := c.router.EverListed(c.recorded)
+	listed := c.router.ListedIDs(c.recorded)
 	if len(listed) == 0 {
 		return
 	}
--- a/cmd/fernrail/run.go
+++ b/cmd/fernrail/run.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server := admin.New(n.adminHandler(), adminConnectionLimit(n.config.Sockets), n.log)
+	server := admin.New(n.adminHandler(), adminConnectionLimit(n.config.MaxDescriptors), n.log)
 	go server.Serve(l)
 	return func() { l.Close() }, nil
 }
@@ -140,7 +140,7 @@
 		return true
 	}
 	select {
-	case <-n.router.FirstUpdate():
+	case <-n.router.FirstPollSucceeded():
 	case <-time.After(discoveryWait):
 		n.log.Warn().Msgf(
 			"discovery did not answer within %v; serving with the endpoint list of the configuration", discoveryWait)
@@ -187,7 +187,7 @@
 func (n *node) shutDown() {
 	handedOver := n.processes.handOver()
 	if n.budgets != nil && handedOver {
-		n.budgets.HandOver()
+		n.budgets.ReleaseAddresses()
 	}
 	n.log.Info().Bool("successor", handedOver).Msg("node stops")
 	timeout := shutdownTime(n.config)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -71,7 +71,7 @@
 	checkEqual(t, "seed", node.Seed, 0x8c1f)
 	checkEqual(t, "cores", node.Cores, 0.5)
 	checkEqual(t, "memory", node.Memory, 192<<20)
-	checkEqual(t, "sockets", node.Sockets, 1024)
+	checkEqual(t, "sockets", node.MaxDescriptors, 1024)
 	checkEqual(t, "dial timeout", node.DialTimeout, 120*time.Millisecond)
 	checkEqual(t, "idle timeout", node.IdleTimeout, time.Minute)
 	checkEqual(t, "longest deadline", node.MaxDeadline, 5*time.Second)
@@ -82,7 +82,7 @@
 	checkEqual(t, "server", endpoint.ID, "s-1")
 	checkEqual(t, "server's zone", endpoint.Zone, 1)
 	checkEqual(t, "server's machine type", endpoint.MachineType, 1)
-	checkEqual(t, "server's start", endpoint.Started, 12e6)
+	checkEqual(t, "server's start", endpoint.StartedAt, 12e6)
 
 	pay := node.Settings.Classes[1]
 	checkEqual(t, "idempotency", pay.Idempotency, dispatch.IdempotentInGroup)
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -25,21 +25,21 @@
 // written for it.
 func storedNode() *Node {
 	return &Node{
-		Name:         "n1",
-		Listen:       "127.0.0.1:7081",
-		Discovery:    "127.0.0.1:8500",
-		AdminAddress: "127.0.0.1:7091",
-		Seed:         0x8c1f,
-		Cores:        0.5,
-		Memory:       200 << 20,
-		Sockets:      1000,
+		Name:           "n1",
+		Listen:         "127.0.0.1:7081",
+		Discovery:      "127.0.0.1:8500",
+		AdminAddress:   "127.0.0.1:7091",
+		Seed:           0x8c1f,
+		Cores:          0.5,
+		Memory:         200 << 20,
+		MaxDescriptors: 1000,
 		InitialEndpoints: &protocol.EndpointList{Version: 4, Complete: true, Endpoints: []protocol.Endpoint{
 			{
 				ID: "s-1", Address: "10.0.0.1:7", State: dispatch.Up, Zone: 1, MachineType: 1, Cell: 3,
-				Started: 12e6, Capacity: 1.5,
+				StartedAt: 12e6, Capacity: 1.5,
 			},
-			{ID: "s-2", Address: "10.0.0.2:7", State: dispatch.Draining, Cell: 1, Started: 5e6, Capacity: 2},
-			{ID: "s-3", Address: "10.0.0.3:7", State: dispatch.Up, Cell: 2, Started: 7e6, Capacity: 3},
+			{ID: "s-2", Address: "10.0.0.2:7", State: dispatch.Draining, Cell: 1, StartedAt: 5e6, Capacity: 2},
+			{ID: "s-3", Address: "10.0.0.3:7", State: dispatch.Up, Cell: 2, StartedAt: 7e6, Capacity: 3},
 		}},
 		Names: &protocol.Names{
 			Zones:        []string{"home", "away"},
@@ -109,7 +109,7 @@
 
 func storedFleet() *Fleet {
 	return &Fleet{
-		Listen:          "127.0.0.1:7299",
+		VoterListen:     "127.0.0.1:7299",
 		Secret:          "walk-through",
 		DataDir:         "/var/lib/fernrail",
 		Voters:          []Voter{{"n0", "127.0.0.1:7200"}, {"n1", "127.0.0.1:7201"}, {"n2", "127.0.0.1:7202"}},
@@ -121,12 +121,12 @@
 			"jobs":    {Total: 48, Floor: 3, Reserve: 5, Step: 4, Window: 6e9, Partitions: 3},
 			"calls":   {Total: 12, Floor: 1, Reserve: 2, Step: 5, Window: 700e6, Partitions: 1},
 		}},
-		Gossip:        "127.0.0.1:7301",
-		Join:          []string{"127.0.0.1:7300", "127.0.0.1:7301"},
-		Routes:        map[string]string{"127.0.0.1:7200": "127.0.0.1:7400"},
-		Subset:        &subset.Settings{Size: 3, MinNodesPerServer: 2},
-		WitnessQuorum: 2,
-		Zone:          "away",
+		GossipAddress:    "127.0.0.1:7301",
+		GossipSeeds:      []string{"127.0.0.1:7300", "127.0.0.1:7301"},
+		AddressOverrides: map[string]string{"127.0.0.1:7200": "127.0.0.1:7400"},
+		Subset:           &subset.Settings{Size: 3, MinNodesPerServer: 2},
+		WitnessQuorum:    2,
+		Zone:             "away",
 	}
 }
 
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	settings.Transport = &routedTransport{NetTransport: transport, routes: m.fleet.Routes}
+	settings.Transport = &routedTransport{NetTransport: transport, routes: m.fleet.AddressOverrides}
 	m.list, err = memberlist.Create(settings)
 	if err != nil {
 		// The error of Create is the one to report.
@@ -105,7 +105,7 @@
 // settings returns the library's configuration, with all intervals and timeouts proportional to the election
 // timeout.
 func (m *membership) settings() (*memberlist.Config, error) {
-	host, port, err := net.SplitHostPort(m.fleet.Gossip)
+	host, port, err := net.SplitHostPort(m.fleet.GossipAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -174,7 +174,7 @@
 	for _, address := range m.alive {
 		alive[address] = true
 	}
-	addresses := slices.Clone(m.fleet.Join)
+	addresses := slices.Clone(m.fleet.GossipSeeds)
 	for _, address := range m.departed {
 		addresses = append(addresses, address)
 	}
--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -16,9 +16,10 @@
 	"fernrail/dispatch"
 )
 
-// ErrNoNews means that discovery processed a poll and responded without an endpoint list. It must not be
-// polled again immediately. A poll that got no response, or an unreadable one, does not count as processed.
-var ErrNoNews = errors.New("no endpoint list in the response")
+// ErrNoEndpointList means that discovery processed a poll and responded without an endpoint list. It must not
+// be polled again immediately. A poll that got no response, or an unreadable one, does not count as
+// processed.
+var ErrNoEndpointList = errors.New("no endpoint list in the response")
 
 // MaxEndpointListBytes is the maximum size of an encoded endpoint list. Several thousand servers fit.
 const MaxEndpointListBytes = 4 << 20
@@ -45,7 +46,7 @@
 	ID, Address             string
 	State                   dispatch.EndpointState
 	Zone, MachineType, Cell int     // Zone and MachineType are indexes into Names; -1: unknown name
-	Started                 int64   // Unix time, ns; 0: long ago
+	StartedAt               int64   // Unix time, ns; 0: long ago
 	Capacity                float64 // the settings define the unit
 }
 
@@ -189,7 +190,7 @@
 		Zone:        slices.Index(names.Zones, e.Zone),
 		MachineType: slices.Index(names.MachineTypes, e.MachineType),
 		Cell:        e.Cell,
-		Started:     e.StartedMillis * int64(time.Millisecond),
+		StartedAt:   e.StartedMillis * int64(time.Millisecond),
 		Capacity:    capacity,
 	}, nil
 }
--- a/internal/routing/endpoint_watcher.go
+++ b/internal/routing/endpoint_watcher.go
@@ -68,8 +68,8 @@
 	r.pollRequested <- on
 }
 
-// FirstUpdate returns a channel that is closed after the first successful poll of discovery.
-func (r *Router) FirstUpdate() <-chan struct{} { return r.firstUpdate }
+// FirstPollSucceeded returns a channel that is closed after the first successful poll of discovery.
+func (r *Router) FirstPollSucceeded() <-chan struct{} { return r.firstUpdate }
 
 // WatchEndpoints polls discovery for the endpoint list whenever the module requests it, until the
 // context ends. After a failed poll it waits until the module requests the next one. It also runs the
@@ -187,7 +187,7 @@
 		state.needComplete = true
 	}
 	discoveryTime := time.Duration(0) // how long discovery worked on the poll
-	if errors.Is(err, protocol.ErrNoNews) {
+	if errors.Is(err, protocol.ErrNoEndpointList) {
 		discoveryTime = duration
 	}
 	err = r.tryEvent(func() { r.module.PollFailed(int64(duration), int64(discoveryTime)) })
